--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -50,8 +50,8 @@
 	Limit func(worker int, free taskgraph.Amount) taskgraph.Amount
 }
 
-// visible returns the free room of a worker that the request may see.
-func (r *Request) visible(workers []Worker, i int) taskgraph.Amount {
+// visibleFree returns the free room of a worker that the request may see.
+func (r *Request) visibleFree(workers []Worker, i int) taskgraph.Amount {
 	if r.Limit == nil {
 		return workers[i].Free
 	}
@@ -62,17 +62,17 @@
 	return workers[i].Usable && (r.Allowed == nil || r.Allowed(i))
 }
 
-// capacity returns how many tasks of the request fit into room on a worker.
-func (r *Request) capacity(i int, room taskgraph.Amount) int {
+// taskCapacity returns how many tasks of the request fit into room on a worker.
+func (r *Request) taskCapacity(i int, available taskgraph.Amount) int {
 	count := r.Count
 	if r.Room.CPU > 0 {
-		count = min(count, room.CPU/r.Room.CPU)
+		count = min(count, available.CPU/r.Room.CPU)
 	}
 	if r.Room.MemoryMB > 0 {
-		count = min(count, room.MemoryMB/r.Room.MemoryMB)
+		count = min(count, available.MemoryMB/r.Room.MemoryMB)
 	}
 	if r.Room.GPUs > 0 {
-		count = min(count, room.GPUs/r.Room.GPUs)
+		count = min(count, available.GPUs/r.Room.GPUs)
 	}
 	if r.MaxPerWorker > 0 {
 		present := 0
@@ -90,8 +90,8 @@
 	fits   int
 	// rackFree is the free room of the worker's rack.
 	rackFree float64
-	// left is the room that would be left after as many tasks as fit.
-	left float64
+	// remaining is the room that would be remaining after as many tasks as fit.
+	remaining float64
 	// position is the worker's in the list of those that were tried.
 	position int
 }
@@ -100,36 +100,36 @@
 // on workers that are left the fullest, so that whole workers and racks stay free
 // for wide tasks and gangs. It returns one worker a task, or nil if the request does
 // not fit whole.
-func Fit(workers []Worker, among []int, request *Request) []int {
-	if !fitsWhole(workers, among, request) {
+func Fit(workers []Worker, indexes []int, request *Request) []int {
+	if !fitsWhole(workers, indexes, request) {
 		return nil
 	}
-	best := shortlist{count: request.Count}
-	for position, i := range among {
+	selected := candidateHeap{count: request.Count}
+	for position, i := range indexes {
 		if !request.allowed(workers, i) {
 			continue
 		}
-		room := request.visible(workers, i)
-		fits := request.capacity(i, room)
+		available := request.visibleFree(workers, i)
+		fits := request.taskCapacity(i, available)
 		if fits == 0 {
 			continue
 		}
-		left := room.Minus(request.Room.Times(fits)).Cores()
-		best.add(candidate{worker: i, position: position, fits: fits, left: left, rackFree: workers[i].RackFree})
+		remaining := available.Minus(request.Room.Times(fits)).Cores()
+		selected.add(candidate{worker: i, position: position, fits: fits, remaining: remaining, rackFree: workers[i].RackFree})
 	}
-	return take(best.sorted(), request.Count)
+	return assignTasks(selected.sorted(), request.Count)
 }
 
 // fitsWhole reports whether the request fits. In a full pool most do not, and to find that
 // out costs no memory.
-func fitsWhole(workers []Worker, among []int, request *Request) bool {
+func fitsWhole(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
-	for _, i := range among {
+	for _, i := range indexes {
 		free := workers[i].Free
 		if request.Room.GPUs > free.GPUs || request.Room.CPU > free.CPU || !request.allowed(workers, i) {
 			continue
 		}
-		total += request.capacity(i, request.visible(workers, i))
+		total += request.taskCapacity(i, request.visibleFree(workers, i))
 		if total >= request.Count {
 			return true
 		}
@@ -139,11 +139,11 @@
 
 // Holds reports whether the workers could take the request if nothing ran on them and
 // all that are not closed were usable.
-func Holds(workers []Worker, among []int, request *Request) bool {
+func Holds(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
-	for _, i := range among {
+	for _, i := range indexes {
 		if !workers[i].Closed && (request.Allowed == nil || request.Allowed(i)) {
-			total += request.capacity(i, workers[i].Capacity)
+			total += request.taskCapacity(i, workers[i].Capacity)
 		}
 		if total >= request.Count {
 			return true
@@ -152,7 +152,7 @@
 	return false
 }
 
-func take(candidates []candidate, count int) []int {
+func assignTasks(candidates []candidate, count int) []int {
 	places := make([]int, 0, count)
 	for _, c := range candidates {
 		for range min(c.fits, count-len(places)) {
@@ -195,19 +195,19 @@
 // FitOneRack places the request on one rack: the one that is left the fullest.
 func FitOneRack(workers []Worker, racks *Racks, request *Request) []int {
 	var best []int
-	bestLeft := 0.0
+	bestRemaining := 0.0
 	for _, name := range racks.Names {
 		members := racks.Members[name]
 		places := Fit(workers, members, request)
 		if places == nil {
 			continue
 		}
-		left := 0.0
+		remaining := 0.0
 		for _, i := range members {
-			left += workers[i].Free.Cores()
+			remaining += workers[i].Free.Cores()
 		}
-		if best == nil || left < bestLeft {
-			best, bestLeft = places, left
+		if best == nil || remaining < bestRemaining {
+			best, bestRemaining = places, remaining
 		}
 	}
 	return best
@@ -229,8 +229,8 @@
 }
 
 // Reserve takes the room of placed tasks from the workers' free room.
-func Reserve(workers []Worker, places []int, room taskgraph.Amount) {
+func Reserve(workers []Worker, places []int, perTask taskgraph.Amount) {
 	for _, i := range places {
-		workers[i].Free = workers[i].Free.Minus(room)
+		workers[i].Free = workers[i].Free.Minus(perTask)
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,8 +12,8 @@
 
 func gpus(n int) taskgraph.Amount { return taskgraph.Amount{GPUs: n} }
 
-// racksOf makes usable workers with the given free accelerators, two a rack.
-func racksOf(free ...int) ([]Worker, *Racks) {
+// newTestWorkers makes usable workers with the given free accelerators, two a rack.
+func newTestWorkers(free ...int) ([]Worker, *Racks) {
 	workers := make([]Worker, len(free))
 	for i, n := range free {
 		workers[i] = Worker{Rack: string(rune('a' + i/2)), Capacity: gpus(8), Free: gpus(n), Usable: true}
@@ -23,23 +23,23 @@
 	return workers, racks
 }
 
-func TestFitTakesTheFullestRackFirst(t *testing.T) {
-	workers, racks := racksOf(8, 8, 8, 2)
+func TestFitPrefersFullestRack(t *testing.T) {
+	workers, racks := newTestWorkers(8, 8, 8, 2)
 	require.Equal(t, []int{3, 3}, Fit(workers, racks.All, &Request{Room: gpus(1), Count: 2}))
 	require.Equal(t, []int{2, 0, 1}, Fit(workers, racks.All, &Request{Room: gpus(8), Count: 3}))
 	require.Nil(t, Fit(workers, racks.All, &Request{Room: gpus(8), Count: 4}))
 }
 
-func TestFitKeepsBounds(t *testing.T) {
-	workers, racks := racksOf(8, 8)
+func TestFitRespectsLimits(t *testing.T) {
+	workers, racks := newTestWorkers(8, 8)
 	workers[0].Usable = false
 	require.Equal(t, []int{1}, Fit(workers, racks.All, &Request{Room: gpus(1), Count: 1}))
 	present := func(int) int { return 1 }
 	require.Nil(t, Fit(workers, racks.All, &Request{Room: gpus(1), Count: 2, MaxPerWorker: 2, Present: present}))
 }
 
-func TestEarliestFitWaitsForTheFirstEnds(t *testing.T) {
-	workers, racks := racksOf(0, 0)
+func TestEarliestFitUsesEarliestCompletion(t *testing.T) {
+	workers, racks := newTestWorkers(0, 0)
 	units := []Unit{
 		{Places: []int{0}, Room: gpus(8), Remaining: 3 * time.Second},
 		{Places: []int{1}, Room: gpus(8), Remaining: time.Second},
@@ -53,8 +53,8 @@
 	require.Nil(t, EarliestFit(workers, racks.All, units, &Request{Room: gpus(9), Count: 1}, time.Hour))
 }
 
-func TestPreemptStopsTheCheapest(t *testing.T) {
-	workers, racks := racksOf(0, 0)
+func TestPreemptChoosesLowestCost(t *testing.T) {
+	workers, racks := newTestWorkers(0, 0)
 	units := []Unit{
 		{Places: []int{0}, Room: gpus(8), Loss: 50, Priority: 2},
 		{Places: []int{1}, Room: gpus(8), Loss: 10, Priority: 2},
@@ -69,15 +69,15 @@
 	require.Nil(t, places, "equals do not stop each other")
 }
 
-// TestFitAgainstSearch compares Fit with a count over every worker.
-func TestFitAgainstSearch(t *testing.T) {
+// TestFitMatchesTotalCapacity compares Fit with a count over every worker.
+func TestFitMatchesTotalCapacity(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		free := make([]int, 6)
 		for i := range free {
 			free[i] = random.IntN(9)
 		}
-		workers, racks := racksOf(free...)
+		workers, racks := newTestWorkers(free...)
 		request := &Request{Room: gpus(1 + random.IntN(4)), Count: 1 + random.IntN(8)}
 		total := 0
 		for _, n := range free {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -31,23 +31,23 @@
 // EarliestFit returns when and where the request fits among workers if running
 // units end as expected and nothing new starts. The result is nil if that takes
 // until limit or longer.
-func EarliestFit(workers []Worker, among []int, units []Unit, request *Request, limit time.Duration) *Promise {
-	if !Holds(workers, among, request) {
+func EarliestFit(workers []Worker, indexes []int, units []Unit, request *Request, limit time.Duration) *Promise {
+	if !Holds(workers, indexes, request) {
 		return nil
 	}
-	t := newTrial(workers, among, units, request)
-	defer t.end()
-	if t.enough() {
-		return t.promise(0)
+	t := newSimulation(workers, indexes, units, request)
+	defer t.close()
+	if t.satisfied() {
+		return t.placementAfter(0)
 	}
-	for _, ranked := range t.unitsBy(func(number int) float64 { return max(0, float64(units[number].Remaining)) }) {
+	for _, ranked := range t.rankUnits(func(number int) float64 { return max(0, float64(units[number].Remaining)) }) {
 		after := units[ranked.number].Remaining
 		if after >= limit {
 			return nil
 		}
-		t.vacate(ranked.number)
-		if t.enough() {
-			return t.promise(after)
+		t.evict(ranked.number)
+		if t.satisfied() {
+			return t.placementAfter(after)
 		}
 	}
 	return nil
@@ -56,28 +56,28 @@
 // Preempt returns where the request fits among workers if victims are stopped, the
 // victims, and their loss. Units with a negative loss are left alone. The result is
 // nil if no set of victims helps.
-func Preempt(workers []Worker, among []int, units []Unit, request *Request) (places, victims []int, loss float64) {
-	t := newTrial(workers, among, units, request)
-	defer t.end()
+func Preempt(workers []Worker, indexes []int, units []Unit, request *Request) (places, victims []int, loss float64) {
+	t := newSimulation(workers, indexes, units, request)
+	defer t.close()
 	for _, ranked := range t.preemptible() {
-		if t.enough() {
+		if t.satisfied() {
 			break
 		}
-		t.vacate(ranked.number)
+		t.evict(ranked.number)
 		victims = append(victims, ranked.number)
 	}
-	if !t.enough() {
+	if !t.satisfied() {
 		return nil, nil, 0
 	}
-	victims = t.spare(victims)
+	victims = t.dropUnneeded(victims)
 	for _, number := range victims {
 		loss += units[number].Loss
 	}
-	return Fit(workers, among, request), victims, loss
+	return Fit(workers, indexes, request), victims, loss
 }
 
-// yieldsTo reports whether a unit may be stopped for a request. Units without loss
+// preemptibleBy reports whether a unit may be stopped for a request. Units without loss
 // are stopping already.
-func (u *Unit) yieldsTo(request *Request) bool {
+func (u *Unit) preemptibleBy(request *Request) bool {
 	return u.Loss == 0 || u.Loss > 0 && u.Priority > request.Priority
 }
--- a/internal/placement/shortlist_test.go
+++ b/internal/placement/shortlist_test.go
@@ -8,25 +8,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestShortlistTakesWhatSortingAllTakes compares the shortlist with the whole list.
-func TestShortlistTakesWhatSortingAllTakes(t *testing.T) {
+// TestCandidateHeapMatchesFullSort compares the shortlist with the whole list.
+func TestCandidateHeapMatchesFullSort(t *testing.T) {
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		count := 1 + random.IntN(12)
-		list := shortlist{count: count}
+		list := candidateHeap{count: count}
 		var all []candidate
 		total := 0
 		for position := range 1 + random.IntN(40) {
 			c := candidate{
 				worker: 100 + position, position: position, fits: 1 + random.IntN(4),
-				rackFree: float64(random.IntN(4)), left: float64(random.IntN(4)),
+				rackFree: float64(random.IntN(4)), remaining: float64(random.IntN(4)),
 			}
 			all = append(all, c)
 			total += c.fits
 			list.add(c)
 		}
 		slices.SortFunc(all, func(a, b candidate) int { return a.compare(&b) })
-		require.Equal(t, take(all, count), take(list.sorted(), count), "seed %d", seed)
-		require.GreaterOrEqual(t, list.total, min(count, total), "seed %d", seed)
+		require.Equal(t, assignTasks(all, count), assignTasks(list.sorted(), count), "seed %d", seed)
+		require.GreaterOrEqual(t, list.tasks, min(count, total), "seed %d", seed)
 	}
 }
