--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement chooses workers for tasks. Its functions are pure: they read a
-// snapshot of workers and return places, in an order that does not depend on maps.
+// Package placement assigns tasks to workers. Its functions are deterministic and do no I/O; they
+// work on a snapshot of the workers.
 package placement
 
 import (
@@ -9,48 +9,50 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Worker is a worker as the snapshot has it.
+// Worker is the state of one worker in the snapshot.
 type Worker struct {
 	Rack string
-	// Capacity is the room of the worker when nothing runs on it.
+	// Capacity is the total resources of the worker.
 	Capacity taskgraph.Amount
-	// Free is the room left now, after the reservations made in this cycle.
+	// Free is what is unallocated, less the reservations made in this cycle.
 	Free taskgraph.Amount
-	// RackFree is the free room of the worker's rack, in cores.
+	// RackFree is the unallocated capacity of the worker's rack, in cores.
 	RackFree float64
-	// Slow workers take longer than most.
+	// Slow marks workers that take longer than most.
 	Slow bool
-	// Usable is false for workers that take no new work.
+	// Usable is false for workers that accept no new tasks.
 	Usable bool
-	// Closed workers take no new work for as long as an operator wants it so.
+	// Closed workers are cordoned by an operator.
 	Closed bool
-	// Holders are the runs on the worker.
+	// Holders are the runs that occupy the worker.
 	Holders []Holder
 }
 
-// Holder is a run that occupies room.
+// Holder is a run that occupies part of a worker.
 type Holder struct {
-	// Unit numbers the unit in the snapshot's list of units.
+	// Unit is the index of the run's unit in the snapshot.
 	Unit int
 	Room taskgraph.Amount
 }
 
-// Request is what is to be placed: Count equal tasks, all or none.
+// Request asks for Count identical tasks to be placed, all or none.
 type Request struct {
 	Room  taskgraph.Amount
 	Count int
-	// Priority is the request's; 0 comes first.
+	// Priority 0 is the highest.
 	Priority int
-	// Allowed reports whether a worker may take tasks of the request; nil allows all.
+	// Allowed filters workers; nil allows all.
 	Allowed func(worker int) bool
-	// MaxPerWorker bounds the tasks on one worker, of which Present has some there.
+	// MaxPerWorker limits the tasks on one worker, including the Present(worker) tasks already
+	// there; 0 means no limit.
 	MaxPerWorker int
 	Present      func(worker int) int
-	// Limit bounds the room that the request may see on a worker; nil shows all.
+	// Limit restricts the free resources of a worker that the request may use; nil means no
+	// restriction.
 	Limit func(worker int, free taskgraph.Amount) taskgraph.Amount
 }
 
-// visibleFree returns the free room of a worker that the request may see.
+// visibleFree returns the free resources of a worker that the request may use.
 func (r *Request) visibleFree(workers []Worker, i int) taskgraph.Amount {
 	if r.Limit == nil {
 		return workers[i].Free
@@ -62,7 +64,8 @@
 	return workers[i].Usable && (r.Allowed == nil || r.Allowed(i))
 }
 
-// taskCapacity returns how many tasks of the request fit into room on a worker.
+// taskCapacity returns how many of the request's tasks fit into the available resources of worker
+// i.
 func (r *Request) taskCapacity(i int, available taskgraph.Amount) int {
 	count := r.Count
 	if r.Room.CPU > 0 {
@@ -84,22 +87,21 @@
 	return max(0, count)
 }
 
-// candidate is a worker that can take some tasks.
+// candidate is a worker that can run at least one of the tasks.
 type candidate struct {
-	worker int
-	fits   int
-	// rackFree is the free room of the worker's rack.
+	worker   int
+	fits     int
 	rackFree float64
-	// remaining is the room that would be remaining after as many tasks as fit.
+	// remaining is what stays free, in cores, if the worker takes as many tasks as fit.
 	remaining float64
-	// position is the worker's in the list of those that were tried.
+	// position is the worker's index in the caller's list; it breaks ties.
 	position int
 }
 
-// Fit places the request on the given workers: first on the fullest racks, and there
-// on workers that are left the fullest, so that whole workers and racks stay free
-// for wide tasks and gangs. It returns one worker a task, or nil if the request does
-// not fit whole.
+// Fit places the request on the workers at indexes. It packs best-fit: the rack with the least
+// free capacity first, and within it the worker with the least capacity remaining, so that whole
+// workers and racks stay free for large tasks and gangs. It returns one worker index per task, or
+// nil if not all tasks fit.
 func Fit(workers []Worker, indexes []int, request *Request) []int {
 	if !fitsWhole(workers, indexes, request) {
 		return nil
@@ -120,8 +122,8 @@
 	return assignTasks(selected.sorted(), request.Count)
 }
 
-// fitsWhole reports whether the request fits. In a full pool most do not, and to find that
-// out costs no memory.
+// fitsWhole reports whether all tasks of the request fit. It allocates no memory, so that the
+// common rejection in a full pool is cheap.
 func fitsWhole(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
@@ -137,8 +139,8 @@
 	return total >= request.Count
 }
 
-// Holds reports whether the workers could take the request if nothing ran on them and
-// all that are not closed were usable.
+// Holds reports whether the request would fit if nothing ran on the workers and all that are not
+// cordoned were usable.
 func Holds(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
@@ -162,14 +164,14 @@
 	return places
 }
 
-// Racks groups workers by rack, in the order of the racks' first workers.
+// Racks groups workers by rack, in order of first appearance.
 type Racks struct {
 	Names   []string
 	Members map[string][]int
 	All     []int
 }
 
-// NewRacks groups workers.
+// NewRacks groups workers by rack.
 func NewRacks(workers []Worker) *Racks {
 	racks := &Racks{Members: map[string][]int{}}
 	for i := range workers {
@@ -183,7 +185,7 @@
 	return racks
 }
 
-// Emptiest lists the racks, those with the most free room first.
+// Emptiest returns the rack names by descending free capacity.
 func (r *Racks) Emptiest(workers []Worker) []string {
 	names := slices.Clone(r.Names)
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -192,7 +194,8 @@
 	return names
 }
 
-// FitOneRack places the request on one rack: the one that is left the fullest.
+// FitOneRack places the request within one rack: of those where it fits, the one with the least free
+// capacity.
 func FitOneRack(workers []Worker, racks *Racks, request *Request) []int {
 	var best []int
 	bestRemaining := 0.0
@@ -213,7 +216,7 @@
 	return best
 }
 
-// MeasureRacks sets every worker's RackFree.
+// MeasureRacks updates RackFree of every worker.
 func MeasureRacks(workers []Worker, racks *Racks) {
 	for _, name := range racks.Names {
 		free := 0.0
@@ -228,7 +231,7 @@
 	}
 }
 
-// Reserve takes the room of placed tasks from the workers' free room.
+// Reserve deducts perTask from the free resources of each placed task's worker.
 func Reserve(workers []Worker, places []int, perTask taskgraph.Amount) {
 	for _, i := range places {
 		workers[i].Free = workers[i].Free.Minus(perTask)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,7 +12,7 @@
 
 func gpus(n int) taskgraph.Amount { return taskgraph.Amount{GPUs: n} }
 
-// newTestWorkers makes usable workers with the given free accelerators, two a rack.
+// newTestWorkers returns usable workers with the given numbers of free GPUs, two workers per rack.
 func newTestWorkers(free ...int) ([]Worker, *Racks) {
 	workers := make([]Worker, len(free))
 	for i, n := range free {
@@ -66,10 +66,10 @@
 	require.Equal(t, []int{1}, victims)
 	require.InDelta(t, 10, loss, 0)
 	places, _, _ = Preempt(workers, racks.All, units, &Request{Room: gpus(8), Count: 1, Priority: 2})
-	require.Nil(t, places, "equals do not stop each other")
+	require.Nil(t, places, "units of equal priority must not preempt each other")
 }
 
-// TestFitMatchesTotalCapacity compares Fit with a count over every worker.
+// TestFitMatchesTotalCapacity compares the result of Fit with the summed capacity of the workers.
 func TestFitMatchesTotalCapacity(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -6,31 +6,30 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Unit is a running unit that could give way or that will end.
+// Unit is a running unit, which may be preempted or will end.
 type Unit struct {
-	// Places has the workers of the unit's runs.
+	// Places lists the workers of the unit's runs.
 	Places []int
 	Room   taskgraph.Amount
-	// Remaining is how long the unit is expected to hold its room.
+	// Remaining is the expected time until the unit releases its resources.
 	Remaining time.Duration
-	// Loss is the price of stopping the unit now; negative if it may not be stopped.
+	// Loss is the cost of preempting the unit now; negative if it must not be preempted.
 	Loss float64
-	// Priority is the unit's; only requests of a lower number may stop it.
+	// Priority 0 is the highest; only requests of a higher priority preempt the unit.
 	Priority int
 }
 
-// Promise is room that a request will get once running units have ended.
+// Promise is a placement that becomes possible once running units have ended.
 type Promise struct {
 	Places []int
-	// After is how long the request waits.
+	// After is the expected wait.
 	After time.Duration
-	// Spare has, for each place, the room that others may hold beyond then.
+	// Spare maps each place to the resources that other tasks may occupy beyond that time.
 	Spare map[int]taskgraph.Amount
 }
 
-// EarliestFit returns when and where the request fits among workers if running
-// units end as expected and nothing new starts. The result is nil if that takes
-// until limit or longer.
+// EarliestFit returns when and where the request fits if running units end as expected and nothing
+// new starts. It returns nil if the wait would reach limit.
 func EarliestFit(workers []Worker, indexes []int, units []Unit, request *Request, limit time.Duration) *Promise {
 	if !Holds(workers, indexes, request) {
 		return nil
@@ -53,9 +52,8 @@
 	return nil
 }
 
-// Preempt returns where the request fits among workers if victims are stopped, the
-// victims, and their loss. Units with a negative loss are left alone. The result is
-// nil if no set of victims helps.
+// Preempt returns a placement of the request that preempting victims makes possible, the victims,
+// and the sum of their losses. It returns nil if no set of victims is sufficient.
 func Preempt(workers []Worker, indexes []int, units []Unit, request *Request) (places, victims []int, loss float64) {
 	t := newSimulation(workers, indexes, units, request)
 	defer t.close()
@@ -76,8 +74,8 @@
 	return Fit(workers, indexes, request), victims, loss
 }
 
-// preemptibleBy reports whether a unit may be stopped for a request. Units without loss
-// are stopping already.
+// preemptibleBy reports whether the request may preempt the unit. Units with zero loss are already
+// stopping.
 func (u *Unit) preemptibleBy(request *Request) bool {
 	return u.Loss == 0 || u.Loss > 0 && u.Priority > request.Priority
 }
--- a/internal/placement/shortlist.go
+++ b/internal/placement/shortlist.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// candidateHeap keeps the best candidates that together hold a number of tasks. Most requests
-// take a few of a thousand workers, so that it costs less than to sort them all.
+// candidateHeap keeps the best candidates that together can run count tasks. Most requests need a
+// few of many workers, which makes this cheaper than a full sort.
 type candidateHeap struct {
 	count int
-	// tasks is how many tasks the kept candidates hold.
+	// tasks is the total number of tasks that the candidates can run.
 	tasks int
-	// candidates is a heap with the worst candidate first.
+	// candidates is a heap with the worst candidate at the root.
 	candidates []candidate
 }
 
-// compare orders candidates, the best first.
+// compare orders candidates from best to worst.
 func (c *candidate) compare(other *candidate) int {
 	if order := cmp.Compare(c.rackFree, other.rackFree); order != 0 {
 		return order
@@ -27,7 +27,7 @@
 	return cmp.Compare(c.position, other.position)
 }
 
-// add takes in a candidate and lets go of those that are no longer needed.
+// add inserts a candidate and removes those that are no longer needed.
 func (l *candidateHeap) add(c candidate) {
 	if l.tasks >= l.count && c.compare(&l.candidates[0]) > 0 {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// sorted returns the kept candidates, the best first.
+// sorted returns the candidates, best first.
 func (l *candidateHeap) sorted() []candidate {
 	slices.SortFunc(l.candidates, func(a, b candidate) int { return a.compare(&b) })
 	return l.candidates
--- a/internal/placement/shortlist_test.go
+++ b/internal/placement/shortlist_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCandidateHeapMatchesFullSort compares the shortlist with the whole list.
+// TestCandidateHeapMatchesFullSort compares the heap's selection with that of a full sort.
 func TestCandidateHeapMatchesFullSort(t *testing.T) {
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 0))
--- a/internal/placement/trial.go
+++ b/internal/placement/trial.go
@@ -9,35 +9,34 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// simulation is a what-if over a group of workers: units leave and come back, and the number
-// of the request's tasks that would fit is kept up to date with each step, so that a step
-// costs by the workers it touches. It changes the free room of the caller's workers while
-// it lasts; end gives that back.
+// simulation evaluates evictions on a group of workers. It updates the number of tasks that fit
+// incrementally, so that a step costs only as much as the workers it touches. It modifies Free of
+// the caller's workers; close restores it.
 type simulation struct {
 	workers []Worker
 	indexes []int
 	units   []Unit
 	request *Request
-	// total is how many tasks would fit.
+	// total is the number of the request's tasks that fit.
 	total int
 	*simulationBuffers
 }
 
-// simulationBuffers is what a trial keeps by worker or by unit. It is used again, as each
-// cycle of a crowded pool asks many questions.
+// simulationBuffers holds the per-worker and per-unit state of a simulation; it is pooled because
+// a scheduling cycle runs many simulations.
 type simulationBuffers struct {
-	// fits has how many tasks each worker could take.
+	// fits is the number of tasks that fit on each worker.
 	fits []int
-	// inGroup marks the workers of the group.
+	// inGroup marks the simulated workers.
 	inGroup []bool
-	// evicted marks the units that have left.
+	// evicted marks the units whose resources are released.
 	evicted []bool
-	// seen marks units while they are seen.
+	// seen marks the units already added by rankUnits.
 	seen  []bool
 	order []rankedUnit
 }
 
-// rankedUnit is a unit with what it is ordered by.
+// rankedUnit is a unit index and its sort key.
 type rankedUnit struct {
 	number int
 	rank   float64
@@ -45,7 +44,7 @@
 
 var bufferPool = sync.Pool{New: func() any { return &simulationBuffers{} }}
 
-// newSimulation begins a trial. The caller must call end.
+// newSimulation starts a simulation. The caller must call close.
 func newSimulation(workers []Worker, indexes []int, units []Unit, request *Request) *simulation {
 	buffers, _ := bufferPool.Get().(*simulationBuffers)
 	t := &simulation{workers: workers, indexes: indexes, units: units, request: request, simulationBuffers: buffers}
@@ -61,8 +60,8 @@
 	return t
 }
 
-// resized returns a slice of a length with the memory of another, whose elements are zero
-// unless a trial left something there.
+// resized returns a slice of the given length, reusing buffer if it is large enough. Reused
+// elements may hold values of an earlier simulation.
 func resized[T any](buffer []T, length int) []T {
 	if cap(buffer) < length {
 		return make([]T, length)
@@ -70,7 +69,7 @@
 	return buffer[:length]
 }
 
-// close gives the room of units that have left back to them.
+// close restores the evicted units and returns the buffers to the pool.
 func (t *simulation) close() {
 	for _, ranked := range t.order {
 		if t.evicted[ranked.number] {
@@ -84,7 +83,7 @@
 	bufferPool.Put(t.simulationBuffers)
 }
 
-// updateFit counts anew how many tasks fit on a worker.
+// updateFit recomputes how many tasks fit on worker i.
 func (t *simulation) updateFit(i int) {
 	fits := 0
 	if t.request.allowed(t.workers, i) {
@@ -94,10 +93,10 @@
 	t.fits[i] = fits
 }
 
-// satisfied reports whether the whole request fits.
+// satisfied reports whether all tasks of the request fit.
 func (t *simulation) satisfied() bool { return t.total >= t.request.Count }
 
-// evict frees the room that a unit holds in the group.
+// evict releases the resources that a unit occupies in the group.
 func (t *simulation) evict(number int) {
 	t.evicted[number] = true
 	for _, i := range t.units[number].Places {
@@ -108,7 +107,7 @@
 	}
 }
 
-// restore takes back what vacate freed.
+// restore reverts evict.
 func (t *simulation) restore(number int) {
 	t.evicted[number] = false
 	for _, i := range t.units[number].Places {
@@ -119,7 +118,8 @@
 	}
 }
 
-// placementAfter renders where the request fits after a time.
+// placementAfter returns the current placement of the request, to become possible after the given
+// wait.
 func (t *simulation) placementAfter(after time.Duration) *Promise {
 	places := Fit(t.workers, t.indexes, t.request)
 	spare := make(map[int]taskgraph.Amount, len(places))
@@ -133,8 +133,8 @@
 	return &Promise{Places: places, After: after, Spare: spare}
 }
 
-// rankUnits lists the units that hold room in the group, the lowest rank first, equals by
-// number. Those of a negative rank are left out.
+// rankUnits returns the units that occupy workers of the group by ascending rank, then by index.
+// Units of negative rank are excluded.
 func (t *simulation) rankUnits(rank func(number int) float64) []rankedUnit {
 	for _, i := range t.indexes {
 		for _, holder := range t.workers[i].Holders {
@@ -158,10 +158,10 @@
 	return t.order
 }
 
-// excludedRank is the rank of units that unitsBy leaves out.
+// excludedRank makes rankUnits leave a unit out.
 const excludedRank = -1
 
-// preemptible lists units that may be stopped, cheapest for the room they free first.
+// preemptible returns the units that may be preempted, by ascending loss per freed core.
 func (t *simulation) preemptible() []rankedUnit {
 	return t.rankUnits(func(number int) float64 {
 		unit := &t.units[number]
@@ -181,7 +181,7 @@
 	})
 }
 
-// dropUnneeded drops victims that turn out needless, the dearest first.
+// dropUnneeded restores victims that are not needed for the request to fit, the most costly first.
 func (t *simulation) dropUnneeded(victims []int) []int {
 	byLoss := slices.Clone(victims)
 	slices.SortStableFunc(byLoss, func(a, b int) int { return cmp.Compare(t.units[b].Loss, t.units[a].Loss) })
