--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,6 +1,5 @@
-// Package mechanism names the parts of the scheduling policy and of the nodes' work that
-// can be switched off, so that a measurement shows what each of them is worth. None of
-// them is needed for safety.
+// Package mechanism names the optional parts of the scheduling policy and of the nodes. Each can
+// be disabled to measure its effect; none is needed for safety.
 package mechanism
 
 import (
@@ -9,51 +8,51 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Name names one mechanism.
+// Name identifies a mechanism.
 type Name string
 
-// The mechanisms that can be switched off.
+// The optional mechanisms.
 const (
-	// LearnedDurations corrects estimates by what runs of a queue took.
+	// LearnedDurations corrects duration estimates by earlier runs of the queue.
 	LearnedDurations Name = "learned-durations"
-	// LearnedSpeeds keeps gangs off workers that take longer than most.
+	// LearnedSpeeds keeps gangs off workers that are estimated to be slow.
 	LearnedSpeeds Name = "learned-speeds"
 	// TrustedWorkers keeps gangs and retries off workers whose last run failed.
 	TrustedWorkers Name = "trusted-workers"
-	// NearPlaces lets units wait for a place where they run at full speed.
+	// NearPlaces makes units wait for a placement on which they run at full speed.
 	NearPlaces Name = "near-places"
-	// QuickStalls moves runs that stand still once the stall has cost what the move does,
-	// and keeps new work off their workers.
+	// QuickStalls migrates a stalled run once the stall has cost as much as a migration, and keeps
+	// new tasks off its worker.
 	QuickStalls Name = "quick-stalls"
-	// Laggards moves gangs that a slow member holds up, and keeps new work off its worker.
+	// Laggards migrates gangs that are delayed by a straggler, and keeps new tasks off its worker.
 	Laggards Name = "laggards"
-	// Headroom leaves the emptiest racks to urgent jobs.
+	// Headroom reserves the racks with the most free capacity for urgent jobs.
 	Headroom Name = "headroom"
-	// Pressure holds patient units back after others were stopped for room.
+	// Pressure holds back units with slack after other units were preempted for lack of resources.
 	Pressure Name = "pressure"
-	// Reservations keep room for units that wait.
+	// Reservations reserve resources for waiting units.
 	Reservations Name = "reservations"
-	// PressingGangs lets gangs without priority 0 stop others before they are late.
+	// PressingGangs lets gangs of priority 1 and lower preempt others before they are late.
 	PressingGangs Name = "pressing-gangs"
-	// TimelyFirst places units that can still end in time before late ones.
+	// TimelyFirst places units that can still meet their target before late ones.
 	TimelyFirst Name = "timely-first"
-	// EndDelay writes ends of runs together.
+	// EndDelay batches the writes of completed runs.
 	EndDelay Name = "end-delay"
-	// StoreRelay reaches the store through other nodes.
+	// StoreRelay forwards requests to the store through other nodes.
 	StoreRelay Name = "store-relay"
-	// LongFeeds follows the store seldom where an owner confirms the configuration.
+	// LongFeeds reads the store's changes less often while an owner confirms the configuration.
 	LongFeeds Name = "long-feeds"
-	// PacedFeeds reads workers' heartbeats together.
+	// PacedFeeds reads heartbeats of workers in batches.
 	PacedFeeds Name = "paced-feeds"
-	// Announcements tell a pool's owner of accepted jobs ahead of its feed.
+	// Announcements notify a pool's owner of accepted jobs before its feed delivers them.
 	Announcements Name = "announcements"
-	// Guards watch owners closely.
+	// Guards monitor owners at short intervals.
 	Guards Name = "guards"
-	// WeakOwners relieves owners on machines much weaker than others.
+	// WeakOwners moves pools away from owners on much weaker machines than the others.
 	WeakOwners Name = "weak-owners"
 )
 
-// All lists the mechanisms.
+// All returns the mechanisms.
 func All() []Name {
 	return []Name{
 		LearnedDurations, LearnedSpeeds, TrustedWorkers, QuickStalls, Laggards, NearPlaces, Headroom, Pressure, Reservations,
@@ -61,10 +60,10 @@
 	}
 }
 
-// Off is the set of mechanisms that are switched off; nil is none.
+// Off is the set of disabled mechanisms; nil disables none.
 type Off map[Name]bool
 
-// ParseOff reads a set from names. The error tells the first one that is not known.
+// ParseOff returns the set with the given names. The error contains the first unknown name.
 func ParseOff(names []string) (Off, error) {
 	off := Off{}
 	for _, name := range names {
