--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is the confirmed configuration as traffic and scheduling see it:
-// queues, the pools that run them, tenants with their keys and guarantees.
+// Package catalog holds the confirmed configuration: queues, the pools that run them, and tenants
+// with their keys and guarantees.
 package catalog
 
 import (
@@ -9,24 +9,26 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Queue accepts jobs and sends them to one pool.
+// Queue accepts jobs and runs them in one pool.
 type Queue struct {
 	Name string `json:"name"`
-	// Host and PathPrefix select the queue for a request.
+	// Host and PathPrefix determine which requests go to the queue.
 	Host       string `json:"host"`
 	PathPrefix string `json:"path_prefix"`
 	Pool       string `json:"pool"`
-	// Priority 0 comes first and may preempt others.
+	// Priority 0 is the highest and may preempt others.
 	Priority    int     `json:"priority"`
 	MaxAttempts int     `json:"max_attempts"`
 	Stretch     float64 `json:"stretch"`
-	// TargetMillis is added to Stretch times a job's chain of work: its objective.
+	// TargetMillis is added to Stretch times the critical path of a job to get its target
+	// duration.
 	TargetMillis int64 `json:"target_ms"`
-	// Public queues take requests without a key.
+	// Public queues accept requests without a key.
 	Public bool `json:"public"`
 }
 
-// Objective returns how long a job of the queue should take from its submission.
+// Objective returns the target duration of a job, counted from its submission, by the duration of
+// its critical path.
 func (q *Queue) Objective(chain time.Duration) time.Duration {
 	return time.Duration(q.Stretch*float64(chain)) + time.Duration(q.TargetMillis)*time.Millisecond
 }
@@ -34,9 +36,9 @@
 // Pool is a group of workers.
 type Pool struct {
 	Name string `json:"name"`
-	// EnforcesCapacity says that workers refuse what does not fit.
+	// EnforcesCapacity is true if the workers reject tasks that do not fit.
 	EnforcesCapacity bool `json:"enforces_capacity"`
-	// Spare pools hold machines that are off.
+	// Spare pools hold machines that are powered off.
 	Spare bool `json:"spare"`
 }
 
@@ -47,13 +49,13 @@
 	Guaranteed taskgraph.Amount `json:"guaranteed"`
 }
 
-// Limits bound what callers can ask.
+// Limits restrict the size of requests.
 type Limits struct {
 	MaxHeaderBytes int `json:"max_header_bytes"`
 	MaxBodyBytes   int `json:"max_body_bytes"`
 }
 
-// Catalog is one version of the configuration. It is immutable once indexed.
+// Catalog is one version of the configuration. It is immutable after Index.
 type Catalog struct {
 	Version int64    `json:"version"`
 	Queues  []Queue  `json:"queues"`
@@ -65,7 +67,7 @@
 	hosts       map[string][]*Queue
 }
 
-// Index prepares the catalog for look-ups. It must run once before any other use.
+// Index builds the look-up tables. It must be called once before any other method.
 func (c *Catalog) Index() {
 	c.tenantByKey = map[string]string{}
 	for i := range c.Tenants {
@@ -80,7 +82,7 @@
 	}
 }
 
-// Match returns the queue with the longest prefix of path on host, or nil.
+// Match returns the queue of host with the longest prefix of path, or nil.
 func (c *Catalog) Match(host, path string) *Queue {
 	var best *Queue
 	for _, queue := range c.hosts[host] {
@@ -91,7 +93,7 @@
 	return best
 }
 
-// TenantOf returns the tenant that holds a key.
+// TenantOf returns the tenant that owns a key.
 func (c *Catalog) TenantOf(key string) (string, bool) {
 	tenant, ok := c.tenantByKey[key]
 	return tenant, ok
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// Guarantee returns what is guaranteed to a tenant.
+// Guarantee returns the guaranteed resources of a tenant.
 func (c *Catalog) Guarantee(tenant string) taskgraph.Amount {
 	for i := range c.Tenants {
 		if c.Tenants[i].Name == tenant {
@@ -117,7 +119,7 @@
 	return taskgraph.Amount{}
 }
 
-// PoolNames lists the pools that run queues, in order of declaration.
+// PoolNames returns the pools that run queues, in order of declaration.
 func (c *Catalog) PoolNames() []string {
 	names := make([]string, 0, len(c.Pools))
 	for i := range c.Pools {
