--- a/internal/worker/httpfleet/httpfleet.go
+++ b/internal/worker/httpfleet/httpfleet.go
@@ -1,5 +1,4 @@
-// Package httpfleet reaches the platform's workers and the feed of their reports
-// over HTTP.
+// Package httpfleet implements worker.Fleet over HTTP.
 package httpfleet
 
 import (
@@ -12,21 +11,20 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// Fleet is a worker.Fleet.
+// Fleet implements worker.Fleet.
 type Fleet struct {
 	base     string
 	services *http.Client
 	workers  *http.Client
 }
 
-// New returns the fleet whose reports the platform at base collects. Reports are
-// read through services; orders go through workers, which bounds the connections
-// to one worker.
+// New returns a fleet that reads reports from base with the client services and sends orders with
+// the client workers, which limits the connections per worker.
 func New(base string, services, workers *http.Client) *Fleet {
 	return &Fleet{base: base, services: services, workers: workers}
 }
 
-// Send delivers one order to the worker's own address.
+// Send posts one order to the worker's address.
 func (f *Fleet) Send(ctx context.Context, name, address string, order worker.Order) (worker.Reply, error) {
 	var reply worker.Reply
 	target := address + "/order?" + url.Values{"worker": {name}}.Encode()
@@ -34,7 +32,7 @@
 	return reply, err
 }
 
-// Reports reads a domain's feed.
+// Reports reads the report feed of a domain.
 func (f *Fleet) Reports(ctx context.Context, domain string, cursor int64) (worker.Reports, error) {
 	var reports worker.Reports
 	query := url.Values{"domain": {domain}, "cursor": {strconv.FormatInt(cursor, 10)}}
--- a/internal/worker/httpfleet/httpfleet_test.go
+++ b/internal/worker/httpfleet/httpfleet_test.go
@@ -47,7 +47,7 @@
 	require.Zero(t, end.Cursor)
 }
 
-// BenchmarkRenewal times one renewal with both ends in this process.
+// BenchmarkRenewal measures a lease renewal with client and server in one process.
 func BenchmarkRenewal(b *testing.B) {
 	_, fleet, address := serve(b)
 	order := worker.Order{Action: worker.Renew, Domain: "r/z", Epoch: 1, LeaseSeconds: 60}
--- a/internal/worker/order.go
+++ b/internal/worker/order.go
@@ -7,31 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Action is what an order asks for.
+// Action is the operation that an order requests.
 type Action string
 
 // The actions.
 const (
-	// Reserve sets capacity aside for one attempt until ReserveSeconds passed.
+	// Reserve reserves capacity for an attempt for ReserveSeconds.
 	Reserve Action = "reserve"
-	// Start runs the members that a reservation holds.
+	// Start starts the members of a reservation.
 	Start Action = "start"
-	// Release drops a reservation; it stops nothing that runs.
+	// Release cancels a reservation; running members are not stopped.
 	Release Action = "release"
-	// Checkpoint saves the members' work and then stops them.
+	// Checkpoint saves the members' work and stops them.
 	Checkpoint Action = "checkpoint"
-	// Throttle slows the members down to leave processor time to others.
+	// Throttle reduces the members' CPU share in favour of other tasks.
 	Throttle Action = "throttle"
-	// Stop ends the members at once.
+	// Stop stops the members immediately.
 	Stop Action = "stop"
-	// Renew extends the lease of everything the domain runs on the worker and
-	// returns what that is.
+	// Renew extends the lease of everything that the domain runs on the worker and returns its
+	// tasks.
 	Renew Action = "renew"
-	// Forget drops the memory of ended members.
+	// Forget deletes the records of ended members.
 	Forget Action = "forget"
 )
 
-// Refusal is why a worker did not follow an order.
+// Refusal is the reason why a worker rejected an order; empty if it did not.
 type Refusal string
 
 // The refusals.
@@ -44,35 +44,35 @@
 	RefusedUnknownTask   Refusal = "unknown_task"
 )
 
-// Order is one order to one worker, for all members of one attempt there.
+// Order is sent to one worker and applies to all members of one attempt there.
 type Order struct {
 	Action Action `json:"action"`
 	Domain string `json:"domain"`
 	Epoch  int64  `json:"epoch"`
 	Tenant string `json:"tenant,omitempty"`
 	Job    string `json:"job,omitempty"`
-	// Attempt numbers the attempt that the order is about.
+	// Attempt is the number of the attempt.
 	Attempt int `json:"attempt,omitempty"`
 	// Members are the indices of the gang's members on this worker.
 	Members      []int `json:"members,omitempty"`
 	Accelerators int   `json:"accelerators,omitempty"`
 	CPUs         int   `json:"cpus,omitempty"`
 	MemoryGB     int   `json:"memory_gb,omitempty"`
-	// ReserveSeconds is how long a reservation lasts.
+	// ReserveSeconds is the lifetime of a reservation.
 	ReserveSeconds float64 `json:"reserve_seconds,omitempty"`
-	// LeaseSeconds is how long running members live without a renewal.
+	// LeaseSeconds is how long members run without a renewal.
 	LeaseSeconds float64 `json:"lease_seconds,omitempty"`
-	// CheckpointSeconds is how long saving the work takes.
+	// CheckpointSeconds is the duration of a checkpoint.
 	CheckpointSeconds float64 `json:"checkpoint_seconds,omitempty"`
-	// ProgressSeconds is the work that earlier attempts saved.
+	// ProgressSeconds is the work saved by earlier attempts.
 	ProgressSeconds float64 `json:"progress_seconds,omitempty"`
 	Payload         string  `json:"payload,omitempty"`
-	// Digest, in a renewal, is the digest of the tasks that the owner expects; a
-	// worker whose tasks have the same digest leaves them out of its reply.
+	// Digest, in a renewal, is the digest of the tasks that the owner expects. A worker whose
+	// tasks have the same digest omits them from its reply.
 	Digest uint64 `json:"digest,omitempty"`
 }
 
-// TaskState is what a worker says of an attempt's members on it.
+// TaskState is the state of an attempt on a worker.
 type TaskState string
 
 // The states of an attempt on a worker.
@@ -84,7 +84,7 @@
 	TaskStopped  TaskState = "stopped"
 )
 
-// Task is an attempt's presence on one worker.
+// Task is the part of an attempt on one worker.
 type Task struct {
 	Tenant  string    `json:"tenant"`
 	Job     string    `json:"job"`
@@ -108,16 +108,15 @@
 	Refusal Refusal `json:"refusal,omitempty"`
 	// Epoch is the highest epoch that the worker has seen for the domain.
 	Epoch int64 `json:"epoch"`
-	// Leaving says that the worker takes no new work.
+	// Leaving is true if the worker is draining and accepts no new tasks.
 	Leaving bool `json:"leaving,omitempty"`
-	// Tasks lists what the domain has on the worker, in answer to Renew, unless
-	// Same says that the owner's expectation holds.
+	// Tasks lists the domain's tasks on the worker in reply to Renew. If Same is true, they match
+	// the digest in the order and are omitted.
 	Tasks []Task `json:"tasks,omitempty"`
 	Same  bool   `json:"same,omitempty"`
 }
 
-// Digest identifies a set of tasks by job, attempt and state. The order of the
-// tasks does not matter.
+// Digest returns a digest of the job, attempt and state of the tasks, independent of their order.
 func Digest(tasks []Task) uint64 {
 	var sum uint64
 	for i := range tasks {
@@ -126,31 +125,30 @@
 	return sum
 }
 
-// Report tells of a change on a worker. Reports lag behind the change.
+// Report is a change on a worker. Reports arrive with a delay.
 type Report struct {
 	Worker string `json:"worker"`
 	Task   Task   `json:"task"`
-	// Leaving reports that the worker takes no new work; Task is then empty.
+	// Leaving is true if the worker is draining and accepts no new tasks; Task is then empty.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Reports is one read of the report feed.
+// Reports is the result of one read of the report feed.
 type Reports struct {
 	Reports []Report `json:"reports"`
 	Cursor  int64    `json:"cursor"`
 }
 
-// Fleet reaches the workers and the feed of their reports.
+// Fleet sends orders to workers and reads their reports.
 type Fleet interface {
-	// Send delivers one order. An error means that the worker may or may not have
-	// followed it.
+	// Send sends one order. After an error it is unknown whether the worker executed it.
 	Send(ctx context.Context, name, address string, order Order) (Reply, error)
-	// Reports returns what the domain's workers reported after cursor, waiting
-	// for a while when there is nothing.
+	// Reports returns the reports of the domain's workers after cursor. It blocks for a while if
+	// there are none.
 	Reports(ctx context.Context, domain string, cursor int64) (Reports, error)
 }
 
-// ResultName returns the object that holds one member's output.
+// ResultName returns the name of the object that holds a member's output.
 func ResultName(tenant, job string, attempt, member int) string {
 	return "results/" + tenant + "/" + job + "/" + strconv.Itoa(attempt) + "/" + strconv.Itoa(member)
 }
