--- a/internal/planning/doc.go
+++ b/internal/planning/doc.go
@@ -1,4 +1,4 @@
-// Package planning answers an operator's declaration with a plan: what would
-// change, which domain would hold each guarantee, and whether all guarantees fit
-// at once. A plan changes nothing until it is confirmed.
+// Package planning computes what an operator's declaration would change, which domain would hold
+// each guarantee, and whether all guarantees can be met at the same time. A plan takes effect only
+// when it is confirmed.
 package planning
