--- a/internal/poison/ages.go
+++ b/internal/poison/ages.go
@@ -6,9 +6,9 @@
 // same work. Workers that are lost by chance are lost at any age of a task's runs. So two losses of
 // which the ages differ widely don't tell a task that crashes workers from a sound one.
 
-// ageSpread is the widest ratio of ages that one cause explains: workers differ in speed, and a worker
+// maxAgeRatio is the widest ratio of ages that one cause explains: workers differ in speed, and a worker
 // is found lost only with the delay of an answer.
-const ageSpread = 3
+const maxAgeRatio = 3
 
 // unknownAge marks losses that were kept without the age of the run.
 const unknownAge time.Duration = -1
@@ -16,15 +16,15 @@
 // agesAgree reports whether one cause explains the ages of all losses that are evidence. Losses of
 // unknown age agree with any.
 func (h *History) agesAgree() bool {
-	youngest, oldest := ageHorizon, time.Duration(0)
+	minAge, maxAge := ageHorizon, time.Duration(0)
 	for i := range h.losses {
 		known := &h.losses[i]
 		if known.unexplained || known.age == unknownAge {
 			continue
 		}
-		youngest, oldest = min(youngest, known.age), max(oldest, known.age)
+		minAge, maxAge = min(minAge, known.age), max(maxAge, known.age)
 	}
-	return oldest+densityScale <= ageSpread*(youngest+densityScale)
+	return maxAge+ageOffset <= maxAgeRatio*(minAge+ageOffset)
 }
 
 // ageMillis renders an age for a record.
--- a/internal/poison/benchmark_test.go
+++ b/internal/poison/benchmark_test.go
@@ -6,14 +6,14 @@
 // with ten tasks on each: 1,147 us with a walk over all pairs of losses, 146 us in their order.
 func BenchmarkLossOfManyWorkers(b *testing.B) {
 	for b.Loop() {
-		l := newLedger(3000)
-		for worker := range lossLimit {
+		l := newTestLedger(3000)
+		for worker := range maxRecentLosses {
 			tasks := make([]*History, 10)
 			for i := range tasks {
-				tasks[i] = alone()
+				tasks[i] = newHistory()
 			}
-			lose(l, float64(worker)/85, atOnce, tasks...)
+			loseWorker(l, float64(worker)/85, earlyAge, tasks...)
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/lossLimit, "us/loss")
+	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/maxRecentLosses, "us/loss")
 }
--- a/internal/poison/history.go
+++ b/internal/poison/history.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// evidence counts the workers that were lost under the task and are evidence.
-func (h *History) evidence() int {
+// evidenceCount counts the workers that were lost under the task and are evidenceCount.
+func (h *History) evidenceCount() int {
 	count := 0
 	for i := range h.losses {
 		if !h.losses[i].unexplained {
@@ -129,14 +129,14 @@
 // Poison reports whether a task is not to run again.
 func (v Verdict) Poison() bool { return v == PoisonByOdds || v == PoisonByLimit }
 
-// proved reports whether the evidence is enough to give the task up. Two losses have to agree, from
+// hasSufficientEvidence reports whether the evidence is enough to give the task up. Two losses have to agree, from
 // the third on the odds alone decide.
-func (h *History) proved() bool {
-	evidence := h.evidence()
-	if evidence == lossesLeast && !h.agesAgree() {
+func (h *History) hasSufficientEvidence() bool {
+	evidence := h.evidenceCount()
+	if evidence == minEvidence && !h.agesAgree() {
 		return false
 	}
-	return evidence >= lossesLeast && h.Odds() >= poisonOdds
+	return evidence >= minEvidence && h.Odds() >= poisonOdds
 }
 
 // Verdict returns what is made of the task.
@@ -145,22 +145,22 @@
 	if count == 0 {
 		return Sound
 	}
-	evidence, odds := h.evidence(), h.Odds()
+	evidence, odds := h.evidenceCount(), h.Odds()
 	switch {
-	case count >= lossesLimit, count == lossesLimit-1 && evidence >= lossesLeast && odds >= lateOdds:
+	case count >= maxLosses, count == maxLosses-1 && evidence >= minEvidence && odds >= nearLimitOdds:
 		return PoisonByLimit
-	case h.proved():
+	case h.hasSufficientEvidence():
 		return PoisonByOdds
-	case evidence >= lossesLeast || odds >= suspectOdds:
+	case evidence >= minEvidence || odds >= suspectedOdds:
 		return Suspected
-	case odds >= doubtOdds:
+	case odds >= doubtfulOdds:
 		return Doubtful
 	}
 	return Sound
 }
 
 // Suspicious reports whether the odds alone make the task a suspect.
-func (h *History) Suspicious() bool { return h.Odds() >= suspectOdds }
+func (h *History) Suspicious() bool { return h.Odds() >= suspectedOdds }
 
 // oddsWithout returns the odds by all evidence but that of one loss.
 func (h *History) oddsWithout(loss *workerLoss) float64 {
@@ -190,9 +190,9 @@
 	}
 }
 
-// forget drops a worker that was not lost after all. It returns false if the worker is not
+// removeWorker drops a worker that was not lost after all. It returns false if the worker is not
 // in the history.
-func (h *History) forget(worker string) bool {
+func (h *History) removeWorker(worker string) bool {
 	for i := range h.losses {
 		if h.losses[i].worker == worker {
 			h.losses = append(h.losses[:i:i], h.losses[i+1:]...)
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// lossMemory is how long the evidence of a loss is weighed anew with each other loss.
-	lossMemory = 30 * time.Second
-	// lossLimit bounds the losses that are weighed, each of which has some ten suspects.
-	lossLimit = 256
-	// rounds of weighing: each takes the odds and the rate of the one before.
-	rounds = 4
+	// recentWindow is how long the evidence of a loss is weighed anew with each other loss.
+	recentWindow = 30 * time.Second
+	// maxRecentLosses bounds the losses that are weighed, each of which has some ten suspects.
+	maxRecentLosses = 256
+	// estimateIterations of weighing: each takes the odds and the rate of the one before.
+	estimateIterations = 4
 )
 
 // Ledger weighs the recent losses of workers against each other.
@@ -21,8 +21,8 @@
 	// settled has the histories with evidence that no longer changes, so that it can still
 	// be withdrawn; the oldest come first.
 	settled []settledLoss
-	// known has the workers in losses and settled.
-	known map[string]bool
+	// tracked has the workers in losses and settled.
+	tracked map[string]bool
 	// workers is the number of workers in the pool.
 	workers int
 }
@@ -33,24 +33,24 @@
 	history *History
 }
 
-// settledLimit bounds the losses that can still be withdrawn; 13,000 workers lose some
+// maxSettledLosses bounds the losses that can still be withdrawn; 13,000 workers lose some
 // 1,300 a day.
-const settledLimit = 2048
+const maxSettledLosses = 2048
 
 // workerLoss is one lost worker and the tasks that ran there.
 type workerLoss struct {
 	worker, address string
 	at              time.Time
 	replaced        bool
-	unwatched       bool
+	unobserved      bool
 	suspects        []Suspect
-	// byChance is the probability that none of the tasks is the cause.
-	byChance float64
-	// rate is the rate of chance losses at the time, and blamed that of losses by one of the
+	// chanceProbability is the probability that none of the tasks is the cause.
+	chanceProbability float64
+	// chanceRate is the chanceRate of chance losses at the time, and suspectRate that of losses by one of the
 	// suspects.
-	rate, blamed float64
-	// beside is what the other losses around it count as losses by chance.
-	beside chanceSums
+	chanceRate, suspectRate float64
+	// nearbyChance is what the other losses around it count as losses by chance.
+	nearbyChance chanceSums
 }
 
 // Suspect is a task that ran on a worker when it was lost.
@@ -85,14 +85,14 @@
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{known: map[string]bool{}} }
+func NewLedger() *Ledger { return &Ledger{tracked: map[string]bool{}} }
 
 // SetWorkers tells how many workers the pool has.
 func (l *Ledger) SetWorkers(count int) { l.workers = max(1, count) }
 
 // Lost takes in a lost worker and weighs the evidence anew.
 func (l *Ledger) Lost(lost Loss) {
-	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unwatched: lost.Unwatched, byChance: 1}
+	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unobserved: lost.Unwatched, chanceProbability: 1}
 	for _, suspect := range lost.Suspects {
 		if suspect.Age < ageHorizon && !suspect.History.has(lost.Worker) {
 			loss.suspects = append(loss.suspects, suspect)
@@ -101,10 +101,10 @@
 		}
 	}
 	l.prune(lost.At)
-	place, _ := slices.BinarySearchFunc(l.losses, loss, func(a, b *workerLoss) int { return a.at.Compare(b.at) })
-	l.losses = slices.Insert(l.losses, place, loss)
-	l.known[lost.Worker] = true
-	l.weigh()
+	position, _ := slices.BinarySearchFunc(l.losses, loss, func(a, b *workerLoss) int { return a.at.Compare(b.at) })
+	l.losses = slices.Insert(l.losses, position, loss)
+	l.tracked[lost.Worker] = true
+	l.updateEvidence()
 }
 
 func (h *History) has(worker string) bool {
@@ -125,18 +125,18 @@
 }
 
 func (l *Ledger) settle(h *History, worker string) {
-	l.known[worker] = true
+	l.tracked[worker] = true
 	l.settled = append(l.settled, settledLoss{worker: worker, history: h})
-	if len(l.settled) > settledLimit {
-		delete(l.known, l.settled[0].worker)
+	if len(l.settled) > maxSettledLosses {
+		delete(l.tracked, l.settled[0].worker)
 		l.settled = slices.Delete(l.settled, 0, 1)
 	}
 }
 
 // prune freezes what is old, and the oldest beyond lossLimit.
 func (l *Ledger) prune(now time.Time) {
-	for len(l.losses) > 0 && (now.Sub(l.losses[0].at) > lossMemory || len(l.losses) >= lossLimit) {
-		l.drop(l.losses[0], func(h *History, loss *workerLoss) {
+	for len(l.losses) > 0 && (now.Sub(l.losses[0].at) > recentWindow || len(l.losses) >= maxRecentLosses) {
+		l.removeLoss(l.losses[0], func(h *History, loss *workerLoss) {
 			h.freeze(loss)
 			l.settle(h, loss.worker)
 		})
@@ -144,7 +144,7 @@
 	}
 }
 
-func (l *Ledger) drop(loss *workerLoss, settle func(*History, *workerLoss)) {
+func (l *Ledger) removeLoss(loss *workerLoss, settle func(*History, *workerLoss)) {
 	for _, suspect := range loss.suspects {
 		settle(suspect.History, loss)
 		group := suspect.History.group
@@ -157,22 +157,22 @@
 	for _, loss := range l.losses {
 		if loss.address == address && address != "" && loss.worker != successor && !loss.replaced {
 			loss.replaced = true
-			l.weigh()
+			l.updateEvidence()
 		}
 	}
 }
 
 // Alive notes that a worker that was taken as lost lives. It returns true if that was so.
 func (l *Ledger) Alive(worker string) bool {
-	if !l.known[worker] {
+	if !l.tracked[worker] {
 		return false
 	}
-	delete(l.known, worker)
+	delete(l.tracked, worker)
 	for i, loss := range l.losses {
 		if loss.worker == worker {
-			l.drop(loss, func(h *History, loss *workerLoss) { h.forget(loss.worker) })
+			l.removeLoss(loss, func(h *History, loss *workerLoss) { h.removeWorker(loss.worker) })
 			l.losses = slices.Delete(l.losses, i, i+1)
-			l.weigh()
+			l.updateEvidence()
 			return true
 		}
 	}
@@ -185,49 +185,49 @@
 		if kept.worker != worker {
 			return false
 		}
-		found = kept.history.forget(worker) || found
+		found = kept.history.removeWorker(worker) || found
 		return true
 	})
 	return found
 }
 
-// weigh settles how much each loss says of each suspect. It begins with all losses taken as
+// updateEvidence settles how much each loss says of each suspect. It begins with all losses taken as
 // chance, which is the cautious way: only what stands out from that rate shifts the odds.
-func (l *Ledger) weigh() {
+func (l *Ledger) updateEvidence() {
 	for _, loss := range l.losses {
-		loss.byChance = 1
+		loss.chanceProbability = 1
 		for _, suspect := range loss.suspects {
 			suspect.History.setRatio(loss, 1)
 		}
 	}
-	for range rounds {
-		l.rateAll()
+	for range estimateIterations {
+		l.updateChanceRates()
 		for _, loss := range l.losses {
-			loss.weigh(l.workers)
+			loss.updateRatios(l.workers)
 		}
 		for _, loss := range l.losses {
-			loss.byChance = loss.rate / (loss.rate + loss.blamed)
+			loss.chanceProbability = loss.chanceRate / (loss.chanceRate + loss.suspectRate)
 		}
 	}
 }
 
-// weigh settles what the loss says of its suspects, by their odds without it.
-func (loss *workerLoss) weigh(workers int) {
-	blamed := 0.0
+// updateRatios settles what the loss says of its suspects, by their odds without it.
+func (loss *workerLoss) updateRatios(workers int) {
+	suspectRate := 0.0
 	weights := make([]float64, len(loss.suspects))
 	for i, suspect := range loss.suspects {
 		weights[i] = probability(suspect.History.oddsWithout(loss)) * crashDensity(suspect.Age)
-		blamed += weights[i]
+		suspectRate += weights[i]
 	}
 	for i, suspect := range loss.suspects {
 		group := suspect.History.group
-		innocent := loss.leastRate() + loss.beside.rate(group.chanceBeside(loss), workers) + blamed
+		otherRate := loss.baseRate() + loss.nearbyChance.rate(group.groupChance(loss), workers) + suspectRate
 		for k, other := range loss.suspects {
 			if k == i || other.History.group == group {
-				innocent -= weights[k]
+				otherRate -= weights[k]
 			}
 		}
-		suspect.History.setRatio(loss, crashDensity(suspect.Age)/max(innocent, loss.leastRate()))
+		suspect.History.setRatio(loss, crashDensity(suspect.Age)/max(otherRate, loss.baseRate()))
 	}
-	loss.blamed = blamed
+	loss.suspectRate = suspectRate
 }
--- a/internal/poison/rates.go
+++ b/internal/poison/rates.go
@@ -14,58 +14,58 @@
 type chanceSums [len(rateWindows)]float64
 
 // rate is the rate per worker and second that the sums stand for, without what is left out.
-func (s chanceSums) rate(without chanceSums, workers int) float64 {
+func (s chanceSums) rate(excluded chanceSums, workers int) float64 {
 	highest := 0.0
 	for i, window := range rateWindows {
-		count := s[i] - without[i]
+		count := s[i] - excluded[i]
 		if window == burstWindow {
-			count -= burstLeast
+			count -= minBurstLosses
 		}
 		highest = max(highest, count/(float64(max(1, workers))*window.Seconds()))
 	}
 	return highest
 }
 
-func near(a, b *workerLoss, window time.Duration) bool { return a.at.Sub(b.at).Abs() <= window }
+func withinWindow(a, b *workerLoss, window time.Duration) bool { return a.at.Sub(b.at).Abs() <= window }
 
-// rateAll finds what counts for the rate of chance losses at the time of each loss.
-func (l *Ledger) rateAll() {
+// updateChanceRates finds what counts for the rate of chance losses at the time of each loss.
+func (l *Ledger) updateChanceRates() {
 	for i, window := range rateWindows {
 		sum, first, next := 0.0, 0, 0
 		for _, loss := range l.losses {
-			for ; next < len(l.losses) && near(l.losses[next], loss, window); next++ {
-				sum += l.losses[next].byChance
+			for ; next < len(l.losses) && withinWindow(l.losses[next], loss, window); next++ {
+				sum += l.losses[next].chanceProbability
 			}
-			for ; !near(l.losses[first], loss, window); first++ {
-				sum -= l.losses[first].byChance
+			for ; !withinWindow(l.losses[first], loss, window); first++ {
+				sum -= l.losses[first].chanceProbability
 			}
-			loss.beside[i] = max(0, sum-loss.byChance)
+			loss.nearbyChance[i] = max(0, sum-loss.chanceProbability)
 		}
 	}
 	for _, loss := range l.losses {
-		loss.rate = loss.leastRate() + loss.beside.rate(chanceSums{}, l.workers)
+		loss.chanceRate = loss.baseRate() + loss.nearbyChance.rate(chanceSums{}, l.workers)
 	}
 }
 
-// leastRate is the rate of chance losses of which no other one tells.
-func (loss *workerLoss) leastRate() float64 {
+// baseRate is the rate of chance losses of which no other one tells.
+func (loss *workerLoss) baseRate() float64 {
 	switch {
-	case loss.unwatched:
-		return unwatchedRate
+	case loss.unobserved:
+		return unobservedRate
 	case loss.replaced:
-		return chanceRate
+		return replacedRate
 	}
-	return silenceRate
+	return unreachableRate
 }
 
-// chanceBeside is what other losses under the group count at the time of one: they have the
+// groupChance is what other losses under the group count at the time of one: they have the
 // same cause, if the group is one.
-func (g *Group) chanceBeside(loss *workerLoss) chanceSums {
+func (g *Group) groupChance(loss *workerLoss) chanceSums {
 	var sums chanceSums
 	for _, other := range g.losses {
 		for i, window := range rateWindows {
-			if other != loss && near(other, loss, window) {
-				sums[i] += other.byChance
+			if other != loss && withinWindow(other, loss, window) {
+				sums[i] += other.chanceProbability
 			}
 		}
 	}
