--- a/internal/poison/ages.go
+++ b/internal/poison/ages.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// A task that crashes its workers does so at about the same age of each run, since its runs do the
-// same work. Workers that are lost by chance are lost at any age of a task's runs. So two losses of
-// which the ages differ widely don't tell a task that crashes workers from a sound one.
+// A poison task fails at about the same age of each run, whereas chance losses occur at any age.
+// Two losses at very different ages are therefore insufficient evidence.
 
-// maxAgeRatio is the widest ratio of ages that one cause explains: workers differ in speed, and a worker
-// is found lost only with the delay of an answer.
+// maxAgeRatio is the largest ratio of ages that one cause explains. Workers differ in speed, and
+// the loss of a worker is detected with a delay.
 const maxAgeRatio = 3
 
-// unknownAge marks losses that were kept without the age of the run.
+// unknownAge is the age of losses without a known run age.
 const unknownAge time.Duration = -1
 
 // agesAgree reports whether one cause explains the ages of all losses that are evidence. Losses of
-// unknown age agree with any.
+// unknown age always agree.
 func (h *History) agesAgree() bool {
 	minAge, maxAge := ageHorizon, time.Duration(0)
 	for i := range h.losses {
@@ -27,7 +26,7 @@
 	return maxAge+ageOffset <= maxAgeRatio*(minAge+ageOffset)
 }
 
-// ageMillis renders an age for a record.
+// ageMillis returns an age as a record holds it.
 func ageMillis(age time.Duration) int64 {
 	if age == unknownAge {
 		return 0
@@ -35,7 +34,7 @@
 	return age.Milliseconds() + 1
 }
 
-// age is the age of the run that a record holds.
+// age returns the age of the run that a record holds.
 func (r *Record) age() time.Duration {
 	if r.AgeMillis <= 0 {
 		return unknownAge
--- a/internal/poison/benchmark_test.go
+++ b/internal/poison/benchmark_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkLossOfManyWorkers measures what each of 256 workers that are lost within 3 s costs,
-// with ten tasks on each: 1,147 us with a walk over all pairs of losses, 146 us in their order.
+// BenchmarkLossOfManyWorkers measures the cost per loss when 256 workers with ten tasks each are
+// lost within 3 s.
 func BenchmarkLossOfManyWorkers(b *testing.B) {
 	for b.Loop() {
 		l := newTestLedger(3000)
--- a/internal/poison/history.go
+++ b/internal/poison/history.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// History is what lost workers say of one task.
+// History is the evidence from lost workers about one task.
 type History struct {
 	group  *Group
 	losses []taskLoss
 }
 
-// Group has the histories of tasks that run only together. Workers lost under several of
-// them are lost by the same cause.
+// Group holds the histories of tasks that run only together. Losses under several of them have the
+// same cause.
 type Group struct {
 	losses []*workerLoss
 }
 
-// taskLoss is one worker that was lost under a task.
+// taskLoss is one worker that was lost while the task ran on it.
 type taskLoss struct {
 	worker string
-	// age is that of the task's run when the worker was lost, or unknownAge.
+	// age is the age of the task's run when the worker was lost, or unknownAge.
 	age time.Duration
-	// ratio is how much more likely the loss is if the task is poison.
+	// ratio is the likelihood ratio of the loss: poison against sound.
 	ratio float64
-	// unexplained losses only count; they are no evidence.
+	// unexplained losses count toward the limit but are not evidence.
 	unexplained bool
-	// loss is nil once the ratio no longer changes.
+	// loss is nil once the ratio is final.
 	loss *workerLoss
 }
 
-// Record is a lost worker as it is kept in the store.
+// Record is the stored form of a loss in a history.
 type Record struct {
 	Worker string  `json:"w"`
 	Ratio  float64 `json:"r"`
-	// AgeMillis is the age of the run in whole milliseconds, rounded up; 0 if it is not known.
+	// AgeMillis is the age of the run in whole milliseconds plus 1; 0 if unknown.
 	AgeMillis int64 `json:"a,omitempty"`
-	// Unexplained losses only count.
+	// Unexplained losses count toward the limit but are not evidence.
 	Unexplained bool `json:"u,omitempty"`
 }
 
-// NewGroup returns the group of tasks that run only together.
+// NewGroup returns an empty group.
 func NewGroup() *Group { return &Group{} }
 
-// NewHistory returns the history of a task from what was kept of it.
+// NewHistory returns the history of a task in the group from its stored records.
 func (g *Group) NewHistory(records []Record) *History {
 	h := &History{group: g}
 	for _, record := range records {
@@ -52,15 +52,15 @@
 	return h
 }
 
-// AddUnexplained counts a worker that was lost under the task and is no evidence: it may have
-// been lost for a reason of its own, or before the task began there.
+// AddUnexplained counts a lost worker that is not evidence, because it may have been lost for
+// another reason or before the task began there.
 func (h *History) AddUnexplained(worker string) {
 	if !h.has(worker) {
 		h.losses = append(h.losses, taskLoss{worker: worker, age: unknownAge, ratio: 1, unexplained: true})
 	}
 }
 
-// evidenceCount counts the workers that were lost under the task and are evidenceCount.
+// evidenceCount returns the number of losses that are evidence.
 func (h *History) evidenceCount() int {
 	count := 0
 	for i := range h.losses {
@@ -71,7 +71,7 @@
 	return count
 }
 
-// Records renders the history to be kept; that of nil is empty.
+// Records returns the history as stored; a nil history has none.
 func (h *History) Records() []Record {
 	if h == nil {
 		return nil
@@ -84,7 +84,7 @@
 	return records
 }
 
-// Workers names the workers that were lost under the task.
+// Workers returns the names of the workers that were lost under the task.
 func (h *History) Workers() string {
 	names := make([]string, 0, len(h.losses))
 	for i := range h.losses {
@@ -93,7 +93,7 @@
 	return strings.Join(names, " ")
 }
 
-// Count returns how many workers were lost under the task.
+// Count returns the number of workers that were lost under the task.
 func (h *History) Count() int {
 	if h == nil {
 		return 0
@@ -109,28 +109,28 @@
 	return h.oddsWithout(nil)
 }
 
-// Verdict is what is made of a task's history.
+// Verdict is the classification of a task by its history.
 type Verdict string
 
 // The verdicts.
 const (
 	// Sound tasks run like any other.
 	Sound Verdict = "sound"
-	// Doubtful tasks run apart from each other where that is possible at once, so that the
-	// next loss tells them apart.
+	// Doubtful tasks are kept apart from each other where that causes no wait, so that the next
+	// loss distinguishes them.
 	Doubtful Verdict = "doubtful"
-	// Suspected tasks run apart from everything new, on an empty worker first.
+	// Suspected tasks are kept apart from all newly placed tasks, preferably on an empty worker.
 	Suspected Verdict = "suspected"
-	// PoisonByOdds and PoisonByLimit tasks are not to run again.
+	// PoisonByOdds and PoisonByLimit tasks must not run again.
 	PoisonByOdds  Verdict = "crash_odds"
 	PoisonByLimit Verdict = "crash_limit"
 )
 
-// Poison reports whether a task is not to run again.
+// Poison reports whether the task must not run again.
 func (v Verdict) Poison() bool { return v == PoisonByOdds || v == PoisonByLimit }
 
-// hasSufficientEvidence reports whether the evidence is enough to give the task up. Two losses have to agree, from
-// the third on the odds alone decide.
+// hasSufficientEvidence reports whether the evidence proves the task poison. Two losses must agree
+// in age; with three or more the odds decide.
 func (h *History) hasSufficientEvidence() bool {
 	evidence := h.evidenceCount()
 	if evidence == minEvidence && !h.agesAgree() {
@@ -139,7 +139,7 @@
 	return evidence >= minEvidence && h.Odds() >= poisonOdds
 }
 
-// Verdict returns what is made of the task.
+// Verdict classifies the task.
 func (h *History) Verdict() Verdict {
 	count := h.Count()
 	if count == 0 {
@@ -159,10 +159,10 @@
 	return Sound
 }
 
-// Suspicious reports whether the odds alone make the task a suspect.
+// Suspicious reports whether the odds alone make the task suspected.
 func (h *History) Suspicious() bool { return h.Odds() >= suspectedOdds }
 
-// oddsWithout returns the odds by all evidence but that of one loss.
+// oddsWithout returns the odds without the evidence of one loss.
 func (h *History) oddsWithout(loss *workerLoss) float64 {
 	odds := priorOdds
 	for i := range h.losses {
@@ -181,7 +181,7 @@
 	}
 }
 
-// freeze keeps the evidence of a loss as it is.
+// freeze makes the ratio of a loss final.
 func (h *History) freeze(loss *workerLoss) {
 	for i := range h.losses {
 		if h.losses[i].loss == loss {
@@ -190,8 +190,8 @@
 	}
 }
 
-// removeWorker drops a worker that was not lost after all. It returns false if the worker is not
-// in the history.
+// removeWorker removes a worker that was not lost. It returns false if the worker is not in the
+// history.
 func (h *History) removeWorker(worker string) bool {
 	for i := range h.losses {
 		if h.losses[i].worker == worker {
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -6,63 +6,61 @@
 )
 
 const (
-	// recentWindow is how long the evidence of a loss is weighed anew with each other loss.
+	// recentWindow is how long the evidence of a loss is updated by other losses.
 	recentWindow = 30 * time.Second
-	// maxRecentLosses bounds the losses that are weighed, each of which has some ten suspects.
+	// maxRecentLosses limits the losses whose evidence is updated.
 	maxRecentLosses = 256
-	// estimateIterations of weighing: each takes the odds and the rate of the one before.
+	// estimateIterations is the number of fixed-point iterations over odds and chance rates.
 	estimateIterations = 4
 )
 
-// Ledger weighs the recent losses of workers against each other.
+// Ledger correlates recent losses of workers to find the tasks that caused them.
 type Ledger struct {
-	// losses are in the order of their times.
+	// losses is sorted by time.
 	losses []*workerLoss
-	// settled has the histories with evidence that no longer changes, so that it can still
-	// be withdrawn; the oldest come first.
+	// settled holds losses with final evidence, oldest first, so that they can still be withdrawn.
 	settled []settledLoss
-	// tracked has the workers in losses and settled.
+	// tracked holds the workers in losses and settled.
 	tracked map[string]bool
 	// workers is the number of workers in the pool.
 	workers int
 }
 
-// settledLoss is a lost worker in a history, whose evidence no longer changes.
+// settledLoss is a loss with final evidence in one history.
 type settledLoss struct {
 	worker  string
 	history *History
 }
 
-// maxSettledLosses bounds the losses that can still be withdrawn; 13,000 workers lose some
-// 1,300 a day.
+// maxSettledLosses limits the losses that can still be withdrawn.
 const maxSettledLosses = 2048
 
-// workerLoss is one lost worker and the tasks that ran there.
+// workerLoss is one lost worker and the tasks that ran on it.
 type workerLoss struct {
 	worker, address string
 	at              time.Time
 	replaced        bool
 	unobserved      bool
 	suspects        []Suspect
-	// chanceProbability is the probability that none of the tasks is the cause.
+	// chanceProbability is the probability that none of the tasks caused the loss.
 	chanceProbability float64
 	// chanceRate is the chanceRate of chance losses at the time, and suspectRate that of losses by one of the
 	// suspects.
 	chanceRate, suspectRate float64
-	// nearbyChance is what the other losses around it count as losses by chance.
+	// nearbyChance sums the chance probabilities of the losses around this one.
 	nearbyChance chanceSums
 }
 
-// Suspect is a task that ran on a worker when it was lost.
+// Suspect is a task that ran on a worker when the worker was lost.
 type Suspect struct {
 	History *History
-	// Age of the run when the worker was last known to live.
+	// Age is the age of the run when the worker was last known to be alive.
 	Age time.Duration
-	// AgeAssumed is true if an earlier owner started the run, so that Age is a guess.
+	// AgeAssumed is true if an earlier owner started the run, so that Age is an estimate.
 	AgeAssumed bool
 }
 
-// knownAge is the age of the run, or unknownAge if it is a guess.
+// knownAge returns the age of the run, or unknownAge if it is an estimate.
 func (s *Suspect) knownAge() time.Duration {
 	if s.AgeAssumed {
 		return unknownAge
@@ -73,13 +71,13 @@
 // Loss describes a lost worker.
 type Loss struct {
 	Worker string
-	// Address is empty if it is not known.
+	// Address is empty if unknown.
 	Address string
 	At      time.Time
 	// Unwatched is true if the worker was lost before its owner heard from it.
 	Unwatched bool
-	// Replaced is true if another instance has taken the worker's place, so that it surely
-	// runs nothing any more.
+	// Replaced is true if another instance runs at the worker's address, so that the lost one
+	// certainly runs nothing.
 	Replaced bool
 	Suspects []Suspect
 }
@@ -87,10 +85,10 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{tracked: map[string]bool{}} }
 
-// SetWorkers tells how many workers the pool has.
+// SetWorkers sets the number of workers in the pool.
 func (l *Ledger) SetWorkers(count int) { l.workers = max(1, count) }
 
-// Lost takes in a lost worker and weighs the evidence anew.
+// Lost records a lost worker and updates the evidence.
 func (l *Ledger) Lost(lost Loss) {
 	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unobserved: lost.Unwatched, chanceProbability: 1}
 	for _, suspect := range lost.Suspects {
@@ -117,7 +115,7 @@
 	}
 }
 
-// Restore takes in a history that was kept in the store.
+// Restore registers a history that was read from the store.
 func (l *Ledger) Restore(h *History) {
 	for i := range h.losses {
 		l.settle(h, h.losses[i].worker)
@@ -133,7 +131,8 @@
 	}
 }
 
-// prune freezes what is old, and the oldest beyond lossLimit.
+// prune finalizes the evidence of losses older than recentWindow, and of the oldest beyond
+// maxRecentLosses.
 func (l *Ledger) prune(now time.Time) {
 	for len(l.losses) > 0 && (now.Sub(l.losses[0].at) > recentWindow || len(l.losses) >= maxRecentLosses) {
 		l.removeLoss(l.losses[0], func(h *History, loss *workerLoss) {
@@ -152,7 +151,7 @@
 	}
 }
 
-// Replaced notes that another instance answers at the address of a lost worker.
+// Replaced records that another instance runs at the address of a lost worker.
 func (l *Ledger) Replaced(address, successor string) {
 	for _, loss := range l.losses {
 		if loss.address == address && address != "" && loss.worker != successor && !loss.replaced {
@@ -162,7 +161,8 @@
 	}
 }
 
-// Alive notes that a worker that was taken as lost lives. It returns true if that was so.
+// Alive withdraws the loss of a worker that is alive. It returns true if the worker was recorded
+// as lost.
 func (l *Ledger) Alive(worker string) bool {
 	if !l.tracked[worker] {
 		return false
@@ -191,8 +191,8 @@
 	return found
 }
 
-// updateEvidence settles how much each loss says of each suspect. It begins with all losses taken as
-// chance, which is the cautious way: only what stands out from that rate shifts the odds.
+// updateEvidence recomputes the evidence of all recent losses. It starts from the assumption that
+// all are chance losses, which favours sound tasks: only losses above that rate change the odds.
 func (l *Ledger) updateEvidence() {
 	for _, loss := range l.losses {
 		loss.chanceProbability = 1
@@ -211,7 +211,8 @@
 	}
 }
 
-// updateRatios settles what the loss says of its suspects, by their odds without it.
+// updateRatios recomputes the likelihood ratio of each suspect, by the suspects' odds without this
+// loss.
 func (loss *workerLoss) updateRatios(workers int) {
 	suspectRate := 0.0
 	weights := make([]float64, len(loss.suspects))
--- a/internal/poison/ledger_test.go
+++ b/internal/poison/ledger_test.go
@@ -27,7 +27,7 @@
 
 var lossCount int
 
-// loseWorker loses a worker under tasks whose runs are equally old.
+// loseWorker records the loss of a worker under tasks whose runs have the same age.
 func loseWorker(l *Ledger, when float64, age time.Duration, tasks ...*History) string {
 	suspects := make([]Suspect, 0, len(tasks))
 	for _, task := range tasks {
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestColocatedTasksAreNotPoison: tasks that travel with a poison one from worker to
-// worker, because all of them are placed again at once, were as often there as it.
+// TestColocatedTasksAreNotPoison guards against rejecting sound tasks that are rescheduled
+// together with a poison one onto the same workers.
 func TestColocatedTasksAreNotPoison(t *testing.T) {
 	l, poisonTask := newTestLedger(48), newHistory()
 	colocated := []*History{newHistory(), newHistory(), newHistory()}
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestSeveralPoisonTasksAtOnce: the losses under one must not count as chance for another.
+// TestSeveralPoisonTasksAtOnce guards against counting the losses under one poison task as chance
+// losses for another.
 func TestSeveralPoisonTasksAtOnce(t *testing.T) {
 	l := newTestLedger(48)
 	tasks := []*History{newHistory(), newHistory(), newHistory()}
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestGangCrashingAllWorkersIsPoison: all members lose their workers at the same moment, which
-// looks like a rack, and once more.
+// TestGangCrashingAllWorkersIsPoison covers a gang whose members all lose their workers at once,
+// which resembles a rack failure.
 func TestGangCrashingAllWorkersIsPoison(t *testing.T) {
 	l, gang := newTestLedger(48), NewGroup()
 	members := make([]*History, 8)
@@ -148,7 +149,7 @@
 		}
 		require.False(t, task.Verdict().Poison())
 		if round == 2 {
-			// One that left by plan counts, and is no evidence.
+			// A worker that left as planned counts but is not evidence.
 			odds := task.Odds()
 			task.AddUnexplained("left")
 			require.InDelta(t, odds, task.Odds(), 1e-9)
@@ -175,11 +176,11 @@
 	single.AddUnexplained("unexplained")
 	loseWorker(l, 100, earlyAge, single)
 	require.Greater(t, single.Odds(), float64(poisonOdds))
-	require.Equal(t, Suspected, single.Verdict(), "one piece of evidence is not enough")
+	require.Equal(t, Suspected, single.Verdict(), "a single loss as evidence must not prove poison")
 }
 
-// TestErrorsOverSeeds measures both errors on a pool whose workers are lost by chance, a
-// rate per worker and second: sound tasks taken for poison, and workers lost to a poison task.
+// TestErrorsOverSeeds bounds both error rates at several rates of chance losses per worker and
+// second: sound tasks classified as poison, and workers lost to a poison task.
 func TestErrorsOverSeeds(t *testing.T) {
 	const seeds = 40
 	for _, rate := range []float64{0.001, 0.005, 0.02} {
@@ -187,13 +188,13 @@
 		for seed := range uint64(seeds) {
 			sum.add(simulateLosses(rand.New(rand.NewPCG(seed, 3)), rate))
 		}
-		t.Logf("%v a worker and second: %+v", rate, sum)
-		require.LessOrEqual(t, sum.falsePositives*5000, sum.sound, "sound tasks given up")
+		t.Logf("%v losses per worker and second: %+v", rate, sum)
+		require.LessOrEqual(t, sum.falsePositives*5000, sum.sound, "sound tasks classified as poison")
 		require.LessOrEqual(t, sum.mostLost, 3, "workers lost to one poison task")
 	}
 }
 
-// errorCounts are what a play, or several, came to.
+// errorCounts holds the results of one or more simulations.
 type errorCounts struct {
 	sound, lostRepeatedly, falsePositives, mostLost int
 }
@@ -205,7 +206,7 @@
 	c.mostLost = max(c.mostLost, other.mostLost)
 }
 
-// Shape of the pool that playLosses plays: 60 s in steps of 0.1 s, with tasks of 5 s.
+// Parameters of simulateLosses: 60 s in steps of 0.1 s, with tasks of 5 s on average.
 const (
 	simulatedWorkers      = 48
 	tasksPerWorker        = 6
@@ -215,7 +216,7 @@
 	secondsToRetry        = 3.5
 )
 
-// simulatedPool is a pool whose tasks stay on their workers, which come back at once.
+// simulatedPool is a pool whose tasks stay on their workers, which are replaced immediately.
 type simulatedPool struct {
 	random     *rand.Rand
 	ledger     *Ledger
@@ -224,8 +225,8 @@
 	counts     errorCounts
 }
 
-// simulateLosses loses workers by chance and one more, at once, under a poison task whenever it
-// runs, which it does until it is given up.
+// simulateLosses loses workers by chance, and one more under a poison task each time it runs,
+// until the task is rejected.
 func simulateLosses(random *rand.Rand, rate float64) errorCounts {
 	p := &simulatedPool{random: random, ledger: newTestLedger(simulatedWorkers), startTimes: make([]float64, simulatedWorkers*tasksPerWorker)}
 	for range p.startTimes {
@@ -251,7 +252,7 @@
 	return p.counts
 }
 
-// suspects lists the tasks of a worker, which begin anew.
+// suspects returns the tasks of a worker and restarts them.
 func (p *simulatedPool) suspects(worker int, now float64) []Suspect {
 	var suspects []Suspect
 	for i := worker * tasksPerWorker; i < (worker+1)*tasksPerWorker; i++ {
@@ -262,7 +263,7 @@
 	return suspects
 }
 
-// completeTasks lets tasks end and others take their places.
+// completeTasks completes a random part of the tasks and replaces them.
 func (p *simulatedPool) completeTasks(now float64) {
 	for i, task := range p.tasks {
 		if p.random.Float64() >= completionProbability {
@@ -279,9 +280,8 @@
 	}
 }
 
-// TestLossBurstsDoNotProvePoison: a third of the workers start again within a second, four times in
-// 20 s. A task that ran for half a second on one of them each time is as innocent as the others. By
-// the rate within 10 s alone its odds were enough to give it up at the fourth loss.
+// TestLossBurstsDoNotProvePoison guards against rejecting a sound task that ran on a lost worker
+// in each of four bursts, in which a third of the workers restart within a second.
 func TestLossBurstsDoNotProvePoison(t *testing.T) {
 	l, repeated := newTestLedger(48), newHistory()
 	for burst := range 4 {
@@ -297,8 +297,8 @@
 	require.False(t, repeated.Verdict().Poison(), "odds %g", repeated.Odds())
 }
 
-// TestTwoLossesAtDifferentAgesAreInsufficient: two workers were lost by chance under a sound task, at 2.2 s
-// and at 0.4 s of its runs. A third one has to tell.
+// TestTwoLossesAtDifferentAgesAreInsufficient guards against rejecting a sound task after two
+// chance losses; a third loss decides.
 func TestTwoLossesAtDifferentAgesAreInsufficient(t *testing.T) {
 	l, task := newTestLedger(12), newHistory()
 	loseWorker(l, 0, 2200*time.Millisecond, task)
@@ -309,7 +309,7 @@
 	require.Equal(t, PoisonByOdds, task.Verdict())
 }
 
-// TestRecordsPreserveAges: the next owner compares the ages that it reads.
+// TestRecordsPreserveAges checks that the next owner compares the ages of stored losses.
 func TestRecordsPreserveAges(t *testing.T) {
 	l, task := newTestLedger(12), newHistory()
 	loseWorker(l, 0, 2200*time.Millisecond, task)
@@ -319,7 +319,8 @@
 	require.Equal(t, Suspected, restored.Verdict())
 }
 
-// TestAssumedAgesAgreeWithAny: the age of a run that an earlier owner started is a guess.
+// TestAssumedAgesAgreeWithAny checks that estimated ages, of runs that an earlier owner started,
+// do not contradict others.
 func TestAssumedAgesAgreeWithAny(t *testing.T) {
 	l, task := newTestLedger(12), newHistory()
 	loseWorkerRunning(l, 0, []Suspect{{History: task, Age: 2 * time.Second, AgeAssumed: true}})
--- a/internal/poison/rates.go
+++ b/internal/poison/rates.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Workers are lost by chance in two ways: now and then, and many at once, as when a rack, a zone or a
-// link goes. The rate of losses by chance around a loss is the higher of the two that are seen: within
-// rateWindow, and within burstWindow. By the wider one alone, losses of a third of the workers in a
-// second, four times in 20 s, left innocent tasks with odds of 0.01 to 0.14.
+// Chance losses are either isolated or simultaneous, as when a rack, a zone or a link fails. The
+// chance rate at a loss is the higher of the rates within rateWindow and within burstWindow, so
+// that repeated bursts do not make sound tasks look like poison.
 
-// rateWindows are how far from a loss others count for the rate at its time.
+// rateWindows are the windows over which chance losses are counted.
 var rateWindows = [...]time.Duration{rateWindow, burstWindow}
 
-// chanceSums adds up, for each of rateWindows, the probabilities that losses came by chance.
+// chanceSums holds, for each of rateWindows, the sum of the probabilities that losses were chance
+// losses.
 type chanceSums [len(rateWindows)]float64
 
-// rate is the rate per worker and second that the sums stand for, without what is left out.
+// rate returns the rate per worker and second that the sums represent, less the excluded ones.
 func (s chanceSums) rate(excluded chanceSums, workers int) float64 {
 	highest := 0.0
 	for i, window := range rateWindows {
@@ -28,7 +28,7 @@
 
 func withinWindow(a, b *workerLoss, window time.Duration) bool { return a.at.Sub(b.at).Abs() <= window }
 
-// updateChanceRates finds what counts for the rate of chance losses at the time of each loss.
+// updateChanceRates recomputes the rate of chance losses at the time of each loss.
 func (l *Ledger) updateChanceRates() {
 	for i, window := range rateWindows {
 		sum, first, next := 0.0, 0, 0
@@ -47,7 +47,7 @@
 	}
 }
 
-// baseRate is the rate of chance losses of which no other one tells.
+// baseRate returns the chance rate that applies without any other loss.
 func (loss *workerLoss) baseRate() float64 {
 	switch {
 	case loss.unobserved:
@@ -58,8 +58,8 @@
 	return unreachableRate
 }
 
-// groupChance is what other losses under the group count at the time of one: they have the
-// same cause, if the group is one.
+// groupChance returns what the group's other losses contribute at the time of one: if the group is
+// the cause of one, it is the cause of all, and they are not chance losses.
 func (g *Group) groupChance(loss *workerLoss) chanceSums {
 	var sums chanceSums
 	for _, other := range g.losses {
