--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -44,8 +44,8 @@
 	suspects        []Suspect
 	// chanceProbability is the probability that none of the tasks caused the loss.
 	chanceProbability float64
-	// chanceRate is the chanceRate of chance losses at the time, and suspectRate that of losses by one of the
-	// suspects.
+	// chanceRate is the rate of chance losses at the time, and suspectRate that of losses caused by
+	// one of the suspects.
 	chanceRate, suspectRate float64
 	// nearbyChance sums the chance probabilities of the losses around this one.
 	nearbyChance chanceSums
