--- a/internal/speeds/cohort.go
+++ b/internal/speeds/cohort.go
@@ -15,8 +15,8 @@
 	added bool
 }
 
-// cohortLeast is the number of other tasks from which a task is compared with them.
-const cohortLeast = 4
+// minCohortPeers is the number of other tasks from which a task is compared with them.
+const minCohortPeers = 4
 
 // Note takes in how long a task takes in all, by its progress so far or by its end.
 func (c *Cohort) Note(m *Member, worker *Estimate, logTime float64) {
@@ -38,15 +38,15 @@
 // Learn compares a task with the others of its cohort, and learns from it how much tasks differ. It
 // returns false if there are too few others yet.
 func (c *Cohort) Learn(m *Member, worker *Estimate, spread *Spread) bool {
-	others := c.count - 1
-	if !m.added || others < cohortLeast {
+	peers := c.count - 1
+	if !m.added || peers < minCohortPeers {
 		return false
 	}
-	base := (c.sum - m.work) / float64(others)
-	deviation := m.work - base
-	variance := spread.variance() * (1 + 1/float64(others))
-	spread.learn(deviation, worker.variance())
-	worker.learn(worker.mean+deviation, variance)
+	expected := (c.sum - m.work) / float64(peers)
+	deviation := m.work - expected
+	variance := spread.variance() * (1 + 1/float64(peers))
+	spread.update(deviation, worker.variance())
+	worker.update(worker.mean+deviation, variance)
 	return true
 }
 
@@ -61,21 +61,21 @@
 	// what was learned.
 	spreadPrior       = 0.16
 	spreadPriorWeight = 20
-	spreadMemory      = 500
-	// mostSquare bounds what one task adds: the longest of a long tail would hide all others.
-	mostSquare = 1.0
+	maxSpreadWeight   = 500
+	// maxSquaredDeviation bounds what one task adds: the longest of a long tail would hide all others.
+	maxSquaredDeviation = 1.0
 )
 
 func (s *Spread) variance() float64 {
 	return (s.sum + spreadPrior*spreadPriorWeight) / (s.weight + spreadPriorWeight)
 }
 
-// learn takes in a deviation, of which the worker explains a part.
-func (s *Spread) learn(deviation, ofWorker float64) {
-	if s.weight >= spreadMemory {
-		s.sum *= (spreadMemory - 1) / s.weight
-		s.weight = spreadMemory - 1
+// update takes in a deviation, of which the worker explains a part.
+func (s *Spread) update(deviation, workerVariance float64) {
+	if s.weight >= maxSpreadWeight {
+		s.sum *= (maxSpreadWeight - 1) / s.weight
+		s.weight = maxSpreadWeight - 1
 	}
-	s.sum += min(mostSquare, max(0, deviation*deviation-ofWorker))
+	s.sum += min(maxSquaredDeviation, max(0, deviation*deviation-workerVariance))
 	s.weight++
 }
--- a/internal/speeds/estimate.go
+++ b/internal/speeds/estimate.go
@@ -6,16 +6,16 @@
 	// priorVariance is that of workers of which nothing is known: two in three are within a factor of
 	// 1.65 of the middle one.
 	priorVariance = 0.25
-	// leastVariance bounds how sure an estimate becomes, so that it follows a worker that changes.
-	leastVariance = 0.003
-	// knownVariance is the most that an estimate of a known worker has.
-	knownVariance = 0.05
-	// surely is how many standard deviations a worker is slower than another to be taken for it.
-	surely = 0.5
-	// outlier is how many standard deviations off a sample counts in full.
-	outlier = 2.0
-	// doubtGrowth is by how much an outlier raises the variance: if they go on, they are believed.
-	doubtGrowth = 1.5
+	// minVariance bounds how sure an estimate becomes, so that it follows a worker that changes.
+	minVariance = 0.003
+	// maxKnownVariance is the most that an estimate of a known worker has.
+	maxKnownVariance = 0.05
+	// exceedsSigmas is how many standard deviations a worker is slower than another to be taken for it.
+	exceedsSigmas = 0.5
+	// outlierSigmas is how many standard deviations off a sample counts in full.
+	outlierSigmas = 2.0
+	// outlierVarianceGrowth is by how much an outlier raises the variance: if they go on, they are believed.
+	outlierVarianceGrowth = 1.5
 )
 
 // Estimate is what is known of one worker's time per work. The zero value is that of a worker of which
@@ -30,29 +30,29 @@
 func (e *Estimate) LogTime() float64 { return e.mean }
 
 // Known reports whether the estimate is good enough to tell workers apart.
-func (e *Estimate) Known() bool { return e.variance() <= knownVariance }
+func (e *Estimate) Known() bool { return e.variance() <= maxKnownVariance }
 
 // Exceeds reports whether the worker takes longer than another one of a logarithm of its time, by a ratio
 // of times at least.
 func (e *Estimate) Exceeds(logTime, ratio float64) bool {
-	return e.mean-logTime > max(math.Log(ratio), surely*math.Sqrt(e.variance()))
+	return e.mean-logTime > max(math.Log(ratio), exceedsSigmas*math.Sqrt(e.variance()))
 }
 
 func (e *Estimate) variance() float64 { return 1 / (1/priorVariance + e.precision) }
 
-// learn takes in a sample of the worker's own logarithm with a variance.
-func (e *Estimate) learn(sample, variance float64) {
+// update takes in a sample of the worker's own logarithm with a variance.
+func (e *Estimate) update(sample, variance float64) {
 	before := e.variance()
 	deviation := sample - e.mean
 	expected := before + variance
-	far := deviation * deviation / (outlier * outlier * expected)
-	gain := before / (expected * max(1, far))
+	outlierRatio := deviation * deviation / (outlierSigmas * outlierSigmas * expected)
+	gain := before / (expected * max(1, outlierRatio))
 	e.mean += gain * deviation
 	after := (1 - gain) * before
-	if far > 1 {
-		after = min(priorVariance, doubtGrowth*before)
+	if outlierRatio > 1 {
+		after = min(priorVariance, outlierVarianceGrowth*before)
 	}
-	e.precision = 1/max(leastVariance, after) - 1/priorVariance
+	e.precision = 1/max(minVariance, after) - 1/priorVariance
 }
 
 // Sample is how long work took on one worker, of several that did equal work.
@@ -85,29 +85,29 @@
 		sum = weight * work.LogTime
 	}
 	for i := range samples {
-		share := samples[i].weight()
-		sum += share * samples[i].work()
-		weight += share
+		sampleWeight := samples[i].weight()
+		sum += sampleWeight * samples[i].work()
+		weight += sampleWeight
 	}
 	deviations := make([]float64, len(samples))
 	variances := make([]float64, len(samples))
 	for i := range samples {
 		// Each worker is compared with the others, without what it adds to the sums itself.
-		share := samples[i].weight()
-		rest := weight - share
-		if rest < leastWeight {
+		sampleWeight := samples[i].weight()
+		rest := weight - sampleWeight
+		if rest < minWeight {
 			return
 		}
-		deviations[i] = samples[i].LogTime - (sum-share*samples[i].work())/rest
+		deviations[i] = samples[i].LogTime - (sum-sampleWeight*samples[i].work())/rest
 		variances[i] = samples[i].Variance + 1/rest
 	}
 	for i := range samples {
-		samples[i].Worker.learn(deviations[i], variances[i])
+		samples[i].Worker.update(deviations[i], variances[i])
 	}
 }
 
-// leastWeight is less than that of any worker.
-const leastWeight = 1e-6
+// minWeight is less than that of any worker.
+const minWeight = 1e-6
 
 // work is what the sample says of the work, and weight the inverse of the variance of that.
 func (s *Sample) work() float64   { return s.LogTime - s.Worker.mean }
