--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -49,7 +49,7 @@
 
 // With returns the set after changes that lead up to a revision.
 func (s Set) With(changes []Change, revision int64, asOf time.Time) Set {
-	next := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: later(s.AsOf, asOf)}
+	next := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: latest(s.AsOf, asOf)}
 	if len(changes) == 0 {
 		return next
 	}
@@ -91,7 +91,7 @@
 // SameZones reports whether two sets name the same zones.
 func (s Set) SameZones(other Set) bool { return slices.Equal(s.Zones(), other.Zones()) }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -7,31 +7,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-var began = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func at(seconds int) time.Time { return began.Add(time.Duration(seconds) * time.Second) }
+func at(seconds int) time.Time { return startTime.Add(time.Duration(seconds) * time.Second) }
 
-func TestZonesComeAndGo(t *testing.T) {
+func TestWithAddsAndRemovesZones(t *testing.T) {
 	empty := Set{}
 	require.False(t, empty.Contains("a"))
-	one := Of([]Change{{Zone: "a", Revision: 5}}, 7, at(1))
-	require.True(t, one.Contains("a"))
-	both := one.With([]Change{{Zone: "b", Revision: 9}}, 9, at(2))
+	first := Of([]Change{{Zone: "a", Revision: 5}}, 7, at(1))
+	require.True(t, first.Contains("a"))
+	both := first.With([]Change{{Zone: "b", Revision: 9}}, 9, at(2))
 	require.Equal(t, []string{"a", "b"}, both.Zones())
-	require.Equal(t, []string{"a"}, one.Zones(), "sets are immutable")
-	back := both.With([]Change{{Zone: "a", Revision: 11, Ended: true}}, 12, at(3))
-	require.Equal(t, []string{"b"}, back.Zones())
-	require.Equal(t, at(3), back.AsOf)
-	require.EqualValues(t, 12, back.Revision)
+	require.Equal(t, []string{"a"}, first.Zones(), "sets are immutable")
+	removed := both.With([]Change{{Zone: "a", Revision: 11, Ended: true}}, 12, at(3))
+	require.Equal(t, []string{"b"}, removed.Zones())
+	require.Equal(t, at(3), removed.AsOf)
+	require.EqualValues(t, 12, removed.Revision)
 }
 
-// TestLateAnswersChangeNothing: answers may pass each other.
-func TestLateAnswersChangeNothing(t *testing.T) {
+// TestWithIgnoresStaleChanges: answers may pass each other.
+func TestWithIgnoresStaleChanges(t *testing.T) {
 	known := Of([]Change{{Zone: "a", Revision: 10}}, 10, at(5))
-	late := known.With([]Change{{Zone: "a", Revision: 4, Ended: true}}, 6, at(1))
-	require.True(t, late.Contains("a"))
-	require.EqualValues(t, 10, late.Revision)
-	require.Equal(t, at(5), late.AsOf)
+	stale := known.With([]Change{{Zone: "a", Revision: 4, Ended: true}}, 6, at(1))
+	require.True(t, stale.Contains("a"))
+	require.EqualValues(t, 10, stale.Revision)
+	require.Equal(t, at(5), stale.AsOf)
 }
 
 func TestNewest(t *testing.T) {
@@ -39,7 +39,7 @@
 	newer := Of([]Change{{Zone: "a", Revision: 6}}, 6, at(1))
 	require.Equal(t, newer, older.Newest(newer))
 	require.Equal(t, newer, newer.Newest(older))
-	fresher := Of([]Change{{Zone: "a", Revision: 6}}, 6, at(2))
-	require.Equal(t, fresher, newer.Newest(fresher))
-	require.Equal(t, fresher, fresher.Newest(newer))
+	laterAsOf := Of([]Change{{Zone: "a", Revision: 6}}, 6, at(2))
+	require.Equal(t, laterAsOf, newer.Newest(laterAsOf))
+	require.Equal(t, laterAsOf, laterAsOf.Newest(newer))
 }
