--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -56,8 +56,8 @@
 }
 
 // Within reports whether the amount fits into room.
-func (a Amount) Within(room Amount) bool {
-	return a.CPU <= room.CPU && a.MemoryMB <= room.MemoryMB && a.GPUs <= room.GPUs
+func (a Amount) Within(available Amount) bool {
+	return a.CPU <= available.CPU && a.MemoryMB <= available.MemoryMB && a.GPUs <= available.GPUs
 }
 
 // CoresPerGPU weighs a GPU in cores when amounts are compared.
@@ -103,11 +103,11 @@
 
 // Room returns what one task takes of a worker's capacity.
 func (s *Step) Room() Amount {
-	room := s.Amount
+	required := s.Amount
 	if s.FillsIdleCPU {
-		room.CPU = 0
+		required.CPU = 0
 	}
-	return room
+	return required
 }
 
 // Spec is a job as its caller asked for it.
@@ -137,14 +137,14 @@
 // Tails returns for each step the duration of the longest chain of steps that begins
 // with it, by the durations of the steps.
 func (s *Spec) Tails(durations []time.Duration) []time.Duration {
-	tails := make([]time.Duration, len(s.Steps))
+	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
-		tails[i] += durations[i]
-		for _, earlier := range s.Steps[i].After {
-			tails[earlier] = max(tails[earlier], tails[i])
+		longest[i] += durations[i]
+		for _, dependency := range s.Steps[i].After {
+			longest[dependency] = max(longest[dependency], longest[i])
 		}
 	}
-	return tails
+	return longest
 }
 
 // LongRunning reports whether any step lasts until the job is cancelled.
@@ -206,8 +206,8 @@
 	if s.EstimateMillis < 0 || s.EstimateMillis > maxMillis || s.TargetMillis < 0 || s.TargetMillis > maxMillis {
 		return invalid(field+"estimate_ms", "must not be negative or huge")
 	}
-	for _, earlier := range s.After {
-		if earlier < 0 || earlier >= index {
+	for _, dependency := range s.After {
+		if dependency < 0 || dependency >= index {
 			return invalid(field+"after", "must name earlier steps only")
 		}
 	}
--- a/internal/taskgraph/spec_test.go
+++ b/internal/taskgraph/spec_test.go
@@ -11,31 +11,31 @@
 
 const id = "00000000000000aa"
 
-func TestValidateNamesTheField(t *testing.T) {
-	good := Step{Count: 1}
+func TestValidateReportsField(t *testing.T) {
+	validStep := Step{Count: 1}
 	cases := map[string]struct {
 		spec  Spec
 		field string
 	}{
-		"id":          {Spec{ID: "x", Steps: []Step{good}}, "id"},
-		"upper case":  {Spec{ID: "00000000000000AA", Steps: []Step{good}}, "id"},
+		"id":          {Spec{ID: "x", Steps: []Step{validStep}}, "id"},
+		"upper case":  {Spec{ID: "00000000000000AA", Steps: []Step{validStep}}, "id"},
 		"no steps":    {Spec{ID: id}, "steps"},
 		"count":       {Spec{ID: id, Steps: []Step{{}}}, "steps[0].count"},
 		"amount":      {Spec{ID: id, Steps: []Step{{Count: 1, Amount: Amount{GPUs: -1}}}}, "steps[0].amount"},
 		"estimate":    {Spec{ID: id, Steps: []Step{{Count: 1, EstimateMillis: -1}}}, "steps[0].estimate_ms"},
-		"after later": {Spec{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, good}}, "steps[0].after"},
-		"many tasks":  {Spec{ID: id, Steps: []Step{{Count: MaxTasks}, good}}, "steps"},
-		"repetitions": {Spec{ID: id, Steps: []Step{good}, Repetitions: -1}, "repetitions"},
+		"after later": {Spec{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, validStep}}, "steps[0].after"},
+		"many tasks":  {Spec{ID: id, Steps: []Step{{Count: MaxTasks}, validStep}}, "steps"},
+		"repetitions": {Spec{ID: id, Steps: []Step{validStep}, Repetitions: -1}, "repetitions"},
 	}
 	for name, c := range cases {
 		err := c.spec.Validate()
 		require.Error(t, err, name)
 		require.Equal(t, c.field, fault.From(err).Field, name)
 	}
-	require.NoError(t, (&Spec{ID: id, Steps: []Step{good}}).Validate())
+	require.NoError(t, (&Spec{ID: id, Steps: []Step{validStep}}).Validate())
 }
 
-func TestChains(t *testing.T) {
+func TestTails(t *testing.T) {
 	spec := Spec{Steps: []Step{
 		{EstimateMillis: 1000}, {EstimateMillis: 2000, After: []int{0}}, {EstimateMillis: 500, After: []int{0}},
 	}}
@@ -46,7 +46,7 @@
 	require.Equal(t, []time.Duration{3 * time.Second, 2 * time.Second, 500 * time.Millisecond}, spec.Tails(durations))
 }
 
-func TestTaskNamesRoundTrip(t *testing.T) {
+func TestTaskNameRoundTrip(t *testing.T) {
 	name := TaskName{Job: id, Time: 3, Step: 2, Index: 17}
 	parsed, err := ParseTaskName(name.String())
 	require.NoError(t, err)
