--- a/internal/speeds/cohort.go
+++ b/internal/speeds/cohort.go
@@ -1,24 +1,26 @@
 package speeds
 
-// Cohort compares tasks of one step that run by themselves: their works are alike but not equal, and they
-// begin and end at different times. Its costs do not grow with the number of tasks.
+// Cohort compares independent tasks of one step, whose work is similar but not equal and which
+// begin and end at different times. The cost of each operation does not depend on the number of
+// tasks.
 type Cohort struct {
-	// sum adds up what the members say of the work, each as the logarithm of its time without what is
-	// known of its worker.
+	// sum is the sum of the members' work: the logarithms of their times less the estimates of
+	// their workers.
 	sum   float64
 	count int
 }
 
-// Member is what one task of a cohort has added to it.
+// Member is the contribution of one task to a cohort.
 type Member struct {
 	work  float64
 	added bool
 }
 
-// minCohortPeers is the number of other tasks from which a task is compared with them.
+// minCohortPeers is the minimum number of other tasks for a comparison.
 const minCohortPeers = 4
 
-// Note takes in how long a task takes in all, by its progress so far or by its end.
+// Note records the total duration of a task, extrapolated from its progress or measured at its
+// end.
 func (c *Cohort) Note(m *Member, worker *Estimate, logTime float64) {
 	c.Forget(m)
 	m.work, m.added = logTime-worker.mean, true
@@ -26,7 +28,7 @@
 	c.count++
 }
 
-// Forget takes back what a task has added, as when its run came to nothing.
+// Forget removes a task's contribution, for example when its run failed.
 func (c *Cohort) Forget(m *Member) {
 	if m.added {
 		c.sum -= m.work
@@ -35,8 +37,8 @@
 	}
 }
 
-// Learn compares a task with the others of its cohort, and learns from it how much tasks differ. It
-// returns false if there are too few others yet.
+// Learn compares a task with the others of its cohort and updates the worker's estimate and the
+// spread. It returns false if there are too few other tasks.
 func (c *Cohort) Learn(m *Member, worker *Estimate, spread *Spread) bool {
 	peers := c.count - 1
 	if !m.added || peers < minCohortPeers {
@@ -50,19 +52,20 @@
 	return true
 }
 
-// Spread is how much tasks of one step differ in work, as the variance of its logarithm. The zero value is
-// a guess.
+// Spread estimates the variance of the logarithm of work among tasks of one step. The zero value
+// is the prior.
 type Spread struct {
 	sum, weight float64
 }
 
 const (
-	// spreadPrior is the guess, with the weight of so many tasks, and spreadMemory bounds the weight of
-	// what was learned.
+	// spreadPrior is the prior variance, with a weight in tasks; maxSpreadWeight limits the weight
+	// of past tasks.
 	spreadPrior       = 0.16
 	spreadPriorWeight = 20
 	maxSpreadWeight   = 500
-	// maxSquaredDeviation bounds what one task adds: the longest of a long tail would hide all others.
+	// maxSquaredDeviation limits the contribution of one task, so that a long tail does not
+	// dominate.
 	maxSquaredDeviation = 1.0
 )
 
@@ -70,7 +73,7 @@
 	return (s.sum + spreadPrior*spreadPriorWeight) / (s.weight + spreadPriorWeight)
 }
 
-// update takes in a deviation, of which the worker explains a part.
+// update adds a deviation, less the variance that the worker explains.
 func (s *Spread) update(deviation, workerVariance float64) {
 	if s.weight >= maxSpreadWeight {
 		s.sum *= (maxSpreadWeight - 1) / s.weight
--- a/internal/speeds/doc.go
+++ b/internal/speeds/doc.go
@@ -1,8 +1,8 @@
-// Package speeds estimates how fast workers are, from how long equal work takes on several of them. It
-// reads no clock and does no input or output.
+// Package speeds estimates the speed of workers from the time that equal work takes on several of
+// them. It reads no clock and does no I/O.
 //
-// Times per work are handled as logarithms, so that a worker that takes twice as long as another differs
-// from it by the same amount whatever the work. An estimate is a normal distribution of that logarithm,
-// against the pool's other workers. Samples far from what is known move it little, since a task may be
-// long, or a worker disturbed for a while; if they go on, they are believed.
+// Times per work are logarithms, so that a ratio of speeds is a difference that does not depend on
+// the amount of work. An estimate is a normal distribution of the logarithm, relative to the other
+// workers of the pool. Outliers change it little, since a task may be long or a worker briefly
+// disturbed; repeated ones do change it.
 package speeds
--- a/internal/speeds/estimate.go
+++ b/internal/speeds/estimate.go
@@ -3,44 +3,46 @@
 import "math"
 
 const (
-	// priorVariance is that of workers of which nothing is known: two in three are within a factor of
-	// 1.65 of the middle one.
+	// priorVariance is the variance for an unknown worker: two in three are within a factor of
+	// 1.65 of the average.
 	priorVariance = 0.25
-	// minVariance bounds how sure an estimate becomes, so that it follows a worker that changes.
+	// minVariance limits the confidence of an estimate, so that it follows changes of the worker.
 	minVariance = 0.003
-	// maxKnownVariance is the most that an estimate of a known worker has.
+	// maxKnownVariance is the largest variance at which a worker counts as known.
 	maxKnownVariance = 0.05
-	// exceedsSigmas is how many standard deviations a worker is slower than another to be taken for it.
+	// exceedsSigmas is by how many standard deviations a worker must be slower than another to
+	// count as slower.
 	exceedsSigmas = 0.5
-	// outlierSigmas is how many standard deviations off a sample counts in full.
+	// outlierSigmas is the deviation, in standard deviations, beyond which a sample is weighted
+	// down.
 	outlierSigmas = 2.0
-	// outlierVarianceGrowth is by how much an outlier raises the variance: if they go on, they are believed.
+	// outlierVarianceGrowth is the factor by which an outlier increases the variance, so that
+	// repeated outliers take effect.
 	outlierVarianceGrowth = 1.5
 )
 
-// Estimate is what is known of one worker's time per work. The zero value is that of a worker of which
-// nothing is known.
+// Estimate is the estimated time per work of one worker. The zero value is the prior.
 type Estimate struct {
 	mean float64
-	// precision is the inverse of the variance, without that of the prior.
+	// precision is the inverse of the variance, less that of the prior.
 	precision float64
 }
 
-// LogTime is the expected logarithm of the worker's time per work, against others'.
+// LogTime returns the expected logarithm of the worker's time per work, relative to others.
 func (e *Estimate) LogTime() float64 { return e.mean }
 
-// Known reports whether the estimate is good enough to tell workers apart.
+// Known reports whether the estimate is precise enough to compare workers.
 func (e *Estimate) Known() bool { return e.variance() <= maxKnownVariance }
 
-// Exceeds reports whether the worker takes longer than another one of a logarithm of its time, by a ratio
-// of times at least.
+// Exceeds reports whether the worker is slower, by at least the given ratio of times, than one
+// with the given logarithm of time.
 func (e *Estimate) Exceeds(logTime, ratio float64) bool {
 	return e.mean-logTime > max(math.Log(ratio), exceedsSigmas*math.Sqrt(e.variance()))
 }
 
 func (e *Estimate) variance() float64 { return 1 / (1/priorVariance + e.precision) }
 
-// update takes in a sample of the worker's own logarithm with a variance.
+// update applies a sample of the worker's logarithm of time per work, with its variance.
 func (e *Estimate) update(sample, variance float64) {
 	before := e.variance()
 	deviation := sample - e.mean
@@ -55,29 +57,30 @@
 	e.precision = 1/max(minVariance, after) - 1/priorVariance
 }
 
-// Sample is how long work took on one worker, of several that did equal work.
+// Sample is the time that one of several workers took for equal work.
 type Sample struct {
 	Worker *Estimate
 	// LogTime is the logarithm of the time, and Variance that of its error.
 	LogTime, Variance float64
 }
 
-// RoundingVariance is the variance of the logarithm of a time that was told by progress in whole percent.
+// RoundingVariance returns the variance of the logarithm of a time derived from progress in whole
+// percent.
 func RoundingVariance(percent int) float64 {
-	// The error of a rounded number has a standard deviation of 0.29.
+	// Standard deviation of a uniform rounding error.
 	const roundingError = 0.29
 	return math.Pow(roundingError/float64(max(1, percent)), 2)
 }
 
-// Work is what was expected of some work before it began, as the logarithm of the time that it takes on a
-// worker of which the estimate is 0. Without a variance nothing was expected.
+// Work is the expected amount of work before it began: the logarithm of its time on a worker whose
+// estimate is 0. A zero Variance means that there is no expectation.
 type Work struct {
 	LogTime, Variance float64
 }
 
-// Compare takes in samples of equal work that began together. What the work is itself is known from what
-// was expected, and from what explains the samples best by what is known of their workers. That tells a
-// gang on slow workers only from one that has more to do.
+// Compare updates the workers' estimates from samples of equal work that began together. The
+// amount of work is estimated from the expectation and from the other samples; without an
+// expectation, a gang whose workers are all slow is indistinguishable from one with more work.
 func Compare(samples []Sample, work Work) {
 	sum, weight := 0.0, 0.0
 	if work.Variance > 0 {
@@ -92,7 +95,7 @@
 	deviations := make([]float64, len(samples))
 	variances := make([]float64, len(samples))
 	for i := range samples {
-		// Each worker is compared with the others, without what it adds to the sums itself.
+		// Compare with the other workers only: exclude the sample's own contribution.
 		sampleWeight := samples[i].weight()
 		rest := weight - sampleWeight
 		if rest < minWeight {
@@ -106,9 +109,9 @@
 	}
 }
 
-// minWeight is less than that of any worker.
+// minWeight is smaller than the weight of any sample.
 const minWeight = 1e-6
 
-// work is what the sample says of the work, and weight the inverse of the variance of that.
+// work returns the amount of work by the sample, and weight the inverse of its variance.
 func (s *Sample) work() float64   { return s.LogTime - s.Worker.mean }
 func (s *Sample) weight() float64 { return 1 / (s.Variance + s.Worker.variance()) }
--- a/internal/speeds/speeds_test.go
+++ b/internal/speeds/speeds_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testPool is a pool of workers with testPool times per work, and what is learned of them.
+// testPool is a pool of workers with known speeds, and the estimates of them.
 type testPool struct {
 	random    *rand.Rand
 	actual    []float64
@@ -23,7 +23,7 @@
 	return p
 }
 
-// runGang runs equal tasks on some workers and compares them by their progress.
+// runGang runs equal tasks on random workers and compares them by their progress.
 func (p *testPool) runGang(size int) {
 	var samples []Sample
 	work := p.random.NormFloat64()
@@ -34,7 +34,7 @@
 	Compare(samples, Work{})
 }
 
-// runStep runs unequal tasks on workers at random, one of which in thirty takes seven times as long.
+// runStep runs unequal tasks on random workers; one in thirty takes seven times as long.
 func (p *testPool) runStep(tasks int, spread *Spread) {
 	cohort, members, on := &Cohort{}, make([]Member, tasks), make([]int, tasks)
 	for k := range members {
@@ -50,8 +50,8 @@
 	}
 }
 
-// misclassified counts known workers that are taken for faster or slower than the middle one, by a third, and
-// are not, or the other way round.
+// misclassified returns how many of the known workers have an estimate that is wrong by more than
+// a third, and the number of known workers.
 func (p *testPool) misclassified() (wrong, known int) {
 	offset := 0.0
 	for i := range p.estimates {
@@ -70,8 +70,8 @@
 	return wrong, known
 }
 
-// TestGangsRevealWorkerSpeeds: of workers whose speeds differ by a factor of 2.7 nearly all are known after each
-// was in two gangs or so, and a tenth of these wrongly at most.
+// TestGangsRevealWorkerSpeeds checks that, with speeds that differ by a factor of 2.7, most
+// workers are known after about two gangs each, and at most a tenth of them wrongly.
 func TestGangsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
 		p := newTestPool(seed, 60, 1/0.6, 1, 1/1.6)
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestCohortsRevealWorkerSpeeds with works that differ, some of them much.
+// TestCohortsRevealWorkerSpeeds does the same with tasks of unequal work.
 func TestCohortsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
 		p, spread := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &Spread{}
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestLongTasksDoNotMarkWorkersSlow: where all workers are alike, a long tail of works makes none seem slow.
+// TestLongTasksDoNotMarkWorkersSlow guards against taking a long tail of work for slow workers.
 func TestLongTasksDoNotMarkWorkersSlow(t *testing.T) {
 	for seed := range uint64(20) {
 		p, spread := newTestPool(seed, 60, 1), &Spread{}
@@ -110,7 +110,8 @@
 	}
 }
 
-// TestTransientSlowdownIsNotLearned: what was slow for one gang only is not taken for a slow worker.
+// TestTransientSlowdownIsNotLearned checks that a slowdown during one gang has little effect, and
+// a lasting one has.
 func TestTransientSlowdownIsNotLearned(t *testing.T) {
 	p := newTestPool(1, 12, 1)
 	for range 12 {
@@ -127,10 +128,10 @@
 	for range 30 {
 		Compare(samples, Work{})
 	}
-	require.Greater(t, disturbed.LogTime()-before, math.Log(2), "what goes on is believed")
+	require.Greater(t, disturbed.LogTime()-before, math.Log(2), "a lasting slowdown must be learned")
 }
 
-// TestCohortForgetRemovesSample keeps its sums in step with its members.
+// TestCohortForgetRemovesSample checks that the sums match the members.
 func TestCohortForgetRemovesSample(t *testing.T) {
 	cohort, worker, members := &Cohort{}, &Estimate{}, make([]Member, 3)
 	for k := range members {
@@ -145,16 +146,16 @@
 	require.InDelta(t, 1, cohort.sum, 1e-9)
 }
 
-// TestExpectedWorkRevealsUniformlySlowGang: the members of a gang are alike, so that only what was
-// expected of the work tells that all are slow.
+// TestExpectedWorkRevealsUniformlySlowGang checks that a gang whose workers are all slow is
+// recognized only by the expected work.
 func TestExpectedWorkRevealsUniformlySlowGang(t *testing.T) {
 	for name, c := range map[string]struct {
 		work Work
 		slow bool
 	}{
-		"nothing expected":   {Work{}, false},
-		"a good expectation": {Work{LogTime: 0, Variance: 0.04}, true},
-		"a vague one":        {Work{LogTime: 0, Variance: 2}, false},
+		"no expectation":      {Work{}, false},
+		"precise expectation": {Work{LogTime: 0, Variance: 0.04}, true},
+		"vague expectation":   {Work{LogTime: 0, Variance: 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			workers := make([]Estimate, 4)
