--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,6 +1,5 @@
-// Package evacuation holds which zones operators have emptied of new work, with the revision
-// of the store and the time up to which that is known. It reads no clock and does no input or
-// output.
+// Package evacuation tracks the zones that operators have evacuated, with the store revision and
+// the time up to which the set is known. It reads no clock and does no I/O.
 package evacuation
 
 import (
@@ -11,17 +10,16 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Change is one row by which an operator evacuates a zone, or its removal.
+// Change is a row that evacuates a zone, or the removal of one.
 type Change struct {
-	Zone string
-	// Revision is the row's.
+	Zone     string
 	Revision int64
-	// Ended is true once the zone is taken back.
+	// Ended is true if the row was removed.
 	Ended bool
 }
 
-// Changes reads the changes from rows; zoneOf tells the zone that a row evacuates, and false for
-// any other row.
+// Changes extracts the changes from rows. zoneOf returns the zone that a row evacuates, or false
+// for any other row.
 func Changes(listed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
 	var changes []Change
 	for i := range listed {
@@ -32,22 +30,22 @@
 	return changes
 }
 
-// Set has the evacuated zones. It is immutable; its zero value knows nothing.
+// Set is an immutable set of evacuated zones. The zero value is empty, at revision 0.
 type Set struct {
 	zones map[string]int64
-	// Revision is that of the store up to which the zones are known.
+	// Revision is the store revision up to which the zones are known.
 	Revision int64
-	// AsOf is a time at or after which the store was asked for them: news may be older, never
-	// newer, than it says.
+	// AsOf is a time no later than the last store request that the set reflects: the set is at
+	// least that recent.
 	AsOf time.Time
 }
 
-// Of returns the set that a complete listing of the rows describes.
+// Of returns the set for a complete listing of the rows.
 func Of(changes []Change, revision int64, asOf time.Time) Set {
 	return Set{}.With(changes, revision, asOf)
 }
 
-// With returns the set after changes that lead up to a revision.
+// With returns the set after applying changes up to a revision.
 func (s Set) With(changes []Change, revision int64, asOf time.Time) Set {
 	next := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: latest(s.AsOf, asOf)}
 	if len(changes) == 0 {
@@ -70,8 +68,8 @@
 	return next
 }
 
-// Newest returns the set of two that is known up to the higher revision; with equal ones the
-// one that was asked for later.
+// Newest returns the set with the higher revision; at equal revisions, the one with the later
+// AsOf.
 func (s Set) Newest(other Set) Set {
 	if other.Revision > s.Revision || other.Revision == s.Revision && other.AsOf.After(s.AsOf) {
 		return other
@@ -85,10 +83,10 @@
 	return evacuated
 }
 
-// Zones lists the evacuated zones in the order of their names.
+// Zones returns the evacuated zones in alphabetical order.
 func (s Set) Zones() []string { return slices.Sorted(maps.Keys(s.zones)) }
 
-// SameZones reports whether two sets name the same zones.
+// SameZones reports whether both sets contain the same zones.
 func (s Set) SameZones(other Set) bool { return slices.Equal(s.Zones(), other.Zones()) }
 
 func latest(a, b time.Time) time.Time {
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -18,14 +18,14 @@
 	require.True(t, first.Contains("a"))
 	both := first.With([]Change{{Zone: "b", Revision: 9}}, 9, at(2))
 	require.Equal(t, []string{"a", "b"}, both.Zones())
-	require.Equal(t, []string{"a"}, first.Zones(), "sets are immutable")
+	require.Equal(t, []string{"a"}, first.Zones(), "With must not modify its receiver")
 	removed := both.With([]Change{{Zone: "a", Revision: 11, Ended: true}}, 12, at(3))
 	require.Equal(t, []string{"b"}, removed.Zones())
 	require.Equal(t, at(3), removed.AsOf)
 	require.EqualValues(t, 12, removed.Revision)
 }
 
-// TestWithIgnoresStaleChanges: answers may pass each other.
+// TestWithIgnoresStaleChanges covers responses of the store that arrive out of order.
 func TestWithIgnoresStaleChanges(t *testing.T) {
 	known := Of([]Change{{Zone: "a", Revision: 10}}, 10, at(5))
 	stale := known.With([]Change{{Zone: "a", Revision: 4, Ended: true}}, 6, at(1))
