--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -1,5 +1,5 @@
-// Package taskgraph is the job model: a job is a graph of steps, and a step is a
-// number of equal tasks that run on workers of one pool, some steps as gangs.
+// Package taskgraph defines the job model. A job is a directed acyclic graph of steps; a step is a
+// number of identical tasks, possibly a gang, that run on workers of one pool.
 package taskgraph
 
 import (
@@ -22,9 +22,9 @@
 	maxMillis      = int64(1) << 50
 )
 
-// Amount is an amount of worker capacity.
+// Amount is an amount of worker resources.
 type Amount struct {
-	// CPU is in thousandths of a core, MemoryMB in megabytes.
+	// CPU is in millicores, MemoryMB in megabytes.
 	CPU      int `json:"cpu,omitempty"`
 	MemoryMB int `json:"memory_mb,omitempty"`
 	GPUs     int `json:"gpus,omitempty"`
@@ -40,27 +40,27 @@
 	return Amount{CPU: a.CPU - b.CPU, MemoryMB: a.MemoryMB - b.MemoryMB, GPUs: a.GPUs - b.GPUs}
 }
 
-// Times returns the amount of n equal tasks.
+// Times returns the amount times n.
 func (a Amount) Times(n int) Amount {
 	return Amount{CPU: a.CPU * n, MemoryMB: a.MemoryMB * n, GPUs: a.GPUs * n}
 }
 
-// Least returns the lesser of two amounts, in each kind of capacity.
+// Least returns the component-wise minimum of two amounts.
 func (a Amount) Least(b Amount) Amount {
 	return Amount{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPUs: min(a.GPUs, b.GPUs)}
 }
 
-// Most returns the greater of two amounts, in each kind of capacity.
+// Most returns the component-wise maximum of two amounts.
 func (a Amount) Most(b Amount) Amount {
 	return Amount{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
-// Within reports whether the amount fits into room.
+// Within reports whether the amount fits into what is available.
 func (a Amount) Within(available Amount) bool {
 	return a.CPU <= available.CPU && a.MemoryMB <= available.MemoryMB && a.GPUs <= available.GPUs
 }
 
-// CoresPerGPU weighs a GPU in cores when amounts are compared.
+// CoresPerGPU is the weight of a GPU, in cores, when amounts are compared.
 const CoresPerGPU = 8
 
 // Cores returns the amount in cores, with a GPU counted as CoresPerGPU.
@@ -68,40 +68,41 @@
 	return float64(a.CPU)/1000 + CoresPerGPU*float64(a.GPUs)
 }
 
-// Step is a number of equal tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count int `json:"count"`
 	Amount
-	// Estimate is a rough guess of how long one task takes.
+	// EstimateMillis is the caller's rough estimate of the duration of one task.
 	EstimateMillis int64 `json:"estimate_ms,omitempty"`
-	// After lists the indices of earlier steps that must have ended.
+	// After lists the indices of the earlier steps that must end first.
 	After       []int `json:"after,omitempty"`
 	Checkpoints bool  `json:"checkpoints,omitempty"`
 	Gang        bool  `json:"gang,omitempty"`
-	// SameRack asks for one rack; across racks the step takes longer.
+	// SameRack prefers a single rack; across racks the step is slower.
 	SameRack bool `json:"same_rack,omitempty"`
-	// RequiredLabel must be a label of the worker; empty means none.
+	// RequiredLabel is a label that the worker must have; empty means none.
 	RequiredLabel string `json:"required_label,omitempty"`
-	// PreferredRack is where the data lies; elsewhere the step takes longer.
+	// PreferredRack is the rack that holds the data; elsewhere the step is slower.
 	PreferredRack string `json:"preferred_rack,omitempty"`
-	// MaxPerWorker bounds the step's tasks on one worker; 0 means no bound.
+	// MaxPerWorker limits the step's tasks on one worker; 0 means no limit.
 	MaxPerWorker int  `json:"max_per_worker,omitempty"`
 	Speculative  bool `json:"speculative,omitempty"`
 	LongRunning  bool `json:"long_running,omitempty"`
-	// Image names what the tasks run: tasks of one image behave alike.
+	// Image is the name of what the tasks run. Tasks of one image are assumed to behave alike.
 	Image string `json:"image,omitempty"`
-	// TargetMillis bounds the tail latency of a task that serves users.
+	// TargetMillis is the target for the tail latency of a task that serves users.
 	TargetMillis int64 `json:"target_ms,omitempty"`
-	// FillsIdleCPU steps take the processor time that others leave unused.
+	// FillsIdleCPU is set for steps that use only CPU time that other tasks leave idle.
 	FillsIdleCPU bool `json:"fills_idle_cpu,omitempty"`
-	// AllowedMisses bounds the lasting tasks away at once through the system's doing.
+	// AllowedMisses limits how many long-running tasks the scheduler itself may have down at the
+	// same time.
 	AllowedMisses int `json:"allowed_misses,omitempty"`
 }
 
 // Estimate returns the estimated duration of one task.
 func (s *Step) Estimate() time.Duration { return time.Duration(s.EstimateMillis) * time.Millisecond }
 
-// Room returns what one task takes of a worker's capacity.
+// Room returns the resources that one task occupies on a worker.
 func (s *Step) Room() Amount {
 	required := s.Amount
 	if s.FillsIdleCPU {
@@ -110,23 +111,23 @@
 	return required
 }
 
-// Spec is a job as its caller asked for it.
+// Spec is a job as submitted.
 type Spec struct {
 	ID string `json:"id"`
-	// Payload is handed to the workers unread.
+	// Payload is passed to the workers unchanged.
 	Payload string `json:"payload,omitempty"`
 	Steps   []Step `json:"steps"`
-	// Repetitions over 0 run the steps that many times; time K is due at
-	// FirstRunMillis + K * IntervalMillis, counted from 1970.
+	// If Repetitions is positive, the steps run that many times; run K is due at FirstRunMillis +
+	// K * IntervalMillis in Unix time.
 	Repetitions    int   `json:"repetitions,omitempty"`
 	FirstRunMillis int64 `json:"first_run_ms,omitempty"`
 	IntervalMillis int64 `json:"interval_ms,omitempty"`
 }
 
-// Times returns how often the steps run.
+// Times returns how many times the steps run.
 func (s *Spec) Times() int { return max(1, s.Repetitions) }
 
-// Due returns when time k may start; the zero time means at once.
+// Due returns the earliest start of run k; the zero time means immediately.
 func (s *Spec) Due(k int) time.Time {
 	if s.Repetitions == 0 {
 		return time.Time{}
@@ -134,8 +135,8 @@
 	return time.UnixMilli(s.FirstRunMillis + int64(k)*s.IntervalMillis)
 }
 
-// Tails returns for each step the duration of the longest chain of steps that begins
-// with it, by the durations of the steps.
+// Tails returns, for each step, the duration of the longest chain of steps that starts with it,
+// given the durations of the steps.
 func (s *Spec) Tails(durations []time.Duration) []time.Duration {
 	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
@@ -147,7 +148,7 @@
 	return longest
 }
 
-// LongRunning reports whether any step lasts until the job is cancelled.
+// LongRunning reports whether any step runs until the job is cancelled.
 func (s *Spec) LongRunning() bool {
 	for i := range s.Steps {
 		if s.Steps[i].LongRunning {
@@ -162,8 +163,8 @@
 // ValidID reports whether id is 16 lower-case hexadecimal digits.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Validate checks every field. The error is an InvalidRequest fault naming the
-// first field at fault.
+// Validate checks every field. The error is an InvalidRequest fault with the name of the first
+// invalid field.
 func (s *Spec) Validate() error {
 	if !ValidID(s.ID) {
 		return invalid("id", "must be 16 hexadecimal digits")
@@ -218,7 +219,7 @@
 	return fault.NewField(fault.InvalidRequest, field, format, args...)
 }
 
-// TaskName names one task: time, step and index within a job.
+// TaskName identifies a task by job, run of the job, step and index.
 type TaskName struct {
 	Job   string
 	Time  int
@@ -226,14 +227,14 @@
 	Index int
 }
 
-// String renders the name as JOB.TIME.STEP.INDEX.
+// String returns the name as JOB.TIME.STEP.INDEX.
 func (n TaskName) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Time, n.Step, n.Index)
 }
 
 const taskNameParts = 4
 
-// ParseTaskName reads what String rendered.
+// ParseTaskName parses the format of String.
 func ParseTaskName(text string) (TaskName, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != taskNameParts || !ValidID(parts[0]) {
--- a/internal/taskgraph/spec_test.go
+++ b/internal/taskgraph/spec_test.go
@@ -17,15 +17,15 @@
 		spec  Spec
 		field string
 	}{
-		"id":          {Spec{ID: "x", Steps: []Step{validStep}}, "id"},
-		"upper case":  {Spec{ID: "00000000000000AA", Steps: []Step{validStep}}, "id"},
-		"no steps":    {Spec{ID: id}, "steps"},
-		"count":       {Spec{ID: id, Steps: []Step{{}}}, "steps[0].count"},
-		"amount":      {Spec{ID: id, Steps: []Step{{Count: 1, Amount: Amount{GPUs: -1}}}}, "steps[0].amount"},
-		"estimate":    {Spec{ID: id, Steps: []Step{{Count: 1, EstimateMillis: -1}}}, "steps[0].estimate_ms"},
-		"after later": {Spec{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, validStep}}, "steps[0].after"},
-		"many tasks":  {Spec{ID: id, Steps: []Step{{Count: MaxTasks}, validStep}}, "steps"},
-		"repetitions": {Spec{ID: id, Steps: []Step{validStep}, Repetitions: -1}, "repetitions"},
+		"id":                         {Spec{ID: "x", Steps: []Step{validStep}}, "id"},
+		"id in upper case":           {Spec{ID: "00000000000000AA", Steps: []Step{validStep}}, "id"},
+		"no steps":                   {Spec{ID: id}, "steps"},
+		"count":                      {Spec{ID: id, Steps: []Step{{}}}, "steps[0].count"},
+		"amount":                     {Spec{ID: id, Steps: []Step{{Count: 1, Amount: Amount{GPUs: -1}}}}, "steps[0].amount"},
+		"estimate":                   {Spec{ID: id, Steps: []Step{{Count: 1, EstimateMillis: -1}}}, "steps[0].estimate_ms"},
+		"dependency on a later step": {Spec{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, validStep}}, "steps[0].after"},
+		"too many tasks":             {Spec{ID: id, Steps: []Step{{Count: MaxTasks}, validStep}}, "steps"},
+		"repetitions":                {Spec{ID: id, Steps: []Step{validStep}, Repetitions: -1}, "repetitions"},
 	}
 	for name, c := range cases {
 		err := c.spec.Validate()
--- a/internal/taskgraph/state.go
+++ b/internal/taskgraph/state.go
@@ -1,6 +1,6 @@
 package taskgraph
 
-// State is what a caller is told of a job.
+// State is the state of a job as reported to callers.
 type State string
 
 // The states of a job. The last three are final.
@@ -12,5 +12,5 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether a job in the state never changes again.
+// Final reports whether the state is terminal.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
