--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -103,7 +103,7 @@
 // workers and racks stay free for large tasks and gangs. It returns one worker index per task, or
 // nil if not all tasks fit.
 func Fit(workers []Worker, indexes []int, request *Request) []int {
-	if !fitsWhole(workers, indexes, request) {
+	if !fitsAll(workers, indexes, request) {
 		return nil
 	}
 	selected := candidateHeap{count: request.Count}
@@ -122,9 +122,9 @@
 	return assignTasks(selected.sorted(), request.Count)
 }
 
-// fitsWhole reports whether all tasks of the request fit. It allocates no memory, so that the
+// fitsAll reports whether all tasks of the request fit. It allocates no memory, so that the
 // common rejection in a full pool is cheap.
-func fitsWhole(workers []Worker, indexes []int, request *Request) bool {
+func fitsAll(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
 		free := workers[i].Free
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -40,11 +40,11 @@
 		return t.placementAfter(0)
 	}
 	for _, ranked := range t.rankUnits(func(number int) float64 { return max(0, float64(units[number].Remaining)) }) {
-		after := units[ranked.number].Remaining
+		after := units[ranked.unit].Remaining
 		if after >= limit {
 			return nil
 		}
-		t.evict(ranked.number)
+		t.evict(ranked.unit)
 		if t.satisfied() {
 			return t.placementAfter(after)
 		}
@@ -61,8 +61,8 @@
 		if t.satisfied() {
 			break
 		}
-		t.evict(ranked.number)
-		victims = append(victims, ranked.number)
+		t.evict(ranked.unit)
+		victims = append(victims, ranked.unit)
 	}
 	if !t.satisfied() {
 		return nil, nil, 0
--- a/internal/placement/simulation.go
+++ b/internal/placement/simulation.go
@@ -38,8 +38,8 @@
 
 // rankedUnit is a unit index and its sort key.
 type rankedUnit struct {
-	number int
-	rank   float64
+	unit int
+	rank float64
 }
 
 var bufferPool = sync.Pool{New: func() any { return &simulationBuffers{} }}
@@ -72,8 +72,8 @@
 // close restores the evicted units and returns the buffers to the pool.
 func (t *simulation) close() {
 	for _, ranked := range t.order {
-		if t.evicted[ranked.number] {
-			t.restore(ranked.number)
+		if t.evicted[ranked.unit] {
+			t.restore(ranked.unit)
 		}
 	}
 	for _, i := range t.indexes {
@@ -97,22 +97,22 @@
 func (t *simulation) satisfied() bool { return t.total >= t.request.Count }
 
 // evict releases the resources that a unit occupies in the group.
-func (t *simulation) evict(number int) {
-	t.evicted[number] = true
-	for _, i := range t.units[number].Places {
+func (t *simulation) evict(unit int) {
+	t.evicted[unit] = true
+	for _, i := range t.units[unit].Places {
 		if t.inGroup[i] {
-			t.workers[i].Free = t.workers[i].Free.Plus(t.units[number].Room)
+			t.workers[i].Free = t.workers[i].Free.Plus(t.units[unit].Room)
 			t.updateFit(i)
 		}
 	}
 }
 
 // restore reverts evict.
-func (t *simulation) restore(number int) {
-	t.evicted[number] = false
-	for _, i := range t.units[number].Places {
+func (t *simulation) restore(unit int) {
+	t.evicted[unit] = false
+	for _, i := range t.units[unit].Places {
 		if t.inGroup[i] {
-			t.workers[i].Free = t.workers[i].Free.Minus(t.units[number].Room)
+			t.workers[i].Free = t.workers[i].Free.Minus(t.units[unit].Room)
 			t.updateFit(i)
 		}
 	}
@@ -135,25 +135,25 @@
 
 // rankUnits returns the units that occupy workers of the group by ascending rank, then by index.
 // Units of negative rank are excluded.
-func (t *simulation) rankUnits(rank func(number int) float64) []rankedUnit {
+func (t *simulation) rankUnits(rank func(unit int) float64) []rankedUnit {
 	for _, i := range t.indexes {
 		for _, holder := range t.workers[i].Holders {
 			if t.seen[holder.Unit] || len(t.units[holder.Unit].Places) == 0 {
 				continue
 			}
 			t.seen[holder.Unit] = true
-			t.order = append(t.order, rankedUnit{number: holder.Unit, rank: rank(holder.Unit)})
+			t.order = append(t.order, rankedUnit{unit: holder.Unit, rank: rank(holder.Unit)})
 		}
 	}
 	for _, ranked := range t.order {
-		t.seen[ranked.number] = false
+		t.seen[ranked.unit] = false
 	}
 	t.order = slices.DeleteFunc(t.order, func(ranked rankedUnit) bool { return ranked.rank < 0 })
 	slices.SortFunc(t.order, func(a, b rankedUnit) int {
 		if a.rank != b.rank {
 			return cmp.Compare(a.rank, b.rank)
 		}
-		return a.number - b.number
+		return a.unit - b.unit
 	})
 	return t.order
 }
