--- a/internal/poison/ages.go
+++ b/internal/poison/ages.go
@@ -17,11 +17,11 @@
 func (h *History) agesAgree() bool {
 	minAge, maxAge := ageHorizon, time.Duration(0)
 	for i := range h.losses {
-		known := &h.losses[i]
-		if known.unexplained || known.age == unknownAge {
+		loss := &h.losses[i]
+		if loss.unexplained || loss.age == unknownAge {
 			continue
 		}
-		minAge, maxAge = min(minAge, known.age), max(maxAge, known.age)
+		minAge, maxAge = min(minAge, loss.age), max(maxAge, loss.age)
 	}
 	return maxAge+ageOffset <= maxAgeRatio*(minAge+ageOffset)
 }
--- a/internal/poison/history.go
+++ b/internal/poison/history.go
@@ -78,8 +78,8 @@
 	}
 	records := make([]Record, 0, len(h.losses))
 	for i := range h.losses {
-		kept := &h.losses[i]
-		records = append(records, Record{Worker: kept.worker, Ratio: kept.ratio, AgeMillis: ageMillis(kept.age), Unexplained: kept.unexplained})
+		loss := &h.losses[i]
+		records = append(records, Record{Worker: loss.worker, Ratio: loss.ratio, AgeMillis: ageMillis(loss.age), Unexplained: loss.unexplained})
 	}
 	return records
 }
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -106,7 +106,7 @@
 }
 
 func (h *History) has(worker string) bool {
-	return slices.ContainsFunc(h.losses, func(known taskLoss) bool { return known.worker == worker })
+	return slices.ContainsFunc(h.losses, func(loss taskLoss) bool { return loss.worker == worker })
 }
 
 func (g *Group) add(loss *workerLoss) {
@@ -147,7 +147,7 @@
 	for _, suspect := range loss.suspects {
 		settle(suspect.History, loss)
 		group := suspect.History.group
-		group.losses = slices.DeleteFunc(group.losses, func(known *workerLoss) bool { return known == loss })
+		group.losses = slices.DeleteFunc(group.losses, func(other *workerLoss) bool { return other == loss })
 	}
 }
 
@@ -181,11 +181,11 @@
 
 func (l *Ledger) withdrawSettled(worker string) bool {
 	found := false
-	l.settled = slices.DeleteFunc(l.settled, func(kept settledLoss) bool {
-		if kept.worker != worker {
+	l.settled = slices.DeleteFunc(l.settled, func(settled settledLoss) bool {
+		if settled.worker != worker {
 			return false
 		}
-		found = kept.history.removeWorker(worker) || found
+		found = settled.history.removeWorker(worker) || found
 		return true
 	})
 	return found
