--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -29,8 +29,8 @@
 
 // Objective returns the target duration of a job, counted from its submission, by the duration of
 // its critical path.
-func (q *Queue) Objective(chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + time.Duration(q.TargetMillis)*time.Millisecond
+func (q *Queue) Objective(criticalPath time.Duration) time.Duration {
+	return time.Duration(q.Stretch*float64(criticalPath)) + time.Duration(q.TargetMillis)*time.Millisecond
 }
 
 // Pool is a group of workers.
@@ -63,8 +63,8 @@
 	Tenants []Tenant `json:"tenants"`
 	Limits  Limits   `json:"limits"`
 
-	tenantByKey map[string]string
-	hosts       map[string][]*Queue
+	tenantByKey  map[string]string
+	queuesByHost map[string][]*Queue
 }
 
 // Index builds the look-up tables. It must be called once before any other method.
@@ -75,17 +75,17 @@
 			c.tenantByKey[key] = c.Tenants[i].Name
 		}
 	}
-	c.hosts = map[string][]*Queue{}
+	c.queuesByHost = map[string][]*Queue{}
 	for i := range c.Queues {
 		queue := &c.Queues[i]
-		c.hosts[queue.Host] = append(c.hosts[queue.Host], queue)
+		c.queuesByHost[queue.Host] = append(c.queuesByHost[queue.Host], queue)
 	}
 }
 
 // Match returns the queue of host with the longest prefix of path, or nil.
 func (c *Catalog) Match(host, path string) *Queue {
 	var best *Queue
-	for _, queue := range c.hosts[host] {
+	for _, queue := range c.queuesByHost[host] {
 		if strings.HasPrefix(path, queue.PathPrefix) && (best == nil || len(queue.PathPrefix) > len(best.PathPrefix)) {
 			best = queue
 		}
