--- a/internal/progress/patience.go
+++ b/internal/progress/patience.go
@@ -17,39 +17,39 @@
 	Whole time.Duration
 }
 
-// leastProgress is how many bytes count as progress, so that an answer that only drips is
+// minProgressBytes is how many bytes count as progress, so that an answer that only drips is
 // not waited for: a link of 10 Mbit/s carries them in 3 ms.
-const leastProgress = 4 << 10
+const minProgressBytes = 4 << 10
 
-type answerByKey struct{}
+type firstByteDeadlineKey struct{}
 
-// endKey is of the time at which a call's patience ends, which moves as bytes arrive.
-type endKey struct{}
+// deadlineKey is of the time at which a call's patience ends, which moves as bytes arrive.
+type deadlineKey struct{}
 
 // WithPatience returns a context for a call that ends once patience is over, and a function
 // that releases it. What arrives of calls made with contexts derived from it counts too.
-func WithPatience(parent context.Context, patience Patience) (context.Context, context.CancelFunc) {
+func WithPatience(parent context.Context, limits Patience) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	began := time.Now()
-	timer := time.AfterFunc(patience.First, func() { cancel(context.DeadlineExceeded) })
-	ctx = context.WithValue(ctx, answerByKey{}, began.Add(patience.First))
-	var end atomic.Pointer[time.Time]
-	endIn := func(left time.Duration) {
-		at := time.Now().Add(left)
-		end.Store(&at)
+	start := time.Now()
+	timer := time.AfterFunc(limits.First, func() { cancel(context.DeadlineExceeded) })
+	ctx = context.WithValue(ctx, firstByteDeadlineKey{}, start.Add(limits.First))
+	var deadline atomic.Pointer[time.Time]
+	extendDeadline := func(timeout time.Duration) {
+		at := time.Now().Add(timeout)
+		deadline.Store(&at)
 	}
-	endIn(patience.First)
-	ctx = context.WithValue(ctx, endKey{}, &end)
-	var arrived, counted atomic.Int64
+	extendDeadline(limits.First)
+	ctx = context.WithValue(ctx, deadlineKey{}, &deadline)
+	var received, lastProgress atomic.Int64
 	ctx = With(ctx, func(bytes int) {
-		total := arrived.Add(int64(bytes))
-		if since := counted.Load(); since > 0 && total-since < leastProgress {
+		total := received.Add(int64(bytes))
+		if previous := lastProgress.Load(); previous > 0 && total-previous < minProgressBytes {
 			return
 		}
-		counted.Store(total)
-		left := min(patience.Pause, patience.Whole-time.Since(began))
-		endIn(left)
-		timer.Reset(left)
+		lastProgress.Store(total)
+		timeout := min(limits.Pause, limits.Whole-time.Since(start))
+		extendDeadline(timeout)
+		timer.Reset(timeout)
 	})
 	return ctx, func() {
 		timer.Stop()
@@ -60,8 +60,8 @@
 // Overdue returns how long ago a call's time has run out, negative if it has not, and false
 // if the call is not bounded. A process that finds its call overdue by long was late itself.
 func Overdue(ctx context.Context) (time.Duration, bool) {
-	if end, ok := ctx.Value(endKey{}).(*atomic.Pointer[time.Time]); ok {
-		return time.Since(*end.Load()), true
+	if moving, ok := ctx.Value(deadlineKey{}).(*atomic.Pointer[time.Time]); ok {
+		return time.Since(*moving.Load()), true
 	}
 	deadline, bounded := ctx.Deadline()
 	return time.Since(deadline), bounded
@@ -69,12 +69,12 @@
 
 // AnswerBy returns by when the answer to a call has to begin, if that is bounded.
 func AnswerBy(ctx context.Context) (time.Time, bool) {
-	by, ok := ctx.Value(answerByKey{}).(time.Time)
+	firstByte, ok := ctx.Value(firstByteDeadlineKey{}).(time.Time)
 	if !ok {
 		return ctx.Deadline()
 	}
-	if deadline, bounded := ctx.Deadline(); bounded && deadline.Before(by) {
+	if deadline, bounded := ctx.Deadline(); bounded && deadline.Before(firstByte) {
 		return deadline, true
 	}
-	return by, true
+	return firstByte, true
 }
--- a/internal/progress/patience_test.go
+++ b/internal/progress/patience_test.go
@@ -8,66 +8,66 @@
 	"github.com/stretchr/testify/require"
 )
 
-// arrive reports one byte to a context's observers.
-func arrive(ctx context.Context) {
+// receiveByte reports one byte to a context's observers.
+func receiveByte(ctx context.Context) {
 	ctx.Value(observerKey{}).(func(int))(1)
 }
 
-func TestPatienceEndsWithoutAnAnswer(t *testing.T) {
+func TestFirstByteTimeout(t *testing.T) {
 	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Millisecond, Pause: time.Hour, Whole: time.Hour})
 	defer cancel()
 	<-ctx.Done()
 	require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 }
 
-func TestAnswerThatArrivesIsWaitedFor(t *testing.T) {
+func TestReceivedBytesExtendDeadline(t *testing.T) {
 	ctx, cancel := WithPatience(context.Background(), Patience{First: 500 * time.Millisecond, Pause: time.Hour, Whole: time.Hour})
 	defer cancel()
-	arrive(ctx)
+	receiveByte(ctx)
 	time.Sleep(550 * time.Millisecond)
 	require.NoError(t, ctx.Err())
 }
 
-func TestPatienceEndsWithAnAnswerThatStandsStillOrTakesTooLong(t *testing.T) {
+func TestIdleAndTotalTimeouts(t *testing.T) {
 	cases := map[string]Patience{
 		"stands still":   {First: time.Millisecond, Pause: 2 * time.Millisecond, Whole: time.Hour},
 		"takes too long": {First: time.Millisecond, Pause: time.Hour, Whole: 2 * time.Millisecond},
 	}
-	for name, patience := range cases {
-		ctx, cancel := WithPatience(context.Background(), patience)
-		arrive(ctx)
+	for name, limits := range cases {
+		ctx, cancel := WithPatience(context.Background(), limits)
+		receiveByte(ctx)
 		<-ctx.Done()
 		require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded, name)
 		cancel()
 	}
 }
 
-// TestStandingStillEndsAnAnswerBeforeItsFirstLimit: a feed may wait for seconds, but not for
+// TestIdleTimeoutReplacesFirstByteTimeout: a feed may wait for seconds, but not for
 // the rest of an answer that has begun.
-func TestStandingStillEndsAnAnswerBeforeItsFirstLimit(t *testing.T) {
+func TestIdleTimeoutReplacesFirstByteTimeout(t *testing.T) {
 	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Hour, Pause: time.Millisecond, Whole: time.Hour})
 	defer cancel()
-	arrive(ctx)
+	receiveByte(ctx)
 	<-ctx.Done()
 	require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 }
 
-func TestDripsAreNotWaitedFor(t *testing.T) {
+func TestSlowTrickleTimesOut(t *testing.T) {
 	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Hour, Pause: 50 * time.Millisecond, Whole: time.Hour})
 	defer cancel()
 	for ctx.Err() == nil {
-		arrive(ctx)
+		receiveByte(ctx)
 		time.Sleep(time.Millisecond)
 	}
 	require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 }
 
-func TestOuterPatienceIsToldToo(t *testing.T) {
+func TestInnerProgressExtendsOuterDeadline(t *testing.T) {
 	outer, cancelOuter := WithPatience(context.Background(), Patience{First: 500 * time.Millisecond, Pause: time.Hour, Whole: time.Hour})
 	defer cancelOuter()
 	inner, cancelInner := WithPatience(outer, Patience{First: 500 * time.Millisecond, Pause: time.Hour, Whole: time.Hour})
 	defer cancelInner()
-	arrive(inner)
+	receiveByte(inner)
 	time.Sleep(550 * time.Millisecond)
 	require.NoError(t, outer.Err())
 	require.NoError(t, inner.Err())
@@ -77,20 +77,20 @@
 	_, bounded := AnswerBy(context.Background())
 	require.False(t, bounded)
 	before := time.Now()
-	patient, cancel := WithPatience(context.Background(), Patience{First: time.Minute, Pause: time.Hour, Whole: time.Hour})
+	limited, cancel := WithPatience(context.Background(), Patience{First: time.Minute, Pause: time.Hour, Whole: time.Hour})
 	defer cancel()
-	by, bounded := AnswerBy(patient)
+	by, bounded := AnswerBy(limited)
 	require.True(t, bounded)
 	require.WithinRange(t, by, before.Add(time.Minute), time.Now().Add(time.Minute))
-	sooner, cancelSooner := context.WithTimeout(patient, time.Second)
-	defer cancelSooner()
-	by, bounded = AnswerBy(sooner)
+	shorter, cancelShorter := context.WithTimeout(limited, time.Second)
+	defer cancelShorter()
+	by, bounded = AnswerBy(shorter)
 	require.True(t, bounded)
 	require.WithinRange(t, by, before, time.Now().Add(time.Second))
 }
 
-// TestOverdueCountsFromTheLastEnd: an answer that keeps arriving puts the end of a call off.
-func TestOverdueCountsFromTheLastEnd(t *testing.T) {
+// TestOverdueUsesExtendedDeadline: an answer that keeps arriving puts the end of a call off.
+func TestOverdueUsesExtendedDeadline(t *testing.T) {
 	_, bounded := Overdue(t.Context())
 	require.False(t, bounded)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Minute))
@@ -103,7 +103,7 @@
 	overdue, bounded = Overdue(ctx)
 	require.True(t, bounded)
 	require.InDelta(t, -time.Minute, overdue, float64(10*time.Second))
-	arrive(ctx)
+	receiveByte(ctx)
 	overdue, _ = Overdue(ctx)
 	require.InDelta(t, -time.Hour, overdue, float64(10*time.Second))
 }
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -10,13 +10,13 @@
 
 // With returns a context for a call whose answer's bytes are reported to arrived, as they
 // come, on the goroutine that reads them. Observers of the given context are told too.
-func With(ctx context.Context, arrived func(bytes int)) context.Context {
+func With(ctx context.Context, observe func(bytes int)) context.Context {
 	outer, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
-		return context.WithValue(ctx, observerKey{}, arrived)
+		return context.WithValue(ctx, observerKey{}, observe)
 	}
 	return context.WithValue(ctx, observerKey{}, func(bytes int) {
-		arrived(bytes)
+		observe(bytes)
 		outer(bytes)
 	})
 }
@@ -24,27 +24,27 @@
 // Reader returns a reader that reports what is read from source to the context's
 // observer, and source itself if there is none.
 func Reader(ctx context.Context, source io.Reader) io.Reader {
-	arrived, ok := ctx.Value(observerKey{}).(func(bytes int))
+	observe, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
 		return source
 	}
-	return &observedReader{source: source, arrived: arrived}
+	return &observedReader{source: source, observe: observe}
 }
 
-// pieceBytes is the most that one read asks for. A reader of chunked answers returns only
+// maxReadBytes is the most that one read asks for. A reader of chunked answers returns only
 // once the buffer is full, so that a large buffer would hide for seconds that bytes arrive.
-const pieceBytes = 8 << 10
+const maxReadBytes = 8 << 10
 
 type observedReader struct {
 	source  io.Reader
-	arrived func(bytes int)
+	observe func(bytes int)
 }
 
 // Read implements io.Reader.
 func (r *observedReader) Read(buffer []byte) (int, error) {
-	count, err := r.source.Read(buffer[:min(len(buffer), pieceBytes)])
+	count, err := r.source.Read(buffer[:min(len(buffer), maxReadBytes)])
 	if count > 0 {
-		r.arrived(count)
+		r.observe(count)
 	}
 	return count, err
 }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBytesAreReportedAsTheyCome(t *testing.T) {
+func TestReaderReportsBytesRead(t *testing.T) {
 	total := 0
 	ctx := With(context.Background(), func(bytes int) { total += bytes })
 	reader := Reader(ctx, strings.NewReader("abcdef"))
@@ -22,7 +22,7 @@
 	require.Equal(t, 6, total)
 }
 
-func TestWithoutAnObserverTheSourceIsRead(t *testing.T) {
+func TestReaderWithoutObserverReturnsSource(t *testing.T) {
 	source := strings.NewReader("abc")
 	require.Same(t, source, Reader(context.Background(), source))
 }
@@ -32,10 +32,10 @@
 
 func (fullReader) Read(buffer []byte) (int, error) { return len(buffer), nil }
 
-func TestLargeReadsAreReportedInPieces(t *testing.T) {
+func TestReaderLimitsReadSize(t *testing.T) {
 	reported := 0
 	ctx := With(context.Background(), func(bytes int) { reported = bytes })
 	_, err := Reader(ctx, fullReader{}).Read(make([]byte, 1<<20))
 	require.NoError(t, err)
-	require.Equal(t, pieceBytes, reported)
+	require.Equal(t, maxReadBytes, reported)
 }
