--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -65,11 +65,11 @@
 }
 
 func (p *Plan) digest() string {
-	bare := *p
-	bare.Digest = ""
-	bare.Impact = nil
+	content := *p
+	content.Digest = ""
+	content.Impact = nil
 	// Marshalling a struct of plain fields cannot fail.
-	document, _ := json.Marshal(bare)
+	document, _ := json.Marshal(content)
 	sum := sha256.Sum256(document)
 	return hex.EncodeToString(sum[:])
 }
@@ -110,8 +110,8 @@
 	tenant    int
 	name      string
 	guarantee declaration.Guarantee
-	// prefer are the domains that hold the same shape now.
-	prefer []string
+	// preferred are the domains that hold the same shape now.
+	preferred []string
 }
 
 // requestsOf lists the guarantees, the narrowest and largest first.
@@ -120,10 +120,10 @@
 	for i := range declared.Tenant {
 		for _, guarantee := range declared.Tenant[i].Guarantee {
 			r := request{tenant: i, name: declared.Tenant[i].Name, guarantee: guarantee}
-			if held := current.Find(r.name); held != nil {
-				for _, old := range held.Guarantee {
-					if old.Shape == guarantee.Shape {
-						r.prefer = append(r.prefer, old.Zone)
+			if existing := current.Find(r.name); existing != nil {
+				for _, placed := range existing.Guarantee {
+					if placed.Shape == guarantee.Shape {
+						r.preferred = append(r.preferred, placed.Zone)
 					}
 				}
 			}
@@ -143,18 +143,18 @@
 type placer struct {
 	now     time.Time
 	names   []string
-	domains map[string]*packing
+	domains map[string]*domainPlacements
 }
 
-// packing is what is guaranteed in one domain so far.
-type packing struct {
+// domainPlacements is what is guaranteed in one domain so far.
+type domainPlacements struct {
 	scheduler *schedule.Scheduler
 	tenants   []declaration.Tenant
 	copies    int
 }
 
 func newPlacer(site Site, drained []string, now time.Time) *placer {
-	p := &placer{now: now, domains: map[string]*packing{}}
+	p := &placer{now: now, domains: map[string]*domainPlacements{}}
 	for name, list := range site {
 		p.names = append(p.names, name)
 		scheduler := schedule.New(schedule.Default(), cluster.NewState())
@@ -168,26 +168,26 @@
 				cluster.Location{Region: machine.Region, Zone: machine.Zone, Rack: machine.Rack},
 				cluster.CapacityOf(machine))
 		}
-		p.domains[name] = &packing{scheduler: scheduler}
+		p.domains[name] = &domainPlacements{scheduler: scheduler}
 	}
 	slices.Sort(p.names)
 	return p
 }
 
 // fits tries whether a domain holds one or more further copies.
-func (p *packing) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
-	tried := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantee: []declaration.Guarantee{guarantee}})
-	return p.scheduler.Configure(now, tried) == 0
+func (p *domainPlacements) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
+	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantee: []declaration.Guarantee{guarantee}})
+	return p.scheduler.Configure(now, tenants) == 0
 }
 
 func (p *placer) place(r request) ([]declaration.Guarantee, error) {
 	var placed []declaration.Guarantee
-	left := r.guarantee.Count
+	remaining := r.guarantee.Count
 	for _, name := range p.candidates(r) {
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
-		count := p.most(name, r, left)
+		count := p.maxCopies(name, r, remaining)
 		if count == 0 {
 			continue
 		}
@@ -198,10 +198,10 @@
 		domain.tenants = append(domain.tenants, declaration.Tenant{Name: r.name, Guarantee: []declaration.Guarantee{guarantee}})
 		domain.copies += count
 		placed = append(placed, guarantee)
-		left -= count
+		remaining -= count
 	}
-	if left > 0 {
-		return nil, p.refuse(r, r.guarantee.Count-left)
+	if remaining > 0 {
+		return nil, p.infeasibleError(r, r.guarantee.Count-remaining)
 	}
 	return placed, nil
 }
@@ -217,7 +217,7 @@
 	}
 	names := slices.Clone(p.names)
 	slices.SortStableFunc(names, func(a, b string) int {
-		preferA, preferB := slices.Contains(r.prefer, a), slices.Contains(r.prefer, b)
+		preferA, preferB := slices.Contains(r.preferred, a), slices.Contains(r.preferred, b)
 		switch {
 		case preferA && !preferB:
 			return -1
@@ -229,10 +229,10 @@
 	return names
 }
 
-// most returns how many copies, up to want, a domain can hold besides what it
+// maxCopies returns how many copies, up to want, a domain can hold besides what it
 // holds already.
-func (p *placer) most(name string, r request, want int) int {
-	low, high := 0, want
+func (p *placer) maxCopies(name string, r request, limit int) int {
+	low, high := 0, limit
 	for low < high {
 		middle := (low + high + 1) / 2
 		guarantee := r.guarantee
@@ -246,27 +246,27 @@
 	return low
 }
 
-// refuse names the nearest shape that would fit: fewer copies, else fewer members.
-func (p *placer) refuse(r request, count int) error {
+// infeasibleError names the nearest shape that would fit: fewer copies, else fewer members.
+func (p *placer) infeasibleError(r request, count int) error {
 	field := "tenant." + r.name + ".guarantee"
-	shape := describe(r.guarantee.Shape)
+	shape := describeShape(r.guarantee.Shape)
 	if count > 0 {
 		return fault.NewField(fault.PlanNoWitness, field, "%d of %s do not fit beside the other guarantees; %d would", r.guarantee.Count, shape, count)
 	}
-	smaller := r
-	smaller.guarantee.Count = 1
-	for smaller.guarantee.Members > 1 {
-		smaller.guarantee.Members--
-		for _, name := range p.candidates(smaller) {
-			if p.most(name, smaller, 1) == 1 {
-				return fault.NewField(fault.PlanNoWitness, field, "no %s fits beside the other guarantees; the nearest that would is %s", shape, describe(smaller.guarantee.Shape))
+	candidate := r
+	candidate.guarantee.Count = 1
+	for candidate.guarantee.Members > 1 {
+		candidate.guarantee.Members--
+		for _, name := range p.candidates(candidate) {
+			if p.maxCopies(name, candidate, 1) == 1 {
+				return fault.NewField(fault.PlanNoWitness, field, "no %s fits beside the other guarantees; the nearest that would is %s", shape, describeShape(candidate.guarantee.Shape))
 			}
 		}
 	}
 	return fault.NewField(fault.PlanNoWitness, field, "no %s fits beside the other guarantees, and no smaller gang either", shape)
 }
 
-func describe(shape job.Shape) string {
+func describeShape(shape job.Shape) string {
 	return fmt.Sprintf("(%d members of %d accelerators in one %s)", shape.Members, shape.Accelerators, shape.Spread)
 }
 
