--- a/internal/worker/httpfleet/httpfleet_test.go
+++ b/internal/worker/httpfleet/httpfleet_test.go
@@ -42,9 +42,9 @@
 		cancel()
 		require.Error(t, err, mode)
 	}
-	end, err := fleet.Reports(t.Context(), "r/z", -1)
+	reports, err := fleet.Reports(t.Context(), "r/z", -1)
 	require.NoError(t, err)
-	require.Zero(t, end.Cursor)
+	require.Zero(t, reports.Cursor)
 }
 
 // BenchmarkRenewal measures a lease renewal with client and server in one process.
