--- a/internal/progress/patience.go
+++ b/internal/progress/patience.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Patience bounds a call. An answer that keeps arriving is worth waiting for: given up, it
-// would have to be sent again from its start, over a link that was too slow for it.
+// Patience holds the timeouts of a call. A response that keeps arriving is not aborted, because a
+// retry would have to transfer it from the start over the same slow link.
 type Patience struct {
-	// First is how long the beginning of the answer may take.
+	// First is the timeout for the first byte of the response.
 	First time.Duration
-	// Pause is how long the answer may then take for each further leastProgress.
+	// Pause is the timeout for each further minProgressBytes of it.
 	Pause time.Duration
-	// Whole is how long all of it may take.
+	// Whole is the timeout for the entire response.
 	Whole time.Duration
 }
 
-// minProgressBytes is how many bytes count as progress, so that an answer that only drips is
-// not waited for: a link of 10 Mbit/s carries them in 3 ms.
+// minProgressBytes is how many bytes count as progress, so that a response that only trickles in
+// times out; a link of 10 Mbit/s transfers them in 3 ms.
 const minProgressBytes = 4 << 10
 
 type firstByteDeadlineKey struct{}
 
-// deadlineKey is of the time at which a call's patience ends, which moves as bytes arrive.
+// deadlineKey holds the current deadline of a call, which moves as bytes arrive.
 type deadlineKey struct{}
 
-// WithPatience returns a context for a call that ends once patience is over, and a function
-// that releases it. What arrives of calls made with contexts derived from it counts too.
+// WithPatience returns a context that is cancelled when one of the timeouts expires, and a
+// function that releases it. Bytes received by calls with derived contexts count as progress too.
 func WithPatience(parent context.Context, limits Patience) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	start := time.Now()
@@ -57,8 +57,8 @@
 	}
 }
 
-// Overdue returns how long ago a call's time has run out, negative if it has not, and false
-// if the call is not bounded. A process that finds its call overdue by long was late itself.
+// Overdue returns the time since a call's deadline, negative before it, and false if the call has
+// none. A long overdue call indicates that this process itself was stalled.
 func Overdue(ctx context.Context) (time.Duration, bool) {
 	if moving, ok := ctx.Value(deadlineKey{}).(*atomic.Pointer[time.Time]); ok {
 		return time.Since(*moving.Load()), true
@@ -67,7 +67,7 @@
 	return time.Since(deadline), bounded
 }
 
-// AnswerBy returns by when the answer to a call has to begin, if that is bounded.
+// AnswerBy returns the deadline for the first byte of the response, if there is one.
 func AnswerBy(ctx context.Context) (time.Time, bool) {
 	firstByte, ok := ctx.Value(firstByteDeadlineKey{}).(time.Time)
 	if !ok {
--- a/internal/progress/patience_test.go
+++ b/internal/progress/patience_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// receiveByte reports one byte to a context's observers.
+// receiveByte reports one byte to the context's observers.
 func receiveByte(ctx context.Context) {
 	ctx.Value(observerKey{}).(func(int))(1)
 }
@@ -30,8 +30,8 @@
 
 func TestIdleAndTotalTimeouts(t *testing.T) {
 	cases := map[string]Patience{
-		"stands still":   {First: time.Millisecond, Pause: 2 * time.Millisecond, Whole: time.Hour},
-		"takes too long": {First: time.Millisecond, Pause: time.Hour, Whole: 2 * time.Millisecond},
+		"no further bytes":    {First: time.Millisecond, Pause: 2 * time.Millisecond, Whole: time.Hour},
+		"total time exceeded": {First: time.Millisecond, Pause: time.Hour, Whole: 2 * time.Millisecond},
 	}
 	for name, limits := range cases {
 		ctx, cancel := WithPatience(context.Background(), limits)
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestIdleTimeoutReplacesFirstByteTimeout: a feed may wait for seconds, but not for
-// the rest of an answer that has begun.
+// TestIdleTimeoutReplacesFirstByteTimeout covers a feed, whose first byte may take seconds but not
+// the rest of a response.
 func TestIdleTimeoutReplacesFirstByteTimeout(t *testing.T) {
 	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Hour, Pause: time.Millisecond, Whole: time.Hour})
 	defer cancel()
@@ -89,7 +89,8 @@
 	require.WithinRange(t, by, before, time.Now().Add(time.Second))
 }
 
-// TestOverdueUsesExtendedDeadline: an answer that keeps arriving puts the end of a call off.
+// TestOverdueUsesExtendedDeadline checks that received bytes extend the deadline that Overdue
+// uses.
 func TestOverdueUsesExtendedDeadline(t *testing.T) {
 	_, bounded := Overdue(t.Context())
 	require.False(t, bounded)
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,4 +1,5 @@
-// Package progress lets the one who makes a call see the bytes of its answer arrive.
+// Package progress reports the bytes of a response to the caller as they arrive, and extends
+// timeouts by them.
 package progress
 
 import (
@@ -8,8 +9,8 @@
 
 type observerKey struct{}
 
-// With returns a context for a call whose answer's bytes are reported to arrived, as they
-// come, on the goroutine that reads them. Observers of the given context are told too.
+// With returns a context for a call whose received bytes are reported to observe, on the goroutine
+// that reads them. Observers of the parent context are called too.
 func With(ctx context.Context, observe func(bytes int)) context.Context {
 	outer, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
@@ -21,8 +22,8 @@
 	})
 }
 
-// Reader returns a reader that reports what is read from source to the context's
-// observer, and source itself if there is none.
+// Reader returns a reader that reports the bytes read from source to the context's observer, or
+// source itself if there is none.
 func Reader(ctx context.Context, source io.Reader) io.Reader {
 	observe, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
@@ -31,8 +32,8 @@
 	return &observedReader{source: source, observe: observe}
 }
 
-// maxReadBytes is the most that one read asks for. A reader of chunked answers returns only
-// once the buffer is full, so that a large buffer would hide for seconds that bytes arrive.
+// maxReadBytes limits a single read. A chunked reader returns only once the buffer is full, so a
+// large buffer would delay the reports by seconds on a slow link.
 const maxReadBytes = 8 << 10
 
 type observedReader struct {
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -27,7 +27,7 @@
 	require.Same(t, source, Reader(context.Background(), source))
 }
 
-// fullReader fills every buffer, however long that takes.
+// fullReader fills every buffer.
 type fullReader struct{}
 
 func (fullReader) Read(buffer []byte) (int, error) { return len(buffer), nil }
