--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -17,36 +17,35 @@
 	"github.com/wheatroad/wheatroad/internal/schedule"
 )
 
-// Plan is what confirming a declaration would do.
+// Plan is the effect of confirming a declaration.
 type Plan struct {
-	// Digest identifies the plan by all that follows.
+	// Digest is a hash of the fields below except Impact.
 	Digest string `json:"digest"`
-	// Base is the configuration version that the plan starts from.
+	// Base is the configuration version on which the plan is based.
 	Base        int64                   `json:"base"`
 	Changes     []declaration.Change    `json:"changes"`
 	Declaration declaration.Declaration `json:"declaration"`
-	// Effects lists where guarantees would lie.
+	// Effects lists the domains to which guarantees would be assigned.
 	Effects []Effect `json:"effects,omitempty"`
-	// Impact lists what would happen to jobs at the time of planning. It is not part
-	// of what the digest identifies, since jobs come and go.
+	// Impact lists the effects on jobs at the time of planning. The digest excludes it, since jobs
+	// change continuously.
 	Impact []Effect `json:"impact,omitempty"`
 }
 
 // Effect is one consequence of a plan.
 type Effect struct {
-	// Kind is "guarantee_placed", or what happens to a job: "job_preempted",
-	// "job_leaves_rack", "job_ends", "job_waits", "job_starts"; or "domain_unknown".
+	// Kind is "guarantee_placed"; for jobs "job_preempted", "job_leaves_rack", "job_ends",
+	// "job_waits" or "job_starts"; or "domain_unknown".
 	Kind    string `json:"kind"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// Site is the capacity that a plan is judged on: the machines of each domain.
+// Site maps each domain to the machines on which a plan is evaluated.
 type Site map[string][]machines.Machine
 
-// Make returns the plan that turns the current configuration into the declared
-// one. A declaration whose guarantees do not all fit at once is refused with the
-// nearest shape that would.
+// Make returns the plan that changes the current configuration into the declared one. If the
+// guarantees do not all fit at the same time, the error names the nearest shape that would.
 func Make(current declaration.Configuration, declared declaration.Declaration, site Site, now time.Time) (*Plan, error) {
 	declared.Normalize()
 	if err := declared.Validate(); err != nil {
@@ -74,11 +73,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Valid reports whether a plan read from outside is what its digest says.
+// Valid reports whether the digest of a plan from an untrusted source matches its content.
 func (p *Plan) Valid() bool { return p.Digest == p.digest() }
 
-// assign gives every guarantee without a zone to domains that have room for it.
-// Guarantees that already lie in a domain stay there.
+// assign distributes each guarantee over domains with sufficient capacity: the zone that it names,
+// else preferably the domains that hold it now.
 func assign(current, declared declaration.Declaration, site Site, now time.Time) (declaration.Declaration, []Effect, error) {
 	placer := newPlacer(site, declared.DrainedRacks, now)
 	assigned := declaration.Declaration{DrainedRacks: declared.DrainedRacks}
@@ -105,16 +104,17 @@
 	return assigned, effects, nil
 }
 
-// request is one guarantee to be placed.
+// request is a guarantee to be assigned.
 type request struct {
 	tenant    int
 	name      string
 	guarantee declaration.Guarantee
-	// preferred are the domains that hold the same shape now.
+	// preferred lists the domains that currently hold a guarantee of this shape.
 	preferred []string
 }
 
-// requestsOf lists the guarantees, the narrowest and largest first.
+// requestsOf returns the guarantees, ordered by ascending width of their spread, then by
+// descending size.
 func requestsOf(declared, current *declaration.Declaration) []request {
 	var requests []request
 	for i := range declared.Tenant {
@@ -139,14 +139,14 @@
 	return requests
 }
 
-// placer packs guarantees into domains one copy at a time.
+// placer assigns copies of guarantees to domains.
 type placer struct {
 	now     time.Time
 	names   []string
 	domains map[string]*domainPlacements
 }
 
-// domainPlacements is what is guaranteed in one domain so far.
+// domainPlacements holds the guarantees assigned to one domain so far.
 type domainPlacements struct {
 	scheduler *schedule.Scheduler
 	tenants   []declaration.Tenant
@@ -174,7 +174,7 @@
 	return p
 }
 
-// fits tries whether a domain holds one or more further copies.
+// fits reports whether the domain can hold the guarantee in addition to those assigned so far.
 func (p *domainPlacements) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
 	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantee: []declaration.Guarantee{guarantee}})
 	return p.scheduler.Configure(now, tenants) == 0
@@ -206,8 +206,8 @@
 	return placed, nil
 }
 
-// candidates lists the domains that may hold a guarantee: those that hold it now
-// first, then the least guaranteed.
+// candidates returns the domains that may hold a guarantee: first those that hold it now, then by
+// ascending number of assigned copies.
 func (p *placer) candidates(r request) []string {
 	if r.guarantee.Zone != "" {
 		if _, ok := p.domains[r.guarantee.Zone]; !ok {
@@ -229,8 +229,7 @@
 	return names
 }
 
-// maxCopies returns how many copies, up to want, a domain can hold besides what it
-// holds already.
+// maxCopies returns how many additional copies, up to limit, a domain can hold.
 func (p *placer) maxCopies(name string, r request, limit int) int {
 	low, high := 0, limit
 	for low < high {
@@ -246,7 +245,8 @@
 	return low
 }
 
-// infeasibleError names the nearest shape that would fit: fewer copies, else fewer members.
+// infeasibleError returns an error that names the nearest shape that would fit: fewer copies, else
+// fewer members.
 func (p *placer) infeasibleError(r request, count int) error {
 	field := "tenant." + r.name + ".guarantee"
 	shape := describeShape(r.guarantee.Shape)
@@ -270,7 +270,7 @@
 	return fmt.Sprintf("(%d members of %d accelerators in one %s)", shape.Members, shape.Accelerators, shape.Spread)
 }
 
-// Summary renders the plan's changes as lines.
+// Summary returns the plan's changes, one per line.
 func (p *Plan) Summary() string {
 	var lines []string
 	for _, change := range p.Changes {
