--- a/internal/placement/candidate_heap.go
+++ b/internal/placement/candidate_heap.go
@@ -28,45 +28,45 @@
 }
 
 // add inserts a candidate and removes those that are no longer needed.
-func (l *candidateHeap) add(c candidate) {
-	if l.tasks >= l.count && c.compare(&l.candidates[0]) > 0 {
+func (h *candidateHeap) add(c candidate) {
+	if h.tasks >= h.count && c.compare(&h.candidates[0]) > 0 {
 		return
 	}
-	heap.Push(l, c)
-	l.tasks += c.fits
-	for l.tasks-l.candidates[0].fits >= l.count {
-		l.tasks -= l.candidates[0].fits
-		heap.Pop(l)
+	heap.Push(h, c)
+	h.tasks += c.fits
+	for h.tasks-h.candidates[0].fits >= h.count {
+		h.tasks -= h.candidates[0].fits
+		heap.Pop(h)
 	}
 }
 
 // sorted returns the candidates, best first.
-func (l *candidateHeap) sorted() []candidate {
-	slices.SortFunc(l.candidates, func(a, b candidate) int { return a.compare(&b) })
-	return l.candidates
+func (h *candidateHeap) sorted() []candidate {
+	slices.SortFunc(h.candidates, func(a, b candidate) int { return a.compare(&b) })
+	return h.candidates
 }
 
 // Len implements heap.Interface.
-func (l *candidateHeap) Len() int { return len(l.candidates) }
+func (h *candidateHeap) Len() int { return len(h.candidates) }
 
 // Less implements heap.Interface.
-func (l *candidateHeap) Less(i, j int) bool { return l.candidates[i].compare(&l.candidates[j]) > 0 }
+func (h *candidateHeap) Less(i, j int) bool { return h.candidates[i].compare(&h.candidates[j]) > 0 }
 
 // Swap implements heap.Interface.
-func (l *candidateHeap) Swap(i, j int) {
-	l.candidates[i], l.candidates[j] = l.candidates[j], l.candidates[i]
+func (h *candidateHeap) Swap(i, j int) {
+	h.candidates[i], h.candidates[j] = h.candidates[j], h.candidates[i]
 }
 
 // Push implements heap.Interface.
-func (l *candidateHeap) Push(c any) {
+func (h *candidateHeap) Push(c any) {
 	added, _ := c.(candidate)
-	l.candidates = append(l.candidates, added)
+	h.candidates = append(h.candidates, added)
 }
 
 // Pop implements heap.Interface.
-func (l *candidateHeap) Pop() any {
-	last := len(l.candidates) - 1
-	popped := l.candidates[last]
-	l.candidates = l.candidates[:last]
+func (h *candidateHeap) Pop() any {
+	last := len(h.candidates) - 1
+	popped := h.candidates[last]
+	h.candidates = h.candidates[:last]
 	return popped
 }
--- a/internal/placement/candidate_heap_test.go
+++ b/internal/placement/candidate_heap_test.go
@@ -13,7 +13,7 @@
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		count := 1 + random.IntN(12)
-		list := candidateHeap{count: count}
+		heap := candidateHeap{count: count}
 		var all []candidate
 		total := 0
 		for position := range 1 + random.IntN(40) {
@@ -23,10 +23,10 @@
 			}
 			all = append(all, c)
 			total += c.fits
-			list.add(c)
+			heap.add(c)
 		}
 		slices.SortFunc(all, func(a, b candidate) int { return a.compare(&b) })
-		require.Equal(t, assignTasks(all, count), assignTasks(list.sorted(), count), "seed %d", seed)
-		require.GreaterOrEqual(t, list.tasks, min(count, total), "seed %d", seed)
+		require.Equal(t, assignTasks(all, count), assignTasks(heap.sorted(), count), "seed %d", seed)
+		require.GreaterOrEqual(t, heap.tasks, min(count, total), "seed %d", seed)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -194,8 +194,8 @@
 	return names
 }
 
-// FitOneRack places the request within one rack: of those where it fits, the one with the least free
-// capacity.
+// FitOneRack places the request within one rack: of those where it fits, the one with the least
+// free capacity.
 func FitOneRack(workers []Worker, racks *Racks, request *Request) []int {
 	var best []int
 	bestRemaining := 0.0
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -34,19 +34,19 @@
 	if !Holds(workers, indexes, request) {
 		return nil
 	}
-	t := newSimulation(workers, indexes, units, request)
-	defer t.close()
-	if t.satisfied() {
-		return t.placementAfter(0)
+	s := newSimulation(workers, indexes, units, request)
+	defer s.close()
+	if s.satisfied() {
+		return s.placementAfter(0)
 	}
-	for _, ranked := range t.rankUnits(func(number int) float64 { return max(0, float64(units[number].Remaining)) }) {
+	for _, ranked := range s.rankUnits(func(number int) float64 { return max(0, float64(units[number].Remaining)) }) {
 		after := units[ranked.unit].Remaining
 		if after >= limit {
 			return nil
 		}
-		t.evict(ranked.unit)
-		if t.satisfied() {
-			return t.placementAfter(after)
+		s.evict(ranked.unit)
+		if s.satisfied() {
+			return s.placementAfter(after)
 		}
 	}
 	return nil
@@ -55,19 +55,19 @@
 // Preempt returns a placement of the request that preempting victims makes possible, the victims,
 // and the sum of their losses. It returns nil if no set of victims is sufficient.
 func Preempt(workers []Worker, indexes []int, units []Unit, request *Request) (places, victims []int, loss float64) {
-	t := newSimulation(workers, indexes, units, request)
-	defer t.close()
-	for _, ranked := range t.preemptible() {
-		if t.satisfied() {
+	s := newSimulation(workers, indexes, units, request)
+	defer s.close()
+	for _, ranked := range s.preemptible() {
+		if s.satisfied() {
 			break
 		}
-		t.evict(ranked.unit)
+		s.evict(ranked.unit)
 		victims = append(victims, ranked.unit)
 	}
-	if !t.satisfied() {
+	if !s.satisfied() {
 		return nil, nil, 0
 	}
-	victims = t.dropUnneeded(victims)
+	victims = s.dropUnneeded(victims)
 	for _, number := range victims {
 		loss += units[number].Loss
 	}
--- a/internal/placement/simulation.go
+++ b/internal/placement/simulation.go
@@ -47,17 +47,17 @@
 // newSimulation starts a simulation. The caller must call close.
 func newSimulation(workers []Worker, indexes []int, units []Unit, request *Request) *simulation {
 	buffers, _ := bufferPool.Get().(*simulationBuffers)
-	t := &simulation{workers: workers, indexes: indexes, units: units, request: request, simulationBuffers: buffers}
-	t.fits = resized(t.fits, len(workers))
-	t.inGroup = resized(t.inGroup, len(workers))
-	t.evicted = resized(t.evicted, len(units))
-	t.seen = resized(t.seen, len(units))
+	s := &simulation{workers: workers, indexes: indexes, units: units, request: request, simulationBuffers: buffers}
+	s.fits = resized(s.fits, len(workers))
+	s.inGroup = resized(s.inGroup, len(workers))
+	s.evicted = resized(s.evicted, len(units))
+	s.seen = resized(s.seen, len(units))
 	for _, i := range indexes {
-		t.inGroup[i] = true
-		t.fits[i] = 0
-		t.updateFit(i)
+		s.inGroup[i] = true
+		s.fits[i] = 0
+		s.updateFit(i)
 	}
-	return t
+	return s
 }
 
 // resized returns a slice of the given length, reusing buffer if it is large enough. Reused
@@ -70,107 +70,107 @@
 }
 
 // close restores the evicted units and returns the buffers to the pool.
-func (t *simulation) close() {
-	for _, ranked := range t.order {
-		if t.evicted[ranked.unit] {
-			t.restore(ranked.unit)
+func (s *simulation) close() {
+	for _, ranked := range s.order {
+		if s.evicted[ranked.unit] {
+			s.restore(ranked.unit)
 		}
 	}
-	for _, i := range t.indexes {
-		t.inGroup[i] = false
+	for _, i := range s.indexes {
+		s.inGroup[i] = false
 	}
-	t.order = t.order[:0]
-	bufferPool.Put(t.simulationBuffers)
+	s.order = s.order[:0]
+	bufferPool.Put(s.simulationBuffers)
 }
 
 // updateFit recomputes how many tasks fit on worker i.
-func (t *simulation) updateFit(i int) {
+func (s *simulation) updateFit(i int) {
 	fits := 0
-	if t.request.allowed(t.workers, i) {
-		fits = t.request.taskCapacity(i, t.request.visibleFree(t.workers, i))
+	if s.request.allowed(s.workers, i) {
+		fits = s.request.taskCapacity(i, s.request.visibleFree(s.workers, i))
 	}
-	t.total += fits - t.fits[i]
-	t.fits[i] = fits
+	s.total += fits - s.fits[i]
+	s.fits[i] = fits
 }
 
 // satisfied reports whether all tasks of the request fit.
-func (t *simulation) satisfied() bool { return t.total >= t.request.Count }
+func (s *simulation) satisfied() bool { return s.total >= s.request.Count }
 
 // evict releases the resources that a unit occupies in the group.
-func (t *simulation) evict(unit int) {
-	t.evicted[unit] = true
-	for _, i := range t.units[unit].Places {
-		if t.inGroup[i] {
-			t.workers[i].Free = t.workers[i].Free.Plus(t.units[unit].Room)
-			t.updateFit(i)
+func (s *simulation) evict(unit int) {
+	s.evicted[unit] = true
+	for _, i := range s.units[unit].Places {
+		if s.inGroup[i] {
+			s.workers[i].Free = s.workers[i].Free.Plus(s.units[unit].Room)
+			s.updateFit(i)
 		}
 	}
 }
 
 // restore reverts evict.
-func (t *simulation) restore(unit int) {
-	t.evicted[unit] = false
-	for _, i := range t.units[unit].Places {
-		if t.inGroup[i] {
-			t.workers[i].Free = t.workers[i].Free.Minus(t.units[unit].Room)
-			t.updateFit(i)
+func (s *simulation) restore(unit int) {
+	s.evicted[unit] = false
+	for _, i := range s.units[unit].Places {
+		if s.inGroup[i] {
+			s.workers[i].Free = s.workers[i].Free.Minus(s.units[unit].Room)
+			s.updateFit(i)
 		}
 	}
 }
 
 // placementAfter returns the current placement of the request, to become possible after the given
 // wait.
-func (t *simulation) placementAfter(after time.Duration) *Promise {
-	places := Fit(t.workers, t.indexes, t.request)
+func (s *simulation) placementAfter(after time.Duration) *Promise {
+	places := Fit(s.workers, s.indexes, s.request)
 	spare := make(map[int]taskgraph.Amount, len(places))
 	for _, i := range places {
 		free, known := spare[i]
 		if !known {
-			free = t.workers[i].Free
+			free = s.workers[i].Free
 		}
-		spare[i] = free.Minus(t.request.Room)
+		spare[i] = free.Minus(s.request.Room)
 	}
 	return &Promise{Places: places, After: after, Spare: spare}
 }
 
 // rankUnits returns the units that occupy workers of the group by ascending rank, then by index.
 // Units of negative rank are excluded.
-func (t *simulation) rankUnits(rank func(unit int) float64) []rankedUnit {
-	for _, i := range t.indexes {
-		for _, holder := range t.workers[i].Holders {
-			if t.seen[holder.Unit] || len(t.units[holder.Unit].Places) == 0 {
+func (s *simulation) rankUnits(rank func(unit int) float64) []rankedUnit {
+	for _, i := range s.indexes {
+		for _, holder := range s.workers[i].Holders {
+			if s.seen[holder.Unit] || len(s.units[holder.Unit].Places) == 0 {
 				continue
 			}
-			t.seen[holder.Unit] = true
-			t.order = append(t.order, rankedUnit{unit: holder.Unit, rank: rank(holder.Unit)})
+			s.seen[holder.Unit] = true
+			s.order = append(s.order, rankedUnit{unit: holder.Unit, rank: rank(holder.Unit)})
 		}
 	}
-	for _, ranked := range t.order {
-		t.seen[ranked.unit] = false
+	for _, ranked := range s.order {
+		s.seen[ranked.unit] = false
 	}
-	t.order = slices.DeleteFunc(t.order, func(ranked rankedUnit) bool { return ranked.rank < 0 })
-	slices.SortFunc(t.order, func(a, b rankedUnit) int {
+	s.order = slices.DeleteFunc(s.order, func(ranked rankedUnit) bool { return ranked.rank < 0 })
+	slices.SortFunc(s.order, func(a, b rankedUnit) int {
 		if a.rank != b.rank {
 			return cmp.Compare(a.rank, b.rank)
 		}
 		return a.unit - b.unit
 	})
-	return t.order
+	return s.order
 }
 
 // excludedRank makes rankUnits leave a unit out.
 const excludedRank = -1
 
 // preemptible returns the units that may be preempted, by ascending loss per freed core.
-func (t *simulation) preemptible() []rankedUnit {
-	return t.rankUnits(func(number int) float64 {
-		unit := &t.units[number]
-		if !unit.preemptibleBy(t.request) {
+func (s *simulation) preemptible() []rankedUnit {
+	return s.rankUnits(func(number int) float64 {
+		unit := &s.units[number]
+		if !unit.preemptibleBy(s.request) {
 			return excludedRank
 		}
 		useful := 0
 		for _, i := range unit.Places {
-			if t.inGroup[i] && t.request.allowed(t.workers, i) {
+			if s.inGroup[i] && s.request.allowed(s.workers, i) {
 				useful++
 			}
 		}
@@ -182,14 +182,14 @@
 }
 
 // dropUnneeded restores victims that are not needed for the request to fit, the most costly first.
-func (t *simulation) dropUnneeded(victims []int) []int {
+func (s *simulation) dropUnneeded(victims []int) []int {
 	byLoss := slices.Clone(victims)
-	slices.SortStableFunc(byLoss, func(a, b int) int { return cmp.Compare(t.units[b].Loss, t.units[a].Loss) })
+	slices.SortStableFunc(byLoss, func(a, b int) int { return cmp.Compare(s.units[b].Loss, s.units[a].Loss) })
 	for _, number := range byLoss {
-		t.restore(number)
-		if !t.satisfied() {
-			t.evict(number)
+		s.restore(number)
+		if !s.satisfied() {
+			s.evict(number)
 		}
 	}
-	return slices.DeleteFunc(victims, func(number int) bool { return !t.evicted[number] })
+	return slices.DeleteFunc(victims, func(number int) bool { return !s.evicted[number] })
 }
