--- a/internal/poison/loss_tracker_test.go
+++ b/internal/poison/loss_tracker_test.go
@@ -75,12 +75,12 @@
 	l := newTestLedger(48)
 	var tasks []*History
 	for worker := range 8 {
-		var here []*History
+		var onWorker []*History
 		for range 6 {
-			here = append(here, newHistory())
+			onWorker = append(onWorker, newHistory())
 		}
-		loseWorker(l, float64(worker)/10, 3*time.Second, here...)
-		tasks = append(tasks, here...)
+		loseWorker(l, float64(worker)/10, 3*time.Second, onWorker...)
+		tasks = append(tasks, onWorker...)
 	}
 	for _, task := range tasks {
 		require.Equal(t, Sound, task.Verdict(), task.Odds())
