--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -40,7 +40,8 @@
 	EndDelay Name = "end-delay"
 	// StoreRelay forwards requests to the store through other nodes.
 	StoreRelay Name = "store-relay"
-	// LongFeeds reads the store's changes less often while an owner confirms the configuration.
+	// LongFeeds lengthens long polls of the store; for the configuration, only while an owner
+	// confirms it.
 	LongFeeds Name = "long-feeds"
 	// PacedFeeds reads heartbeats of workers in batches.
 	PacedFeeds Name = "paced-feeds"
@@ -48,7 +49,7 @@
 	Announcements Name = "announcements"
 	// Guards monitor owners at short intervals.
 	Guards Name = "guards"
-	// WeakOwners moves pools away from owners on much weaker machines than the others.
+	// WeakOwners lets nodes on much stronger machines take over the pools of weak owners.
 	WeakOwners Name = "weak-owners"
 )
 
