--- a/internal/fleet/failure.go
+++ b/internal/fleet/failure.go
@@ -2,34 +2,34 @@
 
 import "github.com/cockroachdb/errors"
 
-// Reason says why an order did not succeed. The list is closed.
+// Reason says why an order failed. The set is closed.
 type Reason string
 
 const (
-	// Fenced: the worker has seen a newer owner.
+	// Fenced: the worker has seen a higher fencing token.
 	Fenced Reason = "fenced"
-	// Superseded: the run is not above one that stopped or ended there.
+	// Superseded: a run with the same or a higher number has stopped or ended on the worker.
 	Superseded Reason = "superseded"
 	// Late: the order's deadline has passed.
 	Late Reason = "late"
-	// NoRoom: the task does not fit.
+	// NoRoom: the worker lacks capacity for the task.
 	NoRoom Reason = "no_room"
-	// Unhealthy: the worker did nothing because it is unwell.
+	// Unhealthy: the worker is unhealthy and did not execute the order.
 	Unhealthy Reason = "unhealthy"
-	// OtherInstance: another instance answers at the address.
+	// OtherInstance: the address belongs to another worker instance.
 	OtherInstance Reason = "other_instance"
-	// Invalid: the worker did not understand the order.
+	// Invalid: the worker rejected the order as malformed or for an unknown reason.
 	Invalid Reason = "invalid"
-	// Unreachable: the order did not reach the worker, so it surely had no effect.
+	// Unreachable: the order did not reach the worker and had no effect.
 	Unreachable Reason = "unreachable"
-	// NoAnswer: the order may have been carried out, or may be later.
+	// NoAnswer: the order may have been executed, or may be later.
 	NoAnswer Reason = "no_answer"
 )
 
-// Failure is the error of an order.
+// Failure is the error of a failed order.
 type Failure struct {
 	Reason Reason
-	// cause may be nil.
+	// cause is the underlying error, or nil.
 	cause error
 }
 
@@ -46,7 +46,7 @@
 	ErrNoAnswer      = &Failure{Reason: NoAnswer}
 )
 
-// Fail returns a failure with a cause.
+// Fail returns a Failure with a cause.
 func Fail(reason Reason, cause error) *Failure { return &Failure{Reason: reason, cause: cause} }
 
 // Error implements error.
@@ -57,16 +57,16 @@
 	return "order: " + string(f.Reason) + ": " + f.cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Is reports whether target is a failure for the same reason.
+// Is reports whether target is a Failure with the same reason.
 func (f *Failure) Is(target error) bool {
 	other, ok := target.(*Failure)
 	return ok && other.Reason == f.Reason
 }
 
-// ReasonOf returns why an order failed. Errors of other types mean that no answer came.
+// ReasonOf returns the reason of a failed order. Errors of other types count as NoAnswer.
 func ReasonOf(err error) Reason {
 	var failure *Failure
 	if errors.As(err, &failure) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is the edge to workers: what they record of themselves and the
-// orders they take. Orders carry the owner's fencing token; a worker ignores
-// orders with a lower one than the highest it has seen.
+// Package fleet defines the interface to workers: their registration rows and the orders sent to
+// them. Orders carry the owner's fencing token; a worker rejects orders whose token is lower than
+// the highest it has seen.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Worker is one life of a worker, as it records itself.
+// Worker is one incarnation of a worker as described by its row.
 type Worker struct {
 	Life
 	Pool     string
@@ -19,37 +19,37 @@
 	Capacity taskgraph.Amount
 	Labels   []string
 	Draining bool
-	// RemainingMillis is the least time left during a drain.
+	// RemainingMillis is the minimum time left until a draining worker stops.
 	RemainingMillis int64
-	// ColdMillis is how much longer the worker is slow after its start.
+	// ColdMillis is the remaining warm-up time, during which the worker is slow.
 	ColdMillis int64
 }
 
-// rackLabel is the place of the rack among the labels.
-const rackLabel = 1
+// rackLabelIndex is the position of the rack in Worker.Labels.
+const rackLabelIndex = 1
 
-// Rack returns the worker's rack, or an empty text.
+// Rack returns the worker's rack, or "" if unknown.
 func (w *Worker) Rack() string {
-	if len(w.Labels) <= rackLabel {
+	if len(w.Labels) <= rackLabelIndex {
 		return ""
 	}
-	return w.Labels[rackLabel]
+	return w.Labels[rackLabelIndex]
 }
 
-// HasLabel reports whether the worker carries a label; the empty one always.
+// HasLabel reports whether the worker has a label. It is true for the empty label.
 func (w *Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
 	}
-	for _, own := range w.Labels {
-		if own == label {
+	for _, candidate := range w.Labels {
+		if candidate == label {
 			return true
 		}
 	}
 	return false
 }
 
-// Start orders a run of a task.
+// Start orders a worker to start a run of a task.
 type Start struct {
 	Task           taskgraph.TaskName
 	Run            int
@@ -59,31 +59,31 @@
 	Checkpoint     string
 }
 
-// Stop orders the end of a run, and bars it if it is not there yet.
+// Stop orders a worker to stop a run, and to reject its start if that arrives later.
 type Stop struct {
 	Task  taskgraph.TaskName
 	Run   int
 	Token int64
 }
 
-// Hold extends the lease of all that runs on a worker and asks what runs there.
+// Hold extends the lease of all runs on a worker and requests a list of them.
 type Hold struct {
 	Token int64
-	// LastSeen acknowledges ends up to that number.
+	// LastSeen acknowledges ended runs up to that number.
 	LastSeen int64
-	// DeadlineMillis on the worker's clock; 0 extends nothing.
+	// DeadlineMillis is the new expiry on the worker's clock; 0 extends nothing.
 	DeadlineMillis int64
-	// Wait lets the answer wait for an end.
+	// Wait is how long the worker may delay its reply until a run ends.
 	Wait time.Duration
 }
 
-// Running is a run that a worker lists.
+// Running is a run in progress as listed by a worker.
 type Running struct {
 	Task       taskgraph.TaskName
 	Run        int
 	Checkpoint string
 	Percent    int
-	// Load is the fifth entry of a row, if any.
+	// Load is the optional fifth column of the entry.
 	Load int
 }
 
@@ -100,7 +100,7 @@
 	Alone   How = "alone"
 )
 
-// Ended is an end that a worker lists until it is acknowledged.
+// Ended is an ended run. A worker lists it until it is acknowledged.
 type Ended struct {
 	Number     int64
 	Task       taskgraph.TaskName
@@ -109,15 +109,16 @@
 	Checkpoint string
 }
 
-// Reply is an answer to an order.
+// Reply is a worker's response to an order.
 type Reply struct {
-	// Born is when the life that answers began; 0 if the answer does not tell. Lists of runs do.
+	// Born is the start time of the incarnation that replied, 0 if unknown. Replies that list runs
+	// contain it.
 	Born        int64
 	ClockMillis int64
 	Running     []Running
 	Ended       []Ended
-	// MoreEnded is true if the worker may have further ends to tell: a run that is listed
-	// nowhere may then have ended.
+	// MoreEnded is true if the worker may have more ended runs than it listed. A run that is not
+	// listed may then have ended.
 	MoreEnded bool
 }
 
--- a/internal/fleet/life.go
+++ b/internal/fleet/life.go
@@ -2,23 +2,23 @@
 
 import "strconv"
 
-// Life is one life of a worker: from a start of its process to the end of that process. A worker
-// may start again under its identifier. The next life runs nothing, numbers its ends from 1, has
-// seen no fencing token and has another clock.
+// Life identifies one incarnation of a worker, from the start of its process to its end. The next
+// incarnation under the same ID has no runs, numbers its ended runs from 1, has seen no fencing
+// token, and has another clock.
 type Life struct {
 	ID string
-	// Born is when the life began, in milliseconds since 1970 on the worker's clock; 0 where the
-	// platform does not tell lives apart, and an identifier stands for one life.
+	// Born is the start time in milliseconds since 1970 on the worker's clock. It is 0 on
+	// platforms whose worker IDs are never reused.
 	Born int64
 }
 
-// bornSeparator stands between the identifier and the time of birth.
-const bornSeparator = "@"
+// startTimeSeparator separates the ID from the start time.
+const startTimeSeparator = "@"
 
-// String renders the life; without a time of birth it is the identifier.
+// String returns the ID, followed by the start time if known.
 func (l Life) String() string {
 	if l.Born == 0 {
 		return l.ID
 	}
-	return l.ID + bornSeparator + strconv.FormatInt(l.Born, 10)
+	return l.ID + startTimeSeparator + strconv.FormatInt(l.Born, 10)
 }
--- a/internal/fleet/row.go
+++ b/internal/fleet/row.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// RowFault says why a worker's row names no worker to use. The list is closed.
+// RowFault says why a worker's row is invalid. The set is closed.
 type RowFault string
 
 const (
-	// RowUnreadable: the row is no document.
+	// RowUnreadable: the row is not a JSON object.
 	RowUnreadable RowFault = "unreadable"
-	// RowIncomplete: a field is missing.
+	// RowIncomplete: a mandatory field is missing or empty.
 	RowIncomplete RowFault = "missing_field"
-	// RowMistyped: a field is of another type.
+	// RowMistyped: a field has the wrong type.
 	RowMistyped RowFault = "wrong_type"
-	// RowOutOfRange: a field has a value that no worker has, such as a negative capacity or an
-	// address without a port.
+	// RowOutOfRange: a field has an impossible value, such as a negative capacity or an address
+	// without a port.
 	RowOutOfRange RowFault = "out_of_range"
-	// RowUnknownState: the worker's state is none that is known.
+	// RowUnknownState: the worker's state is unknown.
 	RowUnknownState RowFault = "unknown_state"
 )
 
-// RowError is the error of a worker's row that another writer left.
+// RowError is the error of an invalid worker row.
 type RowError struct {
 	Fault RowFault
-	// Field is the one at fault; empty if the whole row is.
+	// Field is the invalid field; empty if the whole row is invalid.
 	Field string
 }
 
-// Error names fault and field.
+// Error implements error.
 func (e *RowError) Error() string {
 	if e.Field == "" {
 		return "row of a worker: " + string(e.Fault)
