--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -1,5 +1,5 @@
-// Package rows is the edge to the platform's transactional table service: rows in
-// tables and parts, conditional transactions over one part, and feeds of changes.
+// Package rows defines the interface to the platform's transactional table service: rows in
+// partitioned tables, conditional transactions within one partition, and change feeds.
 package rows
 
 import (
@@ -9,13 +9,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRefused says that a call surely had no effect.
+// ErrRefused means that a call had no effect.
 var ErrRefused = errors.New("rows: refused")
 
-// ErrNoAnswer says that a call may have had an effect, or may have one later.
+// ErrNoAnswer means that a call may have had an effect, or may have one later.
 var ErrNoAnswer = errors.New("rows: no answer")
 
-// ErrHistoryGone says that a feed must be started anew from a scan.
+// ErrHistoryGone means that the store no longer has the changes since a feed's version. The caller
+// must scan again.
 var ErrHistoryGone = errors.New("rows: history is gone")
 
 // Absent as a condition's version requires that the row does not exist.
@@ -28,7 +29,7 @@
 	Name  string
 }
 
-// Row is a row as read. Gone rows appear in feeds only.
+// Row is a row as read. Gone marks deleted rows, which only feeds return.
 type Row struct {
 	Key
 	Value   []byte
@@ -36,53 +37,53 @@
 	Gone    bool
 }
 
-// Condition requires that a row was last written at a version.
+// Condition requires that a row's current version is Version.
 type Condition struct {
 	Key
 	Version int64
 }
 
-// Put replaces a row.
+// Put creates or replaces a row.
 type Put struct {
 	Key
 	Value []byte
 }
 
-// Transaction applies all changes if all conditions hold, and nothing otherwise.
-// All keys share one part.
+// Transaction applies all changes if all conditions hold, and none otherwise. All keys must be in
+// the same partition.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 	Removes    []Key
 }
 
-// Result is the definite answer to a transaction.
+// Result is the outcome of a transaction.
 type Result struct {
 	Committed bool
-	// Version is what the written rows carry when Committed.
+	// Version is the version of the written rows if Committed.
 	Version int64
-	// Current has the rows of the conditions as they stand when not Committed.
+	// Current holds the conditions' rows as found if not Committed.
 	Current []Row
 }
 
-// Listing is the content of a part, or the changes of a table, at a version.
+// Listing holds the rows of a partition, or the changes to a table, at a version.
 type Listing struct {
 	Rows    []Row
 	Version int64
-	// AsOf is a time of this process by which the store had composed the listing. It is
-	// the zero time if nobody watched the listing arrive.
+	// AsOf is a local time by which the store had composed the listing. It is zero if the arrival
+	// was not timed.
 	AsOf time.Time `json:"-"`
 }
 
-// Store is the table service. Errors wrap one of the package's errors.
+// Store is a client of the table service. Its errors wrap one of this package's errors.
 type Store interface {
 	Commit(ctx context.Context, transaction Transaction) (Result, error)
-	// Scan returns the rows of a part whose names begin with prefix, as one
-	// listing; its version is the lowest of its pages.
+	// Scan returns the rows of a partition whose names start with prefix. It reads in pages; the
+	// listing has the lowest version of them.
 	Scan(ctx context.Context, table, part, prefix string) (Listing, error)
-	// Page returns the first rows of a part whose names are from or later ones, limit of them
-	// at most.
+	// Page returns up to limit rows of a partition in name order, starting at name from.
 	Page(ctx context.Context, table, part, from string, limit int) (Listing, error)
-	// Feed waits up to wait for rows of a table that changed after a version.
+	// Feed returns the rows of a table that changed after a version. It waits up to wait for a
+	// change.
 	Feed(ctx context.Context, table string, after int64, wait time.Duration) (Listing, error)
 }
--- a/internal/rows/send_time.go
+++ b/internal/rows/send_time.go
@@ -5,18 +5,16 @@
 	"time"
 )
 
-// smallLink is the rate, in bytes a second, at which a call is taken to be sent: that of
-// a link of 2 Mbit/s.
-const smallLink = 250_000
+// sendBytesPerSecond is the assumed bandwidth to the store, 2 Mbit/s.
+const sendBytesPerSecond = 250_000
 
-// SendTime returns how long a transaction takes to send over a small link. It counts on
-// top of a call's limits: a call that ends while it is being sent is sent again from its
-// start.
+// SendTime returns how long a transaction takes to send over a slow link. Callers add it to a
+// call's time limit, because a call that is cut off while sending restarts from the beginning.
 func SendTime(transaction Transaction) time.Duration {
-	return time.Duration(transaction.Bytes()) * time.Second / smallLink
+	return time.Duration(transaction.Bytes()) * time.Second / sendBytesPerSecond
 }
 
-// Bytes is what the transaction's rows take on the link.
+// Bytes returns the encoded size of the transaction's values.
 func (t *Transaction) Bytes() int {
 	bytes := 0
 	for i := range t.Puts {
@@ -25,7 +23,7 @@
 	return bytes
 }
 
-// Bytes is what the listing's rows take on the link.
+// Bytes returns the encoded size of the listing's values.
 func (l *Listing) Bytes() int {
 	bytes := 0
 	for i := range l.Rows {
--- a/internal/rows/send_time_test.go
+++ b/internal/rows/send_time_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSendingTakesTime(t *testing.T) {
+func TestSendTimeIncludesBase64Overhead(t *testing.T) {
 	require.Zero(t, SendTime(Transaction{}))
-	transaction := Transaction{Puts: []Put{{Value: make([]byte, smallLink)}, {Value: make([]byte, 2*smallLink)}}}
-	require.InDelta(t, 4*time.Second, SendTime(transaction), float64(time.Millisecond), "a third more in base64")
+	transaction := Transaction{Puts: []Put{{Value: make([]byte, sendBytesPerSecond)}, {Value: make([]byte, 2*sendBytesPerSecond)}}}
+	require.InDelta(t, 4*time.Second, SendTime(transaction), float64(time.Millisecond), "base64 adds a third")
 }
