--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,7 +1,7 @@
-// Package store describes the platform's table service and object store as the
-// rest of the program sees them. The adapters live in subpackages.
+// Package store defines the interfaces to the platform's table service and object store. The
+// adapters are in subpackages.
 //
-// The table service keeps rows under string keys. Every committed transaction
-// gets the next revision, and each row remembers the revision that wrote it.
-// Conditions compare these revisions, never the contents.
+// The table service stores rows under string keys. Each committed transaction gets the next
+// revision, and each row has the revision that last wrote it. Conditions compare revisions, never
+// contents.
 package store
--- a/internal/store/httpstore/httpstore.go
+++ b/internal/store/httpstore/httpstore.go
@@ -1,5 +1,4 @@
-// Package httpstore reaches the platform's table service and object store over
-// HTTP.
+// Package httpstore implements store.Table and store.Objects over HTTP.
 package httpstore
 
 import (
@@ -15,19 +14,18 @@
 	"github.com/wheatroad/wheatroad/internal/store"
 )
 
-// Client is a store.Table and a store.Objects.
+// Client implements store.Table.
 type Client struct {
 	base   string
 	client *http.Client
 }
 
-// New returns a client of the platform at base, for instance
-// "http://127.0.0.1:7000".
+// New returns a client of the platform at base, such as "http://127.0.0.1:7000".
 func New(base string, client *http.Client) *Client {
 	return &Client{base: base, client: client}
 }
 
-// Commit applies a transaction.
+// Commit implements store.Table.
 func (c *Client) Commit(ctx context.Context, transaction store.Transaction) (store.CommitResult, error) {
 	var result store.CommitResult
 	err := httpjson.Do(ctx, c.client, http.MethodPost, c.base+"/table/commit", transaction, &result)
@@ -40,55 +38,55 @@
 	return result, nil
 }
 
-// Scan returns the rows under a prefix written after a revision.
+// Scan implements store.Table.
 func (c *Client) Scan(ctx context.Context, prefix string, since int64) (store.ScanResult, error) {
 	var result store.ScanResult
 	query := url.Values{"prefix": {prefix}, "since": {strconv.FormatInt(since, 10)}}
 	err := httpjson.Do(ctx, c.client, http.MethodGet, c.base+"/table/scan?"+query.Encode(), nil, &result)
-	return result, unavailable(err)
+	return result, markUnavailable(err)
 }
 
-// Get returns one row.
+// Get implements store.Table.
 func (c *Client) Get(ctx context.Context, key string) (store.Row, error) {
 	var row store.Row
 	query := url.Values{"key": {key}}
 	err := httpjson.Do(ctx, c.client, http.MethodGet, c.base+"/table/get?"+query.Encode(), nil, &row)
-	return row, unavailable(err)
+	return row, markUnavailable(err)
 }
 
-func unavailable(err error) error {
+func markUnavailable(err error) error {
 	if err == nil {
 		return nil
 	}
 	return errors.Mark(err, store.ErrUnavailable)
 }
 
-// Objects returns the object store behind the same address.
+// Objects returns a client of the object store at the same address.
 func (c *Client) Objects() *Objects { return &Objects{base: c.base, client: c.client} }
 
-// Objects is a store.Objects.
+// Objects implements store.Objects.
 type Objects struct {
 	base   string
 	client *http.Client
 }
 
-func (o *Objects) address(name string) string {
+func (o *Objects) objectURL(name string) string {
 	return o.base + "/objects?" + url.Values{"name": {name}}.Encode()
 }
 
-// Put stores an object whole.
+// Put implements store.Objects.
 func (o *Objects) Put(ctx context.Context, name string, content []byte) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, o.address(name), bytes.NewReader(content))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, o.objectURL(name), bytes.NewReader(content))
 	if err != nil {
 		return err
 	}
 	_, err = httpjson.Send(o.client, request)
-	return unavailable(err)
+	return markUnavailable(err)
 }
 
-// Get returns an object whole.
+// Get implements store.Objects.
 func (o *Objects) Get(ctx context.Context, name string) ([]byte, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, o.address(name), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, o.objectURL(name), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -96,5 +94,5 @@
 	if errors.Is(err, httpjson.ErrNotFound) {
 		return nil, store.ErrNotFound
 	}
-	return content, unavailable(err)
+	return content, markUnavailable(err)
 }
--- a/internal/store/httpstore/httpstore_test.go
+++ b/internal/store/httpstore/httpstore_test.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/store"
 )
 
-func serve(t *testing.T) (*standin.Server, *Client) {
+func newTestClient(t *testing.T) (*standin.Server, *Client) {
 	site := standin.NewSite(nil, "", time.Now())
 	server := standin.NewServer(site, 1, time.Now)
 	listener := httptest.NewServer(server)
@@ -23,7 +23,7 @@
 	return server, New(listener.URL, listener.Client())
 }
 
-func put(key, value string, revision int64) store.Transaction {
+func putIfRevision(key, value string, revision int64) store.Transaction {
 	return store.Transaction{
 		Conditions: []store.Condition{{Key: key, Revision: revision}},
 		Writes:     []store.Write{{Key: key, Value: []byte(value)}},
@@ -31,22 +31,22 @@
 }
 
 func TestTableContract(t *testing.T) {
-	_, client := serve(t)
+	_, client := newTestClient(t)
 	ctx := t.Context()
-	first, err := client.Commit(ctx, put("a/1", "x", store.Absent))
+	first, err := client.Commit(ctx, putIfRevision("a/1", "x", store.Absent))
 	require.NoError(t, err)
 	require.True(t, first.Committed)
 
-	again, err := client.Commit(ctx, put("a/1", "y", store.Absent))
+	again, err := client.Commit(ctx, putIfRevision("a/1", "y", store.Absent))
 	require.NoError(t, err)
 	require.False(t, again.Committed)
 	require.Equal(t, []string{"a/1"}, again.Failed)
 
-	mixed := put("a/2", "z", store.Absent)
+	mixed := putIfRevision("a/2", "z", store.Absent)
 	mixed.Conditions = append(mixed.Conditions, store.Condition{Key: "a/1", Revision: first.Revision + 1})
 	result, err := client.Commit(ctx, mixed)
 	require.NoError(t, err)
-	require.False(t, result.Committed, "one failed condition must keep every write out")
+	require.False(t, result.Committed, "a failed condition must prevent all writes")
 
 	row, err := client.Get(ctx, "a/2")
 	require.NoError(t, err)
@@ -58,9 +58,9 @@
 	require.NoError(t, err)
 	require.Len(t, scan.Rows, 1)
 	require.True(t, scan.Rows[0].Deleted)
-	whole, err := client.Scan(ctx, "", 0)
+	all, err := client.Scan(ctx, "", 0)
 	require.NoError(t, err)
-	require.Len(t, whole.Rows, 1)
+	require.Len(t, all.Rows, 1)
 }
 
 func TestTableFaults(t *testing.T) {
@@ -69,18 +69,18 @@
 		want   error
 		effect bool
 	}{
-		"down":               {standin.Fault{Mode: standin.Down}, store.ErrUnavailable, false},
-		"answer lost":        {standin.Fault{Mode: standin.Lossy, Share: 1}, store.ErrUnknown, true},
-		"late effect":        {standin.Fault{Mode: standin.Late, Share: 1, DelaySeconds: 0.01}, store.ErrUnknown, true},
-		"slow past deadline": {standin.Fault{Mode: standin.Slow, DelaySeconds: 0.3}, store.ErrUnknown, true},
+		"down":              {standin.Fault{Mode: standin.Down}, store.ErrUnavailable, false},
+		"response lost":     {standin.Fault{Mode: standin.Lossy, Share: 1}, store.ErrUnknown, true},
+		"late effect":       {standin.Fault{Mode: standin.Late, Share: 1, DelaySeconds: 0.01}, store.ErrUnknown, true},
+		"deadline exceeded": {standin.Fault{Mode: standin.Slow, DelaySeconds: 0.3}, store.ErrUnknown, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			server, client := serve(t)
+			server, client := newTestClient(t)
 			server.SetFault("table", c.fault)
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, err := client.Commit(ctx, put("k", "v", store.Absent))
+			_, err := client.Commit(ctx, putIfRevision("k", "v", store.Absent))
 			require.True(t, errors.Is(err, c.want), "%v", err)
 			server.SetFault("table", standin.Fault{})
 			require.Eventually(t, func() bool {
@@ -91,16 +91,16 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestRefusedConnectionIsUnavailable(t *testing.T) {
 	listener := httptest.NewServer(http.NotFoundHandler())
 	client := New(listener.URL, listener.Client())
 	listener.Close()
-	_, err := client.Commit(t.Context(), put("k", "v", store.Absent))
+	_, err := client.Commit(t.Context(), putIfRevision("k", "v", store.Absent))
 	require.True(t, errors.Is(err, store.ErrUnavailable), "a refused connection had no effect")
 }
 
 func TestObjects(t *testing.T) {
-	server, client := serve(t)
+	server, client := newTestClient(t)
 	objects := client.Objects()
 	content := bytes.Repeat([]byte("0123456789abcdef"), 1<<19)
 	_, err := objects.Get(t.Context(), "x/y")
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,41 +6,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnknown says that a transaction may or may not have taken effect, now or
-// later: its answer was lost. Nothing may be concluded from reading back; see
-// Settle in the operation marker design note.
+// ErrUnknown means that a transaction's response was lost: it may have taken effect, or may do so
+// later. Reading the rows back does not settle it; see Settle in the operation marker design note.
 var ErrUnknown = errors.New("store: outcome unknown")
 
-// ErrUnavailable says that a read failed, or that a write was refused before it
-// could take effect.
+// ErrUnavailable means that a read failed, or that a write was rejected and had no effect.
 var ErrUnavailable = errors.New("store: unavailable")
 
-// ErrNotFound says that the object store holds no such object.
+// ErrNotFound means that an object does not exist.
 var ErrNotFound = errors.New("store: no such object")
 
 // Absent as a condition's revision requires that the row does not exist.
 const Absent int64 = 0
 
-// Condition requires that the row at Key was last written at Revision.
+// Condition requires that the current revision of the row at Key is Revision.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision int64  `json:"revision"`
 }
 
-// Write replaces the row at Key, or deletes it.
+// Write creates, replaces or deletes the row at Key.
 type Write struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Transaction applies all writes if all conditions hold, and nothing otherwise.
+// Transaction applies all writes if all conditions hold, and none otherwise.
 type Transaction struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes"`
 }
 
-// CommitResult is the definite answer to a transaction.
+// CommitResult is the outcome of a transaction.
 type CommitResult struct {
 	// Committed is false when a condition did not hold.
 	Committed bool `json:"committed"`
@@ -50,7 +48,7 @@
 	Failed []string `json:"failed,omitempty"`
 }
 
-// Row is one row as read. Deleted rows appear only in scans since a revision.
+// Row is a row as read. Deleted rows are returned only by scans since a revision.
 type Row struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -58,27 +56,27 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// ScanResult holds the rows of a scan and the revision at which it was read.
+// ScanResult holds the rows of a scan and the revision at which they were read.
 type ScanResult struct {
 	Rows     []Row `json:"rows"`
 	Revision int64 `json:"revision"`
 }
 
-// Table is the platform's transactional table service.
+// Table is a client of the transactional table service.
 type Table interface {
 	// Commit applies a transaction. The error wraps ErrUnknown or ErrUnavailable.
 	Commit(ctx context.Context, transaction Transaction) (CommitResult, error)
-	// Scan returns the rows under prefix written after revision since, deleted
-	// ones included when since is not 0. The error wraps ErrUnavailable.
+	// Scan returns the rows under prefix written after revision since, including deleted ones
+	// unless since is 0. The error wraps ErrUnavailable.
 	Scan(ctx context.Context, prefix string, since int64) (ScanResult, error)
-	// Get returns one row; a missing row has revision Absent.
+	// Get returns a row. A missing row has revision Absent.
 	Get(ctx context.Context, key string) (Row, error)
 }
 
-// Objects is the platform's object store.
+// Objects is a client of the object store.
 type Objects interface {
-	// Put stores an object whole. Repeating it with the same bytes is harmless.
+	// Put stores an object. It is idempotent.
 	Put(ctx context.Context, name string, content []byte) error
-	// Get returns an object whole, or ErrNotFound.
+	// Get returns an object's content, or ErrNotFound.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
