--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/machines"
 )
 
-// MemberState is what a node says of itself.
+// MemberState is a node's state as published in its row.
 type MemberState string
 
 // The states of a member.
@@ -24,30 +24,30 @@
 	HTTPAddress string      `json:"http_address"`
 	Zone        string      `json:"zone"`
 	State       MemberState `json:"state"`
-	// Configuration is the version that the node has in force.
+	// Configuration is the version of the node's active configuration.
 	Configuration int64 `json:"configuration"`
-	// Beat counts the node's heartbeats, so that each one changes the row.
+	// Beat is a heartbeat counter, so that every heartbeat changes the row.
 	Beat int64 `json:"beat"`
 }
 
-// Summary is what an owner tells of its domain, for routing.
+// Summary is the load of a domain as published by its owner, for routing.
 type Summary struct {
-	// FreeAccelerators is what nothing occupies now.
+	// Accelerators is the capacity available for new work.
 	FreeAccelerators int64 `json:"free_accelerators"`
 	// Accelerators is the capacity that takes new work.
 	Accelerators int64 `json:"accelerators"`
 	QueuedJobs   int   `json:"queued_jobs"`
-	// QueuedAccelerators is what the queued jobs ask for.
+	// QueuedAccelerators is the number of accelerators that queued jobs request.
 	QueuedAccelerators int64 `json:"queued_accelerators"`
 	RunningJobs        int   `json:"running_jobs"`
-	// MissingWitness counts guaranteed members that have no place at present.
+	// MissingWitness is the number of guaranteed members that currently have no placement.
 	MissingWitness int `json:"missing_witness"`
 }
 
 // Lease is the row that names the owner of a scheduling domain.
 type Lease struct {
 	Domain string `json:"domain"`
-	// Owner is empty when the domain was handed back.
+	// Owner is empty after the owner has released the domain.
 	Owner       string `json:"owner"`
 	Incarnation string `json:"incarnation"`
 	PeerAddress string `json:"peer_address"`
@@ -59,28 +59,27 @@
 	Beat int64 `json:"beat"`
 }
 
-// Observed adds to a row when this node saw it change.
+// Observed is a row's value and when this node saw it change.
 type Observed[T any] struct {
 	Value    T
 	Revision int64
-	// ChangedAt is the local time before the read that first showed the revision.
+	// ChangedAt is the local time before the read that first returned the revision.
 	ChangedAt time.Time
 }
 
-// Board is the control thread's knowledge.
+// Board is the control goroutine's view of the cluster.
 type Board struct {
 	Members map[string]*Observed[Member]
 	Leases  map[string]*Observed[Lease]
-	// EpochRevisions has the revision of each domain's epoch row.
+	// EpochRevisions maps each domain to the revision of its epoch row.
 	EpochRevisions map[string]int64
-	// EpochValues has the epoch that each of those rows holds.
+	// EpochValues maps each domain to the epoch in that row.
 	EpochValues   map[string]int64
 	Configuration declaration.Configuration
 	// HeadRevision is the revision of the configuration's head row.
 	HeadRevision int64
 	Machines     map[string]machines.Machine
-	// WatchedAt is the local time before the last read that brought the board up
-	// to date.
+	// WatchedAt is the local time before the last read that made the board current.
 	WatchedAt time.Time
 	Draining  bool
 }
@@ -96,18 +95,18 @@
 	}
 }
 
-// View is an immutable copy for traffic goroutines.
+// View is an immutable copy of the board for other goroutines.
 type View struct {
 	Node          string
 	Configuration declaration.Configuration
 	Members       []Member
 	Leases        map[string]Lease
-	// Domains has the machines of every domain.
+	// Domains maps each domain to its machines.
 	Domains   map[string][]machines.Machine
 	WatchedAt time.Time
 	Draining  bool
-	// Synced is false until the first full read of the table.
+	// Synced is false until the table was read completely once.
 	Synced bool
-	// Owned lists the domains that this node holds and serves.
+	// Owned is the set of domains that this node owns and serves.
 	Owned map[string]bool
 }
--- a/internal/blackboard/doc.go
+++ b/internal/blackboard/doc.go
@@ -1,5 +1,4 @@
-// Package blackboard holds what the control thread of a node knows about the
-// whole system: members, leases of scheduling domains, the configuration in force
-// and the machines. Only the control thread touches a Board. Everyone else reads
-// the immutable View that the control thread publishes.
+// Package blackboard holds a node's view of the cluster: members, leases of scheduling domains,
+// the active configuration, and machines. Only the control goroutine accesses a Board. All other
+// goroutines read the immutable View that it publishes.
 package blackboard
