--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -45,14 +45,14 @@
 	if by, bounded := progress.AnswerBy(ctx); bounded {
 		request.BudgetMillis = time.Until(by).Milliseconds()
 	}
-	current, err := c.connection(ctx, address)
+	current, err := c.acquireConnection(ctx, address)
 	if err != nil {
 		return nil, fault.New(fault.NoOwner, "node %s cannot be reached", address)
 	}
 	sentAt := time.Now()
 	result := current.call(ctx, request)
 	if result.err != nil {
-		return nil, c.callFailed(address, current, sentAt, result.sent)
+		return nil, c.handleCallFailure(address, current, sentAt, result.sent)
 	}
 	response := result.response
 	if response.Id != request.Id {
@@ -64,26 +64,26 @@
 	return response.Document, nil
 }
 
-// callFailed replaces a connection that no longer serves after a call without an answer.
+// handleCallFailure replaces a connection that no longer serves after a call without an answer.
 // A connection may go silent for good while new ones work; left in use, it would fail
 // every call for 10 s, until its keep-alive ends it.
-func (c *Client) callFailed(address string, failed *connection, sentAt time.Time, sent bool) error {
+func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
-		c.forget(address, failed)
+		c.removeConnection(address, failed)
 		return fault.New(fault.NoOwner, "node %s cannot be reached", address)
 	}
-	if failed.silentDuring(sentAt, time.Now()) {
-		c.forget(address, failed)
+	if failed.unresponsiveSince(sentAt, time.Now()) {
+		c.removeConnection(address, failed)
 	}
 	return fault.New(fault.OutcomeUnknown, "node %s gave no answer", address)
 }
 
-// connection returns a connection on which a call is counted.
-func (c *Client) connection(ctx context.Context, address string) (*connection, error) {
+// acquireConnection returns a acquireConnection on which a call is counted.
+func (c *Client) acquireConnection(ctx context.Context, address string) (*connection, error) {
 	c.mutex.Lock()
 	known := c.connections[address]
 	c.mutex.Unlock()
-	if known != nil && known.begin() {
+	if known != nil && known.acquire() {
 		return known, nil
 	}
 	raw, err := c.dial(ctx, address)
@@ -95,24 +95,24 @@
 		raw.Close()
 		return nil, err
 	}
-	return c.keep(address, created), nil
+	return c.addConnection(address, created), nil
 }
 
-// keep remembers a new connection unless another call made one meanwhile.
-func (c *Client) keep(address string, created *connection) *connection {
+// addConnection remembers a new connection unless another call made one meanwhile.
+func (c *Client) addConnection(address string, created *connection) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if other := c.connections[address]; other != nil && other.begin() {
+	if other := c.connections[address]; other != nil && other.acquire() {
 		created.retire()
 		return other
 	}
 	c.connections[address] = created
-	created.begin()
+	created.acquire()
 	return created
 }
 
-// forget lets new calls open a new connection. Calls under way go on.
-func (c *Client) forget(address string, failed *connection) {
+// removeConnection lets new calls open a new connection. Calls under way go on.
+func (c *Client) removeConnection(address string, failed *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.connections[address] == failed {
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -13,15 +13,15 @@
 	"github.com/wheatroad/wheatroad/internal/progress"
 )
 
-// unprovenPeriod is how long a connection on which nothing has arrived yet is kept after
+// firstReadTimeout is how long a connection on which nothing has arrived yet is kept after
 // a call on it got no answer. It bounds the connections that a process which stands still
 // collects to one in two seconds for each other node.
-const unprovenPeriod = 2 * time.Second
+const firstReadTimeout = 2 * time.Second
 
 // connection is a session with another node and the calls that use it.
 type connection struct {
 	session  *yamux.Session
-	incoming *incomingWatch
+	incoming *readTracker
 	openedAt time.Time
 	mutex    sync.Mutex
 	calls    int
@@ -31,7 +31,7 @@
 }
 
 func newConnection(raw net.Conn) (*connection, error) {
-	incoming := &incomingWatch{Conn: raw}
+	incoming := &readTracker{Conn: raw}
 	session, err := yamux.Client(incoming, sessionConfig())
 	if err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	return &connection{session: session, incoming: incoming, openedAt: time.Now()}, nil
 }
 
-// begin counts a call, unless the connection is retired.
-func (c *connection) begin() bool {
+// acquire counts a call, unless the connection is retired.
+func (c *connection) acquire() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.retired || c.session.IsClosed() {
@@ -50,8 +50,8 @@
 	return true
 }
 
-// end counts a call off.
-func (c *connection) end() {
+// release counts a call off.
+func (c *connection) release() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.calls--
@@ -73,19 +73,19 @@
 	}
 }
 
-// silentDuring reports whether the connection has to be replaced after a call that was
+// unresponsiveSince reports whether the connection has to be replaced after a call that was
 // sent at a time and got no answer by now: nothing has arrived on it in the second half of
 // that time. In the first half the end of an earlier answer may have come.
-func (c *connection) silentDuring(sentAt, now time.Time) bool {
-	arrivedAt := c.incoming.lastAt()
-	if arrivedAt.IsZero() {
-		return now.Sub(c.openedAt) > unprovenPeriod
+func (c *connection) unresponsiveSince(sentAt, now time.Time) bool {
+	lastReadAt := c.incoming.lastReadAt()
+	if lastReadAt.IsZero() {
+		return now.Sub(c.openedAt) > firstReadTimeout
 	}
-	return arrivedAt.Before(sentAt.Add(now.Sub(sentAt) / 2))
+	return lastReadAt.Before(sentAt.Add(now.Sub(sentAt) / 2))
 }
 
-// outcome is how a call ended.
-type outcome struct {
+// callResult is how a call ended.
+type callResult struct {
 	response *peerpb.Response
 	// sent is false if the request surely did not reach the other node.
 	sent bool
@@ -94,59 +94,59 @@
 
 // call sends a request and waits for the answer, until the context ends at the latest: a
 // session whose buffers are full holds up whoever writes for writeTimeout.
-func (c *connection) call(ctx context.Context, request *peerpb.Request) outcome {
-	ended := make(chan outcome, 1)
+func (c *connection) call(ctx context.Context, request *peerpb.Request) callResult {
+	results := make(chan callResult, 1)
 	go func() {
-		defer c.end()
-		ended <- c.exchange(ctx, request)
+		defer c.release()
+		results <- c.roundTrip(ctx, request)
 	}()
 	select {
-	case result := <-ended:
+	case result := <-results:
 		return result
 	case <-ctx.Done():
-		return outcome{sent: true, err: ctx.Err()}
+		return callResult{sent: true, err: ctx.Err()}
 	}
 }
 
-func (c *connection) exchange(ctx context.Context, request *peerpb.Request) outcome {
+func (c *connection) roundTrip(ctx context.Context, request *peerpb.Request) callResult {
 	stream, err := c.session.Open()
 	if err != nil {
-		return outcome{err: err}
+		return callResult{err: err}
 	}
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, func() { stream.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if err := writeMessage(stream, request); err != nil {
-		return outcome{sent: true, err: err}
+		return callResult{sent: true, err: err}
 	}
 	response := &peerpb.Response{}
 	err = readMessage(progress.Reader(ctx, stream), response)
-	return outcome{response: response, sent: true, err: err}
+	return callResult{response: response, sent: true, err: err}
 }
 
-// incomingWatch notes when bytes arrive on a connection.
-type incomingWatch struct {
+// readTracker notes when bytes arrive on a connection.
+type readTracker struct {
 	net.Conn
-	arrivedNanos atomic.Int64
+	lastReadNanos atomic.Int64
 }
 
 // Read implements io.Reader.
-func (w *incomingWatch) Read(buffer []byte) (int, error) {
+func (w *readTracker) Read(buffer []byte) (int, error) {
 	count, err := w.Conn.Read(buffer)
 	if count > 0 {
-		w.arrivedNanos.Store(int64(time.Since(watchEpoch)))
+		w.lastReadNanos.Store(int64(time.Since(readTrackerEpoch)))
 	}
 	return count, err
 }
 
-// watchEpoch is what incomingWatch counts from, on the steady clock.
-var watchEpoch = time.Now()
+// readTrackerEpoch is what incomingWatch counts from, on the steady clock.
+var readTrackerEpoch = time.Now()
 
-// lastAt returns when bytes last arrived; zero if none have.
-func (w *incomingWatch) lastAt() time.Time {
-	nanos := w.arrivedNanos.Load()
+// lastReadAt returns when bytes last arrived; zero if none have.
+func (w *readTracker) lastReadAt() time.Time {
+	nanos := w.lastReadNanos.Load()
 	if nanos == 0 {
 		return time.Time{}
 	}
-	return watchEpoch.Add(time.Duration(nanos))
+	return readTrackerEpoch.Add(time.Duration(nanos))
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -65,7 +65,7 @@
 	group.Wait()
 }
 
-func TestFaultsOfACall(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	cases := map[string]struct {
@@ -107,11 +107,11 @@
 	}
 }
 
-// TestAnswerToAnotherRequestIsRefused plays a peer that mixes answers up.
-func TestAnswerToAnotherRequestIsRefused(t *testing.T) {
+// TestResponseWithWrongIDIsRejected plays a peer that mixes answers up.
+func TestResponseWithWrongIDIsRejected(t *testing.T) {
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
-		go answerAnother(far)
+		go answerWithWrongID(far)
 		return near, nil
 	})
 	defer client.Close()
@@ -121,7 +121,7 @@
 	require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
 }
 
-func answerAnother(connection net.Conn) {
+func answerWithWrongID(connection net.Conn) {
 	session, err := yamux.Server(connection, sessionConfig())
 	if err != nil {
 		return
@@ -138,24 +138,24 @@
 	<-session.CloseChan()
 }
 
-// pieceRecorder keeps what is written and the largest piece of it.
-type pieceRecorder struct {
+// chunkRecorder keeps what is written and the largest piece of it.
+type chunkRecorder struct {
 	bytes.Buffer
 	largest int
 }
 
-func (r *pieceRecorder) Write(content []byte) (int, error) {
+func (r *chunkRecorder) Write(content []byte) (int, error) {
 	r.largest = max(r.largest, len(content))
 	return r.Buffer.Write(content)
 }
 
-// TestLargeMessagesAreWrittenInPieces: an answer of a megabyte in one frame held up the
+// TestLargeMessagesAreWrittenInChunks: an answer of a megabyte in one frame held up the
 // pings of the same connection for longer than these wait.
-func TestLargeMessagesAreWrittenInPieces(t *testing.T) {
+func TestLargeMessagesAreWrittenInChunks(t *testing.T) {
 	sent := &peerpb.Response{Id: "7", Document: bytes.Repeat([]byte("x"), 1<<20)}
-	var recorder pieceRecorder
+	var recorder chunkRecorder
 	require.NoError(t, writeMessage(&recorder, sent))
-	require.Equal(t, pieceBytes, recorder.largest)
+	require.Equal(t, chunkBytes, recorder.largest)
 	received := &peerpb.Response{}
 	require.NoError(t, readMessage(&recorder.Buffer, received))
 	require.Equal(t, sent.Document, received.Document)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -49,24 +49,24 @@
 		connection.Close()
 		return
 	}
-	s.track(session, true)
-	defer s.track(session, false)
+	s.trackSession(session, true)
+	defer s.trackSession(session, false)
 	defer session.Close()
 	for {
 		stream, err := session.Accept()
 		if err != nil {
 			return
 		}
-		if s.begin() {
-			go s.serve(stream)
+		if s.beginRequest() {
+			go s.serveRequest(stream)
 		} else {
-			go respond(stream, refuse)
+			go serveStream(stream, rejectRequest)
 		}
 	}
 }
 
-// begin counts a request that Shutdown must wait for, unless it has begun to wait.
-func (s *Server) begin() bool {
+// beginRequest counts a request that Shutdown must wait for, unless it has begun to wait.
+func (s *Server) beginRequest() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closing {
@@ -76,17 +76,17 @@
 	return true
 }
 
-func (s *Server) serve(stream net.Conn) {
+func (s *Server) serveRequest(stream net.Conn) {
 	defer s.requests.Done()
-	respond(stream, s.handler)
+	serveStream(stream, s.handler)
 }
 
-// refuse answers requests that come after the end of service. They did nothing.
-func refuse(context.Context, *peerpb.Request) ([]byte, error) {
+// rejectRequest answers requests that come after the end of service. They did nothing.
+func rejectRequest(context.Context, *peerpb.Request) ([]byte, error) {
 	return nil, fault.New(fault.NoOwner, "the node is stopping")
 }
 
-func (s *Server) track(session *yamux.Session, open bool) {
+func (s *Server) trackSession(session *yamux.Session, open bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if open {
@@ -96,15 +96,15 @@
 	}
 }
 
-// readLimit bounds how long a request may take to arrive once its stream is open.
-const readLimit = 10 * time.Second
+// requestReadTimeout bounds how long a request may take to arrive once its stream is open.
+const requestReadTimeout = 10 * time.Second
 
-// respond reads a request from a stream and writes the handler's answer.
-func respond(stream net.Conn, handler Handler) {
+// serveStream reads a request from a stream and writes the handler's answer.
+func serveStream(stream net.Conn, handler Handler) {
 	defer stream.Close()
 	request := &peerpb.Request{}
 	// A stream that cannot take a deadline is closed already.
-	_ = stream.SetReadDeadline(time.Now().Add(readLimit))
+	_ = stream.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	if err := readMessage(stream, request); err != nil {
 		return
 	}
--- a/internal/peer/silent_connection_test.go
+++ b/internal/peer/silent_connection_test.go
@@ -22,23 +22,23 @@
 // a time-out of 5 s more, replaced it.
 // Settled by: calls of 0.4 s, each begun when the last one failed, failed for 10.0 s.
 
-// silentConn is a connection that can go silent: what is written to it is taken and
+// unresponsiveConn is a connection that can go silent: what is written to it is taken and
 // lost, and nothing arrives any more.
-type silentConn struct {
+type unresponsiveConn struct {
 	net.Conn
-	silent  atomic.Bool
-	stuck   atomic.Bool
-	closing chan struct{}
-	once    sync.Once
+	dropTraffic atomic.Bool
+	blockWrites atomic.Bool
+	closing     chan struct{}
+	once        sync.Once
 }
 
 // Write implements net.Conn.
-func (c *silentConn) Write(content []byte) (int, error) {
-	if c.stuck.Load() {
+func (c *unresponsiveConn) Write(content []byte) (int, error) {
+	if c.blockWrites.Load() {
 		<-c.closing
 		return 0, net.ErrClosed
 	}
-	if c.silent.Load() {
+	if c.dropTraffic.Load() {
 		return len(content), nil
 	}
 	return c.Conn.Write(content)
@@ -46,40 +46,40 @@
 
 // Read implements net.Conn. What arrives once the connection is silent is lost; a frame
 // that was under way would show the connection as alive else.
-func (c *silentConn) Read(buffer []byte) (int, error) {
+func (c *unresponsiveConn) Read(buffer []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(buffer)
-		if err != nil || !c.silent.Load() {
+		if err != nil || !c.dropTraffic.Load() {
 			return count, err
 		}
 	}
 }
 
 // Close implements net.Conn.
-func (c *silentConn) Close() error {
+func (c *unresponsiveConn) Close() error {
 	c.once.Do(func() { close(c.closing) })
 	return c.Conn.Close()
 }
 
-// silentNetwork connects a client with a server over connections that go silent.
-type silentNetwork struct {
+// testNetwork connects a client with a server over connections that go silent.
+type testNetwork struct {
 	client *Client
 	dialed atomic.Int32
-	// standsStill is true while the other process serves no connection.
-	standsStill atomic.Bool
-	mutex       sync.Mutex
-	open        []*silentConn
+	// dropNewTraffic is true while the other process serves no connection.
+	dropNewTraffic atomic.Bool
+	mutex          sync.Mutex
+	open           []*unresponsiveConn
 }
 
-func newSilentNetwork(t *testing.T, handler Handler) *silentNetwork {
-	network := &silentNetwork{}
+func newTestNetwork(t *testing.T, handler Handler) *testNetwork {
+	network := &testNetwork{}
 	server := NewServer(handler)
 	network.client = NewClient(func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go server.ServeConnection(far)
 		network.dialed.Add(1)
-		connection := &silentConn{Conn: near, closing: make(chan struct{})}
-		connection.silent.Store(network.standsStill.Load())
+		connection := &unresponsiveConn{Conn: near, closing: make(chan struct{})}
+		connection.dropTraffic.Store(network.dropNewTraffic.Load())
 		network.mutex.Lock()
 		defer network.mutex.Unlock()
 		network.open = append(network.open, connection)
@@ -89,36 +89,36 @@
 	return network
 }
 
-// silence strikes every connection that is open now.
-func (n *silentNetwork) silence() {
+// dropOpenTraffic strikes every connection that is open now.
+func (n *testNetwork) dropOpenTraffic() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, connection := range n.open {
-		connection.silent.Store(true)
+		connection.dropTraffic.Store(true)
 	}
 }
 
-// block makes every connection that is open now take no more bytes.
-func (n *silentNetwork) block() {
+// blockOpenWrites makes every connection that is open now take no more bytes.
+func (n *testNetwork) blockOpenWrites() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, connection := range n.open {
-		connection.stuck.Store(true)
+		connection.blockWrites.Store(true)
 	}
 }
 
-// silentCallLimit is how long the tests' calls wait.
-const silentCallLimit = 50 * time.Millisecond
+// unresponsiveCallLimit is how long the tests' calls wait.
+const unresponsiveCallLimit = 50 * time.Millisecond
 
-func (n *silentNetwork) call(t *testing.T, limit time.Duration) error {
+func (n *testNetwork) call(t *testing.T, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
 	_, err := n.client.Call(ctx, "peer", lookup("one"))
 	return err
 }
 
-// callLater begins a call that may take long and returns where its outcome comes.
-func (n *silentNetwork) callLater(t *testing.T, id string) <-chan error {
+// startCall begins a call that may take long and returns where its outcome comes.
+func (n *testNetwork) startCall(t *testing.T, id string) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		_, err := n.client.Call(t.Context(), "peer", lookup(id))
@@ -129,25 +129,25 @@
 
 func echo(context.Context, *peerpb.Request) ([]byte, error) { return []byte("{}"), nil }
 
-func TestSilentConnectionToANodeCostsOneCall(t *testing.T) {
-	network := newSilentNetwork(t, echo)
+func TestUnresponsiveConnectionFailsOneCall(t *testing.T) {
+	network := newTestNetwork(t, echo)
 	require.NoError(t, network.call(t, time.Minute))
 	for range 3 {
-		network.silence()
-		err := network.call(t, silentCallLimit)
+		network.dropOpenTraffic()
+		err := network.call(t, unresponsiveCallLimit)
 		require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
 		require.NoError(t, network.call(t, time.Minute), "the next call goes over a new connection")
 	}
 }
 
-// TestSilentConnectionThatTakesNoBytesHoldsNoCallBeyondItsDeadline: with full buffers a
+// TestBlockedWriteHonorsDeadline: with full buffers a
 // call cannot even be sent, and gave up after 5 s.
-func TestSilentConnectionThatTakesNoBytesHoldsNoCallBeyondItsDeadline(t *testing.T) {
-	network := newSilentNetwork(t, echo)
+func TestBlockedWriteHonorsDeadline(t *testing.T) {
+	network := newTestNetwork(t, echo)
 	require.NoError(t, network.call(t, time.Minute))
-	network.block()
+	network.blockOpenWrites()
 	ended := make(chan error, 1)
-	go func() { ended <- network.call(t, silentCallLimit) }()
+	go func() { ended <- network.call(t, unresponsiveCallLimit) }()
 	select {
 	case err := <-ended:
 		require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
@@ -157,42 +157,42 @@
 	require.NoError(t, network.call(t, time.Minute))
 }
 
-// TestSlowAnswersKeepTheirConnection: a connection on which others' answers arrive is not
+// TestSlowResponseKeepsConnection: a connection on which others' answers arrive is not
 // silent, and a call that waits for longer goes on.
-func TestSlowAnswersKeepTheirConnection(t *testing.T) {
+func TestSlowResponseKeepsConnection(t *testing.T) {
 	release := make(chan struct{})
-	network := newSilentNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
+	network := newTestNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
 		if request.Id == "slow" {
 			<-release
 		}
 		return []byte("{}"), nil
 	})
 	require.NoError(t, network.call(t, time.Minute))
-	slow := network.callLater(t, "slow")
+	slow := network.startCall(t, "slow")
 	require.NoError(t, network.call(t, time.Minute))
 	close(release)
 	require.NoError(t, <-slow)
 	require.EqualValues(t, 1, network.dialed.Load())
 }
 
-// TestSilentPeerIsNotDialedByEveryCall: a process that stands still answers on no
+// TestUnresponsivePeerIsNotRedialedByEveryCall: a process that stands still answers on no
 // connection; a new one for each call would fill its queue of new connections.
-func TestSilentPeerIsNotDialedByEveryCall(t *testing.T) {
-	network := newSilentNetwork(t, echo)
+func TestUnresponsivePeerIsNotRedialedByEveryCall(t *testing.T) {
+	network := newTestNetwork(t, echo)
 	require.NoError(t, network.call(t, time.Minute))
-	network.silence()
-	network.standsStill.Store(true)
+	network.dropOpenTraffic()
+	network.dropNewTraffic.Store(true)
 	for range 10 {
 		require.Error(t, network.call(t, 10*time.Millisecond))
 	}
 	require.LessOrEqual(t, network.dialed.Load(), int32(2))
 }
 
-// TestCallUnderWayOutlivesItsReplacedConnection: only new calls leave a connection on
+// TestReplacedConnectionFinishesPendingCalls: only new calls leave a connection on
 // which one call got no answer.
-func TestCallUnderWayOutlivesItsReplacedConnection(t *testing.T) {
+func TestReplacedConnectionFinishesPendingCalls(t *testing.T) {
 	release := make(chan struct{})
-	network := newSilentNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
+	network := newTestNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
 		if request.Id == "one" {
 			return []byte("{}"), nil
 		}
@@ -200,8 +200,8 @@
 		return []byte("{}"), nil
 	})
 	require.NoError(t, network.call(t, time.Minute))
-	slow := network.callLater(t, "slow")
-	ctx, cancel := context.WithTimeout(t.Context(), silentCallLimit)
+	slow := network.startCall(t, "slow")
+	ctx, cancel := context.WithTimeout(t.Context(), unresponsiveCallLimit)
 	defer cancel()
 	_, err := network.client.Call(ctx, "peer", lookup("slower"))
 	require.Error(t, err)
