--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,15 +14,15 @@
 // Dialer opens a connection to another node.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Client keeps one connection to each other node, and a new one once that has gone silent.
+// Client calls other nodes. It keeps one connection per node and replaces it when it becomes
+// unresponsive.
 type Client struct {
 	dial        Dialer
 	mutex       sync.Mutex
 	connections map[string]*connection
 }
 
-// NewClient returns a client that connects with dial, or over plain TCP when dial
-// is nil.
+// NewClient returns a client that connects with dial, or over TCP if dial is nil.
 func NewClient(dial Dialer) *Client {
 	if dial == nil {
 		dial = dialTCP
@@ -30,7 +30,7 @@
 	return &Client{dial: dial, connections: map[string]*connection{}}
 }
 
-// dialTimeout bounds the wait for a connection, so that a dead node costs little.
+// dialTimeout limits the time spent connecting to a node.
 const dialTimeout = 2 * time.Second
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -38,9 +38,8 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Call sends a request and returns the whole answer. The error is a *fault.Error.
-// NoOwner means that the request did not reach the other node; OutcomeUnknown that
-// it may have.
+// Call sends a request and returns the response document. The error is a *fault.Error: NoOwner
+// means that the request was not sent, OutcomeUnknown that it may have been executed.
 func (c *Client) Call(ctx context.Context, address string, request *peerpb.Request) ([]byte, error) {
 	if by, bounded := progress.AnswerBy(ctx); bounded {
 		request.BudgetMillis = time.Until(by).Milliseconds()
@@ -64,9 +63,8 @@
 	return response.Document, nil
 }
 
-// handleCallFailure replaces a connection that no longer serves after a call without an answer.
-// A connection may go silent for good while new ones work; left in use, it would fail
-// every call for 10 s, until its keep-alive ends it.
+// handleCallFailure retires the connection of a failed call if it is unresponsive. Otherwise every
+// call would fail until the keep-alive closes the connection after 10 s.
 func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
 		c.removeConnection(address, failed)
@@ -78,7 +76,7 @@
 	return fault.New(fault.OutcomeUnknown, "node %s gave no answer", address)
 }
 
-// acquireConnection returns a acquireConnection on which a call is counted.
+// acquireConnection returns a connection to address on which a call has been acquired.
 func (c *Client) acquireConnection(ctx context.Context, address string) (*connection, error) {
 	c.mutex.Lock()
 	known := c.connections[address]
@@ -98,7 +96,7 @@
 	return c.addConnection(address, created), nil
 }
 
-// addConnection remembers a new connection unless another call made one meanwhile.
+// addConnection stores a new connection, unless another call stored one in the meantime.
 func (c *Client) addConnection(address string, created *connection) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -111,7 +109,7 @@
 	return created
 }
 
-// removeConnection lets new calls open a new connection. Calls under way go on.
+// removeConnection makes new calls open another connection. Pending calls continue.
 func (c *Client) removeConnection(address string, failed *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -121,7 +119,7 @@
 	failed.retire()
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -13,20 +13,19 @@
 	"github.com/wheatroad/wheatroad/internal/progress"
 )
 
-// firstReadTimeout is how long a connection on which nothing has arrived yet is kept after
-// a call on it got no answer. It bounds the connections that a process which stands still
-// collects to one in two seconds for each other node.
+// firstReadTimeout is how long a connection on which nothing was received yet is kept after a
+// failed call. It limits reconnects to a hung process to one every two seconds.
 const firstReadTimeout = 2 * time.Second
 
-// connection is a session with another node and the calls that use it.
+// connection is a yamux session with another node, shared by concurrent calls.
 type connection struct {
 	session  *yamux.Session
 	incoming *readTracker
 	openedAt time.Time
 	mutex    sync.Mutex
 	calls    int
-	// retired is true once new calls go elsewhere. The session is closed after the last
-	// call then.
+	// retired is true once new calls use another connection. The session is closed after the last
+	// pending call.
 	retired bool
 }
 
@@ -39,7 +38,7 @@
 	return &connection{session: session, incoming: incoming, openedAt: time.Now()}, nil
 }
 
-// acquire counts a call, unless the connection is retired.
+// acquire registers a call. It returns false if the connection is retired or closed.
 func (c *connection) acquire() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -50,7 +49,7 @@
 	return true
 }
 
-// release counts a call off.
+// release unregisters a call.
 func (c *connection) release() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -58,7 +57,7 @@
 	c.closeIfUnused()
 }
 
-// retire keeps new calls off the connection.
+// retire prevents new calls on the connection.
 func (c *connection) retire() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -68,14 +67,14 @@
 
 func (c *connection) closeIfUnused() {
 	if c.retired && c.calls == 0 {
-		// Closing waits for the session's goroutines, of which one may call back here.
+		// Close waits for the session's goroutines, one of which may be calling this method.
 		go c.session.Close()
 	}
 }
 
-// unresponsiveSince reports whether the connection has to be replaced after a call that was
-// sent at a time and got no answer by now: nothing has arrived on it in the second half of
-// that time. In the first half the end of an earlier answer may have come.
+// unresponsiveSince reports whether a connection must be replaced after a call sent at sentAt got
+// no response by now: nothing was received in the second half of that time. Data in the first half
+// may belong to an earlier response.
 func (c *connection) unresponsiveSince(sentAt, now time.Time) bool {
 	lastReadAt := c.incoming.lastReadAt()
 	if lastReadAt.IsZero() {
@@ -84,16 +83,16 @@
 	return lastReadAt.Before(sentAt.Add(now.Sub(sentAt) / 2))
 }
 
-// callResult is how a call ended.
+// callResult is the outcome of a call.
 type callResult struct {
 	response *peerpb.Response
-	// sent is false if the request surely did not reach the other node.
+	// sent is false if the request cannot have reached the other node.
 	sent bool
 	err  error
 }
 
-// call sends a request and waits for the answer, until the context ends at the latest: a
-// session whose buffers are full holds up whoever writes for writeTimeout.
+// call sends a request and waits for the response, no longer than ctx. Without the goroutine, a
+// session with full buffers would block the caller for writeTimeout.
 func (c *connection) call(ctx context.Context, request *peerpb.Request) callResult {
 	results := make(chan callResult, 1)
 	go func() {
@@ -124,7 +123,7 @@
 	return callResult{response: response, sent: true, err: err}
 }
 
-// readTracker notes when bytes arrive on a connection.
+// readTracker records when data was last received on a connection.
 type readTracker struct {
 	net.Conn
 	lastReadNanos atomic.Int64
@@ -139,10 +138,10 @@
 	return count, err
 }
 
-// readTrackerEpoch is what incomingWatch counts from, on the steady clock.
+// readTrackerEpoch is the base of readTracker.lastReadNanos, on the monotonic clock.
 var readTrackerEpoch = time.Now()
 
-// lastReadAt returns when bytes last arrived; zero if none have.
+// lastReadAt returns when data was last received, or the zero time if never.
 func (w *readTracker) lastReadAt() time.Time {
 	nanos := w.lastReadNanos.Load()
 	if nanos == 0 {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer carries requests between the processes of wheatroad: protobuf
-// messages on yamux streams, one stream a request, many on one connection.
+// Package peer implements calls between wheatroad processes: protobuf messages over yamux, one
+// stream per request and one connection per node.
 package peer
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -11,7 +11,7 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// maxMessageBytes bounds the bytes of one message.
+// maxMessageBytes limits the size of a message.
 const maxMessageBytes = 64 << 20
 
 func readMessage(r io.Reader, message proto.Message) error {
@@ -19,9 +19,8 @@
 	return options.UnmarshalFrom(bufio.NewReader(r), message)
 }
 
-// chunkBytes is the most that is written at once. What is written at once is one frame,
-// which a connection carries and hands on as a whole: over a link of 10 Mbit/s 16 KiB hold
-// up other calls of the connection for 13 ms, where a frame of 1 MiB does for 0.8 s.
+// chunkBytes limits the size of one write, which becomes one yamux frame. Large frames delay other
+// calls on the connection: at 10 Mbit/s, 16 KiB take 13 ms and 1 MiB takes 0.8 s.
 const chunkBytes = 16 << 10
 
 func writeMessage(w io.Writer, message proto.Message) error {
@@ -29,7 +28,7 @@
 	return err
 }
 
-// chunkWriter writes in pieces.
+// chunkWriter splits writes into chunks of chunkBytes.
 type chunkWriter struct{ target io.Writer }
 
 // Write implements io.Writer.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,8 +18,7 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// connect returns a client whose connections reach a server with the handler over
-// in-memory pipes.
+// connect returns a client connected to a server over in-memory pipes.
 func connect(handler Handler) (*Client, *Server) {
 	server := NewServer(handler)
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
@@ -36,8 +35,8 @@
 
 func TestAnswersOfAnySizeArriveWholeAndOutOfOrder(t *testing.T) {
 	const calls, size = 8, 5 << 20
-	// answered[n] is closed once request n has its answer; request n-1 waits for it,
-	// so that the first is answered last.
+	// answered[n] is closed once request n has its response. Request n-1 waits for it, so that
+	// responses arrive in reverse order.
 	answered := make([]chan struct{}, calls+1)
 	for number := range answered {
 		answered[number] = make(chan struct{})
@@ -84,7 +83,7 @@
 			},
 			want: fault.NeverFits, budget: time.Second,
 		},
-		"no answer before the deadline": {
+		"no response before the deadline": {
 			handler: func(context.Context, *peerpb.Request) ([]byte, error) {
 				<-release
 				return nil, nil
@@ -107,7 +106,7 @@
 	}
 }
 
-// TestResponseWithWrongIDIsRejected plays a peer that mixes answers up.
+// TestResponseWithWrongIDIsRejected guards against accepting the response to another request.
 func TestResponseWithWrongIDIsRejected(t *testing.T) {
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -138,7 +137,7 @@
 	<-session.CloseChan()
 }
 
-// chunkRecorder keeps what is written and the largest piece of it.
+// chunkRecorder records written data and the size of the largest write.
 type chunkRecorder struct {
 	bytes.Buffer
 	largest int
@@ -149,8 +148,8 @@
 	return r.Buffer.Write(content)
 }
 
-// TestLargeMessagesAreWrittenInChunks: an answer of a megabyte in one frame held up the
-// pings of the same connection for longer than these wait.
+// TestLargeMessagesAreWrittenInChunks guards against large frames delaying the keep-alive pings of
+// a connection beyond their timeout.
 func TestLargeMessagesAreWrittenInChunks(t *testing.T) {
 	sent := &peerpb.Response{Id: "7", Document: bytes.Repeat([]byte("x"), 1<<20)}
 	var recorder chunkRecorder
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,20 +13,20 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// Handler answers one request with a JSON document or an error of a listed kind.
+// Handler executes a request and returns a JSON document or an error of a listed kind.
 type Handler func(ctx context.Context, request *peerpb.Request) ([]byte, error)
 
-// Server accepts connections of other nodes.
+// Server serves requests of other nodes.
 type Server struct {
 	handler  Handler
 	mutex    sync.Mutex
 	sessions map[*yamux.Session]bool
-	// closing is set, under the mutex, before requests is waited for.
+	// closing is set, under the mutex, before Shutdown waits for requests.
 	closing  bool
 	requests sync.WaitGroup
 }
 
-// NewServer returns a server that answers with handler.
+// NewServer returns a server that passes requests to handler.
 func NewServer(handler Handler) *Server {
 	return &Server{handler: handler, sessions: map[*yamux.Session]bool{}}
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// ServeConnection answers the requests of one connection until it ends.
+// ServeConnection serves requests on a connection until it is closed.
 func (s *Server) ServeConnection(connection net.Conn) {
 	session, err := yamux.Server(connection, sessionConfig())
 	if err != nil {
@@ -65,7 +65,8 @@
 	}
 }
 
-// beginRequest counts a request that Shutdown must wait for, unless it has begun to wait.
+// beginRequest registers a request for which Shutdown waits. It returns false if Shutdown has been
+// called.
 func (s *Server) beginRequest() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -81,7 +82,7 @@
 	serveStream(stream, s.handler)
 }
 
-// rejectRequest answers requests that come after the end of service. They did nothing.
+// rejectRequest answers requests received during shutdown. They are not executed.
 func rejectRequest(context.Context, *peerpb.Request) ([]byte, error) {
 	return nil, fault.New(fault.NoOwner, "the node is stopping")
 }
@@ -96,14 +97,14 @@
 	}
 }
 
-// requestReadTimeout bounds how long a request may take to arrive once its stream is open.
+// requestReadTimeout limits the time between the opening of a stream and the end of its request.
 const requestReadTimeout = 10 * time.Second
 
-// serveStream reads a request from a stream and writes the handler's answer.
+// serveStream reads a request from a stream and writes the handler's response.
 func serveStream(stream net.Conn, handler Handler) {
 	defer stream.Close()
 	request := &peerpb.Request{}
-	// A stream that cannot take a deadline is closed already.
+	// SetReadDeadline fails only on a closed stream, and then so does the read.
 	_ = stream.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	if err := readMessage(stream, request); err != nil {
 		return
@@ -117,12 +118,12 @@
 	} else {
 		response.Document = document
 	}
-	// A caller that went away needs no answer.
+	// A write error means that the caller has gone.
 	_ = writeMessage(stream, response)
 }
 
-// Shutdown waits until all requests that have begun are answered, then closes all
-// connections. The context bounds the wait.
+// Shutdown waits until all registered requests are answered or ctx ends, then closes all
+// connections.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.mutex.Lock()
 	s.closing = true
@@ -143,8 +144,7 @@
 	}
 }
 
-// Session limits: how long a dead connection goes unnoticed, and how much of one
-// answer may be under way.
+// Session limits: detection time of dead connections, and receive window per stream.
 const (
 	keepAlive    = 5 * time.Second
 	writeTimeout = 5 * time.Second
--- a/internal/peer/unresponsive_connection_test.go
+++ b/internal/peer/unresponsive_connection_test.go
@@ -14,16 +14,10 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// Symptom: a node could not reach the owner of a pool for 10 s, although the owner and
-// the path to it were well.
-// Sequence: the connection to the owner goes silent without a reset; new connections
-// work; every call on the old one times out after 0.4 s, one after another.
-// Cause: a call that timed out left its connection in use; only the keep-alive, 5 s and
-// a time-out of 5 s more, replaced it.
-// Settled by: calls of 0.4 s, each begun when the last one failed, failed for 10.0 s.
-
-// unresponsiveConn is a connection that can go silent: what is written to it is taken and
-// lost, and nothing arrives any more.
+// These tests guard against an open connection becoming unresponsive without a reset while new ones
+// work: only one call may fail before the connection is replaced.
+
+// unresponsiveConn is a connection that can drop all traffic or block writes.
 type unresponsiveConn struct {
 	net.Conn
 	dropTraffic atomic.Bool
@@ -44,8 +38,8 @@
 	return c.Conn.Write(content)
 }
 
-// Read implements net.Conn. What arrives once the connection is silent is lost; a frame
-// that was under way would show the connection as alive else.
+// Read implements net.Conn. It discards data received after traffic is dropped; a frame in transit
+// would otherwise make the connection look responsive.
 func (c *unresponsiveConn) Read(buffer []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(buffer)
@@ -61,11 +55,11 @@
 	return c.Conn.Close()
 }
 
-// testNetwork connects a client with a server over connections that go silent.
+// testNetwork connects a client with a server over unresponsiveConns.
 type testNetwork struct {
 	client *Client
 	dialed atomic.Int32
-	// dropNewTraffic is true while the other process serves no connection.
+	// dropNewTraffic makes new connections drop all traffic, as with a hung process.
 	dropNewTraffic atomic.Bool
 	mutex          sync.Mutex
 	open           []*unresponsiveConn
@@ -89,7 +83,7 @@
 	return network
 }
 
-// dropOpenTraffic strikes every connection that is open now.
+// dropOpenTraffic makes all open connections drop their traffic.
 func (n *testNetwork) dropOpenTraffic() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -98,7 +92,7 @@
 	}
 }
 
-// blockOpenWrites makes every connection that is open now take no more bytes.
+// blockOpenWrites makes writes on all open connections block.
 func (n *testNetwork) blockOpenWrites() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -107,7 +101,7 @@
 	}
 }
 
-// unresponsiveCallLimit is how long the tests' calls wait.
+// unresponsiveCallLimit is the time limit of calls that are expected to fail.
 const unresponsiveCallLimit = 50 * time.Millisecond
 
 func (n *testNetwork) call(t *testing.T, limit time.Duration) error {
@@ -117,7 +111,7 @@
 	return err
 }
 
-// startCall begins a call that may take long and returns where its outcome comes.
+// startCall starts a call and returns a channel that receives its error.
 func (n *testNetwork) startCall(t *testing.T, id string) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -136,12 +130,12 @@
 		network.dropOpenTraffic()
 		err := network.call(t, unresponsiveCallLimit)
 		require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
-		require.NoError(t, network.call(t, time.Minute), "the next call goes over a new connection")
+		require.NoError(t, network.call(t, time.Minute), "the next call must use a new connection")
 	}
 }
 
-// TestBlockedWriteHonorsDeadline: with full buffers a
-// call cannot even be sent, and gave up after 5 s.
+// TestBlockedWriteHonorsDeadline guards against a call outliving its deadline while it waits for
+// buffer space.
 func TestBlockedWriteHonorsDeadline(t *testing.T) {
 	network := newTestNetwork(t, echo)
 	require.NoError(t, network.call(t, time.Minute))
@@ -152,13 +146,13 @@
 	case err := <-ended:
 		require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
 	case <-time.After(writeTimeout / 2):
-		t.Fatal("the call is held by its connection")
+		t.Fatal("the call is blocked by its connection")
 	}
 	require.NoError(t, network.call(t, time.Minute))
 }
 
-// TestSlowResponseKeepsConnection: a connection on which others' answers arrive is not
-// silent, and a call that waits for longer goes on.
+// TestSlowResponseKeepsConnection: a connection that receives responses to other calls is
+// responsive, and slow calls continue on it.
 func TestSlowResponseKeepsConnection(t *testing.T) {
 	release := make(chan struct{})
 	network := newTestNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
@@ -175,8 +169,8 @@
 	require.EqualValues(t, 1, network.dialed.Load())
 }
 
-// TestUnresponsivePeerIsNotRedialedByEveryCall: a process that stands still answers on no
-// connection; a new one for each call would fill its queue of new connections.
+// TestUnresponsivePeerIsNotRedialedByEveryCall guards against filling the accept queue of a hung
+// process.
 func TestUnresponsivePeerIsNotRedialedByEveryCall(t *testing.T) {
 	network := newTestNetwork(t, echo)
 	require.NoError(t, network.call(t, time.Minute))
@@ -188,8 +182,8 @@
 	require.LessOrEqual(t, network.dialed.Load(), int32(2))
 }
 
-// TestReplacedConnectionFinishesPendingCalls: only new calls leave a connection on
-// which one call got no answer.
+// TestReplacedConnectionFinishesPendingCalls: only new calls leave a connection after one call got
+// no response.
 func TestReplacedConnectionFinishesPendingCalls(t *testing.T) {
 	release := make(chan struct{})
 	network := newTestNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
