--- a/internal/httppool/httppool.go
+++ b/internal/httppool/httppool.go
@@ -1,5 +1,5 @@
-// Package httppool keeps the HTTP connections to many servers, those of each server by
-// themselves, so that what one call finds out about them serves the calls after it.
+// Package httppool provides an HTTP transport with a separate connection pool per server, so that
+// a timeout can close the idle connections to that server only.
 package httppool
 
 import (
@@ -14,30 +14,29 @@
 	"github.com/wheatroad/wheatroad/internal/progress"
 )
 
-// Pool sends requests over kept connections. A server may leave all open connections
-// silent, without a reset, while new ones work. So a request whose time runs out ends the
-// idle connections to its server too: each of them would cost another request its time.
-// Pool implements http.RoundTripper.
+// Pool is an http.RoundTripper that reuses connections. All open connections to a server may
+// become unresponsive without a reset while new ones work. A request that times out therefore
+// closes the server's idle connections, each of which would make another request time out.
 type Pool struct {
 	newTransport func() *http.Transport
 	mutex        sync.Mutex
 	servers      map[string]*server
 }
 
-// server is one server's connections.
+// server is the connection pool of one server.
 type server struct {
-	transport *http.Transport
-	usedAt    time.Time
+	transport  *http.Transport
+	lastUsedAt time.Time
 }
 
 const (
-	// serversSwept is how many servers are known before those that were not used for
-	// unusedPeriod are forgotten.
-	serversSwept = 256
-	unusedPeriod = 2 * time.Minute
+	// minServersToEvict is the number of known servers from which on those unused for
+	// idleServerTimeout are evicted.
+	minServersToEvict = 256
+	idleServerTimeout = 2 * time.Minute
 )
 
-// New returns a pool whose connections to each server are kept by a transport of its own.
+// New returns a Pool that creates a transport for each server with newTransport.
 func New(newTransport func() *http.Transport) *Pool {
 	return &Pool{newTransport: newTransport, servers: map[string]*server{}}
 }
@@ -47,26 +46,24 @@
 	transport := p.transport(request.URL.Host)
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		closeIfSilent(request.Context(), transport)
+		closeIdleAfterTimeout(request.Context(), transport)
 		return nil, err
 	}
-	response.Body = &watchedBody{ReadCloser: response.Body, ctx: request.Context(), transport: transport}
+	response.Body = &trackedBody{ReadCloser: response.Body, ctx: request.Context(), transport: transport}
 	return response, nil
 }
 
-// ownLateness is how late a process may notice that a request's time ran out: more than a
-// timer is late on a machine that is not at the limit of its processor, also one whose
-// quota of processor time is spent for up to 0.1 s.
-const ownLateness = 150 * time.Millisecond
+// maxTimerDelay is the longest delay with which a timeout may be noticed and still count against
+// the server. It exceeds the timer delay of a process that is throttled for up to 0.1 s.
+const maxTimerDelay = 150 * time.Millisecond
 
-// closeIfSilent ends idle connections if a request's time ran out. A request that its
-// caller no longer wants says nothing of them, nor does one whose end this process noticed
-// late: its answer may have been there.
-func closeIfSilent(ctx context.Context, transport *http.Transport) {
+// closeIdleAfterTimeout closes idle connections if a request timed out. Canceled requests do not
+// count, nor do timeouts noticed late, because the response may have arrived in time.
+func closeIdleAfterTimeout(ctx context.Context, transport *http.Transport) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
 	}
-	if overdue, bounded := progress.Overdue(ctx); bounded && overdue > ownLateness {
+	if overdue, bounded := progress.Overdue(ctx); bounded && overdue > maxTimerDelay {
 		return
 	}
 	transport.CloseIdleConnections()
@@ -78,41 +75,41 @@
 	now := time.Now()
 	known := p.servers[host]
 	if known == nil {
-		p.sweep(now)
+		p.evictUnused(now)
 		known = &server{transport: p.newTransport()}
 		p.servers[host] = known
 	}
-	known.usedAt = now
+	known.lastUsedAt = now
 	return known.transport
 }
 
-// sweep forgets servers that were not used for long, whenever their number reaches a power
-// of two.
-func (p *Pool) sweep(now time.Time) {
+// evictUnused removes servers that were not used recently. It runs when the number of servers is a
+// power of two, so that its cost is amortized.
+func (p *Pool) evictUnused(now time.Time) {
 	count := len(p.servers)
-	if count < serversSwept || count&(count-1) != 0 {
+	if count < minServersToEvict || count&(count-1) != 0 {
 		return
 	}
 	for host, known := range p.servers {
-		if now.Sub(known.usedAt) > unusedPeriod {
+		if now.Sub(known.lastUsedAt) > idleServerTimeout {
 			known.transport.CloseIdleConnections()
 			delete(p.servers, host)
 		}
 	}
 }
 
-// watchedBody is an answer's body. Its connection may go silent midway.
-type watchedBody struct {
+// trackedBody is a response body whose connection may become unresponsive while it is read.
+type trackedBody struct {
 	io.ReadCloser
 	ctx       context.Context
 	transport *http.Transport
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(buffer []byte) (int, error) {
+func (b *trackedBody) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
 	if err != nil && !errors.Is(err, io.EOF) {
-		closeIfSilent(b.ctx, b.transport)
+		closeIdleAfterTimeout(b.ctx, b.transport)
 	}
 	return count, err
 }
--- a/internal/httppool/httppool_test.go
+++ b/internal/httppool/httppool_test.go
@@ -15,20 +15,21 @@
 	"github.com/wheatroad/wheatroad/internal/faultproxy"
 )
 
-// TestWhatARequestSaysOfIdleConnections: only a request whose time ran out ends them.
-func TestWhatARequestSaysOfIdleConnections(t *testing.T) {
+// TestOnlyTimeoutsCloseIdleConnections checks that a canceled request leaves idle connections
+// open.
+func TestOnlyTimeoutsCloseIdleConnections(t *testing.T) {
 	errUnwanted := errors.New("no longer wanted")
 	cases := map[string]struct {
 		cause error
-		// opened is how many connections the next request finds opened after it.
+		// opened is the number of connections opened after the next request.
 		opened int
 	}{
-		"time ran out":     {context.DeadlineExceeded, 2},
+		"timed out":        {context.DeadlineExceeded, 2},
 		"no longer wanted": {errUnwanted, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := listen(t)
+			server := newCountedServer(t)
 			address := "http://" + server.Address()
 			client := &http.Client{Transport: New(func() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: 2} })}
 			get(t, client, t.Context(), address)
@@ -45,8 +46,8 @@
 	}
 }
 
-// listen serves behind a proxy, which counts the connections.
-func listen(t *testing.T) *faultproxy.Proxy {
+// newCountedServer starts a server behind a proxy that counts connections.
+func newCountedServer(t *testing.T) *faultproxy.Proxy {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	proxy, err := faultproxy.New(strings.TrimPrefix(server.URL, "http://"))
@@ -67,45 +68,42 @@
 	require.NoError(t, response.Body.Close())
 }
 
-// TestUnusedServersAreForgotten: workers come and go at new addresses for as long as a
-// node runs.
-func TestUnusedServersAreForgotten(t *testing.T) {
+// TestUnusedServersAreEvicted guards against unbounded growth as workers appear at new addresses.
+func TestUnusedServersAreEvicted(t *testing.T) {
 	pool := New(func() *http.Transport { return &http.Transport{} })
-	for number := range serversSwept {
+	for number := range minServersToEvict {
 		pool.transport(fmt.Sprintf("worker-%d", number))
 	}
 	for _, known := range pool.servers {
-		known.usedAt = time.Now().Add(-2 * unusedPeriod)
+		known.lastUsedAt = time.Now().Add(-2 * idleServerTimeout)
 	}
 	kept := pool.transport("worker-0")
-	require.Len(t, pool.servers, serversSwept)
+	require.Len(t, pool.servers, minServersToEvict)
 	require.Same(t, kept, pool.transport("worker-0"))
 	pool.transport("another")
 	require.Len(t, pool.servers, 2)
 }
 
-// TestOwnLatenessSaysNothingOfConnections: a process at the limit of its processor sees its
-// requests' time run out though the answers are there. Ending idle connections then cost it
-// new ones, up to 1,687 a second at an owner of 3,000 workers, and still more of its
-// processor.
-func TestOwnLatenessSaysNothingOfConnections(t *testing.T) {
+// TestLateTimeoutKeepsIdleConnections guards against an overloaded process closing working
+// connections: reconnecting would increase its load.
+func TestLateTimeoutKeepsIdleConnections(t *testing.T) {
 	cases := map[string]struct {
 		overdue time.Duration
 		opened  int
 	}{
 		"noticed at once": {0, 2},
-		"noticed late":    {2 * ownLateness, 1},
+		"noticed late":    {2 * maxTimerDelay, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := listen(t)
+			server := newCountedServer(t)
 			address := "http://" + server.Address()
 			pool := New(func() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: 2} })
 			client := &http.Client{Transport: pool}
 			get(t, client, t.Context(), address)
 			ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(-c.overdue))
 			defer cancel()
-			closeIfSilent(ctx, pool.transport(server.Address()))
+			closeIdleAfterTimeout(ctx, pool.transport(server.Address()))
 			get(t, client, t.Context(), address)
 			require.Equal(t, c.opened, server.Opened())
 		})
