--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson sends one JSON request and reads one JSON answer. It tells
-// requests that surely had no effect from those that may have had one.
+// Package httpjson sends JSON requests and decodes JSON responses. Its errors distinguish requests
+// without effect from requests with unknown outcome.
 package httpjson
 
 import (
@@ -13,26 +13,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotSent says that the request did not reach the server, or was refused by it
-// before it could have an effect.
+// ErrNotSent means that the request did not reach the server, or that the server rejected it
+// without effect.
 var ErrNotSent = errors.New("httpjson: request had no effect")
 
-// ErrNoAnswer says that the request may have had an effect.
+// ErrNoAnswer means that the request may have had an effect.
 var ErrNoAnswer = errors.New("httpjson: no answer")
 
-// MaxBody bounds the bytes of an answer.
-const MaxBody = 256 << 20
+// maxBodyBytes limits the size of a response body.
+const maxBodyBytes = 256 << 20
 
-// Do sends in as JSON, unless it is nil, and decodes the answer into out, unless
-// that is nil.
+// Do sends in as JSON and decodes the response into out. Either may be nil.
 func Do(ctx context.Context, client *http.Client, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
-		document, err := json.Marshal(in)
+		encoded, err := json.Marshal(in)
 		if err != nil {
 			return errors.Mark(err, ErrNotSent)
 		}
-		body = bytes.NewReader(document)
+		body = bytes.NewReader(encoded)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
@@ -51,17 +50,17 @@
 	return nil
 }
 
-// ErrNotFound says that the server has no such thing.
+// ErrNotFound means that the server responded with status 404.
 var ErrNotFound = errors.New("httpjson: not found")
 
-// Send performs a request and returns the whole answer.
+// Send sends a request and returns the response body.
 func Send(client *http.Client, request *http.Request) ([]byte, error) {
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, classify(err)
+		return nil, markSendError(err)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, MaxBody))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	switch {
 	case err != nil:
 		return nil, errors.Mark(err, ErrNoAnswer)
@@ -75,8 +74,8 @@
 	return content, nil
 }
 
-// classify marks a failure to connect as without effect and all else as unknown.
-func classify(err error) error {
+// markSendError marks connection failures as ErrNotSent and all other errors as ErrNoAnswer.
+func markSendError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return errors.Mark(err, ErrNotSent)
