--- a/internal/loop/doc.go
+++ b/internal/loop/doc.go
@@ -1,3 +1,3 @@
-// Package loop runs the control state of a process on one goroutine. The same
-// interface is implemented in virtual time by the emulator.
+// Package loop provides an event loop that runs a process's control code on one goroutine. The
+// emulator implements the same interface in virtual time.
 package loop
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -10,17 +10,18 @@
 
 // Loop runs functions one at a time, in the order in which they were posted.
 type Loop interface {
-	// Now returns the time of a clock that never stands still or is set, for ages and waits.
+	// Now returns the time of a clock that is never set and includes suspensions, for measuring
+	// durations.
 	Now() time.Time
-	// TimeOfDay returns the time of day, for what other machines are told or say.
+	// TimeOfDay returns the wall-clock time, for timestamps exchanged with other machines.
 	TimeOfDay() time.Time
-	// Post runs fn soon. It never blocks and may be called from any goroutine.
+	// Post schedules fn. It never blocks and may be called from any goroutine.
 	Post(fn func())
-	// After runs fn once after d, unless the returned function was called before.
+	// After runs fn once after d unless cancel is called first.
 	After(d time.Duration, fn func()) (cancel func())
 }
 
-// Goroutine is a Loop on a goroutine of its own.
+// Goroutine is a Loop that runs on the goroutine that calls Run.
 type Goroutine struct {
 	mutex  sync.Mutex
 	queue  []func()
@@ -28,12 +29,12 @@
 	closed bool
 }
 
-// NewGoroutine returns a loop that runs nothing until Run is called.
+// NewGoroutine returns a loop that runs functions once Run is called.
 func NewGoroutine() *Goroutine {
 	return &Goroutine{wake: make(chan struct{}, 1)}
 }
 
-// Run runs posted functions until the context ends.
+// Run runs posted functions until ctx ends.
 func (g *Goroutine) Run(ctx context.Context) {
 	for {
 		select {
@@ -42,7 +43,7 @@
 			return
 		case <-g.wake:
 		}
-		for _, fn := range g.take() {
+		for _, fn := range g.takeQueue() {
 			fn()
 		}
 	}
@@ -55,7 +56,7 @@
 	g.queue = nil
 }
 
-func (g *Goroutine) take() []func() {
+func (g *Goroutine) takeQueue() []func() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	batch := g.queue
@@ -63,13 +64,13 @@
 	return batch
 }
 
-// Now returns the time with suspensions of the machine counted.
+// Now implements Loop.
 func (g *Goroutine) Now() time.Time { return uptime.Now() }
 
-// TimeOfDay returns the wall clock's time.
+// TimeOfDay implements Loop.
 func (g *Goroutine) TimeOfDay() time.Time { return time.Now() }
 
-// Post queues fn. Functions posted after the end of Run are dropped.
+// Post implements Loop. Functions posted after Run has returned are dropped.
 func (g *Goroutine) Post(fn func()) {
 	g.mutex.Lock()
 	if !g.closed {
@@ -82,7 +83,7 @@
 	}
 }
 
-// After posts fn once d has passed.
+// After implements Loop.
 func (g *Goroutine) After(d time.Duration, fn func()) (cancel func()) {
 	cancelled := false
 	timer := time.AfterFunc(d, func() {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Call runs fn on the loop and waits for it, or for the context's end.
+// Call runs fn on the loop and waits until it returns or ctx ends.
 func Call(ctx context.Context, l Loop, fn func()) error {
 	done := make(chan struct{})
 	l.Post(func() {
--- a/internal/loop/retries.go
+++ b/internal/loop/retries.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Retries are calls that are made again after a pause, or as soon as what they failed on
-// is back. Its methods run on the loop.
+// Retries holds pending retries, each of which runs after a delay or when Now is called. Its
+// methods must be called on the loop.
 type Retries struct {
 	loop    Loop
-	serial  int
+	lastID  int
 	pending map[int]*pendingRetry
 }
 
@@ -19,26 +19,26 @@
 	run    func()
 }
 
-// NewRetries returns no retries.
+// NewRetries returns Retries without pending entries.
 func NewRetries(l Loop) *Retries { return &Retries{loop: l, pending: map[int]*pendingRetry{}} }
 
-// After runs fn once, after a pause or at the next Now.
+// After runs fn once, after pause or at the next call of Now.
 func (r *Retries) After(pause time.Duration, fn func()) {
-	r.serial++
-	serial := r.serial
+	r.lastID++
+	id := r.lastID
 	retry := &pendingRetry{run: fn}
 	retry.cancel = r.loop.After(pause, func() {
-		delete(r.pending, serial)
+		delete(r.pending, id)
 		fn()
 	})
-	r.pending[serial] = retry
+	r.pending[id] = retry
 }
 
-// Now runs all that waits, in the order in which it was set.
+// Now runs all pending retries in the order in which they were added.
 func (r *Retries) Now() {
-	for _, serial := range slices.Sorted(maps.Keys(r.pending)) {
-		retry := r.pending[serial]
-		delete(r.pending, serial)
+	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
+		retry := r.pending[id]
+		delete(r.pending, id)
 		retry.cancel()
 		retry.run()
 	}
