--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,9 +1,8 @@
-// Package uptime tells the time by a clock that goes on while the machine is suspended.
+// Package uptime provides a clock that includes the time during which the machine is suspended.
 //
-// Go's monotonic clock stands still in a suspension. An age that guards a promise (of a
-// lease, of what was confirmed) would then seem younger than it is. Now adds the time spent
-// suspended to the results of time.Now, so that differences between them count it. Its time
-// of day is therefore no time of day: use time.Now for that.
+// Go's monotonic clock stops during a suspension, so the age of a lease or an acknowledgment would
+// be underestimated. Now adds the time spent suspended to time.Now, so that differences between
+// its results include it. Its wall-clock reading is meaningless; use time.Now for the time of day.
 package uptime
 
 import (
@@ -14,93 +13,94 @@
 	"golang.org/x/sys/unix"
 )
 
-// noticeable is the least suspension that is looked for. Between two looks the time of day and
-// the monotonic clock drift apart by much less, unless the time of day was set.
-const noticeable = 20 * time.Millisecond
+// minSuspension is the shortest suspension that is detected. It exceeds the drift between the wall
+// clock and the monotonic clock from one check to the next, unless the wall clock is set.
+const minSuspension = 20 * time.Millisecond
 
-// reading is one look at the clocks that cost no call to the system.
-type reading struct {
+// clockReading is a reading of both clocks without a system call for suspensions.
+type clockReading struct {
 	at time.Time
-	// monotonic and timeOfDay are how far each clock has gone since the start.
+	// monotonic and timeOfDay are the time elapsed on each clock since the start.
 	monotonic, timeOfDay time.Duration
 }
 
-// Clock counts suspensions.
+// Clock is a clock that includes suspensions.
 type Clock struct {
-	read func() reading
-	// suspended asks the system how long it was suspended since its own start.
+	read func() clockReading
+	// suspended returns the time spent suspended since boot.
 	suspended func() time.Duration
-	// before is what was suspended before the clock was made.
-	before time.Duration
-	// offset is what was suspended since, and drift how far the time of day had run ahead of
-	// the monotonic clock when that was last looked at.
+	// suspendedAtStart is the time spent suspended before the clock was created.
+	suspendedAtStart time.Duration
+	// offset is the time spent suspended since then. drift is the lead of the wall clock over the
+	// monotonic clock at the last check.
 	offset, drift atomic.Int64
 	mutex         sync.Mutex
 }
 
-func newClock(read func() reading, suspended func() time.Duration) *Clock {
-	return &Clock{read: read, suspended: suspended, before: suspended()}
+func newClock(read func() clockReading, suspended func() time.Duration) *Clock {
+	return &Clock{read: read, suspended: suspended, suspendedAtStart: suspended()}
 }
 
-// Now returns the time with suspensions counted.
+// Now returns the current time including suspensions.
 func (c *Clock) Now() time.Time {
 	now := c.read()
-	if drift := now.timeOfDay - now.monotonic; (drift - time.Duration(c.drift.Load())).Abs() > noticeable {
-		// A suspension and a time of day that was set look alike; only the system can tell.
-		c.look(drift)
+	if drift := now.timeOfDay - now.monotonic; (drift - time.Duration(c.drift.Load())).Abs() > minSuspension {
+		// Both a suspension and a wall clock that was set cause drift; the system call tells
+		// which.
+		c.updateSuspended(drift)
 	}
 	return now.at.Add(time.Duration(c.offset.Load()))
 }
 
-func (c *Clock) look(drift time.Duration) {
+func (c *Clock) updateSuspended(drift time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.drift.Store(int64(drift))
-	// The clock never goes back, and small differences are errors of the reading: what was
-	// written down earlier must not seem later.
-	if offset := c.suspended() - c.before; offset-time.Duration(c.offset.Load()) > noticeable {
+	// The clock never goes back, and small differences are reading errors: an earlier timestamp
+	// must not appear later.
+	if offset := c.suspended() - c.suspendedAtStart; offset-time.Duration(c.offset.Load()) > minSuspension {
 		c.offset.Store(int64(offset))
 	}
 }
 
-// Look asks the system how long it was suspended. Now does so by itself when the time of day
-// gives reason to; a periodic call finds a suspension that coincides with its being set.
-func (c *Clock) Look() {
+// Refresh asks the system how long it was suspended. Now does so only when the wall clock
+// drifts; periodic calls also detect a suspension that coincides with a change of the wall clock.
+func (c *Clock) Refresh() {
 	now := c.read()
-	c.look(now.timeOfDay - now.monotonic)
+	c.updateSuspended(now.timeOfDay - now.monotonic)
 }
 
-// Suspended returns how long the machine was suspended since the clock was made.
+// Suspended returns the time spent suspended since the clock was created.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.offset.Load()) }
 
-// system is the process's clock.
-var system = newClock(systemReader(time.Now()), systemSuspended)
+// processClock is the clock of the process.
+var processClock = newClock(systemReader(time.Now()), systemSuspended)
 
-// Now returns the time by the process's clock.
-func Now() time.Time { return system.Now() }
+// Now returns the current time of the process's clock.
+func Now() time.Time { return processClock.Now() }
 
-// Since returns the time since an earlier result of Now.
+// Since returns the time elapsed since at, an earlier result of Now.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Look asks the system how long the machine was suspended.
-func Look() { system.Look() }
+// Look asks the system how long it was suspended.
+func Look() { processClock.Refresh() }
 
-// Suspended returns how long the machine was suspended since the process started.
-func Suspended() time.Duration { return system.Suspended() }
+// Suspended returns the time spent suspended since the process started.
+func Suspended() time.Duration { return processClock.Suspended() }
 
-// systemReader reads both clocks with one call of time.Now.
-func systemReader(start time.Time) func() reading {
+// systemReader returns a function that reads both clocks with one call of time.Now.
+func systemReader(start time.Time) func() clockReading {
 	wallStart := start.Round(0)
-	return func() reading {
+	return func() clockReading {
 		now := time.Now()
-		return reading{at: now, monotonic: now.Sub(start), timeOfDay: now.Round(0).Sub(wallStart)}
+		return clockReading{at: now, monotonic: now.Sub(start), timeOfDay: now.Round(0).Sub(wallStart)}
 	}
 }
 
-// systemSuspended is how much further the clock has run that counts suspensions. Both clocks
-// are there on every Linux system; without them nothing counts as suspended.
+// systemSuspended returns the lead of CLOCK_BOOTTIME over CLOCK_MONOTONIC, or 0 if either is not
+// available.
 func systemSuspended() time.Duration {
-	return difference(systemClock(unix.CLOCK_BOOTTIME), systemClock(unix.CLOCK_MONOTONIC))
+	return clockDifference(systemClock(unix.CLOCK_BOOTTIME), systemClock(unix.CLOCK_MONOTONIC))
 }
 
 func systemClock(id int32) func() (time.Duration, bool) {
@@ -112,28 +112,28 @@
 }
 
 const (
-	// closeReads is how close together the readings of both clocks have to be: a call takes
-	// some microseconds, unless the process loses the processor in between.
-	closeReads = time.Millisecond
-	// readTries bounds how often they are read.
-	readTries = 5
+	// maxReadSpread is the longest acceptable time between readings of the two clocks. It is
+	// exceeded only when the process is preempted.
+	maxReadSpread = time.Millisecond
+	// maxReadAttempts limits how often the clocks are read.
+	maxReadAttempts = 5
 )
 
-// difference returns how far counting is ahead of monotonic, by the tries whose readings lie
-// closest together; 0 if a clock is missing.
-func difference(counting, monotonic func() (time.Duration, bool)) time.Duration {
+// clockDifference returns the lead of boottime over monotonic, taken from the attempt with the
+// smallest spread, or 0 if a clock is not available.
+func clockDifference(boottime, monotonic func() (time.Duration, bool)) time.Duration {
 	best, closest := time.Duration(0), time.Duration(-1)
-	for range readTries {
+	for range maxReadAttempts {
 		before, known := monotonic()
-		now, counted := counting()
+		now, counted := boottime()
 		after, _ := monotonic()
 		if !known || !counted {
 			return 0
 		}
-		if apart := after - before; closest < 0 || apart < closest {
-			best, closest = now-before-apart/2, apart
+		if spread := after - before; closest < 0 || spread < closest {
+			best, closest = now-before-spread/2, spread
 		}
-		if closest <= closeReads {
+		if closest <= maxReadSpread {
 			break
 		}
 	}
--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -7,28 +7,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine is a machine whose clocks a test moves.
-type machine struct {
+// fakeMachine has clocks that a test advances.
+type fakeMachine struct {
 	start                           time.Time
 	monotonic, timeOfDay, suspended time.Duration
-	looks                           int
+	systemReads                     int
 }
 
-func newMachine() *machine { return &machine{start: time.Now()} }
+func newMachine() *fakeMachine { return &fakeMachine{start: time.Now()} }
 
-func (m *machine) clock() *Clock {
-	read := func() reading {
-		return reading{at: m.start.Add(m.monotonic), monotonic: m.monotonic, timeOfDay: m.timeOfDay}
+func (m *fakeMachine) clock() *Clock {
+	read := func() clockReading {
+		return clockReading{at: m.start.Add(m.monotonic), monotonic: m.monotonic, timeOfDay: m.timeOfDay}
 	}
-	return newClock(read, func() time.Duration { m.looks++; return m.suspended })
+	return newClock(read, func() time.Duration { m.systemReads++; return m.suspended })
 }
 
-func (m *machine) run(d time.Duration) {
+func (m *fakeMachine) run(d time.Duration) {
 	m.monotonic += d
 	m.timeOfDay += d
 }
 
-func (m *machine) suspend(d time.Duration) {
+func (m *fakeMachine) suspend(d time.Duration) {
 	m.timeOfDay += d
 	m.suspended += d
 }
@@ -47,7 +47,7 @@
 	require.Equal(t, 7*time.Second, c.Suspended())
 }
 
-func TestTimeOfDayThatIsSetDoesNotCount(t *testing.T) {
+func TestClockAdjustmentIsNotASuspension(t *testing.T) {
 	for _, step := range []time.Duration{-3 * time.Second, 3 * time.Second} {
 		m := newMachine()
 		c := m.clock()
@@ -59,68 +59,66 @@
 	}
 }
 
-// TestPeriodicLookFindsWhatTheTimeOfDayHides: a suspension while the time of day is set back by
-// as much.
-func TestPeriodicLookFindsWhatTheTimeOfDayHides(t *testing.T) {
+// TestRefreshFindsSuspensionHiddenByClockAdjustment: the wall clock is set back by the duration of
+// a suspension.
+func TestRefreshFindsSuspensionHiddenByClockAdjustment(t *testing.T) {
 	m := newMachine()
 	c := m.clock()
 	before := c.Now()
 	m.suspend(5 * time.Second)
 	m.timeOfDay -= 5 * time.Second
 	require.Zero(t, c.Now().Sub(before))
-	c.Look()
+	c.Refresh()
 	require.Equal(t, 5*time.Second, c.Now().Sub(before))
 }
 
-func TestNoCallToTheSystemWithoutReason(t *testing.T) {
+func TestNowReadsSuspensionOnlyAfterDrift(t *testing.T) {
 	m := newMachine()
 	c := m.clock()
-	looks := m.looks
+	readsBefore := m.systemReads
 	for range 100 {
 		m.run(10 * time.Millisecond)
 		c.Now()
 	}
-	require.Equal(t, looks, m.looks)
+	require.Equal(t, readsBefore, m.systemReads)
 }
 
 func TestProcessClockRunsLikeTheSystems(t *testing.T) {
-	began, ours := time.Now(), Now()
+	systemStart, uptimeStart := time.Now(), Now()
 	Look()
-	require.InDelta(t, time.Since(began).Seconds(), Since(ours).Seconds(), 0.5)
+	require.InDelta(t, time.Since(systemStart).Seconds(), Since(uptimeStart).Seconds(), 0.5)
 	require.Less(t, Suspended(), time.Second)
 }
 
-// TestClockNeverGoesBack: the time suspended is the difference of two clocks, which are read one
-// after the other. A process that lost the processor in between found a negative suspension, and
-// its clock went back by that: what was sent before an answer seemed sent after it, so that a run
-// which an older account of its worker did not list counted as gone.
+// TestClockNeverGoesBack guards against preemption between two clock readings, which can yield a
+// negative suspension and reorder events.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newMachine()
 	c := m.clock()
 	m.run(time.Second)
 	before := c.Now()
 	m.suspended = -70 * time.Millisecond
-	c.Look()
+	c.Refresh()
 	require.False(t, c.Now().Before(before))
 	m.suspended = 0
-	c.Look()
-	require.Equal(t, before, c.Now(), "nor forward without a suspension")
+	c.Refresh()
+	require.Equal(t, before, c.Now(), "the clock must not advance without a suspension")
 }
 
-// TestClocksThatAreReadApartAreReadAgain: the reading whose parts lie closest together counts.
-func TestClocksThatAreReadApartAreReadAgain(t *testing.T) {
+// TestClockDifferenceRetriesWideReads checks that the attempt with the smallest spread is used.
+func TestClockDifferenceRetriesWideReads(t *testing.T) {
 	now := time.Duration(0)
 	reads := 0
 	monotonic := func() (time.Duration, bool) { return now, true }
-	counting := func() (time.Duration, bool) {
+	boottime := func() (time.Duration, bool) {
 		if reads++; reads == 1 {
-			// The process loses the processor for a while.
+			// Simulates preemption between the readings.
 			now += 90 * time.Millisecond
 		}
 		return now + 5*time.Second, true
 	}
-	require.Equal(t, 5*time.Second, difference(counting, monotonic))
+	require.Equal(t, 5*time.Second, clockDifference(boottime, monotonic))
 	require.Equal(t, 2, reads)
 	missing := func() (time.Duration, bool) { return 0, false }
-	require.Zero(t, difference(missing, monotonic))
+	require.Zero(t, clockDifference(missing, monotonic))
 }
