--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -1,5 +1,5 @@
-// Package pacing spreads what a process sends and asks for over time, so that what it can't foresee, such as
-// the questions of others whether it lives, does not wait behind its own bursts on a small link.
+// Package pacing limits the bandwidth that a process uses, so that its bursts do not delay urgent
+// messages, such as health checks, on a slow link.
 package pacing
 
 import (
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Pacer lets bytes pass at a rate, with some at once. Nil does not limit anything. Its methods may be called
-// anywhere.
+// Pacer is a rate limiter for bytes that permits bursts. A nil Pacer does not limit. It is safe
+// for concurrent use.
 type Pacer struct {
 	bytesPerSecond float64
 	burst          time.Duration
 	now            func() time.Time
 
 	mutex sync.Mutex
-	// free is when all that has passed so far is through at the rate.
-	free time.Time
+	// availableAt is when all reserved bytes have passed at the configured rate.
+	availableAt time.Time
 }
 
-// New returns a pacer of a rate that lets what the rate carries in burst pass at once; nil if the rate is 0.
+// New returns a Pacer that permits bursts of as many bytes as the rate transfers in burst. It
+// returns nil if the rate is not positive.
 func New(bytesPerSecond float64, burst time.Duration, now func() time.Time) *Pacer {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -28,7 +29,8 @@
 	return &Pacer{bytesPerSecond: bytesPerSecond, burst: burst, now: now}
 }
 
-// Wait waits for the turn of some bytes, or for the context's end, which it returns as an error.
+// Wait reserves bytes and blocks until they may pass. If ctx ends first, it returns the context's
+// error.
 func (p *Pacer) Wait(ctx context.Context, bytes int) error {
 	pause := p.reserve(bytes)
 	if pause <= 0 {
@@ -44,10 +46,11 @@
 	}
 }
 
-// Charge counts bytes that have passed already: later ones wait for them.
+// Charge reserves bytes without waiting, for data already transferred. Later calls of Wait are
+// delayed accordingly.
 func (p *Pacer) Charge(bytes int) { p.reserve(bytes) }
 
-// reserve takes the next turn for some bytes and returns how long it is until then.
+// reserve reserves bytes and returns the delay until they may pass.
 func (p *Pacer) reserve(bytes int) time.Duration {
 	if p == nil {
 		return 0
@@ -55,10 +58,10 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.now()
-	if p.free.Before(now) {
-		p.free = now
+	if p.availableAt.Before(now) {
+		p.availableAt = now
 	}
-	pause := p.free.Sub(now) - p.burst
-	p.free = p.free.Add(time.Duration(float64(bytes) / p.bytesPerSecond * float64(time.Second)))
+	pause := p.availableAt.Sub(now) - p.burst
+	p.availableAt = p.availableAt.Add(time.Duration(float64(bytes) / p.bytesPerSecond * float64(time.Second)))
 	return pause
 }
--- a/internal/pacing/pacer_test.go
+++ b/internal/pacing/pacer_test.go
@@ -17,12 +17,12 @@
 	}
 	require.Equal(t, []time.Duration{0, 0, 0, 50 * time.Millisecond, 100 * time.Millisecond}, pauses)
 	now = now.Add(time.Hour)
-	require.LessOrEqual(t, p.reserve(50), time.Duration(0), "what was not used is not saved up")
+	require.LessOrEqual(t, p.reserve(50), time.Duration(0), "unused bandwidth must not accumulate")
 	p.Charge(1000)
 	require.Equal(t, 950*time.Millisecond, p.reserve(1))
 }
 
-func TestNoPacerLimitsNothing(t *testing.T) {
+func TestNilPacerDoesNotLimit(t *testing.T) {
 	p := New(0, time.Second, time.Now)
 	require.Nil(t, p)
 	require.NoError(t, p.Wait(context.Background(), 1<<40))
