--- a/internal/httppool/httppool.go
+++ b/internal/httppool/httppool.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// minServersToEvict is the number of known servers from which on those unused for
-	// idleServerTimeout are evicted.
+	// minServersToEvict is the number of servers from which unused ones are evicted. A server is
+	// unused after idleServerTimeout.
 	minServersToEvict = 256
 	idleServerTimeout = 2 * time.Minute
 )
--- a/internal/httppool/httppool_test.go
+++ b/internal/httppool/httppool_test.go
@@ -18,14 +18,14 @@
 // TestOnlyTimeoutsCloseIdleConnections checks that a canceled request leaves idle connections
 // open.
 func TestOnlyTimeoutsCloseIdleConnections(t *testing.T) {
-	errUnwanted := errors.New("no longer wanted")
+	errCanceledByCaller := errors.New("canceled by caller")
 	cases := map[string]struct {
 		cause error
 		// opened is the number of connections opened after the next request.
 		opened int
 	}{
-		"timed out":        {context.DeadlineExceeded, 2},
-		"no longer wanted": {errUnwanted, 1},
+		"timed out":          {context.DeadlineExceeded, 2},
+		"canceled by caller": {errCanceledByCaller, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -84,8 +84,8 @@
 	require.Len(t, pool.servers, 2)
 }
 
-// TestLateTimeoutKeepsIdleConnections guards against an overloaded process closing working
-// connections: reconnecting would increase its load.
+// TestLateTimeoutKeepsIdleConnections guards against an overloaded process closing usable
+// connections, since reconnecting adds load.
 func TestLateTimeoutKeepsIdleConnections(t *testing.T) {
 	cases := map[string]struct {
 		overdue time.Duration
--- a/internal/pacing/pacer_test.go
+++ b/internal/pacing/pacer_test.go
@@ -29,7 +29,7 @@
 	p.Charge(1 << 40)
 }
 
-func TestWaitEndsWithItsContext(t *testing.T) {
+func TestWaitReturnsWhenContextEnds(t *testing.T) {
 	p := New(1, 0, time.Now)
 	p.Charge(1 << 20)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -91,8 +91,8 @@
 	err  error
 }
 
-// call sends a request and waits for the response, no longer than ctx. Without the goroutine, a
-// session with full buffers would block the caller for writeTimeout.
+// call sends a request and waits for the response, no longer than ctx. The exchange runs on its
+// own goroutine because a write to a session with full buffers blocks for up to writeTimeout.
 func (c *connection) call(ctx context.Context, request *peerpb.Request) callResult {
 	results := make(chan callResult, 1)
 	go func() {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -33,7 +33,7 @@
 	return &peerpb.Request{Id: id, Body: &peerpb.Request_Lookup{Lookup: &peerpb.Lookup{Key: &peerpb.JobKey{Tenant: "t", Id: id}}}}
 }
 
-func TestAnswersOfAnySizeArriveWholeAndOutOfOrder(t *testing.T) {
+func TestLargeResponsesArriveOutOfOrder(t *testing.T) {
 	const calls, size = 8, 5 << 20
 	// answered[n] is closed once request n has its response. Request n-1 waits for it, so that
 	// responses arrive in reverse order.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -118,7 +118,7 @@
 	} else {
 		response.Document = document
 	}
-	// A write error means that the caller has gone.
+	// A write error means that the caller has disconnected.
 	_ = writeMessage(stream, response)
 }
 
--- a/internal/peer/unresponsive_connection_test.go
+++ b/internal/peer/unresponsive_connection_test.go
@@ -69,10 +69,10 @@
 	network := &testNetwork{}
 	server := NewServer(handler)
 	network.client = NewClient(func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		go server.ServeConnection(far)
+		clientConn, serverConn := net.Pipe()
+		go server.ServeConnection(serverConn)
 		network.dialed.Add(1)
-		connection := &unresponsiveConn{Conn: near, closing: make(chan struct{})}
+		connection := &unresponsiveConn{Conn: clientConn, closing: make(chan struct{})}
 		connection.dropTraffic.Store(network.dropNewTraffic.Load())
 		network.mutex.Lock()
 		defer network.mutex.Unlock()
--- a/internal/store/httpstore/httpstore_test.go
+++ b/internal/store/httpstore/httpstore_test.go
@@ -63,7 +63,7 @@
 	require.Len(t, all.Rows, 1)
 }
 
-func TestTableFaults(t *testing.T) {
+func TestCommitErrorByFault(t *testing.T) {
 	cases := map[string]struct {
 		fault  standin.Fault
 		want   error
--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -14,7 +14,7 @@
 	systemReads                     int
 }
 
-func newMachine() *fakeMachine { return &fakeMachine{start: time.Now()} }
+func newFakeMachine() *fakeMachine { return &fakeMachine{start: time.Now()} }
 
 func (m *fakeMachine) clock() *Clock {
 	read := func() clockReading {
@@ -33,8 +33,8 @@
 	m.suspended += d
 }
 
-func TestSuspensionsCount(t *testing.T) {
-	m := newMachine()
+func TestNowIncludesSuspensions(t *testing.T) {
+	m := newFakeMachine()
 	m.suspended = time.Hour
 	c := m.clock()
 	before := c.Now()
@@ -49,7 +49,7 @@
 
 func TestClockAdjustmentIsNotASuspension(t *testing.T) {
 	for _, step := range []time.Duration{-3 * time.Second, 3 * time.Second} {
-		m := newMachine()
+		m := newFakeMachine()
 		c := m.clock()
 		before := c.Now()
 		m.timeOfDay += step
@@ -62,7 +62,7 @@
 // TestRefreshFindsSuspensionHiddenByClockAdjustment: the wall clock is set back by the duration of
 // a suspension.
 func TestRefreshFindsSuspensionHiddenByClockAdjustment(t *testing.T) {
-	m := newMachine()
+	m := newFakeMachine()
 	c := m.clock()
 	before := c.Now()
 	m.suspend(5 * time.Second)
@@ -73,7 +73,7 @@
 }
 
 func TestNowReadsSuspensionOnlyAfterDrift(t *testing.T) {
-	m := newMachine()
+	m := newFakeMachine()
 	c := m.clock()
 	readsBefore := m.systemReads
 	for range 100 {
@@ -83,7 +83,7 @@
 	require.Equal(t, readsBefore, m.systemReads)
 }
 
-func TestProcessClockRunsLikeTheSystems(t *testing.T) {
+func TestProcessClockMatchesSystemClock(t *testing.T) {
 	systemStart, uptimeStart := time.Now(), Now()
 	Look()
 	require.InDelta(t, time.Since(systemStart).Seconds(), Since(uptimeStart).Seconds(), 0.5)
@@ -93,7 +93,7 @@
 // TestClockNeverGoesBack guards against preemption between two clock readings, which can yield a
 // negative suspension and reorder events.
 func TestClockNeverGoesBack(t *testing.T) {
-	m := newMachine()
+	m := newFakeMachine()
 	c := m.clock()
 	m.run(time.Second)
 	before := c.Now()
