--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -10,7 +10,7 @@
 // MemberState is a node's state as published in its row.
 type MemberState string
 
-// The states of a member.
+// Member states.
 const (
 	MemberReady    MemberState = "ready"
 	MemberDraining MemberState = "draining"
@@ -32,9 +32,9 @@
 
 // Summary is the load of a domain as published by its owner, for routing.
 type Summary struct {
-	// Accelerators is the capacity available for new work.
+	// FreeAccelerators is the number of unoccupied accelerators.
 	FreeAccelerators int64 `json:"free_accelerators"`
-	// Accelerators is the capacity that takes new work.
+	// Accelerators is the number of accelerators available for new work.
 	Accelerators int64 `json:"accelerators"`
 	QueuedJobs   int   `json:"queued_jobs"`
 	// QueuedAccelerators is the number of accelerators that queued jobs request.
@@ -55,7 +55,7 @@
 	// Active is false until the owner has recovered the domain's state.
 	Active  bool    `json:"active"`
 	Summary Summary `json:"summary"`
-	// Beat counts renewals, so that each one changes the row.
+	// Beat is a renewal counter, so that every renewal changes the row.
 	Beat int64 `json:"beat"`
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -87,10 +87,10 @@
 	Load int
 }
 
-// How says how a run ended.
+// How is the way in which a run ended.
 type How string
 
-// The ways in which a run ends.
+// Values of How.
 const (
 	Done    How = "done"
 	Failed  How = "failed"
