--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,15 +14,15 @@
 // Dialer opens a connection to another node.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Client keeps one connection to each other node, and a new one once that has gone silent.
+// Client calls other nodes. It keeps one connection per node and replaces it when it becomes
+// unresponsive.
 type Client struct {
 	dial        Dialer
 	mutex       sync.Mutex
 	connections map[string]*connection
 }
 
-// NewClient returns a client that connects with dial, or over plain TCP when dial
-// is nil.
+// NewClient returns a client that connects with dial, or over TCP if dial is nil.
 func NewClient(dial Dialer) *Client {
 	if dial == nil {
 		dial = dialTCP
@@ -30,7 +30,7 @@
 	return &Client{dial: dial, connections: map[string]*connection{}}
 }
 
-// dialTimeout bounds the wait for a connection, so that a dead node costs little.
+// dialTimeout limits the time spent connecting to a node.
 const dialTimeout = 2 * time.Second
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -38,21 +38,20 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Call sends a request and returns the whole answer. The error is a *fault.Error.
-// NoOwner means that the request did not reach the other node; OutcomeUnknown that
-// it may have.
+// Call sends a request and returns the response document. The error is a *fault.Error: NoOwner
+// means that the request was not sent, OutcomeUnknown that it may have been executed.
 func (c *Client) Call(ctx context.Context, address string, request *peerpb.Request) ([]byte, error) {
 	if by, bounded := progress.AnswerBy(ctx); bounded {
 		request.BudgetMillis = time.Until(by).Milliseconds()
 	}
-	current, err := c.connection(ctx, address)
+	current, err := c.acquireConnection(ctx, address)
 	if err != nil {
 		return nil, fault.New(fault.NoOwner, "node %s cannot be reached", address)
 	}
 	sentAt := time.Now()
 	result := current.call(ctx, request)
 	if result.err != nil {
-		return nil, c.callFailed(address, current, sentAt, result.sent)
+		return nil, c.handleCallFailure(address, current, sentAt, result.sent)
 	}
 	response := result.response
 	if response.Id != request.Id {
@@ -64,26 +63,25 @@
 	return response.Document, nil
 }
 
-// callFailed replaces a connection that no longer serves after a call without an answer.
-// A connection may go silent for good while new ones work; left in use, it would fail
-// every call for 10 s, until its keep-alive ends it.
-func (c *Client) callFailed(address string, failed *connection, sentAt time.Time, sent bool) error {
+// handleCallFailure retires the connection of a failed call if it is unresponsive. Otherwise every
+// call would fail until the keep-alive closes the connection after 10 s.
+func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
-		c.forget(address, failed)
+		c.removeConnection(address, failed)
 		return fault.New(fault.NoOwner, "node %s cannot be reached", address)
 	}
-	if failed.silentDuring(sentAt, time.Now()) {
-		c.forget(address, failed)
+	if failed.unresponsiveSince(sentAt, time.Now()) {
+		c.removeConnection(address, failed)
 	}
 	return fault.New(fault.OutcomeUnknown, "node %s gave no answer", address)
 }
 
-// connection returns a connection on which a call is counted.
-func (c *Client) connection(ctx context.Context, address string) (*connection, error) {
+// acquireConnection returns a connection to address on which a call has been acquired.
+func (c *Client) acquireConnection(ctx context.Context, address string) (*connection, error) {
 	c.mutex.Lock()
 	known := c.connections[address]
 	c.mutex.Unlock()
-	if known != nil && known.begin() {
+	if known != nil && known.acquire() {
 		return known, nil
 	}
 	raw, err := c.dial(ctx, address)
@@ -95,24 +93,24 @@
 		raw.Close()
 		return nil, err
 	}
-	return c.keep(address, created), nil
+	return c.addConnection(address, created), nil
 }
 
-// keep remembers a new connection unless another call made one meanwhile.
-func (c *Client) keep(address string, created *connection) *connection {
+// addConnection stores a new connection, unless another call stored one in the meantime.
+func (c *Client) addConnection(address string, created *connection) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if other := c.connections[address]; other != nil && other.begin() {
+	if other := c.connections[address]; other != nil && other.acquire() {
 		created.retire()
 		return other
 	}
 	c.connections[address] = created
-	created.begin()
+	created.acquire()
 	return created
 }
 
-// forget lets new calls open a new connection. Calls under way go on.
-func (c *Client) forget(address string, failed *connection) {
+// removeConnection makes new calls open another connection. Pending calls continue.
+func (c *Client) removeConnection(address string, failed *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.connections[address] == failed {
@@ -121,7 +119,7 @@
 	failed.retire()
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,8 +18,7 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// connect returns a client whose connections reach a server with the handler over
-// in-memory pipes.
+// connect returns a client connected to a server over in-memory pipes.
 func connect(handler Handler) (*Client, *Server) {
 	server := NewServer(handler)
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
@@ -34,10 +33,10 @@
 	return &peerpb.Request{Id: id, Body: &peerpb.Request_Lookup{Lookup: &peerpb.Lookup{Key: &peerpb.JobKey{Tenant: "t", Id: id}}}}
 }
 
-func TestAnswersOfAnySizeArriveWholeAndOutOfOrder(t *testing.T) {
+func TestLargeResponsesArriveOutOfOrder(t *testing.T) {
 	const calls, size = 8, 5 << 20
-	// answered[n] is closed once request n has its answer; request n-1 waits for it,
-	// so that the first is answered last.
+	// answered[n] is closed once request n has its response. Request n-1 waits for it, so that
+	// responses arrive in reverse order.
 	answered := make([]chan struct{}, calls+1)
 	for number := range answered {
 		answered[number] = make(chan struct{})
@@ -65,7 +64,7 @@
 	group.Wait()
 }
 
-func TestFaultsOfACall(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	cases := map[string]struct {
@@ -84,7 +83,7 @@
 			},
 			want: fault.NeverFits, budget: time.Second,
 		},
-		"no answer before the deadline": {
+		"no response before the deadline": {
 			handler: func(context.Context, *peerpb.Request) ([]byte, error) {
 				<-release
 				return nil, nil
@@ -107,11 +106,11 @@
 	}
 }
 
-// TestAnswerToAnotherRequestIsRefused plays a peer that mixes answers up.
-func TestAnswerToAnotherRequestIsRefused(t *testing.T) {
+// TestResponseWithWrongIDIsRejected guards against accepting the response to another request.
+func TestResponseWithWrongIDIsRejected(t *testing.T) {
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
-		go answerAnother(far)
+		go answerWithWrongID(far)
 		return near, nil
 	})
 	defer client.Close()
@@ -121,7 +120,7 @@
 	require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
 }
 
-func answerAnother(connection net.Conn) {
+func answerWithWrongID(connection net.Conn) {
 	session, err := yamux.Server(connection, sessionConfig())
 	if err != nil {
 		return
@@ -138,24 +137,24 @@
 	<-session.CloseChan()
 }
 
-// pieceRecorder keeps what is written and the largest piece of it.
-type pieceRecorder struct {
+// chunkRecorder records written data and the size of the largest write.
+type chunkRecorder struct {
 	bytes.Buffer
 	largest int
 }
 
-func (r *pieceRecorder) Write(content []byte) (int, error) {
+func (r *chunkRecorder) Write(content []byte) (int, error) {
 	r.largest = max(r.largest, len(content))
 	return r.Buffer.Write(content)
 }
 
-// TestLargeMessagesAreWrittenInPieces: an answer of a megabyte in one frame held up the
-// pings of the same connection for longer than these wait.
-func TestLargeMessagesAreWrittenInPieces(t *testing.T) {
+// TestLargeMessagesAreWrittenInChunks guards against large frames delaying the keep-alive pings of
+// a connection beyond their timeout.
+func TestLargeMessagesAreWrittenInChunks(t *testing.T) {
 	sent := &peerpb.Response{Id: "7", Document: bytes.Repeat([]byte("x"), 1<<20)}
-	var recorder pieceRecorder
+	var recorder chunkRecorder
 	require.NoError(t, writeMessage(&recorder, sent))
-	require.Equal(t, pieceBytes, recorder.largest)
+	require.Equal(t, chunkBytes, recorder.largest)
 	received := &peerpb.Response{}
 	require.NoError(t, readMessage(&recorder.Buffer, received))
 	require.Equal(t, sent.Document, received.Document)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,20 +13,20 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// Handler answers one request with a JSON document or an error of a listed kind.
+// Handler executes a request and returns a JSON document or an error of a listed kind.
 type Handler func(ctx context.Context, request *peerpb.Request) ([]byte, error)
 
-// Server accepts connections of other nodes.
+// Server serves requests of other nodes.
 type Server struct {
 	handler  Handler
 	mutex    sync.Mutex
 	sessions map[*yamux.Session]bool
-	// closing is set, under the mutex, before requests is waited for.
+	// closing is set, under the mutex, before Shutdown waits for requests.
 	closing  bool
 	requests sync.WaitGroup
 }
 
-// NewServer returns a server that answers with handler.
+// NewServer returns a server that passes requests to handler.
 func NewServer(handler Handler) *Server {
 	return &Server{handler: handler, sessions: map[*yamux.Session]bool{}}
 }
@@ -42,31 +42,32 @@
 	}
 }
 
-// ServeConnection answers the requests of one connection until it ends.
+// ServeConnection serves requests on a connection until it is closed.
 func (s *Server) ServeConnection(connection net.Conn) {
 	session, err := yamux.Server(connection, sessionConfig())
 	if err != nil {
 		connection.Close()
 		return
 	}
-	s.track(session, true)
-	defer s.track(session, false)
+	s.trackSession(session, true)
+	defer s.trackSession(session, false)
 	defer session.Close()
 	for {
 		stream, err := session.Accept()
 		if err != nil {
 			return
 		}
-		if s.begin() {
-			go s.serve(stream)
+		if s.beginRequest() {
+			go s.serveRequest(stream)
 		} else {
-			go respond(stream, refuse)
+			go serveStream(stream, rejectRequest)
 		}
 	}
 }
 
-// begin counts a request that Shutdown must wait for, unless it has begun to wait.
-func (s *Server) begin() bool {
+// beginRequest registers a request for which Shutdown waits. It returns false if Shutdown has been
+// called.
+func (s *Server) beginRequest() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closing {
@@ -76,17 +77,17 @@
 	return true
 }
 
-func (s *Server) serve(stream net.Conn) {
+func (s *Server) serveRequest(stream net.Conn) {
 	defer s.requests.Done()
-	respond(stream, s.handler)
+	serveStream(stream, s.handler)
 }
 
-// refuse answers requests that come after the end of service. They did nothing.
-func refuse(context.Context, *peerpb.Request) ([]byte, error) {
+// rejectRequest answers requests received during shutdown. They are not executed.
+func rejectRequest(context.Context, *peerpb.Request) ([]byte, error) {
 	return nil, fault.New(fault.NoOwner, "the node is stopping")
 }
 
-func (s *Server) track(session *yamux.Session, open bool) {
+func (s *Server) trackSession(session *yamux.Session, open bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if open {
@@ -96,15 +97,15 @@
 	}
 }
 
-// readLimit bounds how long a request may take to arrive once its stream is open.
-const readLimit = 10 * time.Second
+// requestReadTimeout limits the time between the opening of a stream and the end of its request.
+const requestReadTimeout = 10 * time.Second
 
-// respond reads a request from a stream and writes the handler's answer.
-func respond(stream net.Conn, handler Handler) {
+// serveStream reads a request from a stream and writes the handler's response.
+func serveStream(stream net.Conn, handler Handler) {
 	defer stream.Close()
 	request := &peerpb.Request{}
-	// A stream that cannot take a deadline is closed already.
-	_ = stream.SetReadDeadline(time.Now().Add(readLimit))
+	// SetReadDeadline fails only on a closed stream, and then so does the read.
+	_ = stream.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	if err := readMessage(stream, request); err != nil {
 		return
 	}
@@ -117,12 +118,12 @@
 	} else {
 		response.Document = document
 	}
-	// A caller that went away needs no answer.
+	// A write error means that the caller has disconnected.
 	_ = writeMessage(stream, response)
 }
 
-// Shutdown waits until all requests that have begun are answered, then closes all
-// connections. The context bounds the wait.
+// Shutdown waits until all registered requests are answered or ctx ends, then closes all
+// connections.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.mutex.Lock()
 	s.closing = true
@@ -143,8 +144,7 @@
 	}
 }
 
-// Session limits: how long a dead connection goes unnoticed, and how much of one
-// answer may be under way.
+// Session limits: detection time of dead connections, and receive window per stream.
 const (
 	keepAlive    = 5 * time.Second
 	writeTimeout = 5 * time.Second
--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -17,36 +17,35 @@
 	"github.com/wheatroad/wheatroad/internal/schedule"
 )
 
-// Plan is what confirming a declaration would do.
+// Plan is the effect of confirming a declaration.
 type Plan struct {
-	// Digest identifies the plan by all that follows.
+	// Digest is a hash of the fields below except Impact.
 	Digest string `json:"digest"`
-	// Base is the configuration version that the plan starts from.
+	// Base is the configuration version on which the plan is based.
 	Base        int64                   `json:"base"`
 	Changes     []declaration.Change    `json:"changes"`
 	Declaration declaration.Declaration `json:"declaration"`
-	// Effects lists where guarantees would lie.
+	// Effects lists the domains to which guarantees would be assigned.
 	Effects []Effect `json:"effects,omitempty"`
-	// Impact lists what would happen to jobs at the time of planning. It is not part
-	// of what the digest identifies, since jobs come and go.
+	// Impact lists the effects on jobs at the time of planning. The digest excludes it, since jobs
+	// change continuously.
 	Impact []Effect `json:"impact,omitempty"`
 }
 
 // Effect is one consequence of a plan.
 type Effect struct {
-	// Kind is "guarantee_placed", or what happens to a job: "job_preempted",
-	// "job_leaves_rack", "job_ends", "job_waits", "job_starts"; or "domain_unknown".
+	// Kind is "guarantee_placed"; for jobs "job_preempted", "job_leaves_rack", "job_ends",
+	// "job_waits" or "job_starts"; or "domain_unknown".
 	Kind    string `json:"kind"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// Site is the capacity that a plan is judged on: the machines of each domain.
+// Site maps each domain to the machines on which a plan is evaluated.
 type Site map[string][]machines.Machine
 
-// Make returns the plan that turns the current configuration into the declared
-// one. A declaration whose guarantees do not all fit at once is refused with the
-// nearest shape that would.
+// Make returns the plan that changes the current configuration into the declared one. If the
+// guarantees do not all fit at the same time, the error names the nearest shape that would.
 func Make(current declaration.Configuration, declared declaration.Declaration, site Site, now time.Time) (*Plan, error) {
 	declared.Normalize()
 	if err := declared.Validate(); err != nil {
@@ -65,20 +64,20 @@
 }
 
 func (p *Plan) digest() string {
-	bare := *p
-	bare.Digest = ""
-	bare.Impact = nil
+	content := *p
+	content.Digest = ""
+	content.Impact = nil
 	// Marshalling a struct of plain fields cannot fail.
-	document, _ := json.Marshal(bare)
+	document, _ := json.Marshal(content)
 	sum := sha256.Sum256(document)
 	return hex.EncodeToString(sum[:])
 }
 
-// Valid reports whether a plan read from outside is what its digest says.
+// Valid reports whether the digest of a plan from an untrusted source matches its content.
 func (p *Plan) Valid() bool { return p.Digest == p.digest() }
 
-// assign gives every guarantee without a zone to domains that have room for it.
-// Guarantees that already lie in a domain stay there.
+// assign distributes each guarantee over domains with sufficient capacity: the zone that it names,
+// else preferably the domains that hold it now.
 func assign(current, declared declaration.Declaration, site Site, now time.Time) (declaration.Declaration, []Effect, error) {
 	placer := newPlacer(site, declared.DrainedRacks, now)
 	assigned := declaration.Declaration{DrainedRacks: declared.DrainedRacks}
@@ -105,25 +104,26 @@
 	return assigned, effects, nil
 }
 
-// request is one guarantee to be placed.
+// request is a guarantee to be assigned.
 type request struct {
 	tenant    int
 	name      string
 	guarantee declaration.Guarantee
-	// prefer are the domains that hold the same shape now.
-	prefer []string
+	// preferred lists the domains that currently hold a guarantee of this shape.
+	preferred []string
 }
 
-// requestsOf lists the guarantees, the narrowest and largest first.
+// requestsOf returns the guarantees, ordered by ascending width of their spread, then by
+// descending size.
 func requestsOf(declared, current *declaration.Declaration) []request {
 	var requests []request
 	for i := range declared.Tenant {
 		for _, guarantee := range declared.Tenant[i].Guarantee {
 			r := request{tenant: i, name: declared.Tenant[i].Name, guarantee: guarantee}
-			if held := current.Find(r.name); held != nil {
-				for _, old := range held.Guarantee {
-					if old.Shape == guarantee.Shape {
-						r.prefer = append(r.prefer, old.Zone)
+			if existing := current.Find(r.name); existing != nil {
+				for _, placed := range existing.Guarantee {
+					if placed.Shape == guarantee.Shape {
+						r.preferred = append(r.preferred, placed.Zone)
 					}
 				}
 			}
@@ -139,22 +139,22 @@
 	return requests
 }
 
-// placer packs guarantees into domains one copy at a time.
+// placer assigns copies of guarantees to domains.
 type placer struct {
 	now     time.Time
 	names   []string
-	domains map[string]*packing
+	domains map[string]*domainPlacements
 }
 
-// packing is what is guaranteed in one domain so far.
-type packing struct {
+// domainPlacements holds the guarantees assigned to one domain so far.
+type domainPlacements struct {
 	scheduler *schedule.Scheduler
 	tenants   []declaration.Tenant
 	copies    int
 }
 
 func newPlacer(site Site, drained []string, now time.Time) *placer {
-	p := &placer{now: now, domains: map[string]*packing{}}
+	p := &placer{now: now, domains: map[string]*domainPlacements{}}
 	for name, list := range site {
 		p.names = append(p.names, name)
 		scheduler := schedule.New(schedule.Default(), cluster.NewState())
@@ -168,26 +168,26 @@
 				cluster.Location{Region: machine.Region, Zone: machine.Zone, Rack: machine.Rack},
 				cluster.CapacityOf(machine))
 		}
-		p.domains[name] = &packing{scheduler: scheduler}
+		p.domains[name] = &domainPlacements{scheduler: scheduler}
 	}
 	slices.Sort(p.names)
 	return p
 }
 
-// fits tries whether a domain holds one or more further copies.
-func (p *packing) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
-	tried := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantee: []declaration.Guarantee{guarantee}})
-	return p.scheduler.Configure(now, tried) == 0
+// fits reports whether the domain can hold the guarantee in addition to those assigned so far.
+func (p *domainPlacements) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
+	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantee: []declaration.Guarantee{guarantee}})
+	return p.scheduler.Configure(now, tenants) == 0
 }
 
 func (p *placer) place(r request) ([]declaration.Guarantee, error) {
 	var placed []declaration.Guarantee
-	left := r.guarantee.Count
+	remaining := r.guarantee.Count
 	for _, name := range p.candidates(r) {
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
-		count := p.most(name, r, left)
+		count := p.maxCopies(name, r, remaining)
 		if count == 0 {
 			continue
 		}
@@ -198,16 +198,16 @@
 		domain.tenants = append(domain.tenants, declaration.Tenant{Name: r.name, Guarantee: []declaration.Guarantee{guarantee}})
 		domain.copies += count
 		placed = append(placed, guarantee)
-		left -= count
+		remaining -= count
 	}
-	if left > 0 {
-		return nil, p.refuse(r, r.guarantee.Count-left)
+	if remaining > 0 {
+		return nil, p.infeasibleError(r, r.guarantee.Count-remaining)
 	}
 	return placed, nil
 }
 
-// candidates lists the domains that may hold a guarantee: those that hold it now
-// first, then the least guaranteed.
+// candidates returns the domains that may hold a guarantee: first those that hold it now, then by
+// ascending number of assigned copies.
 func (p *placer) candidates(r request) []string {
 	if r.guarantee.Zone != "" {
 		if _, ok := p.domains[r.guarantee.Zone]; !ok {
@@ -217,7 +217,7 @@
 	}
 	names := slices.Clone(p.names)
 	slices.SortStableFunc(names, func(a, b string) int {
-		preferA, preferB := slices.Contains(r.prefer, a), slices.Contains(r.prefer, b)
+		preferA, preferB := slices.Contains(r.preferred, a), slices.Contains(r.preferred, b)
 		switch {
 		case preferA && !preferB:
 			return -1
@@ -229,10 +229,9 @@
 	return names
 }
 
-// most returns how many copies, up to want, a domain can hold besides what it
-// holds already.
-func (p *placer) most(name string, r request, want int) int {
-	low, high := 0, want
+// maxCopies returns how many additional copies, up to limit, a domain can hold.
+func (p *placer) maxCopies(name string, r request, limit int) int {
+	low, high := 0, limit
 	for low < high {
 		middle := (low + high + 1) / 2
 		guarantee := r.guarantee
@@ -246,31 +245,32 @@
 	return low
 }
 
-// refuse names the nearest shape that would fit: fewer copies, else fewer members.
-func (p *placer) refuse(r request, count int) error {
+// infeasibleError returns an error that names the nearest shape that would fit: fewer copies, else
+// fewer members.
+func (p *placer) infeasibleError(r request, count int) error {
 	field := "tenant." + r.name + ".guarantee"
-	shape := describe(r.guarantee.Shape)
+	shape := describeShape(r.guarantee.Shape)
 	if count > 0 {
 		return fault.NewField(fault.PlanNoWitness, field, "%d of %s do not fit beside the other guarantees; %d would", r.guarantee.Count, shape, count)
 	}
-	smaller := r
-	smaller.guarantee.Count = 1
-	for smaller.guarantee.Members > 1 {
-		smaller.guarantee.Members--
-		for _, name := range p.candidates(smaller) {
-			if p.most(name, smaller, 1) == 1 {
-				return fault.NewField(fault.PlanNoWitness, field, "no %s fits beside the other guarantees; the nearest that would is %s", shape, describe(smaller.guarantee.Shape))
+	candidate := r
+	candidate.guarantee.Count = 1
+	for candidate.guarantee.Members > 1 {
+		candidate.guarantee.Members--
+		for _, name := range p.candidates(candidate) {
+			if p.maxCopies(name, candidate, 1) == 1 {
+				return fault.NewField(fault.PlanNoWitness, field, "no %s fits beside the other guarantees; the nearest that would is %s", shape, describeShape(candidate.guarantee.Shape))
 			}
 		}
 	}
 	return fault.NewField(fault.PlanNoWitness, field, "no %s fits beside the other guarantees, and no smaller gang either", shape)
 }
 
-func describe(shape job.Shape) string {
+func describeShape(shape job.Shape) string {
 	return fmt.Sprintf("(%d members of %d accelerators in one %s)", shape.Members, shape.Accelerators, shape.Spread)
 }
 
-// Summary renders the plan's changes as lines.
+// Summary returns the plan's changes, one per line.
 func (p *Plan) Summary() string {
 	var lines []string
 	for _, change := range p.Changes {
--- a/internal/poison/history.go
+++ b/internal/poison/history.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// History is what lost workers say of one task.
+// History is the evidence from lost workers about one task.
 type History struct {
 	group  *Group
 	losses []taskLoss
 }
 
-// Group has the histories of tasks that run only together. Workers lost under several of
-// them are lost by the same cause.
+// Group holds the histories of tasks that run only together. Losses under several of them have the
+// same cause.
 type Group struct {
 	losses []*workerLoss
 }
 
-// taskLoss is one worker that was lost under a task.
+// taskLoss is one worker that was lost while the task ran on it.
 type taskLoss struct {
 	worker string
-	// age is that of the task's run when the worker was lost, or unknownAge.
+	// age is the age of the task's run when the worker was lost, or unknownAge.
 	age time.Duration
-	// ratio is how much more likely the loss is if the task is poison.
+	// ratio is the likelihood ratio of the loss: poison against sound.
 	ratio float64
-	// unexplained losses only count; they are no evidence.
+	// unexplained losses count toward the limit but are not evidence.
 	unexplained bool
-	// loss is nil once the ratio no longer changes.
+	// loss is nil once the ratio is final.
 	loss *workerLoss
 }
 
-// Record is a lost worker as it is kept in the store.
+// Record is the stored form of a loss in a history.
 type Record struct {
 	Worker string  `json:"w"`
 	Ratio  float64 `json:"r"`
-	// AgeMillis is the age of the run in whole milliseconds, rounded up; 0 if it is not known.
+	// AgeMillis is the age of the run in whole milliseconds plus 1; 0 if unknown.
 	AgeMillis int64 `json:"a,omitempty"`
-	// Unexplained losses only count.
+	// Unexplained losses count toward the limit but are not evidence.
 	Unexplained bool `json:"u,omitempty"`
 }
 
-// NewGroup returns the group of tasks that run only together.
+// NewGroup returns an empty group.
 func NewGroup() *Group { return &Group{} }
 
-// NewHistory returns the history of a task from what was kept of it.
+// NewHistory returns the history of a task in the group from its stored records.
 func (g *Group) NewHistory(records []Record) *History {
 	h := &History{group: g}
 	for _, record := range records {
@@ -52,16 +52,16 @@
 	return h
 }
 
-// AddUnexplained counts a worker that was lost under the task and is no evidence: it may have
-// been lost for a reason of its own, or before the task began there.
+// AddUnexplained counts a lost worker that is not evidence, because it may have been lost for
+// another reason or before the task began there.
 func (h *History) AddUnexplained(worker string) {
 	if !h.has(worker) {
 		h.losses = append(h.losses, taskLoss{worker: worker, age: unknownAge, ratio: 1, unexplained: true})
 	}
 }
 
-// evidence counts the workers that were lost under the task and are evidence.
-func (h *History) evidence() int {
+// evidenceCount returns the number of losses that are evidence.
+func (h *History) evidenceCount() int {
 	count := 0
 	for i := range h.losses {
 		if !h.losses[i].unexplained {
@@ -71,20 +71,20 @@
 	return count
 }
 
-// Records renders the history to be kept; that of nil is empty.
+// Records returns the history as stored; a nil history has none.
 func (h *History) Records() []Record {
 	if h == nil {
 		return nil
 	}
 	records := make([]Record, 0, len(h.losses))
 	for i := range h.losses {
-		kept := &h.losses[i]
-		records = append(records, Record{Worker: kept.worker, Ratio: kept.ratio, AgeMillis: ageMillis(kept.age), Unexplained: kept.unexplained})
+		loss := &h.losses[i]
+		records = append(records, Record{Worker: loss.worker, Ratio: loss.ratio, AgeMillis: ageMillis(loss.age), Unexplained: loss.unexplained})
 	}
 	return records
 }
 
-// Workers names the workers that were lost under the task.
+// Workers returns the names of the workers that were lost under the task.
 func (h *History) Workers() string {
 	names := make([]string, 0, len(h.losses))
 	for i := range h.losses {
@@ -93,7 +93,7 @@
 	return strings.Join(names, " ")
 }
 
-// Count returns how many workers were lost under the task.
+// Count returns the number of workers that were lost under the task.
 func (h *History) Count() int {
 	if h == nil {
 		return 0
@@ -109,60 +109,60 @@
 	return h.oddsWithout(nil)
 }
 
-// Verdict is what is made of a task's history.
+// Verdict is the classification of a task by its history.
 type Verdict string
 
 // The verdicts.
 const (
 	// Sound tasks run like any other.
 	Sound Verdict = "sound"
-	// Doubtful tasks run apart from each other where that is possible at once, so that the
-	// next loss tells them apart.
+	// Doubtful tasks are kept apart from each other where that causes no wait, so that the next
+	// loss distinguishes them.
 	Doubtful Verdict = "doubtful"
-	// Suspected tasks run apart from everything new, on an empty worker first.
+	// Suspected tasks are kept apart from all newly placed tasks, preferably on an empty worker.
 	Suspected Verdict = "suspected"
-	// PoisonByOdds and PoisonByLimit tasks are not to run again.
+	// PoisonByOdds and PoisonByLimit tasks must not run again.
 	PoisonByOdds  Verdict = "crash_odds"
 	PoisonByLimit Verdict = "crash_limit"
 )
 
-// Poison reports whether a task is not to run again.
+// Poison reports whether the task must not run again.
 func (v Verdict) Poison() bool { return v == PoisonByOdds || v == PoisonByLimit }
 
-// proved reports whether the evidence is enough to give the task up. Two losses have to agree, from
-// the third on the odds alone decide.
-func (h *History) proved() bool {
-	evidence := h.evidence()
-	if evidence == lossesLeast && !h.agesAgree() {
+// hasSufficientEvidence reports whether the evidence proves the task poison. Two losses must agree
+// in age; with three or more the odds decide.
+func (h *History) hasSufficientEvidence() bool {
+	evidence := h.evidenceCount()
+	if evidence == minEvidence && !h.agesAgree() {
 		return false
 	}
-	return evidence >= lossesLeast && h.Odds() >= poisonOdds
+	return evidence >= minEvidence && h.Odds() >= poisonOdds
 }
 
-// Verdict returns what is made of the task.
+// Verdict classifies the task.
 func (h *History) Verdict() Verdict {
 	count := h.Count()
 	if count == 0 {
 		return Sound
 	}
-	evidence, odds := h.evidence(), h.Odds()
+	evidence, odds := h.evidenceCount(), h.Odds()
 	switch {
-	case count >= lossesLimit, count == lossesLimit-1 && evidence >= lossesLeast && odds >= lateOdds:
+	case count >= maxLosses, count == maxLosses-1 && evidence >= minEvidence && odds >= nearLimitOdds:
 		return PoisonByLimit
-	case h.proved():
+	case h.hasSufficientEvidence():
 		return PoisonByOdds
-	case evidence >= lossesLeast || odds >= suspectOdds:
+	case evidence >= minEvidence || odds >= suspectedOdds:
 		return Suspected
-	case odds >= doubtOdds:
+	case odds >= doubtfulOdds:
 		return Doubtful
 	}
 	return Sound
 }
 
-// Suspicious reports whether the odds alone make the task a suspect.
-func (h *History) Suspicious() bool { return h.Odds() >= suspectOdds }
+// Suspicious reports whether the odds alone make the task suspected.
+func (h *History) Suspicious() bool { return h.Odds() >= suspectedOdds }
 
-// oddsWithout returns the odds by all evidence but that of one loss.
+// oddsWithout returns the odds without the evidence of one loss.
 func (h *History) oddsWithout(loss *workerLoss) float64 {
 	odds := priorOdds
 	for i := range h.losses {
@@ -181,7 +181,7 @@
 	}
 }
 
-// freeze keeps the evidence of a loss as it is.
+// freeze makes the ratio of a loss final.
 func (h *History) freeze(loss *workerLoss) {
 	for i := range h.losses {
 		if h.losses[i].loss == loss {
@@ -190,9 +190,9 @@
 	}
 }
 
-// forget drops a worker that was not lost after all. It returns false if the worker is not
-// in the history.
-func (h *History) forget(worker string) bool {
+// removeWorker removes a worker that was not lost. It returns false if the worker is not in the
+// history.
+func (h *History) removeWorker(worker string) bool {
 	for i := range h.losses {
 		if h.losses[i].worker == worker {
 			h.losses = append(h.losses[:i:i], h.losses[i+1:]...)
--- /dev/null
+++ b/internal/poison/loss_tracker.go
@@ -0,0 +1,234 @@
+package poison
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// recentWindow is how long the evidence of a loss is updated by other losses.
+	recentWindow = 30 * time.Second
+	// maxRecentLosses limits the losses whose evidence is updated.
+	maxRecentLosses = 256
+	// estimateIterations is the number of fixed-point iterations over odds and chance rates.
+	estimateIterations = 4
+)
+
+// Ledger correlates recent losses of workers to find the tasks that caused them.
+type Ledger struct {
+	// losses is sorted by time.
+	losses []*workerLoss
+	// settled holds losses with final evidence, oldest first, so that they can still be withdrawn.
+	settled []settledLoss
+	// tracked holds the workers in losses and settled.
+	tracked map[string]bool
+	// workers is the number of workers in the pool.
+	workers int
+}
+
+// settledLoss is a loss with final evidence in one history.
+type settledLoss struct {
+	worker  string
+	history *History
+}
+
+// maxSettledLosses limits the losses that can still be withdrawn.
+const maxSettledLosses = 2048
+
+// workerLoss is one lost worker and the tasks that ran on it.
+type workerLoss struct {
+	worker, address string
+	at              time.Time
+	replaced        bool
+	unobserved      bool
+	suspects        []Suspect
+	// chanceProbability is the probability that none of the tasks caused the loss.
+	chanceProbability float64
+	// chanceRate is the rate of chance losses at the time, and suspectRate that of losses caused by
+	// one of the suspects.
+	chanceRate, suspectRate float64
+	// nearbyChance sums the chance probabilities of the losses around this one.
+	nearbyChance chanceSums
+}
+
+// Suspect is a task that ran on a worker when the worker was lost.
+type Suspect struct {
+	History *History
+	// Age is the age of the run when the worker was last known to be alive.
+	Age time.Duration
+	// AgeAssumed is true if an earlier owner started the run, so that Age is an estimate.
+	AgeAssumed bool
+}
+
+// knownAge returns the age of the run, or unknownAge if it is an estimate.
+func (s *Suspect) knownAge() time.Duration {
+	if s.AgeAssumed {
+		return unknownAge
+	}
+	return max(0, s.Age)
+}
+
+// Loss describes a lost worker.
+type Loss struct {
+	Worker string
+	// Address is empty if unknown.
+	Address string
+	At      time.Time
+	// Unwatched is true if the worker was lost before its owner heard from it.
+	Unwatched bool
+	// Replaced is true if another instance runs at the worker's address, so that the lost one
+	// certainly runs nothing.
+	Replaced bool
+	Suspects []Suspect
+}
+
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger { return &Ledger{tracked: map[string]bool{}} }
+
+// SetWorkers sets the number of workers in the pool.
+func (l *Ledger) SetWorkers(count int) { l.workers = max(1, count) }
+
+// Lost records a lost worker and updates the evidence.
+func (l *Ledger) Lost(lost Loss) {
+	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unobserved: lost.Unwatched, chanceProbability: 1}
+	for _, suspect := range lost.Suspects {
+		if suspect.Age < ageHorizon && !suspect.History.has(lost.Worker) {
+			loss.suspects = append(loss.suspects, suspect)
+			suspect.History.losses = append(suspect.History.losses, taskLoss{worker: lost.Worker, age: suspect.knownAge(), ratio: 1, loss: loss})
+			suspect.History.group.add(loss)
+		}
+	}
+	l.prune(lost.At)
+	position, _ := slices.BinarySearchFunc(l.losses, loss, func(a, b *workerLoss) int { return a.at.Compare(b.at) })
+	l.losses = slices.Insert(l.losses, position, loss)
+	l.tracked[lost.Worker] = true
+	l.updateEvidence()
+}
+
+func (h *History) has(worker string) bool {
+	return slices.ContainsFunc(h.losses, func(loss taskLoss) bool { return loss.worker == worker })
+}
+
+func (g *Group) add(loss *workerLoss) {
+	if !slices.Contains(g.losses, loss) {
+		g.losses = append(g.losses, loss)
+	}
+}
+
+// Restore registers a history that was read from the store.
+func (l *Ledger) Restore(h *History) {
+	for i := range h.losses {
+		l.settle(h, h.losses[i].worker)
+	}
+}
+
+func (l *Ledger) settle(h *History, worker string) {
+	l.tracked[worker] = true
+	l.settled = append(l.settled, settledLoss{worker: worker, history: h})
+	if len(l.settled) > maxSettledLosses {
+		delete(l.tracked, l.settled[0].worker)
+		l.settled = slices.Delete(l.settled, 0, 1)
+	}
+}
+
+// prune finalizes the evidence of losses older than recentWindow, and of the oldest beyond
+// maxRecentLosses.
+func (l *Ledger) prune(now time.Time) {
+	for len(l.losses) > 0 && (now.Sub(l.losses[0].at) > recentWindow || len(l.losses) >= maxRecentLosses) {
+		l.removeLoss(l.losses[0], func(h *History, loss *workerLoss) {
+			h.freeze(loss)
+			l.settle(h, loss.worker)
+		})
+		l.losses = l.losses[1:]
+	}
+}
+
+func (l *Ledger) removeLoss(loss *workerLoss, settle func(*History, *workerLoss)) {
+	for _, suspect := range loss.suspects {
+		settle(suspect.History, loss)
+		group := suspect.History.group
+		group.losses = slices.DeleteFunc(group.losses, func(other *workerLoss) bool { return other == loss })
+	}
+}
+
+// Replaced records that another instance runs at the address of a lost worker.
+func (l *Ledger) Replaced(address, successor string) {
+	for _, loss := range l.losses {
+		if loss.address == address && address != "" && loss.worker != successor && !loss.replaced {
+			loss.replaced = true
+			l.updateEvidence()
+		}
+	}
+}
+
+// Alive withdraws the loss of a worker that is alive. It returns true if the worker was recorded
+// as lost.
+func (l *Ledger) Alive(worker string) bool {
+	if !l.tracked[worker] {
+		return false
+	}
+	delete(l.tracked, worker)
+	for i, loss := range l.losses {
+		if loss.worker == worker {
+			l.removeLoss(loss, func(h *History, loss *workerLoss) { h.removeWorker(loss.worker) })
+			l.losses = slices.Delete(l.losses, i, i+1)
+			l.updateEvidence()
+			return true
+		}
+	}
+	return l.withdrawSettled(worker)
+}
+
+func (l *Ledger) withdrawSettled(worker string) bool {
+	found := false
+	l.settled = slices.DeleteFunc(l.settled, func(settled settledLoss) bool {
+		if settled.worker != worker {
+			return false
+		}
+		found = settled.history.removeWorker(worker) || found
+		return true
+	})
+	return found
+}
+
+// updateEvidence recomputes the evidence of all recent losses. It starts from the assumption that
+// all are chance losses, which favours sound tasks: only losses above that rate change the odds.
+func (l *Ledger) updateEvidence() {
+	for _, loss := range l.losses {
+		loss.chanceProbability = 1
+		for _, suspect := range loss.suspects {
+			suspect.History.setRatio(loss, 1)
+		}
+	}
+	for range estimateIterations {
+		l.updateChanceRates()
+		for _, loss := range l.losses {
+			loss.updateRatios(l.workers)
+		}
+		for _, loss := range l.losses {
+			loss.chanceProbability = loss.chanceRate / (loss.chanceRate + loss.suspectRate)
+		}
+	}
+}
+
+// updateRatios recomputes the likelihood ratio of each suspect, by the suspects' odds without this
+// loss.
+func (loss *workerLoss) updateRatios(workers int) {
+	suspectRate := 0.0
+	weights := make([]float64, len(loss.suspects))
+	for i, suspect := range loss.suspects {
+		weights[i] = probability(suspect.History.oddsWithout(loss)) * crashDensity(suspect.Age)
+		suspectRate += weights[i]
+	}
+	for i, suspect := range loss.suspects {
+		group := suspect.History.group
+		otherRate := loss.baseRate() + loss.nearbyChance.rate(group.groupChance(loss), workers) + suspectRate
+		for k, other := range loss.suspects {
+			if k == i || other.History.group == group {
+				otherRate -= weights[k]
+			}
+		}
+		suspect.History.setRatio(loss, crashDensity(suspect.Age)/max(otherRate, loss.baseRate()))
+	}
+	loss.suspectRate = suspectRate
+}
--- a/internal/worker/httpfleet/httpfleet_test.go
+++ b/internal/worker/httpfleet/httpfleet_test.go
@@ -42,12 +42,12 @@
 		cancel()
 		require.Error(t, err, mode)
 	}
-	end, err := fleet.Reports(t.Context(), "r/z", -1)
+	reports, err := fleet.Reports(t.Context(), "r/z", -1)
 	require.NoError(t, err)
-	require.Zero(t, end.Cursor)
+	require.Zero(t, reports.Cursor)
 }
 
-// BenchmarkRenewal times one renewal with both ends in this process.
+// BenchmarkRenewal measures a lease renewal with client and server in one process.
 func BenchmarkRenewal(b *testing.B) {
 	_, fleet, address := serve(b)
 	order := worker.Order{Action: worker.Renew, Domain: "r/z", Epoch: 1, LeaseSeconds: 60}
