--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -19,7 +19,7 @@
 		// It is not known yet who would take a pool first.
 		return false
 	}
-	for name := range n.watches {
+	for name := range n.watchers {
 		if n.guards(name) {
 			return true
 		}
@@ -33,7 +33,7 @@
 		return
 	}
 	n.followingLeases = true
-	names := sortedKeys(n.watches)
+	names := sortedKeys(n.watchers)
 	left, version := len(names), n.freshSampleVersion()
 	for _, name := range names {
 		n.readLease(name, func(asOf int64) {
@@ -72,7 +72,7 @@
 // which it is known.
 func (n *Node) readLease(name string, done func(version int64)) {
 	n.lookAtLease(name, func(version int64) {
-		n.watches[name].read = true
+		n.watchers[name].leaseRead = true
 		n.leaseChanged(name)
 		done(version)
 	})
@@ -94,14 +94,14 @@
 }
 
 // refreshLease reads a pool's lease again if this node does not follow it. It asks once.
-func (n *Node) refreshLease(w *watch) {
-	if n.followingLeases || w.refreshing {
+func (n *Node) refreshLease(w *poolWatcher) {
+	if n.followingLeases || w.refreshingLease {
 		return
 	}
-	w.refreshing = true
+	w.refreshingLease = true
 	n.ports.Scan(pool.NodeTable, w.pool, "", func(listing rows.Listing, _ error) {
 		// Without an answer the next ping leads here again.
-		w.refreshing = false
+		w.refreshingLease = false
 		for i := range listing.Rows {
 			n.applyNodeRow(listing.Rows[i])
 		}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -200,14 +200,14 @@
 	read := make(chan struct{})
 	onLoop(t, n, func() {
 		n.sample.partial = true
-		n.watches[poolName] = &watch{pool: poolName}
+		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.readLease(poolName, func(int64) { close(read) })
 	})
 	<-read
 	lease("node-3")
 	onLoop(t, n, func() {
 		require.False(t, n.needsLeases())
-		n.pingAnswered(n.watches[poolName], pingReply{Owner: false})
+		n.pingAnswered(n.watchers[poolName], pingReply{Owner: false})
 	})
 	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
@@ -376,7 +376,7 @@
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, func() {
 		n.sample.version, n.sample.readAt = 1, n.now()
-		n.watches[poolName] = &watch{pool: poolName}
+		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.followLeases()
 	})
 	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-2" }, time.Minute, time.Millisecond)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -89,11 +89,11 @@
 	followingLeases bool
 	// hearing is what this node knows, as an owner, of the others; pruning is true while it removes
 	// the rows of those that are gone.
-	hearing hearing
-	pruning bool
-	watches map[string]*watch
-	owned   map[string]*pool.Pool
-	waiting map[string]waitingCounts
+	hearing  hearing
+	pruning  bool
+	watchers map[string]*poolWatcher
+	owned    map[string]*pool.Pool
+	waiting  map[string]waitingCounts
 	// evacuated has the zones that operators have evacuated.
 	evacuated evacuation.Set
 	released  func()
@@ -106,7 +106,7 @@
 	n := &Node{
 		options: options, edges: edges,
 		sample: sample{members: map[string]member{}}, leases: map[string]leaseView{},
-		watches: map[string]*watch{}, owned: map[string]*pool.Pool{},
+		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
 	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkShare*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -15,46 +15,46 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// watch is what a node knows of a pool's owner.
-type watch struct {
+// poolWatcher is what a node knows of a pool's owner.
+type poolWatcher struct {
 	pool string
-	// read is true once the lease row is read.
-	read bool
+	// leaseRead is true once the lease row is leaseRead.
+	leaseRead bool
 	// failures counts pings in a row without an answer.
-	failures   int
-	answeredAt time.Time
-	acquiring  bool
-	// lost is true from an owner's first unanswered ping until it answers.
-	lost      bool
-	scheduled bool
-	serial    int
-	// outweighed counts answers in a row of an owner that this node outweighs.
-	outweighed int
-	// refreshing is true while the lease is read again.
-	refreshing bool
+	failures    int
+	lastReplyAt time.Time
+	acquiring   bool
+	// unresponsive is true from an owner's first unanswered ping until it answers.
+	unresponsive     bool
+	acquireScheduled bool
+	acquireAttempts  int
+	// weakReplies counts answers in a row of an owner that this node outweighs.
+	weakReplies int
+	// refreshingLease is true while the lease is read again.
+	refreshingLease bool
 }
 
 // watchPool begins to care for a pool.
 func (n *Node) watchPool(name string) {
-	if n.watches[name] != nil {
+	if n.watchers[name] != nil {
 		return
 	}
-	n.watches[name] = &watch{pool: name, answeredAt: n.now()}
+	n.watchers[name] = &poolWatcher{pool: name, lastReplyAt: n.now()}
 	n.readLease(name, func(int64) { n.followLeases() })
 }
 
 // leaseChanged takes the pool if it has no owner.
 func (n *Node) leaseChanged(name string) {
-	w := n.watches[name]
+	w := n.watchers[name]
 	if w == nil {
 		return
 	}
 	w.failures = 0
-	w.lost = false
-	w.outweighed = 0
+	w.unresponsive = false
+	w.weakReplies = 0
 	lease := n.leases[name]
 	switch {
-	case !w.read || n.owned[name] != nil:
+	case !w.leaseRead || n.owned[name] != nil:
 	case lease.Owner == "":
 		n.acquireLater(w, "no owner", n.unowned)
 	case lease.Owner == n.options.Name && lease.Incarnation != n.options.Incarnation:
@@ -117,14 +117,14 @@
 
 // acquireLater tries to take a pool after a delay that differs among nodes, if the
 // lease is the same and still holds then.
-func (n *Node) acquireLater(w *watch, reason string, still func(*watch) bool) {
-	if w.scheduled || n.stopping.Load() {
+func (n *Node) acquireLater(w *poolWatcher, reason string, still func(*poolWatcher) bool) {
+	if w.acquireScheduled || n.stopping.Load() {
 		return
 	}
-	w.scheduled = true
+	w.acquireScheduled = true
 	version := n.leases[w.pool].version
 	acquire := func() {
-		w.scheduled = false
+		w.acquireScheduled = false
 		if n.leases[w.pool].version == version && still(w) {
 			n.acquire(w, reason)
 		}
@@ -140,13 +140,13 @@
 }
 
 // acquire takes a pool by a write that requires the lease as last read.
-func (n *Node) acquire(w *watch, reason string) {
+func (n *Node) acquire(w *poolWatcher, reason string) {
 	if w.acquiring || n.owned[w.pool] != nil || n.stopping.Load() {
 		return
 	}
 	w.acquiring = true
-	w.serial++
-	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.serial)
+	w.acquireAttempts++
+	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.acquireAttempts)
 	n.edges.Record.Decided("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
 	options := n.poolOptions(w.pool)
 	n.ports.Commit(pool.Acquire(options, n.leases[w.pool].version, nonce), func(result rows.Result, err error) {
@@ -167,14 +167,14 @@
 
 // acquireAfterFailure tries again unless another owner stands: that one is as it was
 // before the store failed this node, and has to be suspected anew.
-func (n *Node) acquireAfterFailure(w *watch, reason string) {
+func (n *Node) acquireAfterFailure(w *poolWatcher, reason string) {
 	if n.unowned(w) || n.leases[w.pool].Owner == n.options.Name {
 		n.acquire(w, reason)
 	}
 }
 
 // lostRace takes in the lease that stood in the way.
-func (n *Node) lostRace(w *watch, result rows.Result, nonce string) {
+func (n *Node) lostRace(w *poolWatcher, result rows.Result, nonce string) {
 	for i := range result.Current {
 		row := result.Current[i]
 		var lease pool.Lease
@@ -229,7 +229,7 @@
 }
 
 // unowned reports whether a pool has no owner.
-func (n *Node) unowned(w *watch) bool { return n.leases[w.pool].Owner == "" }
+func (n *Node) unowned(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
 
 // An owner that a node outweighs by weightFactor is relieved by it once it has
 // answered that node relieveAfter times in a row.
@@ -240,18 +240,18 @@
 
 // relieveIfWeak takes a pool from an owner that has much less processor time than
 // this node: at a takeover amid other trouble the first to try may be a weak one.
-func (n *Node) relieveIfWeak(w *watch) {
+func (n *Node) relieveIfWeak(w *poolWatcher) {
 	if !n.outweighs(w) {
-		w.outweighed = 0
+		w.weakReplies = 0
 		return
 	}
-	if w.outweighed++; w.outweighed >= relieveAfter {
+	if w.weakReplies++; w.weakReplies >= relieveAfter {
 		n.withStore(func() { n.acquireLater(w, "owner "+n.leases[w.pool].Owner+" is weak", n.outweighs) })
 	}
 }
 
 // outweighs reports whether this node is fit to relieve a pool's owner.
-func (n *Node) outweighs(w *watch) bool {
+func (n *Node) outweighs(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
 	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weightFactor*weight &&
 		!n.storeLost() && !n.stopping.Load()
@@ -267,4 +267,4 @@
 }
 
 // suspect reports whether a pool's owner should be replaced.
-func (n *Node) suspect(w *watch) bool { return w.failures >= pingFailures }
+func (n *Node) suspect(w *poolWatcher) bool { return w.failures >= pingFailures }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -49,8 +49,8 @@
 // watchingNode is a node that watches one pool.
 type watchingNode struct {
 	*Node
-	loop  *manualLoop
-	watch *watch
+	loop    *manualLoop
+	watcher *poolWatcher
 }
 
 // newWatchingNode returns a node of a weight beside others of given weights.
@@ -63,9 +63,9 @@
 	for name, other := range others {
 		n.sample.members[name] = member{Name: name, Weight: other}
 	}
-	n.watches[poolName] = &watch{pool: poolName, read: true}
+	n.watchers[poolName] = &poolWatcher{pool: poolName, leaseRead: true}
 	n.noteStore(nil)
-	return &watchingNode{Node: n, loop: l, watch: n.watches[poolName]}
+	return &watchingNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
 // leaseOf lets the node read a lease.
@@ -80,17 +80,17 @@
 func TestSuspicionEndsWithTheLease(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.leaseOf("node-2", 5)
-	n.watch.failures = pingFailures
-	n.acquireLater(n.watch, "owner node-2 does not answer", n.suspect)
+	n.watcher.failures = pingFailures
+	n.acquireLater(n.watcher, "owner node-2 does not answer", n.suspect)
 	n.leaseOf("node-3", 6)
 	n.loop.pass(time.Minute)
-	require.False(t, n.watch.acquiring, "the lease is another")
+	require.False(t, n.watcher.acquiring, "the lease is another")
 
-	n.watch.failures = pingFailures
-	n.acquireLater(n.watch, "owner node-3 does not answer", n.suspect)
-	n.pingAnswered(n.watch, pingReply{Owner: true})
+	n.watcher.failures = pingFailures
+	n.acquireLater(n.watcher, "owner node-3 does not answer", n.suspect)
+	n.pingAnswered(n.watcher, pingReply{Owner: true})
 	n.loop.pass(time.Minute)
-	require.False(t, n.watch.acquiring, "the owner answered meanwhile")
+	require.False(t, n.watcher.acquiring, "the owner answered meanwhile")
 }
 
 // TestWitnessesOfAnEarlierLeaseAreIgnored: the answers came when the pool had another
@@ -98,13 +98,13 @@
 func TestWitnessesOfAnEarlierLeaseAreIgnored(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.leaseOf("node-2", 5)
-	n.watch.failures = pingFailures
-	answer := n.witnessed(n.watch, "owner node-2 does not answer")
+	n.watcher.failures = pingFailures
+	answer := n.witnessed(n.watcher, "owner node-2 does not answer")
 	n.leaseOf("node-3", 6)
 	answer(false)
-	n.watch.failures = pingFailures
+	n.watcher.failures = pingFailures
 	n.loop.pass(time.Minute)
-	require.False(t, n.watch.acquiring)
+	require.False(t, n.watcher.acquiring)
 }
 
 func TestWeakOwnerIsRelieved(t *testing.T) {
@@ -120,10 +120,10 @@
 		n := newWatchingNode(t, c.own, map[string]float64{"node-2": c.owner})
 		n.leaseOf("node-2", 5)
 		for range relieveAfter {
-			require.False(t, n.watch.scheduled, name)
-			n.pingAnswered(n.watch, pingReply{Owner: true})
+			require.False(t, n.watcher.acquireScheduled, name)
+			n.pingAnswered(n.watcher, pingReply{Owner: true})
 		}
-		require.Equal(t, c.want, n.watch.scheduled, name)
+		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
 	}
 }
 
@@ -147,8 +147,8 @@
 		if c.lostHere {
 			n.noteStoreFailure(rows.ErrNoAnswer)
 		}
-		n.pingAnswered(n.watch, c.reply)
-		require.Equal(t, c.want, n.watch.scheduled, name)
+		n.pingAnswered(n.watcher, c.reply)
+		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
 	}
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -53,10 +53,10 @@
 	n.standAlone()
 	others := n.pings.othersDue(n.now())
 	pause := pingPeriod
-	for _, name := range sortedKeys(n.watches) {
+	for _, name := range sortedKeys(n.watchers) {
 		guards := n.guards(name)
 		if n.owned[name] == nil && (others || guards) {
-			n.pingOwner(n.watches[name])
+			n.pingOwner(n.watchers[name])
 		}
 		if guards || n.owned[name] != nil {
 			pause = guardPeriod
@@ -78,7 +78,7 @@
 	return true
 }
 
-func (n *Node) pingOwner(w *watch) {
+func (n *Node) pingOwner(w *poolWatcher) {
 	lease := n.leases[w.pool]
 	if lease.Owner == "" || lease.Owner == n.options.Name {
 		n.leaseChanged(w.pool)
@@ -103,7 +103,7 @@
 	})
 }
 
-func (n *Node) pingAnswered(w *watch, reply pingReply) {
+func (n *Node) pingAnswered(w *poolWatcher, reply pingReply) {
 	owner := n.leases[w.pool].Owner
 	switch {
 	case !reply.Owner:
@@ -119,9 +119,9 @@
 	default:
 		w.failures = 0
 		n.relieveIfWeak(w)
-		w.answeredAt = n.now()
-		if w.lost {
-			w.lost = false
+		w.lastReplyAt = n.now()
+		if w.unresponsive {
+			w.unresponsive = false
 			n.edges.Record.Decided("owner answers again", "pool", w.pool, "owner", owner)
 			n.refreshMembers()
 		}
@@ -141,14 +141,14 @@
 
 // pingFailed counts a failure. A refused connection says that the process is gone,
 // silence says so only the second time.
-func (n *Node) pingFailed(w *watch, err error) {
+func (n *Node) pingFailed(w *poolWatcher, err error) {
 	w.failures++
 	if fault.IsKind(err, fault.NoOwner) {
 		w.failures++
 	}
 	n.edges.Record.Count("retries", "ping")
-	if !w.lost {
-		w.lost = true
+	if !w.unresponsive {
+		w.unresponsive = true
 		n.edges.Record.Decided("owner does not answer", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
 	}
 	n.refreshLease(w)
@@ -156,7 +156,7 @@
 }
 
 // replaceIfSuspect takes a pool from an owner that others do not see either.
-func (n *Node) replaceIfSuspect(w *watch, reason string) {
+func (n *Node) replaceIfSuspect(w *poolWatcher, reason string) {
 	if !n.suspect(w) || n.stopping.Load() {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // witnessed returns what to do once others have said whether they see a pool's owner.
-func (n *Node) witnessed(w *watch, reason string) func(seen bool) {
+func (n *Node) witnessed(w *poolWatcher, reason string) func(seen bool) {
 	lease := n.leases[w.pool]
 	return func(seen bool) {
 		switch {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -53,7 +53,7 @@
 	err := loop.Call(ctx, n.edges.Loop, func() {
 		status.Members = sortedKeys(n.sample.members)
 		status.EvacuatedZones = n.evacuated.Zones()
-		for _, name := range sortedKeys(n.watches) {
+		for _, name := range sortedKeys(n.watchers) {
 			status.Pools = append(status.Pools, n.poolStatus(name))
 		}
 	})
@@ -62,7 +62,7 @@
 
 func (n *Node) poolStatus(name string) PoolStatus {
 	lease := n.leases[name]
-	status := PoolStatus{Pool: name, Owner: lease.Owner, Token: lease.version, OwnerFailures: n.watches[name].failures}
+	status := PoolStatus{Pool: name, Owner: lease.Owner, Token: lease.version, OwnerFailures: n.watchers[name].failures}
 	if owned := n.owned[name]; owned != nil {
 		summary := owned.Summary()
 		status.Owned = &summary
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -16,7 +16,7 @@
 // askWitnesses asks other nodes whether they see a pool's owner. A node that no other
 // answers may be the only one left, so that no answer counts as not seen; one that is cut
 // off from all others can at worst take a pool that still has an owner, which is safe.
-func (n *Node) askWitnesses(w *watch, done func(seen bool)) {
+func (n *Node) askWitnesses(w *poolWatcher, done func(seen bool)) {
 	asked := n.witnesses(w.pool)
 	if len(asked) == 0 {
 		done(false)
@@ -64,9 +64,9 @@
 func (n *Node) serveSeen(ctx context.Context, request pingRequest) (seenReply, error) {
 	var reply seenReply
 	err := loop.Call(ctx, n.edges.Loop, func() {
-		w := n.watches[request.Pool]
+		w := n.watchers[request.Pool]
 		reply.Seen = n.owned[request.Pool] != nil ||
-			w != nil && w.failures == 0 && n.now().Sub(w.answeredAt) < seenLimit
+			w != nil && w.failures == 0 && n.now().Sub(w.lastReplyAt) < seenLimit
 	})
 	return reply, err
 }
