--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -263,7 +263,7 @@
 	n.options.Weight = 0.2
 	n.sample.members["node-2"] = member{Name: "node-2", Weight: 0.8}
 	n.sample.members["node-3"] = member{Name: "node-3", Weight: 0.1}
-	require.Equal(t, 1, n.rank(poolName))
+	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
 // linesRecorder keeps the fields of decisions.
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -73,7 +73,7 @@
 func (n *Node) readLease(name string, done func(version int64)) {
 	n.lookAtLease(name, func(version int64) {
 		n.watchers[name].leaseRead = true
-		n.leaseChanged(name)
+		n.handleLeaseChange(name)
 		done(version)
 	})
 }
@@ -136,5 +136,5 @@
 	if p := n.owned[row.Part]; p != nil && p.Token() < row.Version {
 		p.Abandon("lease taken by " + lease.Owner)
 	}
-	n.leaseChanged(row.Part)
+	n.handleLeaseChange(row.Part)
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -173,18 +173,18 @@
 
 // TestNodesBeyondTheCandidatesTakePoolsLast, the light ones after the heavy ones.
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
-	latest := maxRank * rankDelay
+	latest := maxTakeoverRank * takeoverRankDelay
 	among := newWatchingNode(t, 1, nil)
 	among.takeSample(t, among.self())
-	require.Less(t, among.takeDelay(poolName), latest+time.Millisecond)
+	require.Less(t, among.takeoverDelay(poolName), latest+time.Millisecond)
 	heavy := newWatchingNode(t, 1, nil)
 	heavy.takeSample(t)
 	require.False(t, heavy.guards(poolName))
-	require.GreaterOrEqual(t, heavy.takeDelay(poolName), latest)
-	require.Less(t, heavy.takeDelay(poolName), latest+lightDelay)
+	require.GreaterOrEqual(t, heavy.takeoverDelay(poolName), latest)
+	require.Less(t, heavy.takeoverDelay(poolName), latest+lowWeightDelay)
 	light := newWatchingNode(t, 0.2, nil)
 	light.takeSample(t)
-	require.GreaterOrEqual(t, light.takeDelay(poolName), latest+lightDelay)
+	require.GreaterOrEqual(t, light.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
 // TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover from
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -82,8 +82,8 @@
 	pingPeriod  = 500 * time.Millisecond
 	guardPeriod = 250 * time.Millisecond
 	pingTimeout = 400 * time.Millisecond
-	// pingFailures in a row make an owner suspect.
-	pingFailures = 2
+	// suspectAfterFailures in a row make an owner suspect.
+	suspectAfterFailures = 2
 	// storeDead is the age of the store's last answer at which a node counts as
 	// having lost the store.
 	storeDead = 2200 * time.Millisecond
@@ -95,7 +95,7 @@
 	// answerLimit bounds an answer as a whole: the largest that is read, 16 MiB, takes
 	// 14 s on a link of 10 Mbit/s, which others may share.
 	answerLimit = 60 * time.Second
-	// rankDelay separates the nodes that would take a pool.
-	rankDelay  = 200 * time.Millisecond
-	retryPause = 200 * time.Millisecond
+	// takeoverRankDelay separates the nodes that would take a pool.
+	takeoverRankDelay = 200 * time.Millisecond
+	retryPause        = 200 * time.Millisecond
 )
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -43,8 +43,8 @@
 	n.readLease(name, func(int64) { n.followLeases() })
 }
 
-// leaseChanged takes the pool if it has no owner.
-func (n *Node) leaseChanged(name string) {
+// handleLeaseChange takes the pool if it has no owner.
+func (n *Node) handleLeaseChange(name string) {
 	w := n.watchers[name]
 	if w == nil {
 		return
@@ -56,57 +56,57 @@
 	switch {
 	case !w.leaseRead || n.owned[name] != nil:
 	case lease.Owner == "":
-		n.acquireLater(w, "no owner", n.unowned)
+		n.scheduleAcquire(w, "no owner", n.hasNoOwner)
 	case lease.Owner == n.options.Name && lease.Incarnation != n.options.Incarnation:
 		n.acquire(w, "own earlier life")
 	}
 }
 
-// rank is this node's place in the order in which nodes take a pool: the heaviest
+// takeoverRank is this node's place in the order in which nodes take a pool: the heaviest
 // first, and among equals by a hash.
-func (n *Node) rank(name string) int {
+func (n *Node) takeoverRank(name string) int {
 	if !n.sample.mayTake(n.options.Name) {
-		return maxRank
+		return maxTakeoverRank
 	}
 	self, rank := n.self(), 0
 	for _, other := range n.candidates(n.leases[name].Owner) {
-		if precedes(name, other, self) {
+		if takesOverBefore(name, other, self) {
 			rank++
 		}
 	}
-	return min(rank, maxRank)
+	return min(rank, maxTakeoverRank)
 }
 
-// takeDelay is how long this node leaves it to others to take a pool. Those that are not known to be
+// takeoverDelay is how long this node leaves it to others to take a pool. Those that are not known to be
 // among the first do not all try at once, and light ones last.
-func (n *Node) takeDelay(name string) time.Duration {
-	delay := time.Duration(n.rank(name)) * rankDelay
+func (n *Node) takeoverDelay(name string) time.Duration {
+	delay := time.Duration(n.takeoverRank(name)) * takeoverRankDelay
 	if len(n.otherMembers("")) == 0 {
 		// All may have just started, and know nobody yet.
-		return delay + rand.N(startSpread)
+		return delay + rand.N(startupJitter)
 	}
 	if n.sample.mayTake(n.options.Name) {
 		return delay
 	}
 	for _, other := range n.candidates("") {
 		if other.Weight > n.options.Weight {
-			return delay + lightDelay + spread(lightDelay)
+			return delay + lowWeightDelay + spread(lowWeightDelay)
 		}
 	}
-	return delay + rand.N(lightDelay)
+	return delay + rand.N(lowWeightDelay)
 }
 
-// startSpread is over how long nodes that know no other try to take a pool.
-const startSpread = 500 * time.Millisecond
+// startupJitter is over how long nodes that know no other try to take a pool.
+const startupJitter = 500 * time.Millisecond
 
-// lightDelay is how much later nodes try to take a pool that are not among its first candidates and
+// lowWeightDelay is how much later nodes try to take a pool that are not among its first candidates and
 // are lighter than these.
-const lightDelay = time.Second
+const lowWeightDelay = time.Second
 
-// maxRank bounds the delay of the last node.
-const maxRank = 12
+// maxTakeoverRank bounds the delay of the last node.
+const maxTakeoverRank = 12
 
-func precedes(poolName string, a, b member) bool {
+func takesOverBefore(poolName string, a, b member) bool {
 	if a.Weight != b.Weight {
 		return a.Weight > b.Weight
 	}
@@ -115,9 +115,9 @@
 
 func rankHash(poolName, node string) uint64 { return xxhash.Sum64String(poolName + "/" + node) }
 
-// acquireLater tries to take a pool after a delay that differs among nodes, if the
+// scheduleAcquire tries to take a pool after a delay that differs among nodes, if the
 // lease is the same and still holds then.
-func (n *Node) acquireLater(w *poolWatcher, reason string, still func(*poolWatcher) bool) {
+func (n *Node) scheduleAcquire(w *poolWatcher, reason string, stillNeeded func(*poolWatcher) bool) {
 	if w.acquireScheduled || n.stopping.Load() {
 		return
 	}
@@ -125,11 +125,11 @@
 	version := n.leases[w.pool].version
 	acquire := func() {
 		w.acquireScheduled = false
-		if n.leases[w.pool].version == version && still(w) {
+		if n.leases[w.pool].version == version && stillNeeded(w) {
 			n.acquire(w, reason)
 		}
 	}
-	n.edges.Loop.After(n.takeDelay(w.pool), func() {
+	n.edges.Loop.After(n.takeoverDelay(w.pool), func() {
 		if n.followingLeases {
 			acquire()
 			return
@@ -158,9 +158,9 @@
 			w.failures = 0
 			n.edges.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
 		case result.Committed:
-			n.own(w.pool, result.Version, nonce)
+			n.addOwnedPool(w.pool, result.Version, nonce)
 		default:
-			n.lostRace(w, result, nonce)
+			n.handleAcquireConflict(w, result, nonce)
 		}
 	})
 }
@@ -168,13 +168,13 @@
 // acquireAfterFailure tries again unless another owner stands: that one is as it was
 // before the store failed this node, and has to be suspected anew.
 func (n *Node) acquireAfterFailure(w *poolWatcher, reason string) {
-	if n.unowned(w) || n.leases[w.pool].Owner == n.options.Name {
+	if n.hasNoOwner(w) || n.leases[w.pool].Owner == n.options.Name {
 		n.acquire(w, reason)
 	}
 }
 
-// lostRace takes in the lease that stood in the way.
-func (n *Node) lostRace(w *poolWatcher, result rows.Result, nonce string) {
+// handleAcquireConflict takes in the lease that stood in the way.
+func (n *Node) handleAcquireConflict(w *poolWatcher, result rows.Result, nonce string) {
 	for i := range result.Current {
 		row := result.Current[i]
 		var lease pool.Lease
@@ -196,11 +196,11 @@
 		Catalog:   func() *catalog.Catalog { return n.catalog.Load() },
 		Evacuated: func() evacuation.Set { return n.evacuated },
 		Late:      n.lateness.allowance,
-		Ended:     func(reason string) { n.disown(name) },
+		Ended:     func(reason string) { n.removeOwnedPool(name) },
 	}
 }
 
-func (n *Node) own(name string, token int64, nonce string) {
+func (n *Node) addOwnedPool(name string, token int64, nonce string) {
 	options := n.poolOptions(name)
 	lease := pool.Lease{Owner: options.Node, Incarnation: options.Incarnation, Address: options.Address, Nonce: nonce}
 	if n.leases[name].version < token {
@@ -222,38 +222,38 @@
 	p.Start()
 }
 
-func (n *Node) disown(name string) {
+func (n *Node) removeOwnedPool(name string) {
 	delete(n.owned, name)
 	n.publish()
 	n.checkReleased()
 }
 
-// unowned reports whether a pool has no owner.
-func (n *Node) unowned(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
+// hasNoOwner reports whether a pool has no owner.
+func (n *Node) hasNoOwner(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
 
-// An owner that a node outweighs by weightFactor is relieved by it once it has
-// answered that node relieveAfter times in a row.
+// An owner that a node outweighs by weakOwnerWeightRatio is relieved by it once it has
+// answered that node weakOwnerReplies times in a row.
 const (
-	weightFactor = 2.0
-	relieveAfter = 4
+	weakOwnerWeightRatio = 2.0
+	weakOwnerReplies     = 4
 )
 
-// relieveIfWeak takes a pool from an owner that has much less processor time than
+// replaceWeakOwner takes a pool from an owner that has much less processor time than
 // this node: at a takeover amid other trouble the first to try may be a weak one.
-func (n *Node) relieveIfWeak(w *poolWatcher) {
-	if !n.outweighs(w) {
+func (n *Node) replaceWeakOwner(w *poolWatcher) {
+	if !n.ownerIsWeak(w) {
 		w.weakReplies = 0
 		return
 	}
-	if w.weakReplies++; w.weakReplies >= relieveAfter {
-		n.withStore(func() { n.acquireLater(w, "owner "+n.leases[w.pool].Owner+" is weak", n.outweighs) })
+	if w.weakReplies++; w.weakReplies >= weakOwnerReplies {
+		n.withStore(func() { n.scheduleAcquire(w, "owner "+n.leases[w.pool].Owner+" is weak", n.ownerIsWeak) })
 	}
 }
 
-// outweighs reports whether this node is fit to relieve a pool's owner.
-func (n *Node) outweighs(w *poolWatcher) bool {
+// ownerIsWeak reports whether this node is fit to relieve a pool's owner.
+func (n *Node) ownerIsWeak(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
-	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weightFactor*weight &&
+	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
 		!n.storeLost() && !n.stopping.Load()
 }
 
@@ -266,5 +266,5 @@
 	return n.sample.members[lease.Owner].Weight
 }
 
-// suspect reports whether a pool's owner should be replaced.
-func (n *Node) suspect(w *poolWatcher) bool { return w.failures >= pingFailures }
+// ownerSuspected reports whether a pool's owner should be replaced.
+func (n *Node) ownerSuspected(w *poolWatcher) bool { return w.failures >= suspectAfterFailures }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -80,14 +80,14 @@
 func TestSuspicionEndsWithTheLease(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.leaseOf("node-2", 5)
-	n.watcher.failures = pingFailures
-	n.acquireLater(n.watcher, "owner node-2 does not answer", n.suspect)
+	n.watcher.failures = suspectAfterFailures
+	n.scheduleAcquire(n.watcher, "owner node-2 does not answer", n.ownerSuspected)
 	n.leaseOf("node-3", 6)
 	n.loop.pass(time.Minute)
 	require.False(t, n.watcher.acquiring, "the lease is another")
 
-	n.watcher.failures = pingFailures
-	n.acquireLater(n.watcher, "owner node-3 does not answer", n.suspect)
+	n.watcher.failures = suspectAfterFailures
+	n.scheduleAcquire(n.watcher, "owner node-3 does not answer", n.ownerSuspected)
 	n.pingAnswered(n.watcher, pingReply{Owner: true})
 	n.loop.pass(time.Minute)
 	require.False(t, n.watcher.acquiring, "the owner answered meanwhile")
@@ -98,11 +98,11 @@
 func TestWitnessesOfAnEarlierLeaseAreIgnored(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.leaseOf("node-2", 5)
-	n.watcher.failures = pingFailures
+	n.watcher.failures = suspectAfterFailures
 	answer := n.witnessed(n.watcher, "owner node-2 does not answer")
 	n.leaseOf("node-3", 6)
 	answer(false)
-	n.watcher.failures = pingFailures
+	n.watcher.failures = suspectAfterFailures
 	n.loop.pass(time.Minute)
 	require.False(t, n.watcher.acquiring)
 }
@@ -119,7 +119,7 @@
 	for name, c := range cases {
 		n := newWatchingNode(t, c.own, map[string]float64{"node-2": c.owner})
 		n.leaseOf("node-2", 5)
-		for range relieveAfter {
+		for range weakOwnerReplies {
 			require.False(t, n.watcher.acquireScheduled, name)
 			n.pingAnswered(n.watcher, pingReply{Owner: true})
 		}
@@ -171,7 +171,7 @@
 		}
 	}
 	require.Len(t, n.witnesses(poolName), witnessCount)
-	require.GreaterOrEqual(t, n.rank(poolName), guardCount-1, "lighter nodes do not watch closely")
+	require.GreaterOrEqual(t, n.takeoverRank(poolName), guardCount-1, "lighter nodes do not watch closely")
 }
 
 func TestRetriesAreMadeOnceTheStoreIsBack(t *testing.T) {
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -44,7 +44,7 @@
 
 // guards reports whether this node watches a pool's owner closely.
 func (n *Node) guards(name string) bool {
-	return !n.options.Off[mechanism.Guards] && n.rank(name) < guardCount
+	return !n.options.Off[mechanism.Guards] && n.takeoverRank(name) < guardCount
 }
 
 // pingOwners asks the owners of all pools how they are, again and again: a guard each
@@ -81,7 +81,7 @@
 func (n *Node) pingOwner(w *poolWatcher) {
 	lease := n.leases[w.pool]
 	if lease.Owner == "" || lease.Owner == n.options.Name {
-		n.leaseChanged(w.pool)
+		n.handleLeaseChange(w.pool)
 		return
 	}
 	askedAt := uptime.Now()
@@ -113,12 +113,12 @@
 		n.replaceIfSuspect(w, "owner "+owner+" does not own")
 	case lostStore(reply):
 		n.withStore(func() {
-			w.failures = pingFailures
+			w.failures = suspectAfterFailures
 			n.replaceIfSuspect(w, "owner "+owner+" lost the store")
 		})
 	default:
 		w.failures = 0
-		n.relieveIfWeak(w)
+		n.replaceWeakOwner(w)
 		w.lastReplyAt = n.now()
 		if w.unresponsive {
 			w.unresponsive = false
@@ -157,7 +157,7 @@
 
 // replaceIfSuspect takes a pool from an owner that others do not see either.
 func (n *Node) replaceIfSuspect(w *poolWatcher, reason string) {
-	if !n.suspect(w) || n.stopping.Load() {
+	if !n.ownerSuspected(w) || n.stopping.Load() {
 		return
 	}
 	n.askWitnesses(w, n.witnessed(w, reason))
@@ -174,7 +174,7 @@
 			n.edges.Record.Count("takeovers", "owner_seen_by_others")
 			n.edges.Record.Decided("owner left in place", "pool", w.pool, "owner", lease.Owner, "reason", reason)
 		default:
-			n.acquireLater(w, reason, n.suspect)
+			n.scheduleAcquire(w, reason, n.ownerSuspected)
 		}
 	}
 }
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -41,7 +41,7 @@
 func (n *Node) witnesses(name string) []member {
 	others := n.candidates(n.leases[name].Owner)
 	slices.SortStableFunc(others, func(a, b member) int {
-		if precedes(name, a, b) {
+		if takesOverBefore(name, a, b) {
 			return -1
 		}
 		return 1
