--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -30,9 +30,9 @@
 			return []byte("{}"), nil
 		}).Serve(listener)
 	}()
-	lease := leaseView{}
+	lease := versionedLease{}
 	lease.Owner, lease.Address = "node-2", listener.Addr().String()
-	gateway.node.view.Store(&view{leases: map[string]leaseView{poolName: lease}})
+	gateway.node.view.Store(&view{leases: map[string]versionedLease{poolName: lease}})
 	return notices
 }
 
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -10,8 +10,8 @@
 // Who owns a pool is in its lease row. The nodes that would take a pool first, and owners, follow the
 // table of leases; all others read a lease when the owner that they know does not answer as such.
 
-// needsLeases reports whether this node follows the leases.
-func (n *Node) needsLeases() bool {
+// shouldFollowLeases reports whether this node follows the leases.
+func (n *Node) shouldFollowLeases() bool {
 	if len(n.owned) > 0 {
 		return true
 	}
@@ -29,28 +29,28 @@
 
 // followLeases reads and follows the leases for as long as this node needs it.
 func (n *Node) followLeases() {
-	if n.followingLeases || !n.needsLeases() {
+	if n.followingLeases || !n.shouldFollowLeases() {
 		return
 	}
 	n.followingLeases = true
 	names := sortedKeys(n.watchers)
-	left, version := len(names), n.freshSampleVersion()
+	left, version := len(names), n.recentSampleVersion()
 	for _, name := range names {
 		n.readLease(name, func(asOf int64) {
 			if version == 0 || asOf < version {
 				version = asOf
 			}
 			if left--; left == 0 {
-				n.followLeasesAfter(version)
+				n.followLeasesFrom(version)
 			}
 		})
 	}
 }
 
-func (n *Node) followLeasesAfter(version int64) {
+func (n *Node) followLeasesFrom(version int64) {
 	n.follow(subscription{
 		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leasesWait, apply: n.applyNodeRow,
-		wanted: n.needsLeases,
+		wanted: n.shouldFollowLeases,
 		ended: func() {
 			// The history may be gone from where the sample was read.
 			n.followingLeases, n.sample.version = false, 0
@@ -59,9 +59,9 @@
 	}, version)
 }
 
-// freshSampleVersion is the version from which the rows of nodes are to be followed so that none is
+// recentSampleVersion is the version from which the rows of nodes are to be followed so that none is
 // missed; 0 if the sample was not read just now.
-func (n *Node) freshSampleVersion() int64 {
+func (n *Node) recentSampleVersion() int64 {
 	if n.now().Sub(n.sample.readAt) > refreshPause {
 		return 0
 	}
@@ -71,19 +71,19 @@
 // readLease reads a pool's lease for the first time, or anew, then calls done with the version as of
 // which it is known.
 func (n *Node) readLease(name string, done func(version int64)) {
-	n.lookAtLease(name, func(version int64) {
+	n.scanLease(name, func(version int64) {
 		n.watchers[name].leaseRead = true
 		n.handleLeaseChange(name)
 		done(version)
 	})
 }
 
-// lookAtLease reads a pool's lease until the store answers. What is suspected of an owner stands if the
+// scanLease reads a pool's lease until the store answers. What is suspected of an owner stands if the
 // lease is as it was.
-func (n *Node) lookAtLease(name string, done func(version int64)) {
+func (n *Node) scanLease(name string, done func(version int64)) {
 	n.ports.Scan(pool.NodeTable, name, "", func(listing rows.Listing, err error) {
 		if err != nil {
-			n.storeRetries.After(retryPause, func() { n.lookAtLease(name, done) })
+			n.storeRetries.After(retryPause, func() { n.scanLease(name, done) })
 			return
 		}
 		for i := range listing.Rows {
@@ -126,7 +126,7 @@
 	if n.leases[row.Part].version >= row.Version {
 		return
 	}
-	lease := leaseView{version: row.Version}
+	lease := versionedLease{version: row.Version}
 	if !row.Gone {
 		if err := json.Unmarshal(row.Value, &lease.Lease); err != nil {
 			return
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -206,7 +206,7 @@
 	<-read
 	lease("node-3")
 	onLoop(t, n, func() {
-		require.False(t, n.needsLeases())
+		require.False(t, n.shouldFollowLeases())
 		n.pingAnswered(n.watchers[poolName], pingReply{Owner: false})
 	})
 	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,8 +16,8 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// leaseView is a pool's lease as this node last read it.
-type leaseView struct {
+// versionedLease is a pool's lease as this node last read it.
+type versionedLease struct {
 	pool.Lease
 	version int64
 }
@@ -25,7 +25,7 @@
 // view is an immutable copy of what traffic needs to know.
 type view struct {
 	members []member
-	leases  map[string]leaseView
+	leases  map[string]versionedLease
 	owned   map[string]*pool.Pool
 	// waiting caches the owners' counts of waiting jobs by pool.
 	waiting map[string]waitingCounts
@@ -84,7 +84,7 @@
 	sample sample
 	// joining is true while this node's rows are being written.
 	joining bool
-	leases  map[string]leaseView
+	leases  map[string]versionedLease
 	// followingLeases is true while this node follows the table of leases.
 	followingLeases bool
 	// hearing is what this node knows, as an owner, of the others; pruning is true while it removes
@@ -105,7 +105,7 @@
 func New(ctx context.Context, options Options, edges Edges) *Node {
 	n := &Node{
 		options: options, edges: edges,
-		sample: sample{members: map[string]member{}}, leases: map[string]leaseView{},
+		sample: sample{members: map[string]member{}}, leases: map[string]versionedLease{},
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
@@ -133,7 +133,7 @@
 func (n *Node) now() time.Time { return n.edges.Loop.Now() }
 
 func (n *Node) publish() {
-	v := &view{leases: map[string]leaseView{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
+	v := &view{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
 	for _, name := range sortedKeys(n.sample.members) {
 		if name != n.options.Name {
 			v.members = append(v.members, n.sample.members[name])
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -135,7 +135,7 @@
 			return
 		}
 		// Another may have taken it meanwhile. To look costs the store less than a write that fails.
-		n.lookAtLease(w.pool, func(int64) { acquire() })
+		n.scanLease(w.pool, func(int64) { acquire() })
 	})
 }
 
@@ -181,7 +181,7 @@
 		if json.Unmarshal(row.Value, &lease) == nil && lease.Incarnation == n.options.Incarnation && row.Version > 0 {
 			// An earlier try of this life took effect: take it anew, so that the head
 			// row is surely ours.
-			n.leases[w.pool] = leaseView{Lease: lease, version: row.Version}
+			n.leases[w.pool] = versionedLease{Lease: lease, version: row.Version}
 			n.acquire(w, "own earlier try")
 			return
 		}
@@ -204,7 +204,7 @@
 	options := n.poolOptions(name)
 	lease := pool.Lease{Owner: options.Node, Incarnation: options.Incarnation, Address: options.Address, Nonce: nonce}
 	if n.leases[name].version < token {
-		n.leases[name] = leaseView{Lease: lease, version: token}
+		n.leases[name] = versionedLease{Lease: lease, version: token}
 	}
 	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Record, token)
 	n.owned[name] = p
