--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -20,7 +20,7 @@
 		return false
 	}
 	for name := range n.watchers {
-		if n.guards(name) {
+		if n.isStandby(name) {
 			return true
 		}
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -28,7 +28,7 @@
 const (
 	// candidateCount is how many nodes are known that would take a pool first: its guards, and as
 	// many for the time when these are gone.
-	candidateCount = 2 * guardCount
+	candidateCount = 2 * standbyCount
 	// neighbourCount is how many nodes are known that follow this one. With them a node that lost the
 	// store finds one that has it.
 	neighbourCount = 12
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -179,7 +179,7 @@
 	require.Less(t, among.takeoverDelay(poolName), latest+time.Millisecond)
 	heavy := newWatchingNode(t, 1, nil)
 	heavy.takeSample(t)
-	require.False(t, heavy.guards(poolName))
+	require.False(t, heavy.isStandby(poolName))
 	require.GreaterOrEqual(t, heavy.takeoverDelay(poolName), latest)
 	require.Less(t, heavy.takeoverDelay(poolName), latest+lowWeightDelay)
 	light := newWatchingNode(t, 0.2, nil)
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -79,9 +79,9 @@
 	// pingPeriod and guardPeriod are the pauses between two pings of an owner. With
 	// pingTimeout a guard finds a silent owner in 0.65 to 0.9 s; a frozen process of a
 	// quota that is spent is away for 0.1 s at the most.
-	pingPeriod  = 500 * time.Millisecond
-	guardPeriod = 250 * time.Millisecond
-	pingTimeout = 400 * time.Millisecond
+	pingPeriod        = 500 * time.Millisecond
+	standbyPingPeriod = 250 * time.Millisecond
+	pingTimeout       = 400 * time.Millisecond
 	// suspectAfterFailures in a row make an owner suspect.
 	suspectAfterFailures = 2
 	// storeDead is the age of the store's last answer at which a node counts as
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -159,7 +159,7 @@
 	for i := range 40 {
 		others[fmt.Sprintf("light-%d", i)] = 0.2
 	}
-	for i := range guardCount {
+	for i := range standbyCount {
 		others[fmt.Sprintf("heavy-%d", i)] = 0.8
 	}
 	n := newWatchingNode(t, 0.2, others)
@@ -171,7 +171,7 @@
 		}
 	}
 	require.Len(t, n.witnesses(poolName), witnessCount)
-	require.GreaterOrEqual(t, n.takeoverRank(poolName), guardCount-1, "lighter nodes do not watch closely")
+	require.GreaterOrEqual(t, n.takeoverRank(poolName), standbyCount-1, "lighter nodes do not watch closely")
 }
 
 func TestRetriesAreMadeOnceTheStoreIsBack(t *testing.T) {
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -38,13 +38,13 @@
 	catalogNews
 }
 
-// guardCount is how many nodes watch a pool's owner closely: those that would take the
+// standbyCount is how many nodes watch a pool's owner closely: those that would take the
 // pool first. The owner's share of pings stays bounded however many nodes there are.
-const guardCount = 8
+const standbyCount = 8
 
-// guards reports whether this node watches a pool's owner closely.
-func (n *Node) guards(name string) bool {
-	return !n.options.Off[mechanism.Guards] && n.takeoverRank(name) < guardCount
+// isStandby reports whether this node watches a pool's owner closely.
+func (n *Node) isStandby(name string) bool {
+	return !n.options.Off[mechanism.Guards] && n.takeoverRank(name) < standbyCount
 }
 
 // pingOwners asks the owners of all pools how they are, again and again: a guard each
@@ -54,12 +54,12 @@
 	others := n.pings.othersDue(n.now())
 	pause := pingPeriod
 	for _, name := range sortedKeys(n.watchers) {
-		guards := n.guards(name)
-		if n.owned[name] == nil && (others || guards) {
+		standby := n.isStandby(name)
+		if n.owned[name] == nil && (others || standby) {
 			n.pingOwner(n.watchers[name])
 		}
-		if guards || n.owned[name] != nil {
-			pause = guardPeriod
+		if standby || n.owned[name] != nil {
+			pause = standbyPingPeriod
 		}
 	}
 	n.edges.Loop.After(pause, n.pingOwners)
@@ -71,7 +71,7 @@
 
 // othersDue reports whether a round at a time is one for all nodes.
 func (s *pingSchedule) othersDue(now time.Time) bool {
-	if now.Sub(s.othersAt) < pingPeriod-guardPeriod/2 {
+	if now.Sub(s.othersAt) < pingPeriod-standbyPingPeriod/2 {
 		return false
 	}
 	s.othersAt = now
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -11,7 +11,7 @@
 // a node that guards no owner asks it each half second.
 func TestAllNodesPingOwners(t *testing.T) {
 	const span = 20 * time.Second
-	for _, pause := range []time.Duration{guardPeriod, pingPeriod} {
+	for _, pause := range []time.Duration{standbyPingPeriod, pingPeriod} {
 		for _, late := range []time.Duration{0, 3 * time.Millisecond, 40 * time.Millisecond} {
 			var schedule pingSchedule
 			now := time.Now()
@@ -37,7 +37,7 @@
 	for name, c := range map[string]struct {
 		others map[string]float64
 		pause  time.Duration
-	}{"guard": {nil, guardPeriod}, "other": {heavier, pingPeriod}} {
+	}{"guard": {nil, standbyPingPeriod}, "other": {heavier, pingPeriod}} {
 		n := newWatchingNode(t, 1, c.others)
 		n.leaseOf("node-1", 5)
 		n.loop.timers = nil
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -46,9 +46,9 @@
 		}
 		return 1
 	})
-	guards := others[:min(guardCount, len(others))]
-	rand.Shuffle(len(guards), func(i, j int) { guards[i], guards[j] = guards[j], guards[i] })
-	return guards[:min(witnessCount, len(guards))]
+	standbys := others[:min(standbyCount, len(others))]
+	rand.Shuffle(len(standbys), func(i, j int) { standbys[i], standbys[j] = standbys[j], standbys[i] })
+	return standbys[:min(witnessCount, len(standbys))]
 }
 
 // seenReply says whether a node sees a pool's owner in good health.
