--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -99,7 +99,7 @@
 	n := newWatchingNode(t, 1, nil)
 	n.leaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
-	answer := n.witnessed(n.watcher, "owner node-2 does not answer")
+	answer := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
 	n.leaseOf("node-3", 6)
 	answer(false)
 	n.watcher.failures = suspectAfterFailures
@@ -165,12 +165,12 @@
 	n := newWatchingNode(t, 0.2, others)
 	n.leaseOf("heavy-0", 5)
 	for range 20 {
-		for _, witness := range n.witnesses(poolName) {
-			require.NotEqual(t, "heavy-0", witness.Name)
-			require.Greater(t, witness.Weight, 0.0)
+		for _, checker := range n.indirectCheckers(poolName) {
+			require.NotEqual(t, "heavy-0", checker.Name)
+			require.Greater(t, checker.Weight, 0.0)
 		}
 	}
-	require.Len(t, n.witnesses(poolName), witnessCount)
+	require.Len(t, n.indirectCheckers(poolName), indirectCheckCount)
 	require.GreaterOrEqual(t, n.takeoverRank(poolName), standbyCount-1, "lighter nodes do not watch closely")
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -160,11 +160,11 @@
 	if !n.ownerSuspected(w) || n.stopping.Load() {
 		return
 	}
-	n.askWitnesses(w, n.witnessed(w, reason))
+	n.checkOwnerIndirectly(w, n.handleIndirectCheck(w, reason))
 }
 
-// witnessed returns what to do once others have said whether they see a pool's owner.
-func (n *Node) witnessed(w *poolWatcher, reason string) func(seen bool) {
+// handleIndirectCheck returns what to do once others have said whether they see a pool's owner.
+func (n *Node) handleIndirectCheck(w *poolWatcher, reason string) func(seen bool) {
 	lease := n.leases[w.pool]
 	return func(seen bool) {
 		switch {
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -10,20 +10,20 @@
 	"github.com/wheatroad/wheatroad/internal/loop"
 )
 
-// witnessCount is how many other nodes are asked whether they see an owner.
-const witnessCount = 3
+// indirectCheckCount is how many other nodes are asked whether they see an owner.
+const indirectCheckCount = 3
 
-// askWitnesses asks other nodes whether they see a pool's owner. A node that no other
+// checkOwnerIndirectly asks other nodes whether they see a pool's owner. A node that no other
 // answers may be the only one left, so that no answer counts as not seen; one that is cut
 // off from all others can at worst take a pool that still has an owner, which is safe.
-func (n *Node) askWitnesses(w *poolWatcher, done func(seen bool)) {
-	asked := n.witnesses(w.pool)
-	if len(asked) == 0 {
+func (n *Node) checkOwnerIndirectly(w *poolWatcher, done func(seen bool)) {
+	checkers := n.indirectCheckers(w.pool)
+	if len(checkers) == 0 {
 		done(false)
 		return
 	}
-	left, seen := len(asked), false
-	for _, other := range asked {
+	left, seen := len(checkers), false
+	for _, other := range checkers {
 		n.callPeer(other.Address, methodSeen, pingRequest{Pool: w.pool}, func(document []byte, err error) {
 			left--
 			var reply seenReply
@@ -37,8 +37,8 @@
 	}
 }
 
-// witnesses lists some of the guards of a pool's owner, who know of it from lately.
-func (n *Node) witnesses(name string) []member {
+// indirectCheckers lists some of the guards of a pool's owner, who know of it from lately.
+func (n *Node) indirectCheckers(name string) []member {
 	others := n.candidates(n.leases[name].Owner)
 	slices.SortStableFunc(others, func(a, b member) int {
 		if takesOverBefore(name, a, b) {
@@ -48,7 +48,7 @@
 	})
 	standbys := others[:min(standbyCount, len(others))]
 	rand.Shuffle(len(standbys), func(i, j int) { standbys[i], standbys[j] = standbys[j], standbys[i] })
-	return standbys[:min(witnessCount, len(standbys))]
+	return standbys[:min(indirectCheckCount, len(standbys))]
 }
 
 // seenReply says whether a node sees a pool's owner in good health.
@@ -56,9 +56,9 @@
 	Seen bool `json:"seen"`
 }
 
-// seenLimit is how old a good answer of an owner may be: one that a guard has missed two
+// seenMaxAge is how old a good answer of an owner may be: one that a guard has missed two
 // pings of is older.
-const seenLimit = 600 * time.Millisecond
+const seenMaxAge = 600 * time.Millisecond
 
 // serveSeen answers another node whether this one sees a pool's owner.
 func (n *Node) serveSeen(ctx context.Context, request pingRequest) (seenReply, error) {
@@ -66,7 +66,7 @@
 	err := loop.Call(ctx, n.edges.Loop, func() {
 		w := n.watchers[request.Pool]
 		reply.Seen = n.owned[request.Pool] != nil ||
-			w != nil && w.failures == 0 && n.now().Sub(w.lastReplyAt) < seenLimit
+			w != nil && w.failures == 0 && n.now().Sub(w.lastReplyAt) < seenMaxAge
 	})
 	return reply, err
 }
