--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -207,7 +207,7 @@
 	lease("node-3")
 	onLoop(t, n, func() {
 		require.False(t, n.shouldFollowLeases())
-		n.pingAnswered(n.watchers[poolName], pingReply{Owner: false})
+		n.handlePingReply(n.watchers[poolName], pingReply{Owner: false})
 	})
 	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -88,7 +88,7 @@
 
 	n.watcher.failures = suspectAfterFailures
 	n.scheduleAcquire(n.watcher, "owner node-3 does not answer", n.ownerSuspected)
-	n.pingAnswered(n.watcher, pingReply{Owner: true})
+	n.handlePingReply(n.watcher, pingReply{Owner: true})
 	n.loop.pass(time.Minute)
 	require.False(t, n.watcher.acquiring, "the owner answered meanwhile")
 }
@@ -121,7 +121,7 @@
 		n.leaseOf("node-2", 5)
 		for range weakOwnerReplies {
 			require.False(t, n.watcher.acquireScheduled, name)
-			n.pingAnswered(n.watcher, pingReply{Owner: true})
+			n.handlePingReply(n.watcher, pingReply{Owner: true})
 		}
 		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
 	}
@@ -147,7 +147,7 @@
 		if c.lostHere {
 			n.noteStoreFailure(rows.ErrNoAnswer)
 		}
-		n.pingAnswered(n.watcher, c.reply)
+		n.handlePingReply(n.watcher, c.reply)
 		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
 	}
 }
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -50,12 +50,12 @@
 // pingOwners asks the owners of all pools how they are, again and again: a guard each
 // guardPeriod, others each pingPeriod.
 func (n *Node) pingOwners() {
-	n.standAlone()
-	others := n.pings.othersDue(n.now())
+	n.confirmIfOnlyNode()
+	fullRound := n.pings.fullRoundDue(n.now())
 	pause := pingPeriod
 	for _, name := range sortedKeys(n.watchers) {
 		standby := n.isStandby(name)
-		if n.owned[name] == nil && (others || standby) {
+		if n.owned[name] == nil && (fullRound || standby) {
 			n.pingOwner(n.watchers[name])
 		}
 		if standby || n.owned[name] != nil {
@@ -67,14 +67,14 @@
 
 // pingSchedule says in which rounds of pings a node that guards no owner takes part. Rounds
 // come each guardPeriod or pingPeriod.
-type pingSchedule struct{ othersAt time.Time }
+type pingSchedule struct{ lastFullRound time.Time }
 
-// othersDue reports whether a round at a time is one for all nodes.
-func (s *pingSchedule) othersDue(now time.Time) bool {
-	if now.Sub(s.othersAt) < pingPeriod-standbyPingPeriod/2 {
+// fullRoundDue reports whether a round at a time is one for all nodes.
+func (s *pingSchedule) fullRoundDue(now time.Time) bool {
+	if now.Sub(s.lastFullRound) < pingPeriod-standbyPingPeriod/2 {
 		return false
 	}
-	s.othersAt = now
+	s.lastFullRound = now
 	return true
 }
 
@@ -84,37 +84,37 @@
 		n.handleLeaseChange(w.pool)
 		return
 	}
-	askedAt := uptime.Now()
+	requestedAt := uptime.Now()
 	request := pingRequest{Pool: w.pool, From: n.options.Name, Token: lease.version, StoreLost: n.storeLost()}
 	n.callPeer(lease.Address, methodPing, request, func(document []byte, err error) {
 		if n.leases[w.pool].version != lease.version {
 			return
 		}
 		if err != nil {
-			n.pingFailed(w, err)
+			n.handlePingFailure(w, err)
 			return
 		}
 		var reply pingReply
 		if json.Unmarshal(document, &reply) == nil {
-			n.takeNews(lease.Address, reply.catalogNews, askedAt)
+			n.takeNews(lease.Address, reply.catalogNews, requestedAt)
 			n.takeStoreLatency(reply.StoreLatencyMillis)
-			n.pingAnswered(w, reply)
+			n.handlePingReply(w, reply)
 		}
 	})
 }
 
-func (n *Node) pingAnswered(w *poolWatcher, reply pingReply) {
+func (n *Node) handlePingReply(w *poolWatcher, reply pingReply) {
 	owner := n.leases[w.pool].Owner
 	switch {
 	case !reply.Owner:
 		// The process is a new life, or was deposed without our knowing.
 		w.failures++
 		n.refreshLease(w)
-		n.replaceIfSuspect(w, "owner "+owner+" does not own")
-	case lostStore(reply):
+		n.replaceSuspectedOwner(w, "owner "+owner+" does not own")
+	case ownerLostStore(reply):
 		n.withStore(func() {
 			w.failures = suspectAfterFailures
-			n.replaceIfSuspect(w, "owner "+owner+" lost the store")
+			n.replaceSuspectedOwner(w, "owner "+owner+" lost the store")
 		})
 	default:
 		w.failures = 0
@@ -130,8 +130,8 @@
 	}
 }
 
-// lostStore reports whether an owner cannot reach the store in any way.
-func lostStore(owner pingReply) bool {
+// ownerLostStore reports whether an owner cannot reach the store in any way.
+func ownerLostStore(owner pingReply) bool {
 	limit := storeDead
 	if owner.StoreLost {
 		limit = storeFailing
@@ -139,9 +139,9 @@
 	return time.Duration(owner.StoreAgeMillis)*time.Millisecond > limit
 }
 
-// pingFailed counts a failure. A refused connection says that the process is gone,
+// handlePingFailure counts a failure. A refused connection says that the process is gone,
 // silence says so only the second time.
-func (n *Node) pingFailed(w *poolWatcher, err error) {
+func (n *Node) handlePingFailure(w *poolWatcher, err error) {
 	w.failures++
 	if fault.IsKind(err, fault.NoOwner) {
 		w.failures++
@@ -152,11 +152,11 @@
 		n.edges.Record.Decided("owner does not answer", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
 	}
 	n.refreshLease(w)
-	n.replaceIfSuspect(w, "owner "+n.leases[w.pool].Owner+" does not answer")
+	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
 }
 
-// replaceIfSuspect takes a pool from an owner that others do not see either.
-func (n *Node) replaceIfSuspect(w *poolWatcher, reason string) {
+// replaceSuspectedOwner takes a pool from an owner that others do not see either.
+func (n *Node) replaceSuspectedOwner(w *poolWatcher, reason string) {
 	if !n.ownerSuspected(w) || n.stopping.Load() {
 		return
 	}
@@ -179,10 +179,10 @@
 	}
 }
 
-// standsBy takes in what a node that asks a pool's owner knows of the lease. It returns false
+// confirmOwnership takes in what a node that asks a pool's owner knows of the lease. It returns false
 // if the pool has another owner by now. With the store away for both, that it knows of none
 // lets the owner keep what runs alive.
-func (n *Node) standsBy(p *pool.Pool, request *pingRequest) bool {
+func (n *Node) confirmOwnership(p *pool.Pool, request *pingRequest) bool {
 	if request.Token > p.Token() {
 		p.Abandon("another node knows a newer owner")
 		return false
@@ -193,9 +193,9 @@
 	return true
 }
 
-// standAlone lets owned pools keep what runs alive while the store is away, if there is no
+// confirmIfOnlyNode lets owned pools keep what runs alive while the store is away, if there is no
 // other node that could take them.
-func (n *Node) standAlone() {
+func (n *Node) confirmIfOnlyNode() {
 	if !n.storeLost() || len(n.otherMembers("")) > 0 {
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 	err := loop.Call(ctx, n.edges.Loop, func() {
 		p := n.owned[request.Pool]
-		if p == nil || !n.standsBy(p, &request) {
+		if p == nil || !n.confirmOwnership(p, &request) {
 			return
 		}
 		n.hearing.note(request.From, n.now())
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -18,7 +18,7 @@
 			end := now.Add(span)
 			asked := 0
 			for ; now.Before(end); now = now.Add(pause + late) {
-				if schedule.othersDue(now) {
+				if schedule.fullRoundDue(now) {
 					asked++
 				}
 			}
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -18,8 +18,8 @@
 	return n
 }
 
-// standingFor is how long ago the owner was last known to stand.
-func (n *watchingNode) standingFor() time.Duration {
+// sinceConfirmed is how long ago the owner was last known to stand.
+func (n *watchingNode) sinceConfirmed() time.Duration {
 	return time.Duration(n.owned[poolName].Summary().ConfirmedMillis) * time.Millisecond
 }
 
@@ -46,20 +46,20 @@
 			require.Nil(t, n.owned[poolName], name)
 			continue
 		}
-		require.Equal(t, c.confirmed, n.standingFor() < time.Second, name)
+		require.Equal(t, c.confirmed, n.sinceConfirmed() < time.Second, name)
 	}
 }
 
 // TestOnlyNodeStandsAloneWhileTheStoreIsAway: no other node could take its pool.
 func TestOnlyNodeStandsAloneWhileTheStoreIsAway(t *testing.T) {
-	alone := owningNode(t, nil)
-	alone.standAlone()
-	require.Greater(t, alone.standingFor(), time.Second, "the store is there to be asked")
-	alone.noteStoreFailure(rows.ErrNoAnswer)
-	alone.standAlone()
-	require.Less(t, alone.standingFor(), time.Second)
-	beside := owningNode(t, map[string]float64{"node-2": 1})
-	beside.noteStoreFailure(rows.ErrNoAnswer)
-	beside.standAlone()
-	require.Greater(t, beside.standingFor(), time.Second)
+	onlyNode := owningNode(t, nil)
+	onlyNode.confirmIfOnlyNode()
+	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is there to be asked")
+	onlyNode.noteStoreFailure(rows.ErrNoAnswer)
+	onlyNode.confirmIfOnlyNode()
+	require.Less(t, onlyNode.sinceConfirmed(), time.Second)
+	oneOfTwo := owningNode(t, map[string]float64{"node-2": 1})
+	oneOfTwo.noteStoreFailure(rows.ErrNoAnswer)
+	oneOfTwo.confirmIfOnlyNode()
+	require.Greater(t, oneOfTwo.sinceConfirmed(), time.Second)
 }
