--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -62,7 +62,7 @@
 // recentSampleVersion is the version from which the rows of nodes are to be followed so that none is
 // missed; 0 if the sample was not read just now.
 func (n *Node) recentSampleVersion() int64 {
-	if n.now().Sub(n.sample.readAt) > refreshPause {
+	if n.now().Sub(n.sample.readAt) > minRefreshInterval {
 		return 0
 	}
 	return n.sample.version
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -29,23 +29,23 @@
 	// candidateCount is how many nodes are known that would take a pool first: its guards, and as
 	// many for the time when these are gone.
 	candidateCount = 2 * standbyCount
-	// neighbourCount is how many nodes are known that follow this one. With them a node that lost the
+	// successorCount is how many nodes are known that follow this one. With them a node that lost the
 	// store finds one that has it.
-	neighbourCount = 12
-	// olderCount is how many nodes are looked for, once, that run a version which does not write
+	successorCount = 12
+	// legacyMemberCount is how many nodes are looked for, once, that run a version which does not write
 	// memberTable.
-	olderCount = 4
-	// joinPause is the pause after a refused write of a node's rows, give or take a half; it doubles
+	legacyMemberCount = 4
+	// initialJoinBackoff is the pause after a refused write of a node's rows, give or take a half; it doubles
 	// with each one up to joinPauseMost. All rows are of one part of the store, which carries out some
 	// 200 writes a second, and hundreds of nodes may start at once.
-	joinPause     = 500 * time.Millisecond
-	joinPauseMost = 16 * time.Second
-	// memberRefresh is how often the sample is read again, and settlePeriod how long after a start,
+	initialJoinBackoff = 500 * time.Millisecond
+	maxJoinBackoff     = 16 * time.Second
+	// sampleRefreshInterval is how often the sample is read again, and settlePeriod how long after a start,
 	// when others start as well; both give or take a half. Earlier than refreshPause after one it is
 	// not read again for any reason.
-	memberRefresh = 2 * time.Minute
-	settlePeriod  = 3 * time.Second
-	refreshPause  = 2 * time.Second
+	sampleRefreshInterval = 2 * time.Minute
+	startupRefreshDelay   = 3 * time.Second
+	minRefreshInterval    = 2 * time.Second
 )
 
 // member is another node as its row has it.
@@ -56,8 +56,8 @@
 	Weight      float64 `json:"weight"`
 }
 
-// sample is what a node has read of the others.
-type sample struct {
+// memberSample is what a node has read of the others.
+type memberSample struct {
 	// members are the known nodes by name; this one may be among them.
 	members map[string]member
 	// candidates are those that would take a pool first, and partial is true if there are more nodes.
@@ -70,8 +70,8 @@
 	readAt  time.Time
 }
 
-// memberName is the name of a node's row, which orders rows by weight.
-func memberName(m member) string {
+// memberRowName is the name of a node's row, which orders rows by weight.
+func memberRowName(m member) string {
 	// Weights are shares of a processor with three places after the point.
 	const scale, heaviest = 1000, 999_999
 	order := heaviest - min(heaviest, int(math.Round(m.Weight*scale)))
@@ -83,32 +83,32 @@
 	return member{Name: n.options.Name, Incarnation: n.options.Incarnation, Address: n.options.PeerAddress, Weight: n.options.Weight}
 }
 
-// memberRows are the keys of this node's rows. Nodes of versions before memberTable read the other one.
-func (n *Node) memberRows() []rows.Key {
-	return []rows.Key{{Table: memberTable, Name: memberName(n.self())}, {Table: pool.NodeTable, Name: n.options.Name}}
+// memberRowKeys are the keys of this node's rows. Nodes of versions before memberTable read the other one.
+func (n *Node) memberRowKeys() []rows.Key {
+	return []rows.Key{{Table: memberTable, Name: memberRowName(n.self())}, {Table: pool.NodeTable, Name: n.options.Name}}
 }
 
 // join writes this node's rows until they are there.
 func (n *Node) join() {
 	if !n.joining {
 		n.joining = true
-		n.joinAfter(joinPause)
+		n.joinWithBackoff(initialJoinBackoff)
 	}
 }
 
-// joinAfter is join with the pause after a failure.
-func (n *Node) joinAfter(pause time.Duration) {
+// joinWithBackoff is join with the pause after a failure.
+func (n *Node) joinWithBackoff(backoff time.Duration) {
 	if n.stopping.Load() {
 		return
 	}
 	self := n.self()
 	var transaction rows.Transaction
-	for _, key := range n.memberRows() {
+	for _, key := range n.memberRowKeys() {
 		transaction.Puts = append(transaction.Puts, rows.Put{Key: key, Value: pool.Encode(self)})
 	}
 	n.ports.Commit(transaction, func(_ rows.Result, err error) {
 		if err != nil {
-			n.storeRetries.After(spread(pause), func() { n.joinAfter(min(2*pause, joinPauseMost)) })
+			n.storeRetries.After(jitter(backoff), func() { n.joinWithBackoff(min(2*backoff, maxJoinBackoff)) })
 			return
 		}
 		n.joining = false
@@ -116,23 +116,23 @@
 	})
 }
 
-// spread returns a period give or take a half of it, so that nodes that began together do not go on
+// jitter returns a period give or take a half of it, so that nodes that began together do not go on
 // together.
-func spread(period time.Duration) time.Duration {
+func jitter(period time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(period))
 }
 
-// keepMembers reads the sample again and again.
-func (n *Node) keepMembers() {
-	n.edges.Loop.After(spread(memberRefresh), func() {
+// refreshMembersPeriodically reads the sample again and again.
+func (n *Node) refreshMembersPeriodically() {
+	n.edges.Loop.After(jitter(sampleRefreshInterval), func() {
 		n.refreshMembers()
-		n.keepMembers()
+		n.refreshMembersPeriodically()
 	})
 }
 
 // refreshMembers reads the sample unless that was done just now.
 func (n *Node) refreshMembers() {
-	if !n.sample.reading && n.now().Sub(n.sample.readAt) >= refreshPause {
+	if !n.sample.reading && n.now().Sub(n.sample.readAt) >= minRefreshInterval {
 		n.readMembers()
 	}
 }
@@ -148,10 +148,10 @@
 	n.sample.reading = true
 	pages := []samplePage{
 		{memberTable, "", candidateCount},
-		{memberTable, memberName(n.self()), neighbourCount + 1},
+		{memberTable, memberRowName(n.self()), successorCount + 1},
 	}
 	if n.sample.readAt.IsZero() {
-		pages = append(pages, samplePage{pool.NodeTable, n.options.Name, olderCount + 1})
+		pages = append(pages, samplePage{pool.NodeTable, n.options.Name, legacyMemberCount + 1})
 	}
 	listings := make([]rows.Listing, len(pages))
 	left, failed := len(pages), false
@@ -166,33 +166,33 @@
 				n.storeRetries.After(retryPause, n.readMembers)
 				return
 			}
-			n.takeMembers(listings[0], listings[1:]...)
+			n.applySample(listings[0], listings[1:]...)
 		})
 	}
 }
 
-// takeMembers takes in a sample.
-func (n *Node) takeMembers(candidates rows.Listing, others ...rows.Listing) {
-	taken := sample{members: map[string]member{}, candidates: map[string]bool{}, readAt: n.now(), version: candidates.Version}
-	taken.partial = len(candidates.Rows) >= candidateCount
+// applySample takes in a sample.
+func (n *Node) applySample(candidates rows.Listing, others ...rows.Listing) {
+	next := memberSample{members: map[string]member{}, candidates: map[string]bool{}, readAt: n.now(), version: candidates.Version}
+	next.partial = len(candidates.Rows) >= candidateCount
 	for i := range candidates.Rows {
-		if m, ok := taken.add(&candidates.Rows[i]); ok {
-			taken.candidates[m.Name] = true
+		if m, ok := next.add(&candidates.Rows[i]); ok {
+			next.candidates[m.Name] = true
 		}
 	}
 	for _, listing := range others {
-		taken.version = min(taken.version, listing.Version)
+		next.version = min(next.version, listing.Version)
 		for i := range listing.Rows {
-			taken.add(&listing.Rows[i])
+			next.add(&listing.Rows[i])
 		}
 	}
-	if len(taken.members) <= 1 {
+	if len(next.members) <= 1 {
 		// All others run an older version; those that the first sample found are kept.
-		maps.Copy(taken.members, n.sample.members)
+		maps.Copy(next.members, n.sample.members)
 	}
-	known, listed := taken.members[n.options.Name]
+	known, listed := next.members[n.options.Name]
 	missing := !listed || known.Incarnation != n.options.Incarnation
-	n.sample = taken
+	n.sample = next
 	n.publish()
 	n.followLeases()
 	if missing {
@@ -202,7 +202,7 @@
 }
 
 // add takes in a row of a node. It returns false if the row can't be read.
-func (s *sample) add(row *rows.Row) (member, bool) {
+func (s *memberSample) add(row *rows.Row) (member, bool) {
 	var m member
 	if err := json.Unmarshal(row.Value, &m); err != nil || m.Name == "" {
 		return m, false
@@ -212,7 +212,7 @@
 }
 
 // apply takes in a change of a node's row.
-func (s *sample) apply(row *rows.Row) {
+func (s *memberSample) apply(row *rows.Row) {
 	if row.Gone {
 		delete(s.members, row.Name)
 		return
@@ -220,14 +220,14 @@
 	s.add(row)
 }
 
-// mayTake reports whether a node is known to be among the first that would take a pool.
-func (s *sample) mayTake(name string) bool { return !s.partial || s.candidates[name] }
+// isCandidate reports whether a node is known to be among the first that would take a pool.
+func (s *memberSample) isCandidate(name string) bool { return !s.partial || s.candidates[name] }
 
-// otherMembers lists the known members besides this node and one more, in random order.
-func (n *Node) otherMembers(but string) []member {
+// otherMembersExcept lists the known members besides this node and one more, in random order.
+func (n *Node) otherMembersExcept(excluded string) []member {
 	var others []member
 	for _, name := range sortedKeys(n.sample.members) {
-		if name != n.options.Name && name != but {
+		if name != n.options.Name && name != excluded {
 			others = append(others, n.sample.members[name])
 		}
 	}
@@ -235,11 +235,11 @@
 	return others
 }
 
-// candidates lists the known members, besides this node and one more, that would take a pool first.
-func (n *Node) candidates(but string) []member {
+// candidatesExcept lists the known members, besides this node and one more, that would take a pool first.
+func (n *Node) candidatesExcept(excluded string) []member {
 	var found []member
-	for _, other := range n.otherMembers(but) {
-		if n.sample.mayTake(other.Name) {
+	for _, other := range n.otherMembersExcept(excluded) {
+		if n.sample.isCandidate(other.Name) {
 			found = append(found, other)
 		}
 	}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -80,7 +80,7 @@
 // writeMember writes the rows of a node as it does when it starts.
 func (s *countingStore) writeMember(m member) {
 	var transaction rows.Transaction
-	for _, key := range []rows.Key{{Table: memberTable, Name: memberName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
+	for _, key := range []rows.Key{{Table: memberTable, Name: memberRowName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
 		transaction.Puts = append(transaction.Puts, rows.Put{Key: key, Value: pool.Encode(m)})
 	}
 	_, _ = s.Commit(context.Background(), transaction)
@@ -143,7 +143,7 @@
 			require.Eventually(t, func() bool { return n.toldByPeer.Load().Sub(told) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
-			require.LessOrEqual(t, store.given, 2*(candidateCount+neighbourCount+olderCount)+8)
+			require.LessOrEqual(t, store.given, 2*(candidateCount+successorCount+legacyMemberCount)+8)
 		})
 	}
 }
@@ -151,14 +151,14 @@
 func TestNamesOfMembersAreInTheOrderOfTheirWeights(t *testing.T) {
 	var names []string
 	for _, weight := range []float64{1.6, 0.8, 0.801, 0.192, 0} {
-		names = append(names, memberName(member{Name: "b", Weight: weight}))
+		names = append(names, memberRowName(member{Name: "b", Weight: weight}))
 	}
 	require.Equal(t, []string{names[0], names[2], names[1], names[3], names[4]}, slices.Sorted(slices.Values(names)))
-	require.NotEqual(t, memberName(member{Name: "a", Weight: 1}), memberName(member{Name: "b", Weight: 1}))
+	require.NotEqual(t, memberRowName(member{Name: "a", Weight: 1}), memberRowName(member{Name: "b", Weight: 1}))
 }
 
-// takeSample lets a node read a sample of candidates beyond which there are others.
-func (n *watchingNode) takeSample(t *testing.T, candidates ...member) {
+// applyPartialSample lets a node read a sample of candidates beyond which there are others.
+func (n *watchingNode) applyPartialSample(t *testing.T, candidates ...member) {
 	for i := len(candidates); i < candidateCount; i++ {
 		candidates = append(candidates, member{Name: fmt.Sprintf("candidate-%02d", i), Weight: 1})
 	}
@@ -167,7 +167,7 @@
 		listing.Rows = append(listing.Rows, rows.Row{Value: pool.Encode(m)})
 	}
 	own.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
-	n.takeMembers(listing, own)
+	n.applySample(listing, own)
 	require.True(t, n.sample.partial)
 }
 
@@ -175,15 +175,15 @@
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
 	latest := maxTakeoverRank * takeoverRankDelay
 	among := newWatchingNode(t, 1, nil)
-	among.takeSample(t, among.self())
+	among.applyPartialSample(t, among.self())
 	require.Less(t, among.takeoverDelay(poolName), latest+time.Millisecond)
 	heavy := newWatchingNode(t, 1, nil)
-	heavy.takeSample(t)
+	heavy.applyPartialSample(t)
 	require.False(t, heavy.isStandby(poolName))
 	require.GreaterOrEqual(t, heavy.takeoverDelay(poolName), latest)
 	require.Less(t, heavy.takeoverDelay(poolName), latest+lowWeightDelay)
 	light := newWatchingNode(t, 0.2, nil)
-	light.takeSample(t)
+	light.applyPartialSample(t)
 	require.GreaterOrEqual(t, light.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
@@ -295,7 +295,7 @@
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, n.readMembers)
 	require.Eventually(t, func() bool {
-		listing, err := store.Page(context.Background(), memberTable, "", memberName(n.self()), 1)
+		listing, err := store.Page(context.Background(), memberTable, "", memberRowName(n.self()), 1)
 		return err == nil && len(listing.Rows) == 1
 	}, time.Minute, time.Millisecond)
 }
@@ -336,13 +336,13 @@
 	n.applyNodeRow(row("node-2", false))
 	n.applyNodeRow(row("node-3", false))
 	n.applyNodeRow(row("node-3", true))
-	others := n.otherMembers("")
+	others := n.otherMembersExcept("")
 	require.Len(t, others, 1)
 	require.Equal(t, "node-2", others[0].Name)
 
 	n.sample.partial = true
 	n.applyNodeRow(row("node-4", false))
-	require.Len(t, n.otherMembers(""), 1, "the nodes of a large fleet are not all known")
+	require.Len(t, n.otherMembersExcept(""), 1, "the nodes of a large fleet are not all known")
 }
 
 // goneStore has no history before a version.
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -54,7 +54,7 @@
 	}
 	confirmedAge := age(n.confirmed.Load())
 	if confirmedAge > limit {
-		others := n.otherMembers("")
+		others := n.otherMembersExcept("")
 		askedAt := uptime.Now()
 		for _, other := range others[:min(2, len(others))] {
 			n.callPeer(other.Address, methodNews, struct{}{}, func(document []byte, err error) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,7 +81,7 @@
 	// probing is true while the node looks whether a store that it lost is back.
 	probing bool
 
-	sample sample
+	sample memberSample
 	// joining is true while this node's rows are being written.
 	joining bool
 	leases  map[string]versionedLease
@@ -105,7 +105,7 @@
 func New(ctx context.Context, options Options, edges Edges) *Node {
 	n := &Node{
 		options: options, edges: edges,
-		sample: sample{members: map[string]member{}}, leases: map[string]versionedLease{},
+		sample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
@@ -121,8 +121,8 @@
 	n.join()
 	n.readConfiguration()
 	n.readMembers()
-	n.keepMembers()
-	n.edges.Loop.After(spread(settlePeriod), n.refreshMembers)
+	n.refreshMembersPeriodically()
+	n.edges.Loop.After(jitter(startupRefreshDelay), n.refreshMembers)
 	n.pingOwners()
 	n.seekConfiguration()
 	n.checkConfirmation()
@@ -226,7 +226,7 @@
 func (n *Node) Stop(done func()) {
 	n.stopping.Store(true)
 	n.released = done
-	n.ports.Commit(rows.Transaction{Removes: n.memberRows()}, func(rows.Result, error) {})
+	n.ports.Commit(rows.Transaction{Removes: n.memberRowKeys()}, func(rows.Result, error) {})
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].Release()
 	}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -65,11 +65,11 @@
 // takeoverRank is this node's place in the order in which nodes take a pool: the heaviest
 // first, and among equals by a hash.
 func (n *Node) takeoverRank(name string) int {
-	if !n.sample.mayTake(n.options.Name) {
+	if !n.sample.isCandidate(n.options.Name) {
 		return maxTakeoverRank
 	}
 	self, rank := n.self(), 0
-	for _, other := range n.candidates(n.leases[name].Owner) {
+	for _, other := range n.candidatesExcept(n.leases[name].Owner) {
 		if takesOverBefore(name, other, self) {
 			rank++
 		}
@@ -81,16 +81,16 @@
 // among the first do not all try at once, and light ones last.
 func (n *Node) takeoverDelay(name string) time.Duration {
 	delay := time.Duration(n.takeoverRank(name)) * takeoverRankDelay
-	if len(n.otherMembers("")) == 0 {
+	if len(n.otherMembersExcept("")) == 0 {
 		// All may have just started, and know nobody yet.
 		return delay + rand.N(startupJitter)
 	}
-	if n.sample.mayTake(n.options.Name) {
+	if n.sample.isCandidate(n.options.Name) {
 		return delay
 	}
-	for _, other := range n.candidates("") {
+	for _, other := range n.candidatesExcept("") {
 		if other.Weight > n.options.Weight {
-			return delay + lowWeightDelay + spread(lowWeightDelay)
+			return delay + lowWeightDelay + jitter(lowWeightDelay)
 		}
 	}
 	return delay + rand.N(lowWeightDelay)
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -196,7 +196,7 @@
 // confirmIfOnlyNode lets owned pools keep what runs alive while the store is away, if there is no
 // other node that could take them.
 func (n *Node) confirmIfOnlyNode() {
-	if !n.storeLost() || len(n.otherMembers("")) > 0 {
+	if !n.storeLost() || len(n.otherMembersExcept("")) > 0 {
 		return
 	}
 	for _, name := range sortedKeys(n.owned) {
--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -71,7 +71,7 @@
 // removeGone removes those rows whose nodes are gone, unless they are written anew meanwhile.
 func (n *Node) removeGone(listed []rows.Row) {
 	var transaction rows.Transaction
-	read := sample{members: map[string]member{}}
+	read := memberSample{members: map[string]member{}}
 	for i := range listed {
 		m, ok := read.add(&listed[i])
 		if !ok || m.Name == n.options.Name || !n.hearing.gone(m.Name, n.now()) {
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -39,7 +39,7 @@
 
 // indirectCheckers lists some of the guards of a pool's owner, who know of it from lately.
 func (n *Node) indirectCheckers(name string) []member {
-	others := n.candidates(n.leases[name].Owner)
+	others := n.candidatesExcept(n.leases[name].Owner)
 	slices.SortStableFunc(others, func(a, b member) int {
 		if takesOverBefore(name, a, b) {
 			return -1
