--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -19,7 +19,7 @@
 	if n.options.Off[mechanism.Announcements] {
 		return
 	}
-	v := n.view.Load()
+	v := n.snapshot.Load()
 	if v.owned[poolName] != nil {
 		n.edges.Loop.Post(func() { n.takeAnnounced(poolName, row) })
 		return
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -32,7 +32,7 @@
 	}()
 	lease := versionedLease{}
 	lease.Owner, lease.Address = "node-2", listener.Addr().String()
-	gateway.node.view.Store(&view{leases: map[string]versionedLease{poolName: lease}})
+	gateway.node.snapshot.Store(&snapshot{leases: map[string]versionedLease{poolName: lease}})
 	return notices
 }
 
--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -99,7 +99,7 @@
 func TestBytesOfAnAnswerTellThatTheStoreIsThere(t *testing.T) {
 	store := newArrivingStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
-	require.Equal(t, forever, n.storeAge())
+	require.Equal(t, unknownAge, n.storeAge())
 	go func() { _, _ = n.store.Feed(context.Background(), "t", 1, time.Hour) }()
 	<-store.begun
 	require.Less(t, n.storeAge(), time.Minute)
@@ -111,7 +111,7 @@
 	looked := make(chan bool)
 	go func() { looked <- n.losesStore() }()
 	require.Eventually(t, func() bool { return n.look.Load() != nil }, time.Minute, time.Millisecond)
-	n.noteStore(nil)
+	n.recordStoreResult(nil)
 	require.False(t, <-looked, "a look without an answer, beside one that arrives")
 }
 
@@ -210,7 +210,7 @@
 		t.Run(name, func(t *testing.T) {
 			n := runningNode(t, c.own, peer.NewClient(nil))
 			address := servePeers(t, newGateway(t, c.others).node)
-			n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
+			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			answers := make(chan error, 1)
 			n.ports.Commit(large, func(_ rows.Result, err error) { answers <- err })
 			require.NoError(t, <-answers)
@@ -225,8 +225,8 @@
 	small := &link{bytesPerSecond: smallLink}
 	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 	address := servePeers(t, newGateway(t, &fixedStore{listing: listing}).node)
-	n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
-	n.noteStoreFailure(rows.ErrRefused)
+	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
+	n.recordStoreFailure(rows.ErrRefused)
 	result, err := n.store.Feed(context.Background(), pool.JobTable, 1, time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, int64(7), result.Version)
@@ -241,7 +241,7 @@
 			small := &link{bytesPerSecond: smallLink}
 			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 			address := servePeers(t, newGateway(t, others).node)
-			n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
+			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			result, err := n.store.Scan(context.Background(), pool.JobTable, "part", "")
 			require.NoError(t, err)
 			require.Equal(t, int64(7), result.Version)
@@ -254,8 +254,8 @@
 func TestScanThroughASilentNodeEndsOnceTheStoreIsBack(t *testing.T) {
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
-	n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
-	n.noteStoreFailure(rows.ErrRefused)
+	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
+	n.recordStoreFailure(rows.ErrRefused)
 	ended := make(chan error, 1)
 	began := time.Now()
 	n.ports.Scan(pool.JobTable, "part", "", func(_ rows.Listing, err error) { ended <- err })
@@ -264,7 +264,7 @@
 		defer n.store.reads.mutex.Unlock()
 		return len(n.store.reads.open) == 1
 	}, time.Minute, time.Millisecond)
-	n.noteStore(nil)
+	n.recordStoreResult(nil)
 	require.Error(t, <-ended)
 	require.Less(t, time.Since(began), relayScanTimeout)
 }
@@ -297,12 +297,12 @@
 		return &at
 	}
 
-	n.configurationArriving.Store(ago(0))
+	n.configurationTransferStart.Store(ago(0))
 	onLoop(t, n, func() {
 		n.takeNews(address, catalogNews{Version: 2}, time.Now())
 		assert.False(t, n.download.active)
 	})
-	n.configurationArriving.Store(ago(storeHeadStart))
+	n.configurationTransferStart.Store(ago(storeHeadStart))
 	onLoop(t, n, func() {
 		n.takeNews(address, catalogNews{Version: 2}, time.Now())
 		assert.True(t, n.download.active)
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -110,7 +110,7 @@
 // serveChunk answers another node with a part of this one's configuration. It may be
 // called anywhere.
 func (n *Node) serveChunk(request chunkRequest) (chunkReply, error) {
-	own := n.served.find(request.Version, n.document.Load())
+	own := n.servedDocuments.find(request.Version, n.document.Load())
 	if own == nil {
 		return chunkReply{}, fault.New(fault.ConfigurationOld, "this node has no configuration yet")
 	}
@@ -173,14 +173,14 @@
 func (n *Node) noteArriving(ctx context.Context) (context.Context, func()) {
 	observed := progress.With(ctx, func(int) {
 		now := uptime.Now()
-		n.configurationArriving.CompareAndSwap(nil, &now)
+		n.configurationTransferStart.CompareAndSwap(nil, &now)
 	})
-	return observed, func() { n.configurationArriving.Store(nil) }
+	return observed, func() { n.configurationTransferStart.Store(nil) }
 }
 
 // storeBringsConfiguration reports whether an answer about the configuration arrives that
 // still has its head start.
 func (n *Node) storeBringsConfiguration() bool {
-	began := n.configurationArriving.Load()
+	began := n.configurationTransferStart.Load()
 	return began != nil && uptime.Since(*began) < storeHeadStart
 }
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -118,7 +118,7 @@
 		return confirmWait
 	case len(n.owned) > 0:
 		return ownerFeedWait
-	case !n.options.Off[mechanism.LongFeeds] && age(n.toldByPeer.Load()) < staleConfirmation:
+	case !n.options.Off[mechanism.LongFeeds] && age(n.confirmedByPeer.Load()) < staleConfirmation:
 		return longFeedWait
 	}
 	return aloneFeedWait
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -119,7 +119,7 @@
 	default:
 		return
 	}
-	n.publish()
+	n.publishSnapshot()
 }
 
 func (n *Node) applyLease(row rows.Row) {
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -28,7 +28,7 @@
 
 func (g *Gateway) lookupAnywhere(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
-	v := n.view.Load()
+	v := n.snapshot.Load()
 	lease := v.leases[poolName]
 	if v.owned[poolName] == nil && lease.Address != "" && lease.Owner != n.options.Name {
 		var reply lookupReply
@@ -49,7 +49,7 @@
 // lookupHere answers from the pool, if this node owns it, or from the store.
 func (g *Gateway) lookupHere(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
-	if p := n.view.Load().owned[poolName]; p != nil {
+	if p := n.snapshot.Load().owned[poolName]; p != nil {
 		var state taskgraph.State
 		known := false
 		err := limited(ctx, handOverLimit, func(ctx context.Context) error {
@@ -144,7 +144,7 @@
 func (g *Gateway) Waiting(ctx context.Context, access Access) (int, error) {
 	n := g.node
 	poolName, queue := access.Queue.Pool, access.Queue.Name
-	v := n.view.Load()
+	v := n.snapshot.Load()
 	lease := v.leases[poolName]
 	if v.owned[poolName] != nil || lease.Address == "" || lease.Owner == n.options.Name {
 		count, err := g.waitingHere(ctx, poolName, queue)
@@ -172,7 +172,7 @@
 
 func (g *Gateway) waitingHere(ctx context.Context, poolName, queue string) (int, error) {
 	n := g.node
-	p := n.view.Load().owned[poolName]
+	p := n.snapshot.Load().owned[poolName]
 	if p == nil {
 		return 0, fault.New(fault.NoOwner, "the pool has no owner here")
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -193,7 +193,7 @@
 	known, listed := next.members[n.options.Name]
 	missing := !listed || known.Incarnation != n.options.Incarnation
 	n.sample = next
-	n.publish()
+	n.publishSnapshot()
 	n.followLeases()
 	if missing {
 		// An owner that did not hear of this node for a while took it for gone.
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -132,15 +132,15 @@
 				n.adopt(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
 			})
 			require.Eventually(t, func() bool {
-				v := n.view.Load()
-				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.toldByPeer.Load() != nil
+				v := n.snapshot.Load()
+				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.confirmedByPeer.Load() != nil
 			}, time.Minute, 5*time.Millisecond)
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
 			// Two rounds of pings later the node has seen what it follows.
-			told := *n.toldByPeer.Load()
-			require.Eventually(t, func() bool { return n.toldByPeer.Load().Sub(told) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
+			told := *n.confirmedByPeer.Load()
+			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(told) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
 			require.LessOrEqual(t, store.given, 2*(candidateCount+successorCount+legacyMemberCount)+8)
@@ -209,7 +209,7 @@
 		require.False(t, n.shouldFollowLeases())
 		n.handlePingReply(n.watchers[poolName], pingReply{Owner: false})
 	})
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
 // TestRowsOfGoneNodesAreRemoved by an owner that hears from the others.
@@ -323,7 +323,7 @@
 		n.readMembers()
 		n.pingOwners()
 	})
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
 }
 
 // TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that started before the others knew of none of them
@@ -379,9 +379,9 @@
 		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.followLeases()
 	})
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-2" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-2" }, time.Minute, time.Millisecond)
 	lease("node-3")
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	require.Less(t, store.feeds, 20)
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -25,7 +25,7 @@
 	}
 	at := askedAt.Add(-time.Duration(news.AgeMillis) * time.Millisecond)
 	n.confirm(at)
-	n.toldByPeer.Store(&at)
+	n.confirmedByPeer.Store(&at)
 }
 
 // news says how new this node's configuration is. It may be called anywhere.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,8 +22,8 @@
 	version int64
 }
 
-// view is an immutable copy of what traffic needs to know.
-type view struct {
+// snapshot is an immutable copy of what traffic needs to know.
+type snapshot struct {
 	members []member
 	leases  map[string]versionedLease
 	owned   map[string]*pool.Pool
@@ -53,27 +53,27 @@
 	catalog atomic.Pointer[catalog.Catalog]
 	// document is what the catalog was read from.
 	document atomic.Pointer[document]
-	// served are the documents that other nodes fetch.
-	served servedDocuments
-	// configurationArriving is when the store's answer about the configuration began that
+	// servedDocuments are the documents that other nodes fetch.
+	servedDocuments servedDocuments
+	// configurationTransferStart is when the store's answer about the configuration began that
 	// arrives now, if one does. There is one such call at a time.
-	configurationArriving atomic.Pointer[time.Time]
+	configurationTransferStart atomic.Pointer[time.Time]
 	// confirmed is when the catalog was last known to be the newest.
 	confirmed atomic.Pointer[time.Time]
-	// toldByPeer is for when another node last confirmed the catalog.
-	toldByPeer atomic.Pointer[time.Time]
-	view       atomic.Pointer[view]
+	// confirmedByPeer is for when another node last confirmed the catalog.
+	confirmedByPeer atomic.Pointer[time.Time]
+	snapshot        atomic.Pointer[snapshot]
 	// storeAnswered is when the store last answered this node directly, storeFailed when
 	// it last did not, and storeReached when it last answered in any way.
 	storeAnswered atomic.Pointer[time.Time]
 	storeFailed   atomic.Pointer[time.Time]
 	storeReached  atomic.Pointer[time.Time]
-	// latency is that of this node's own calls to the store, and toldLatency what a pool's
+	// storeLatency is that of this node's own calls to the store, and toldLatency what a pool's
 	// owner last told of it.
-	latency     latencyWindow
-	toldLatency atomic.Pointer[toldLatency]
-	// storeAway is true from a failure of the store until its next answer.
-	storeAway atomic.Bool
+	storeLatency latencyWindow
+	toldLatency  atomic.Pointer[toldLatency]
+	// storeUnavailable is true from a failure of the store until its next answer.
+	storeUnavailable atomic.Bool
 	// look is the look under way whether the store is there, if any.
 	look     atomic.Pointer[storeLook]
 	stopping atomic.Bool
@@ -95,10 +95,10 @@
 	owned    map[string]*pool.Pool
 	waiting  map[string]waitingCounts
 	// evacuated has the zones that operators have evacuated.
-	evacuated evacuation.Set
-	released  func()
-	download  download
-	pings     pingSchedule
+	evacuated  evacuation.Set
+	onReleased func()
+	download   download
+	pings      pingSchedule
 }
 
 // New returns a node that does nothing until Start.
@@ -112,7 +112,7 @@
 	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkShare*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(edges.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: edges.Store, node: n}}
-	n.view.Store(&view{})
+	n.snapshot.Store(&snapshot{})
 	return n
 }
 
@@ -132,8 +132,8 @@
 // now returns the loop's time.
 func (n *Node) now() time.Time { return n.edges.Loop.Now() }
 
-func (n *Node) publish() {
-	v := &view{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
+func (n *Node) publishSnapshot() {
+	v := &snapshot{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
 	for _, name := range sortedKeys(n.sample.members) {
 		if name != n.options.Name {
 			v.members = append(v.members, n.sample.members[name])
@@ -148,25 +148,25 @@
 	for name, counts := range n.waiting {
 		v.waiting[name] = counts
 	}
-	n.view.Store(v)
+	n.snapshot.Store(v)
 }
 
-// noteStore notes an answer of the store. It may be called anywhere.
-func (n *Node) noteStore(err error) {
+// recordStoreResult notes an answer of the store. It may be called anywhere.
+func (n *Node) recordStoreResult(err error) {
 	if err != nil {
 		return
 	}
 	now := uptime.Now()
 	n.storeReached.Store(&now)
 	silentFor := age(n.storeAnswered.Swap(&now))
-	if n.storeAway.CompareAndSwap(true, false) {
-		n.edges.Loop.Post(n.storeBack)
+	if n.storeUnavailable.CompareAndSwap(true, false) {
+		n.edges.Loop.Post(n.handleStoreRecovery)
 		n.edges.Record.Decided("store answers again", "silent_ms", silentFor.Milliseconds())
 	}
 }
 
-// storeBack makes the calls again that wait for the store, by itself or through others.
-func (n *Node) storeBack() {
+// handleStoreRecovery makes the calls again that wait for the store, by itself or through others.
+func (n *Node) handleStoreRecovery() {
 	n.store.reads.callOff(0)
 	n.storeRetries.Now()
 	for _, name := range sortedKeys(n.owned) {
@@ -174,23 +174,23 @@
 	}
 }
 
-// noteStoreFailure notes that a feed got no answer. Feeds stand for the whole store;
+// recordStoreFailure notes that a feed got no answer. Feeds stand for the whole store;
 // a failed transaction may say no more than that one part is away.
-func (n *Node) noteStoreFailure(err error) {
+func (n *Node) recordStoreFailure(err error) {
 	if err == nil || errors.Is(err, rows.ErrHistoryGone) {
 		return
 	}
 	now := uptime.Now()
 	n.storeFailed.Store(&now)
-	if n.storeAway.CompareAndSwap(false, true) {
+	if n.storeUnavailable.CompareAndSwap(false, true) {
 		n.edges.Loop.After(probePeriod, n.probeStore)
 		n.feeds.callOff(0)
 		n.edges.Record.Decided("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
 
-// noteStoreReached notes an answer of the store through another node.
-func (n *Node) noteStoreReached() {
+// recordStoreReached notes an answer of the store through another node.
+func (n *Node) recordStoreReached() {
 	now := uptime.Now()
 	n.storeReached.Store(&now)
 }
@@ -213,11 +213,11 @@
 	return failed != nil && (answered == nil || failed.After(*answered))
 }
 
-const forever = time.Hour
+const unknownAge = time.Hour
 
 func age(at *time.Time) time.Duration {
 	if at == nil {
-		return forever
+		return unknownAge
 	}
 	return uptime.Since(*at)
 }
@@ -225,17 +225,17 @@
 // Stop leaves the planned way: it hands over the pools, then calls done.
 func (n *Node) Stop(done func()) {
 	n.stopping.Store(true)
-	n.released = done
+	n.onReleased = done
 	n.ports.Commit(rows.Transaction{Removes: n.memberRowKeys()}, func(rows.Result, error) {})
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].Release()
 	}
-	n.checkReleased()
+	n.notifyIfReleased()
 }
 
-func (n *Node) checkReleased() {
-	if n.released != nil && len(n.owned) == 0 {
-		n.released()
-		n.released = nil
+func (n *Node) notifyIfReleased() {
+	if n.onReleased != nil && len(n.owned) == 0 {
+		n.onReleased()
+		n.onReleased = nil
 	}
 }
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -30,7 +30,7 @@
 func (s *observedStore) timed(askedAt time.Time, err error) {
 	if err == nil {
 		now := uptime.Now()
-		s.node.latency.note(now, now.Sub(askedAt))
+		s.node.storeLatency.note(now, now.Sub(askedAt))
 	}
 }
 
@@ -77,7 +77,7 @@
 	a.bytes.Add(int64(bytes))
 	now := uptime.Now()
 	a.began.CompareAndSwap(nil, &now)
-	a.node.noteStore(nil)
+	a.node.recordStoreResult(nil)
 }
 
 // ended dates a listing by its beginning: the store has composed it by then, however
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -208,7 +208,7 @@
 	}
 	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Record, token)
 	n.owned[name] = p
-	n.publish()
+	n.publishSnapshot()
 	n.watchLateness()
 	n.followLeases()
 	if !n.pruning {
@@ -224,8 +224,8 @@
 
 func (n *Node) removeOwnedPool(name string) {
 	delete(n.owned, name)
-	n.publish()
-	n.checkReleased()
+	n.publishSnapshot()
+	n.notifyIfReleased()
 }
 
 // hasNoOwner reports whether a pool has no owner.
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -64,7 +64,7 @@
 		n.sample.members[name] = member{Name: name, Weight: other}
 	}
 	n.watchers[poolName] = &poolWatcher{pool: poolName, leaseRead: true}
-	n.noteStore(nil)
+	n.recordStoreResult(nil)
 	return &watchingNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
@@ -145,7 +145,7 @@
 		n := newWatchingNode(t, 1, nil)
 		n.leaseOf("node-2", 5)
 		if c.lostHere {
-			n.noteStoreFailure(rows.ErrNoAnswer)
+			n.recordStoreFailure(rows.ErrNoAnswer)
 		}
 		n.handlePingReply(n.watcher, c.reply)
 		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
@@ -178,9 +178,9 @@
 	n := newWatchingNode(t, 1, nil)
 	retried := 0
 	n.storeRetries.After(time.Hour, func() { retried++ })
-	n.noteStoreFailure(rows.ErrRefused)
+	n.recordStoreFailure(rows.ErrRefused)
 	require.Zero(t, retried)
-	n.noteStore(nil)
+	n.recordStoreResult(nil)
 	require.Equal(t, 1, retried)
 	n.storeRetries.Now()
 	require.Equal(t, 1, retried, "once")
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -123,7 +123,7 @@
 	if errors.Is(err, rows.ErrHistoryGone) {
 		return storeReply{HistoryGone: true}, nil
 	}
-	n.noteStore(err)
+	n.recordStoreResult(err)
 	if err != nil {
 		return reply, storeFailure(err)
 	}
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -126,7 +126,7 @@
 			n.refreshMembers()
 		}
 		n.waiting[w.pool] = waitingCounts{counts: reply.Waiting, at: uptime.Now()}
-		n.publish()
+		n.publishSnapshot()
 	}
 }
 
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -47,7 +47,7 @@
 // probe asks the store for this node's own row, directly.
 func (n *Node) probe(ctx context.Context) (struct{}, error) {
 	_, err := n.edges.Store.Scan(ctx, pool.NodeTable, "", n.options.Name)
-	n.noteStore(err)
+	n.recordStoreResult(err)
 	return struct{}{}, err
 }
 
@@ -69,7 +69,7 @@
 	defer cancel()
 	_, err := n.probe(ctx)
 	if !n.storeAnsweredSince(began) {
-		n.noteStoreFailure(err)
+		n.recordStoreFailure(err)
 	}
 	n.look.Store(nil)
 	close(look.done)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -96,7 +96,7 @@
 		return rows.Listing{}, errStoreLost
 	}
 	listing, err := s.direct.Scan(ctx, table, part, "")
-	s.node.noteStore(err)
+	s.node.recordStoreResult(err)
 	return listing, err
 }
 
@@ -112,11 +112,11 @@
 		return listing, errors.Mark(errCalledOff, rows.ErrNoAnswer)
 	}
 	s.node.noteFeed(err)
-	s.node.noteStore(err)
+	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrNoAnswer) || s.node.storeAge() > probeTimeout {
 		// A feed without an answer says nothing of a store that answers other calls: its
 		// answer may wait behind a larger one.
-		s.node.noteStoreFailure(err)
+		s.node.recordStoreFailure(err)
 	}
 	return listing, err
 }
@@ -155,7 +155,7 @@
 		directContext, cancel := progress.WithPatience(ctx, patience(bounds.direct))
 		defer cancel()
 		result, err := call(directContext, s.direct)
-		s.node.noteStore(err)
+		s.node.recordStoreResult(err)
 		attempts <- attempt[T]{result, err}
 	}()
 	timer := time.NewTimer(doubtAfter)
@@ -230,7 +230,7 @@
 		tried := attempt[T]{result, err}
 		if tried.answered() {
 			s.preferred.Store(&address)
-			s.node.noteStoreReached()
+			s.node.recordStoreReached()
 			s.node.edges.Record.Count("store_relays", "answered")
 			return result, err
 		}
@@ -248,7 +248,7 @@
 // relays lists the nodes to ask: the one that last answered, then others by chance. Owners of pools
 // are among them, which are known to be there also when most of the known members are not.
 func (s *relayedStore) relays() []string {
-	v := s.node.view.Load()
+	v := s.node.snapshot.Load()
 	addresses := map[string]bool{}
 	for _, other := range v.members {
 		addresses[other.Address] = true
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -66,7 +66,7 @@
 func pairOfNodes(t *testing.T, own, others rows.Store) *Gateway {
 	gateway := newGateway(t, own)
 	address := servePeers(t, newGateway(t, others).node)
-	gateway.node.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
+	gateway.node.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 	return gateway
 }
 
@@ -171,7 +171,7 @@
 	for name, c := range cases {
 		n := newGateway(t, newFakeStore()).node
 		n.confirmed.Store(ago(c.confirmed))
-		n.toldByPeer.Store(ago(c.told))
+		n.confirmedByPeer.Store(ago(c.told))
 		if c.owner {
 			n.owned[poolName] = &pool.Pool{}
 		}
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -55,11 +55,11 @@
 	onlyNode := owningNode(t, nil)
 	onlyNode.confirmIfOnlyNode()
 	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is there to be asked")
-	onlyNode.noteStoreFailure(rows.ErrNoAnswer)
+	onlyNode.recordStoreFailure(rows.ErrNoAnswer)
 	onlyNode.confirmIfOnlyNode()
 	require.Less(t, onlyNode.sinceConfirmed(), time.Second)
 	oneOfTwo := owningNode(t, map[string]float64{"node-2": 1})
-	oneOfTwo.noteStoreFailure(rows.ErrNoAnswer)
+	oneOfTwo.recordStoreFailure(rows.ErrNoAnswer)
 	oneOfTwo.confirmIfOnlyNode()
 	require.Greater(t, oneOfTwo.sinceConfirmed(), time.Second)
 }
--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -79,7 +79,7 @@
 
 // storeLatencyMillis is what this node tells of the store's latency; 0 if it knows nothing.
 func (n *Node) storeLatencyMillis() int64 {
-	least, known := n.latency.least(uptime.Now())
+	least, known := n.storeLatency.least(uptime.Now())
 	if !known {
 		return 0
 	}
@@ -91,7 +91,7 @@
 // not sent a second time, neither to another part nor through another node: copies of
 // calls add to the load under which it is slow. It may be called anywhere.
 func (n *Node) storeSlow() bool {
-	if least, known := n.latency.least(uptime.Now()); known {
+	if least, known := n.storeLatency.least(uptime.Now()); known {
 		return least > slowStoreLatency
 	}
 	told := n.toldLatency.Load()
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -120,6 +120,6 @@
 	require.False(t, n.storeSlow())
 	n.takeStoreLatency(400)
 	require.True(t, n.storeSlow())
-	n.latency.note(time.Now(), 5*time.Millisecond)
+	n.storeLatency.note(time.Now(), 5*time.Millisecond)
 	require.False(t, n.storeSlow())
 }
