--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,9 +75,9 @@
 	// storeUnavailable is true from a failure of the store until its next answer.
 	storeUnavailable atomic.Bool
 	// look is the look under way whether the store is there, if any.
-	look     atomic.Pointer[storeLook]
-	stopping atomic.Bool
-	lateness lateness
+	look            atomic.Pointer[storeLook]
+	stopping        atomic.Bool
+	schedulingDelay schedulingDelay
 	// probing is true while the node looks whether a store that it lost is back.
 	probing bool
 
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -195,7 +195,7 @@
 		Address: n.options.PeerAddress, Weight: n.options.Weight, Bounds: n.options.Bounds, Off: n.options.Off,
 		Catalog:   func() *catalog.Catalog { return n.catalog.Load() },
 		Evacuated: func() evacuation.Set { return n.evacuated },
-		Late:      n.lateness.allowance,
+		Late:      n.schedulingDelay.timeoutExtension,
 		Ended:     func(reason string) { n.removeOwnedPool(name) },
 	}
 }
@@ -209,7 +209,7 @@
 	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Record, token)
 	n.owned[name] = p
 	n.publishSnapshot()
-	n.watchLateness()
+	n.startDelaySampling()
 	n.followLeases()
 	if !n.pruning {
 		n.pruning = true
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -132,7 +132,7 @@
 // Start implements pool.Ports.
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
 	target := *to
-	paced(p, orderBytes+len(order.Payload), exactly(orderTimeout+p.node.lateness.allowance()), func(ctx context.Context) (fleet.Reply, error) {
+	paced(p, orderBytes+len(order.Payload), exactly(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Orders.Start(ctx, &target, order)
 	}, done)
 }
@@ -140,7 +140,7 @@
 // Stop implements pool.Ports.
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
 	target := *to
-	paced(p, orderBytes, exactly(orderTimeout+p.node.lateness.allowance()), func(ctx context.Context) (fleet.Reply, error) {
+	paced(p, orderBytes, exactly(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Orders.Stop(ctx, &target, order)
 	}, done)
 }
@@ -148,7 +148,7 @@
 // Hold implements pool.Ports.
 func (p *ports) Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error)) {
 	target := *to
-	paced(p, orderBytes, patience(order.Wait+holdSlack+p.node.lateness.allowance()), func(ctx context.Context) (fleet.Reply, error) {
+	paced(p, orderBytes, patience(order.Wait+holdSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Orders.Hold(ctx, &target, order)
 	}, done)
 }
