--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,8 +70,8 @@
 	storeReached  atomic.Pointer[time.Time]
 	// storeLatency is that of this node's own calls to the store, and toldLatency what a pool's
 	// owner last told of it.
-	storeLatency latencyWindow
-	toldLatency  atomic.Pointer[toldLatency]
+	storeLatency    latencyWindow
+	reportedLatency atomic.Pointer[reportedLatency]
 	// storeUnavailable is true from a failure of the store until its next answer.
 	storeUnavailable atomic.Bool
 	// look is the look under way whether the store is there, if any.
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -30,7 +30,7 @@
 func (s *observedStore) timed(askedAt time.Time, err error) {
 	if err == nil {
 		now := uptime.Now()
-		s.node.storeLatency.note(now, now.Sub(askedAt))
+		s.node.storeLatency.record(now, now.Sub(askedAt))
 	}
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -97,7 +97,7 @@
 		var reply pingReply
 		if json.Unmarshal(document, &reply) == nil {
 			n.takeNews(lease.Address, reply.catalogNews, requestedAt)
-			n.takeStoreLatency(reply.StoreLatencyMillis)
+			n.recordReportedLatency(reply.StoreLatencyMillis)
 			n.handlePingReply(w, reply)
 		}
 	})
--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -13,8 +13,8 @@
 	slowStoreLatency = 100 * time.Millisecond
 	// latencyPeriod is over how long the least latency is looked for, once or twice.
 	latencyPeriod = time.Second
-	// toldLatencyAge is how long what a pool's owner told of the store's latency holds.
-	toldLatencyAge = 2 * time.Second
+	// reportedLatencyMaxAge is how long what a pool's owner told of the store's latency holds.
+	reportedLatencyMaxAge = 2 * time.Second
 )
 
 // latencyWindow keeps the least latency of the calls of the last one to two periods. The
@@ -25,11 +25,11 @@
 	current, previous time.Duration
 }
 
-// note takes in a call that was answered at a time after a latency.
-func (w *latencyWindow) note(now time.Time, latency time.Duration) {
+// record takes in a call that was answered at a time after a latency.
+func (w *latencyWindow) record(now time.Time, latency time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.turn(now)
+	w.rotate(now)
 	if w.current == 0 || latency < w.current {
 		w.current = latency
 	}
@@ -39,7 +39,7 @@
 func (w *latencyWindow) least(now time.Time) (time.Duration, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.turn(now)
+	w.rotate(now)
 	switch {
 	case w.current == 0:
 		return w.previous, w.previous > 0
@@ -49,13 +49,13 @@
 	return min(w.current, w.previous), true
 }
 
-// turn begins a new period if the present one is over.
-func (w *latencyWindow) turn(now time.Time) {
-	passed := now.Sub(w.began)
+// rotate begins a new period if the present one is over.
+func (w *latencyWindow) rotate(now time.Time) {
+	elapsed := now.Sub(w.began)
 	switch {
-	case passed < latencyPeriod:
+	case elapsed < latencyPeriod:
 		return
-	case passed < 2*latencyPeriod:
+	case elapsed < 2*latencyPeriod:
 		w.previous = w.current
 	default:
 		w.previous = 0
@@ -64,16 +64,16 @@
 	w.began = now
 }
 
-// toldLatency is what a pool's owner told of the store's latency.
-type toldLatency struct {
+// reportedLatency is what a pool's owner told of the store's latency.
+type reportedLatency struct {
 	latency time.Duration
 	at      time.Time
 }
 
-// takeStoreLatency takes in what a pool's owner told, in milliseconds; 0 is nothing.
-func (n *Node) takeStoreLatency(millis int64) {
+// recordReportedLatency takes in what a pool's owner told, in milliseconds; 0 is nothing.
+func (n *Node) recordReportedLatency(millis int64) {
 	if millis > 0 {
-		n.toldLatency.Store(&toldLatency{latency: time.Duration(millis) * time.Millisecond, at: uptime.Now()})
+		n.reportedLatency.Store(&reportedLatency{latency: time.Duration(millis) * time.Millisecond, at: uptime.Now()})
 	}
 }
 
@@ -94,6 +94,6 @@
 	if least, known := n.storeLatency.least(uptime.Now()); known {
 		return least > slowStoreLatency
 	}
-	told := n.toldLatency.Load()
-	return told != nil && uptime.Since(told.at) < toldLatencyAge && told.latency > slowStoreLatency
+	reported := n.reportedLatency.Load()
+	return reported != nil && uptime.Since(reported.at) < reportedLatencyMaxAge && reported.latency > slowStoreLatency
 }
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -75,7 +75,7 @@
 			t.Parallel()
 			store := &laggingStore{fakeStore: newFakeStore(), latency: latency}
 			gateway := pairOfNodes(t, store, store)
-			gateway.node.takeStoreLatency(latency.Milliseconds())
+			gateway.node.recordReportedLatency(latency.Milliseconds())
 			require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
@@ -90,7 +90,7 @@
 func TestSilentPartIsPassedOverWhileTheStoreIsQuick(t *testing.T) {
 	store := &partlyHangingStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
-	gateway.node.takeStoreLatency(5)
+	gateway.node.recordReportedLatency(5)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
 }
@@ -100,14 +100,14 @@
 	start := time.Now()
 	_, known := window.least(start)
 	require.False(t, known)
-	window.note(start, 300*time.Millisecond)
-	window.note(start, 20*time.Millisecond)
+	window.record(start, 300*time.Millisecond)
+	window.record(start, 20*time.Millisecond)
 	least, known := window.least(start)
 	require.True(t, known)
 	require.Equal(t, 20*time.Millisecond, least, "a large answer on a small link is no slow store")
 	later := start.Add(latencyPeriod)
-	window.note(later, 310*time.Millisecond)
-	window.note(later.Add(latencyPeriod), 320*time.Millisecond)
+	window.record(later, 310*time.Millisecond)
+	window.record(later.Add(latencyPeriod), 320*time.Millisecond)
 	least, _ = window.least(later.Add(latencyPeriod))
 	require.Equal(t, 310*time.Millisecond, least, "what is older is forgotten")
 	_, known = window.least(later.Add(4 * latencyPeriod))
@@ -118,8 +118,8 @@
 func TestOwnCallsGoBeforeWhatTheOwnerTells(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.False(t, n.storeSlow())
-	n.takeStoreLatency(400)
+	n.recordReportedLatency(400)
 	require.True(t, n.storeSlow())
-	n.storeLatency.note(time.Now(), 5*time.Millisecond)
+	n.storeLatency.record(time.Now(), 5*time.Millisecond)
 	require.False(t, n.storeSlow())
 }
