--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -20,47 +20,47 @@
 
 // Commit implements rows.Store.
 func (s *observedStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
-	askedAt := uptime.Now()
+	requestedAt := uptime.Now()
 	result, err := s.Store.Commit(ctx, transaction)
-	s.timed(askedAt, err)
+	s.recordLatency(requestedAt, err)
 	return result, err
 }
 
-// timed notes the latency of a call that was answered.
-func (s *observedStore) timed(askedAt time.Time, err error) {
+// recordLatency notes the latency of a call that was answered.
+func (s *observedStore) recordLatency(requestedAt time.Time, err error) {
 	if err == nil {
 		now := uptime.Now()
-		s.node.storeLatency.record(now, now.Sub(askedAt))
+		s.node.storeLatency.record(now, now.Sub(requestedAt))
 	}
 }
 
 // Scan implements rows.Store.
 func (s *observedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
-	ctx, seen := s.observe(ctx, table)
+	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Scan(ctx, table, part, prefix)
-	s.timed(seen.askedAt, err)
-	return seen.ended(listing, err)
+	s.recordLatency(answer.askedAt, err)
+	return answer.finish(listing, err)
 }
 
 // Page implements rows.Store.
 func (s *observedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
 	ctx, seen := s.observe(ctx, table)
 	listing, err := s.Store.Page(ctx, table, part, from, limit)
-	s.timed(seen.askedAt, err)
-	return seen.ended(listing, err)
+	s.recordLatency(seen.askedAt, err)
+	return seen.finish(listing, err)
 }
 
 // Feed implements rows.Store.
 func (s *observedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	ctx, seen := s.observe(ctx, table)
 	listing, err := s.Store.Feed(ctx, table, after, wait)
-	return seen.ended(listing, err)
+	return seen.finish(listing, err)
 }
 
 // observe watches an answer about a table arrive.
 func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
-	seen := &observedAnswer{node: s.node, table: table, askedAt: uptime.Now()}
-	return progress.With(ctx, seen.arrived), seen
+	answer := &observedAnswer{node: s.node, table: table, askedAt: uptime.Now()}
+	return progress.With(ctx, answer.recordBytes), answer
 }
 
 // observedAnswer is what was seen of an answer.
@@ -69,26 +69,26 @@
 	table   string
 	askedAt time.Time
 	bytes   atomic.Int64
-	// began is when the first byte came.
-	began atomic.Pointer[time.Time]
+	// firstByteAt is when the first byte came.
+	firstByteAt atomic.Pointer[time.Time]
 }
 
-func (a *observedAnswer) arrived(bytes int) {
+func (a *observedAnswer) recordBytes(bytes int) {
 	a.bytes.Add(int64(bytes))
 	now := uptime.Now()
-	a.began.CompareAndSwap(nil, &now)
+	a.firstByteAt.CompareAndSwap(nil, &now)
 	a.node.recordStoreResult(nil)
 }
 
-// ended dates a listing by its beginning: the store has composed it by then, however
+// finish dates a listing by its beginning: the store has composed it by then, however
 // long the rest was under way.
-func (a *observedAnswer) ended(listing rows.Listing, err error) (rows.Listing, error) {
-	began := a.began.Load()
+func (a *observedAnswer) finish(listing rows.Listing, err error) (rows.Listing, error) {
+	firstByteAt := a.firstByteAt.Load()
 	listing.AsOf = uptime.Now()
-	if began != nil {
-		listing.AsOf = *began
+	if firstByteAt != nil {
+		listing.AsOf = *firstByteAt
 	}
-	if err != nil && began != nil {
+	if err != nil && firstByteAt != nil {
 		a.node.edges.Record.Count("answers_given_up", a.table)
 		a.node.edges.Record.Decided("answer given up", "table", a.table, "bytes", a.bytes.Load(),
 			"after_ms", uptime.Since(a.askedAt).Milliseconds(), "reason", err.Error())
