--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -21,7 +21,7 @@
 	}
 	v := n.snapshot.Load()
 	if v.owned[poolName] != nil {
-		n.edges.Loop.Post(func() { n.takeAnnounced(poolName, row) })
+		n.edges.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
 		return
 	}
 	lease := v.leases[poolName]
@@ -39,8 +39,8 @@
 	}()
 }
 
-// takeAnnounced hands a row to the pool, if this node owns it.
-func (n *Node) takeAnnounced(poolName string, row rows.Row) {
+// handleAnnouncedJob hands a row to the pool, if this node owns it.
+func (n *Node) handleAnnouncedJob(poolName string, row rows.Row) {
 	if p := n.owned[poolName]; p != nil {
 		p.TakeAnnounced(row)
 	}
@@ -48,6 +48,6 @@
 
 // serveAccepted takes in another node's notice.
 func (n *Node) serveAccepted(notice acceptedNotice) (struct{}, error) {
-	n.edges.Loop.Post(func() { n.takeAnnounced(notice.Pool, notice.Row) })
+	n.edges.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
 	return struct{}{}, nil
 }
