--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -7,16 +7,16 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// operatorRowsAnswered takes in an answer of the feed of the operators' rows, whose rows are
+// handleOperatorFeed takes in an answer of the feed of the operators' rows, whose rows are
 // applied: the configuration and the evacuations are known as of it.
-func (n *Node) operatorRowsAnswered(listing rows.Listing, askedAt time.Time) {
+func (n *Node) handleOperatorFeed(listing rows.Listing, askedAt time.Time) {
 	n.confirm(listing.AsOf)
-	n.noteEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
+	n.applyEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
 }
 
-// noteEvacuations takes in what is known of evacuated zones, and tells this node's pools of
+// applyEvacuations takes in what is known of evacuated zones, and tells this node's pools of
 // changes at once.
-func (n *Node) noteEvacuations(next evacuation.Set) {
+func (n *Node) applyEvacuations(next evacuation.Set) {
 	previous := n.evacuated
 	n.evacuated = previous.Newest(next)
 	if n.evacuated.SameZones(previous) {
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -22,10 +22,10 @@
 			n.applyConfiguration(listing.Rows[i])
 		}
 		n.confirm(listing.AsOf)
-		n.noteEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
+		n.applyEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
 		n.follow(subscription{
 			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationWait, apply: n.applyConfiguration,
-			answered: n.operatorRowsAnswered, ended: n.readConfiguration,
+			answered: n.handleOperatorFeed, ended: n.readConfiguration,
 		}, listing.Version)
 	})
 }
