--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -89,7 +89,7 @@
 		ended <- err
 	}()
 	<-store.begun
-	n.feeds.callOff(0)
+	n.feeds.cancelIdle(0)
 	close(store.whole)
 	require.NoError(t, <-ended)
 }
@@ -260,9 +260,9 @@
 	began := time.Now()
 	n.ports.Scan(pool.JobTable, "part", "", func(_ rows.Listing, err error) { ended <- err })
 	require.Eventually(t, func() bool {
-		n.store.reads.mutex.Lock()
-		defer n.store.reads.mutex.Unlock()
-		return len(n.store.reads.open) == 1
+		n.store.relayedReads.mutex.Lock()
+		defer n.store.relayedReads.mutex.Unlock()
+		return len(n.store.relayedReads.pending) == 1
 	}, time.Minute, time.Millisecond)
 	n.recordStoreResult(nil)
 	require.Error(t, <-ended)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -24,8 +24,8 @@
 		n.confirm(listing.AsOf)
 		n.applyEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
 		n.follow(subscription{
-			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationWait, apply: n.applyConfiguration,
-			answered: n.handleOperatorFeed, ended: n.readConfiguration,
+			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
+			onAnswer: n.handleOperatorFeed, onEnd: n.readConfiguration,
 		}, listing.Version)
 	})
 }
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -49,9 +49,9 @@
 
 func (n *Node) followLeasesFrom(version int64) {
 	n.follow(subscription{
-		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leasesWait, apply: n.applyNodeRow,
-		wanted: n.shouldFollowLeases,
-		ended: func() {
+		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leaseFeedWait, apply: n.applyNodeRow,
+		needed: n.shouldFollowLeases,
+		onEnd: func() {
 			// The history may be gone from where the sample was read.
 			n.followingLeases, n.sample.version = false, 0
 			n.followLeases()
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -42,7 +42,7 @@
 
 // seekAge is the age of the configuration's confirmation from which others are asked:
 // the store has not answered this node's question by then.
-const seekAge = staleConfirmation + 400*time.Millisecond
+const seekAge = staleConfirmationAge + 400*time.Millisecond
 
 // seekConfiguration asks other nodes for the configuration while the store does
 // not tell it.
@@ -50,7 +50,7 @@
 	limit := seekAge
 	if n.storeLost() {
 		// No answer of the store is under way.
-		limit = staleConfirmation
+		limit = staleConfirmationAge
 	}
 	confirmedAge := age(n.confirmed.Load())
 	if confirmedAge > limit {
@@ -65,5 +65,5 @@
 			})
 		}
 	}
-	n.edges.Loop.After(max(seekPeriod, staleConfirmation-confirmedAge), n.seekConfiguration)
+	n.edges.Loop.After(max(seekPeriod, staleConfirmationAge-confirmedAge), n.seekConfiguration)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,7 @@
 	options Options
 	edges   Edges
 	ports   *ports
-	feeds   openFeeds
+	feeds   cancelableReads
 	// feedFailures counts direct feeds in a row that got no answer in time.
 	feedFailures atomic.Int32
 	// storeRetries are calls to the store that wait to be made again.
@@ -167,7 +167,7 @@
 
 // handleStoreRecovery makes the calls again that wait for the store, by itself or through others.
 func (n *Node) handleStoreRecovery() {
-	n.store.reads.callOff(0)
+	n.store.relayedReads.cancelIdle(0)
 	n.storeRetries.Now()
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].StoreBack()
@@ -184,7 +184,7 @@
 	n.storeFailed.Store(&now)
 	if n.storeUnavailable.CompareAndSwap(false, true) {
 		n.edges.Loop.After(probePeriod, n.probeStore)
-		n.feeds.callOff(0)
+		n.feeds.cancelIdle(0)
 		n.edges.Record.Decided("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -40,8 +40,8 @@
 type relayedStore struct {
 	node   *Node
 	direct rows.Store
-	// reads are the reading calls that other nodes make for this one.
-	reads openFeeds
+	// relayedReads are the reading calls that other nodes make for this one.
+	relayedReads cancelableReads
 	// preferred is the address of the node that last answered for the store.
 	preferred atomic.Pointer[string]
 	// noRelayUntil is when other nodes may be asked again.
@@ -108,10 +108,10 @@
 	ctx, done := s.node.feeds.add(ctx, wait)
 	defer done()
 	listing, err := s.direct.Feed(ctx, table, after, wait)
-	if err != nil && calledOff(ctx) {
-		return listing, errors.Mark(errCalledOff, rows.ErrNoAnswer)
+	if err != nil && feedCanceled(ctx) {
+		return listing, errors.Mark(errFeedCanceled, rows.ErrNoAnswer)
 	}
-	s.node.noteFeed(err)
+	s.node.recordFeedResult(err)
 	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrNoAnswer) || s.node.storeAge() > probeTimeout {
 		// A feed without an answer says nothing of a store that answers other calls: its
@@ -222,7 +222,7 @@
 		tryContext, cancel := progress.WithPatience(ctx, patience(bounds.relayed))
 		ended := func() {}
 		if bounds.repeatable {
-			tryContext, ended = s.reads.add(tryContext, bounds.relayed)
+			tryContext, ended = s.relayedReads.add(tryContext, bounds.relayed)
 		}
 		result, err := call(tryContext, &peerStore{node: s.node, address: address})
 		ended()
@@ -236,7 +236,7 @@
 		}
 		s.node.edges.Record.Count("store_relays", "failed")
 		failure = lessKnown(failure, err)
-		if ctx.Err() != nil || calledOff(tryContext) {
+		if ctx.Err() != nil || feedCanceled(tryContext) {
 			return none, failure
 		}
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -141,12 +141,12 @@
 	require.Eventually(t, func() bool {
 		n.feeds.mutex.Lock()
 		defer n.feeds.mutex.Unlock()
-		return len(n.feeds.open) == 1
+		return len(n.feeds.pending) == 1
 	}, time.Minute, time.Millisecond)
-	n.feeds.callOff(2 * time.Hour)
+	n.feeds.cancelIdle(2 * time.Hour)
 	require.Empty(t, ended, "short feeds go on")
-	n.feeds.callOff(time.Hour)
-	require.ErrorIs(t, <-ended, errCalledOff)
+	n.feeds.cancelIdle(time.Hour)
+	require.ErrorIs(t, <-ended, errFeedCanceled)
 	require.False(t, n.storeLost(), "that says nothing of the store")
 }
 
@@ -163,10 +163,10 @@
 		want            time.Duration
 	}{
 		"told by an owner":  {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
-		"told by nobody":    {100 * time.Millisecond, time.Hour, false, aloneFeedWait},
+		"told by nobody":    {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
 		"owner":             {100 * time.Millisecond, 100 * time.Millisecond, true, ownerFeedWait},
-		"not confirmed":     {2 * time.Second, time.Hour, false, confirmWait},
-		"owner unconfirmed": {2 * time.Second, time.Hour, true, confirmWait},
+		"not confirmed":     {2 * time.Second, time.Hour, false, immediateFeedWait},
+		"owner unconfirmed": {2 * time.Second, time.Hour, true, immediateFeedWait},
 	}
 	for name, c := range cases {
 		n := newGateway(t, newFakeStore()).node
@@ -175,7 +175,7 @@
 		if c.owner {
 			n.owned[poolName] = &pool.Pool{}
 		}
-		require.Equal(t, c.want, n.configurationWait(), name)
+		require.Equal(t, c.want, n.configurationFeedWait(), name)
 	}
 }
 
@@ -224,12 +224,12 @@
 func TestFeedsOfAVerySlowStoreAreWaitedFor(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.Equal(t, feedSlack, n.feedSlack())
-	n.noteFeed(rows.ErrNoAnswer)
+	n.recordFeedResult(rows.ErrNoAnswer)
 	require.Equal(t, 2*feedSlack, n.feedSlack())
 	for range 40 {
-		n.noteFeed(rows.ErrNoAnswer)
+		n.recordFeedResult(rows.ErrNoAnswer)
 	}
 	require.Equal(t, maxFeedSlack, n.feedSlack())
-	n.noteFeed(rows.ErrHistoryGone)
+	n.recordFeedResult(rows.ErrHistoryGone)
 	require.Equal(t, feedSlack, n.feedSlack())
 }
