--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -289,7 +289,7 @@
 func TestOtherNodesAreAskedOnceTheStoreTakesTooLong(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	source.adopt(largeDocument(t, 2), "feed")
+	source.applyDocument(largeDocument(t, 2), "feed")
 	address := servePeers(t, source)
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	ago := func(d time.Duration) *time.Time {
@@ -299,12 +299,12 @@
 
 	n.configurationTransferStart.Store(ago(0))
 	onLoop(t, n, func() {
-		n.takeNews(address, catalogNews{Version: 2}, time.Now())
+		n.handleConfigurationStatus(address, configurationStatus{Version: 2}, time.Now())
 		assert.False(t, n.download.active)
 	})
 	n.configurationTransferStart.Store(ago(storeHeadStart))
 	onLoop(t, n, func() {
-		n.takeNews(address, catalogNews{Version: 2}, time.Now())
+		n.handleConfigurationStatus(address, configurationStatus{Version: 2}, time.Now())
 		assert.True(t, n.download.active)
 	})
 	requireVersion(t, n, 2)
@@ -349,7 +349,7 @@
 
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	source.adopt(content, "feed")
+	source.applyDocument(content, "feed")
 	address := servePeers(t, source)
 	onLoop(t, n, func() {
 		n.downloadConfiguration(address, 2)
@@ -374,7 +374,7 @@
 	var begun, fetched []byte
 	for version := int64(2); len(fetched) == 0 || len(fetched) < len(begun); version++ {
 		content := largeDocument(t, version)
-		source.adopt(content, "feed")
+		source.applyDocument(content, "feed")
 		if begun == nil {
 			begun = content
 		}
@@ -410,7 +410,7 @@
 	_, err := source.serveChunk(chunkRequest{Version: 1})
 	require.Error(t, err, "no document")
 	source.edges.Codec = jsonCodec{}
-	source.adopt(largeDocument(t, 2), "feed")
+	source.applyDocument(largeDocument(t, 2), "feed")
 	for _, offset := range []int{-1, largeConfiguration + 1} {
 		_, err := source.serveChunk(chunkRequest{Version: 2, Offset: offset})
 		require.Error(t, err, "offset %d", offset)
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -103,7 +103,7 @@
 	finished := n.download.document
 	n.download = download{}
 	if !overtaken && len(finished.content) == reply.Size {
-		n.adopt(finished.content, "peer")
+		n.applyDocument(finished.content, "peer")
 	}
 }
 
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -110,7 +110,7 @@
 func TestLargeConfigurationComesFromAnotherNodeOverASmallLink(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	source.adopt(largeDocument(t, 2), "feed")
+	source.applyDocument(largeDocument(t, 2), "feed")
 
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -12,7 +12,7 @@
 func (n *Node) readConfiguration() {
 	codec := n.edges.Codec
 	key := codec.ConfigurationKey()
-	askedAt := n.now()
+	requestedAt := n.now()
 	n.ports.scanDirect(key.Table, key.Part, func(listing rows.Listing, err error) {
 		if err != nil {
 			n.storeRetries.After(retryPause, n.readConfiguration)
@@ -22,7 +22,7 @@
 			n.applyConfiguration(listing.Rows[i])
 		}
 		n.confirm(listing.AsOf)
-		n.applyEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
+		n.applyEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 		n.follow(subscription{
 			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
 			onAnswer: n.handleOperatorFeed, onEnd: n.readConfiguration,
@@ -32,12 +32,12 @@
 
 func (n *Node) applyConfiguration(row rows.Row) {
 	if row.Key == n.edges.Codec.ConfigurationKey() && !row.Gone {
-		n.adopt(row.Value, "feed")
+		n.applyDocument(row.Value, "feed")
 	}
 }
 
-// adopt puts a configuration in force unless a newer one is.
-func (n *Node) adopt(content []byte, source string) {
+// applyDocument puts a configuration in force unless a newer one is.
+func (n *Node) applyDocument(content []byte, source string) {
 	decoded, err := n.edges.Codec.DecodeCatalog(content)
 	if err != nil {
 		n.edges.Record.Count("refusals", "configuration_invalid")
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -92,7 +92,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	answer := func(context.Context, *peerpb.Request) ([]byte, error) {
-		return json.Marshal(pingReply{Owner: true, catalogNews: catalogNews{Version: 1}})
+		return json.Marshal(pingReply{Owner: true, configurationStatus: configurationStatus{Version: 1}})
 	}
 	go func() { _ = peer.NewServer(answer).Serve(listener) }()
 	return listener.Addr().String()
@@ -129,7 +129,7 @@
 			go own.Run(ctx)
 			own.Post(n.Start)
 			onLoop(t, n, func() {
-				n.adopt(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
+				n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
 			})
 			require.Eventually(t, func() bool {
 				v := n.snapshot.Load()
@@ -319,7 +319,7 @@
 	}
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, func() {
-		n.adopt(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}}), "test")
+		n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}}), "test")
 		n.readMembers()
 		n.pingOwners()
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 	n.refreshMembersPeriodically()
 	n.edges.Loop.After(jitter(startupRefreshDelay), n.refreshMembers)
 	n.pingOwners()
-	n.seekConfiguration()
+	n.pollConfiguration()
 	n.checkConfirmation()
 	n.watchSuspensions()
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -12,13 +12,13 @@
 
 // Methods of calls between nodes.
 const (
-	methodPing    = "ping"
-	methodSeen    = "seen"
-	methodNews    = "news"
-	methodLookup  = "lookup"
-	methodWaiting = "waiting"
-	methodStore   = "store"
-	methodChunk   = "chunk"
+	methodPing                = "ping"
+	methodSeen                = "seen"
+	methodConfigurationStatus = "news"
+	methodLookup              = "lookup"
+	methodWaiting             = "waiting"
+	methodStore               = "store"
+	methodChunk               = "chunk"
 	// methodAccepted tells a pool's owner of an accepted job.
 	methodAccepted = "accepted"
 )
@@ -88,8 +88,8 @@
 
 func (n *Node) servePeer(ctx context.Context, method string, body []byte) (any, error) {
 	switch method {
-	case methodNews:
-		return n.news(), nil
+	case methodConfigurationStatus:
+		return n.currentConfigurationStatus(), nil
 	case methodPing, methodSeen:
 		request, err := decodeBody[pingRequest](method, body)
 		if err != nil {
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -35,7 +35,7 @@
 	// StoreLatencyMillis is the least latency of the node's late calls to the store; 0 if
 	// there were none.
 	StoreLatencyMillis int64 `json:"store_latency_ms,omitempty"`
-	catalogNews
+	configurationStatus
 }
 
 // standbyCount is how many nodes watch a pool's owner closely: those that would take the
@@ -96,7 +96,7 @@
 		}
 		var reply pingReply
 		if json.Unmarshal(document, &reply) == nil {
-			n.takeNews(lease.Address, reply.catalogNews, requestedAt)
+			n.handleConfigurationStatus(lease.Address, reply.configurationStatus, requestedAt)
 			n.recordReportedLatency(reply.StoreLatencyMillis)
 			n.handlePingReply(w, reply)
 		}
@@ -208,7 +208,7 @@
 func (n *Node) servePing(ctx context.Context, request pingRequest) (pingReply, error) {
 	reply := pingReply{
 		StoreAgeMillis: n.storeReachedAge().Milliseconds(), StoreLost: n.storeLost(),
-		StoreLatencyMillis: n.storeLatencyMillis(), catalogNews: n.news(),
+		StoreLatencyMillis: n.storeLatencyMillis(), configurationStatus: n.currentConfigurationStatus(),
 	}
 	err := loop.Call(ctx, n.edges.Loop, func() {
 		p := n.owned[request.Pool]
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -215,7 +215,7 @@
 	n := newGateway(t, newFakeStore()).node
 	n.confirmed.Store(nil)
 	askedAt := time.Now().Add(-time.Minute)
-	n.takeNews("", catalogNews{Version: 1, AgeMillis: 500}, askedAt)
+	n.handleConfigurationStatus("", configurationStatus{Version: 1, AgeMillis: 500}, askedAt)
 	require.Equal(t, askedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
 }
 
