--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -302,7 +302,7 @@
 		n.handleConfigurationStatus(address, configurationStatus{Version: 2}, time.Now())
 		assert.False(t, n.download.active)
 	})
-	n.configurationTransferStart.Store(ago(storeHeadStart))
+	n.configurationTransferStart.Store(ago(storeTransferGrace))
 	onLoop(t, n, func() {
 		n.handleConfigurationStatus(address, configurationStatus{Version: 2}, time.Now())
 		assert.True(t, n.download.active)
@@ -320,12 +320,12 @@
 
 func TestArrivalIsNotedUntilItsEnd(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
-	ctx, ended := n.noteArriving(context.Background())
-	require.False(t, n.storeBringsConfiguration())
+	ctx, ended := n.trackStoreTransfer(context.Background())
+	require.False(t, n.storeTransferPending())
 	arrive(ctx, 1)
-	require.True(t, n.storeBringsConfiguration())
+	require.True(t, n.storeTransferPending())
 	ended()
-	require.False(t, n.storeBringsConfiguration())
+	require.False(t, n.storeTransferPending())
 }
 
 // TestDownloadGoesOnAfterAFailure: what has arrived is kept, one transfer runs at a time, and
@@ -336,7 +336,7 @@
 	first := chunkReply{Version: 2, Size: len(content), Content: content[:chunkBytes]}
 	onLoop(t, n, func() {
 		n.download = download{document: document{version: 2}, active: true}
-		n.takeChunk(unreachable(t), chunkRequest{Version: 2}, first)
+		n.handleChunk(unreachable(t), chunkRequest{Version: 2}, first)
 		assert.Len(t, n.download.content, chunkBytes)
 		n.downloadConfiguration(unreachable(t), 3)
 		assert.Equal(t, int64(2), n.download.version, "one transfer at a time")
@@ -392,17 +392,17 @@
 	require.Nil(t, served.find(1, nil))
 	require.Equal(t, newest, served.find(4, newest), "a version that is not there")
 	require.Equal(t, newest, served.find(5, newest))
-	require.Len(t, served.kept, 1)
-	for version := range int64(2 * mostServed) {
+	require.Len(t, served.entries, 1)
+	for version := range int64(2 * maxServedDocuments) {
 		served.find(version+10, &document{version: version + 10})
 		require.Equal(t, newest, served.find(9, &document{version: version + 10}), "one that is being fetched stays")
 	}
-	require.Len(t, served.kept, mostServed)
-	for i := range served.kept {
-		served.kept[i].askedAt = time.Now().Add(-servedFor - time.Second)
+	require.Len(t, served.entries, maxServedDocuments)
+	for i := range served.entries {
+		served.entries[i].requestedAt = time.Now().Add(-servedRetention - time.Second)
 	}
 	served.find(9, newest)
-	require.Len(t, served.kept, 1, "those that nobody fetches any more are gone")
+	require.Len(t, served.entries, 1, "those that nobody fetches any more are gone")
 }
 
 func TestChunkOutsideTheConfigurationIsRefused(t *testing.T) {
@@ -423,7 +423,7 @@
 	content := largeDocument(t, 4)
 	onLoop(t, n, func() {
 		n.download = download{document: document{version: 6}, active: true}
-		n.takeChunk("", chunkRequest{Version: 6}, chunkReply{Version: 4, Size: len(content), Content: content})
+		n.handleChunk("", chunkRequest{Version: 6}, chunkReply{Version: 4, Size: len(content), Content: content})
 		assert.Equal(t, download{}, n.download)
 	})
 	require.Equal(t, int64(5), n.catalog.Load().Version)
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -19,15 +19,15 @@
 	chunkBytes = 32 << 10
 	// chunkTimeout bounds one such call: 30 times what a link of 10 Mbit/s takes for it.
 	chunkTimeout = time.Second
-	// storeHeadStart is how long the store's own answer may take before other nodes are
+	// storeTransferGrace is how long the store's own answer may take before other nodes are
 	// asked as well: 1.8 MB on a link of 10 Mbit/s, within the least bound of 2 s.
-	storeHeadStart = 1500 * time.Millisecond
-	// servedFor is how long a version that was replaced counts as being fetched after the
+	storeTransferGrace = 1500 * time.Millisecond
+	// servedRetention is how long a version that was replaced counts as being fetched after the
 	// last call for it: a version that replaces it sooner than a transfer takes would
 	// otherwise make them begin anew, for as long as changes come.
-	servedFor = 2 * chunkTimeout
-	// mostServed bounds the versions that are kept for that.
-	mostServed = 4
+	servedRetention = 2 * chunkTimeout
+	// maxServedDocuments bounds the versions that are kept for that.
+	maxServedDocuments = 4
 )
 
 // document is a configuration as the store keeps it.
@@ -62,7 +62,7 @@
 // downloadConfiguration fetches a version from another node, unless a transfer is under
 // way. The store's own answer goes first: both at once would share the link.
 func (n *Node) downloadConfiguration(address string, version int64) {
-	if n.download.active || n.storeBringsConfiguration() {
+	if n.download.active || n.storeTransferPending() {
 		return
 	}
 	if n.download.version < version {
@@ -84,25 +84,25 @@
 			n.download.active = false
 			return
 		}
-		n.takeChunk(address, request, reply)
+		n.handleChunk(address, request, reply)
 	})
 }
 
-// takeChunk takes in a part of a configuration and asks for the next one.
-func (n *Node) takeChunk(address string, request chunkRequest, reply chunkReply) {
+// handleChunk takes in a part of a configuration and asks for the next one.
+func (n *Node) handleChunk(address string, request chunkRequest, reply chunkReply) {
 	if reply.Version != request.Version {
 		n.download.document = document{version: reply.Version}
 	}
 	n.download.content = append(n.download.content, reply.Content...)
 	current := n.catalog.Load()
-	overtaken := current != nil && current.Version >= n.download.version
-	if !overtaken && len(reply.Content) > 0 && len(n.download.content) < reply.Size {
+	superseded := current != nil && current.Version >= n.download.version
+	if !superseded && len(reply.Content) > 0 && len(n.download.content) < reply.Size {
 		n.downloadChunk(address)
 		return
 	}
 	finished := n.download.document
 	n.download = download{}
-	if !overtaken && len(finished.content) == reply.Size {
+	if !superseded && len(finished.content) == reply.Size {
 		n.applyDocument(finished.content, "peer")
 	}
 }
@@ -110,31 +110,31 @@
 // serveChunk answers another node with a part of this one's configuration. It may be
 // called anywhere.
 func (n *Node) serveChunk(request chunkRequest) (chunkReply, error) {
-	own := n.servedDocuments.find(request.Version, n.document.Load())
-	if own == nil {
+	served := n.servedDocuments.find(request.Version, n.document.Load())
+	if served == nil {
 		return chunkReply{}, fault.New(fault.ConfigurationOld, "this node has no configuration yet")
 	}
 	offset := request.Offset
-	if own.version != request.Version {
+	if served.version != request.Version {
 		offset = 0
 	}
-	if offset < 0 || offset > len(own.content) {
-		return chunkReply{}, fault.New(fault.InvalidRequest, "offset %d of a configuration of %d bytes", offset, len(own.content))
+	if offset < 0 || offset > len(served.content) {
+		return chunkReply{}, fault.New(fault.InvalidRequest, "offset %d of a configuration of %d bytes", offset, len(served.content))
 	}
-	end := min(offset+chunkBytes, len(own.content))
-	return chunkReply{Version: own.version, Size: len(own.content), Content: own.content[offset:end]}, nil
+	end := min(offset+chunkBytes, len(served.content))
+	return chunkReply{Version: served.version, Size: len(served.content), Content: served.content[offset:end]}, nil
 }
 
 // servedDocuments are the versions that other nodes are fetching. Its methods may be
 // called anywhere.
 type servedDocuments struct {
-	mutex sync.Mutex
-	kept  []servedDocument
+	mutex   sync.Mutex
+	entries []servedDocument
 }
 
 type servedDocument struct {
 	*document
-	askedAt time.Time
+	requestedAt time.Time
 }
 
 // find returns a version that is being fetched, and otherwise the newest one, which it
@@ -146,31 +146,31 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := uptime.Now()
-	s.kept = slices.DeleteFunc(s.kept, func(d servedDocument) bool { return now.Sub(d.askedAt) > servedFor })
+	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return now.Sub(d.requestedAt) > servedRetention })
 	for _, wanted := range []int64{version, newest.version} {
-		for i := range s.kept {
-			if s.kept[i].version == wanted {
-				s.kept[i].askedAt = now
-				return s.kept[i].document
+		for i := range s.entries {
+			if s.entries[i].version == wanted {
+				s.entries[i].requestedAt = now
+				return s.entries[i].document
 			}
 		}
 	}
-	if len(s.kept) == mostServed {
-		s.dropLeastAsked()
+	if len(s.entries) == maxServedDocuments {
+		s.evictOldest()
 	}
-	s.kept = append(s.kept, servedDocument{document: newest, askedAt: now})
+	s.entries = append(s.entries, servedDocument{document: newest, requestedAt: now})
 	return newest
 }
 
-// dropLeastAsked drops the version whose last call is the oldest. The mutex is held.
-func (s *servedDocuments) dropLeastAsked() {
-	oldest := slices.MinFunc(s.kept, func(a, b servedDocument) int { return a.askedAt.Compare(b.askedAt) })
-	s.kept = slices.DeleteFunc(s.kept, func(d servedDocument) bool { return d.document == oldest.document })
+// evictOldest drops the version whose last call is the oldest. The mutex is held.
+func (s *servedDocuments) evictOldest() {
+	oldest := slices.MinFunc(s.entries, func(a, b servedDocument) int { return a.requestedAt.Compare(b.requestedAt) })
+	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return d.document == oldest.document })
 }
 
-// noteArriving notes that an answer of the store about the configuration arrives, from its
+// trackStoreTransfer notes that an answer of the store about the configuration arrives, from its
 // first byte until the returned function is called.
-func (n *Node) noteArriving(ctx context.Context) (context.Context, func()) {
+func (n *Node) trackStoreTransfer(ctx context.Context) (context.Context, func()) {
 	observed := progress.With(ctx, func(int) {
 		now := uptime.Now()
 		n.configurationTransferStart.CompareAndSwap(nil, &now)
@@ -178,9 +178,9 @@
 	return observed, func() { n.configurationTransferStart.Store(nil) }
 }
 
-// storeBringsConfiguration reports whether an answer about the configuration arrives that
+// storeTransferPending reports whether an answer about the configuration arrives that
 // still has its head start.
-func (n *Node) storeBringsConfiguration() bool {
-	began := n.configurationTransferStart.Load()
-	return began != nil && uptime.Since(*began) < storeHeadStart
+func (n *Node) storeTransferPending() bool {
+	startedAt := n.configurationTransferStart.Load()
+	return startedAt != nil && uptime.Since(*startedAt) < storeTransferGrace
 }
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -115,7 +115,7 @@
 // these hold of it they send in chunks (downloadConfiguration).
 func (p *ports) scanDirect(table, part string, done func(rows.Listing, error)) {
 	run(p, patience(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
-		ctx, ended := p.node.noteArriving(ctx)
+		ctx, ended := p.node.trackStoreTransfer(ctx)
 		defer ended()
 		return p.node.store.scanDirect(ctx, table, part)
 	}, done)
@@ -123,7 +123,7 @@
 
 func (p *ports) feedDirect(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
 	run(p, patience(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
-		ctx, ended := p.node.noteArriving(ctx)
+		ctx, ended := p.node.trackStoreTransfer(ctx)
 		defer ended()
 		return p.node.store.feedDirect(ctx, table, after, wait)
 	}, done)
