--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -44,34 +44,34 @@
 	current := n.catalog.Load()
 	confirmedAge := age(n.confirmed.Load())
 	if current == nil || confirmedAge > n.options.ConfigurationAge {
-		return Access{}, "", g.refusedEarly(host, path, confirmedAge, fault.New(fault.ConfigurationOld, "the configuration in force is not known"))
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationOld, "the configuration in force is not known"))
 	}
 	queue := current.Match(host, path)
 	if queue == nil {
-		return Access{}, "", g.refusedEarly(host, path, confirmedAge, fault.New(fault.NotFound, "no such queue"))
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.NotFound, "no such queue"))
 	}
 	access := Access{Queue: *queue}
 	tenant, known := current.TenantOf(key)
 	if !known && !queue.Public {
-		return Access{}, "", g.refusedEarly(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the key is not known"))
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the key is not known"))
 	}
 	access.Tenant = tenant
 	return access, path[len(queue.PathPrefix):], nil
 }
 
-// loggedPath bounds what of a refused request's path is logged.
-const loggedPath = 200
+// maxLoggedPathBytes bounds what of a refused request's path is logged.
+const maxLoggedPathBytes = 200
 
-// refusedEarly logs and counts the refusal of a request that was not read. Its path ends
+// refuseUnread logs and counts the refusal of a request that was not read. Its path ends
 // with the identifier of its job.
-func (g *Gateway) refusedEarly(host, path string, confirmedAge time.Duration, err *fault.Error) error {
+func (g *Gateway) refuseUnread(host, path string, confirmedAge time.Duration, err *fault.Error) error {
 	var version int64
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
 	}
-	g.node.edges.Record.Decided("request refused", "host", host, "path", path[:min(len(path), loggedPath)],
+	g.node.edges.Record.Decided("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
 		"job", jobInPath(path), "reason", string(err.Kind), "configuration", version, "configuration_age_ms", confirmedAge.Milliseconds())
-	return g.refused(err)
+	return g.countRefusal(err)
 }
 
 // jobInPath returns the identifier at the end of a path, or an empty text.
@@ -83,8 +83,8 @@
 	return ""
 }
 
-// refused counts a refusal and returns it.
-func (g *Gateway) refused(err error) error {
+// countRefusal counts a refusal and returns it.
+func (g *Gateway) countRefusal(err error) error {
 	g.node.edges.Record.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
@@ -92,49 +92,49 @@
 // Submit accepts a job. On success it is in the store.
 func (g *Gateway) Submit(ctx context.Context, access Access, spec *taskgraph.Spec) error {
 	if err := spec.Validate(); err != nil {
-		return g.refused(err)
+		return g.countRefusal(err)
 	}
-	arrived := time.Now()
-	job := &pool.Accepted{Spec: *spec, Tenant: access.Tenant, Queue: access.Queue, AcceptedMillis: arrived.UnixMilli()}
-	err := limited(ctx, submitTimeout, func(ctx context.Context) error {
+	receivedAt := time.Now()
+	job := &pool.Accepted{Spec: *spec, Tenant: access.Tenant, Queue: access.Queue, AcceptedMillis: receivedAt.UnixMilli()}
+	err := withTimeout(ctx, submitTimeout, func(ctx context.Context) error {
 		return g.commitJob(ctx, access.Queue.Pool, job)
 	})
 	if err != nil {
 		g.node.edges.Record.Decided("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
 			"detail", fault.From(err).Detail, "store_answered_ms_ago", g.node.storeAge().Milliseconds())
-		return g.refused(err)
+		return g.countRefusal(err)
 	}
 	g.node.edges.Record.Count("job_transitions", "accepted")
-	g.node.edges.Record.Observe("acceptance", time.Since(arrived))
+	g.node.edges.Record.Observe("acceptance", time.Since(receivedAt))
 	g.node.edges.Record.Decided("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
 	return nil
 }
 
-// worse returns the error after which less is known.
-func worse(a, b error) error {
+// lessCertainFault returns the error after which less is known.
+func lessCertainFault(a, b error) error {
 	if a != nil && fault.IsKind(a, fault.OutcomeUnknown) {
 		return a
 	}
 	return b
 }
 
-func limited(ctx context.Context, limit time.Duration, work func(context.Context) error) error {
+func withTimeout(ctx context.Context, limit time.Duration, work func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return work(ctx)
 }
 
-// storeFailure turns a failure of the store into a fault.
-func storeFailure(err error) error {
+// storeWriteFault turns a failure of the store into a fault.
+func storeWriteFault(err error) error {
 	if errors.Is(err, rows.ErrRefused) {
 		return fault.New(fault.StoreUnavailable, "the store did nothing")
 	}
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
 }
 
-// partPatience is how long a part of the store may go without an answer before the next
+// partHedgeDelay is how long a part of the store may go without an answer before the next
 // one is tried as well. A store that is fifty times slower answers a transaction in 0.5 s.
-const partPatience = 600 * time.Millisecond
+const partHedgeDelay = 600 * time.Millisecond
 
 // commitJob writes an accepted job into the first of its parts that takes it: the next
 // one is tried once one fails, or takes long while the store is quick otherwise. Repeating
@@ -143,32 +143,32 @@
 	value := pool.Encode(job)
 	parts := pool.JobParts(poolName, job.Spec.ID)
 	results := make(chan error, len(parts))
-	open := 0
-	try := func() {
+	inFlight := 0
+	startAttempt := func() {
 		key := pool.AcceptedKey(parts[0], job.Spec.ID)
 		parts = parts[1:]
-		open++
+		inFlight++
 		go func() { results <- g.commitJobRow(ctx, key, value, job) }()
 	}
-	try()
-	patience := time.NewTicker(partPatience)
-	defer patience.Stop()
+	startAttempt()
+	hedge := time.NewTicker(partHedgeDelay)
+	defer hedge.Stop()
 	var failure error
-	for open > 0 {
+	for inFlight > 0 {
 		select {
 		case err := <-results:
-			open--
+			inFlight--
 			if err == nil || fault.IsKind(err, fault.DuplicateID) {
 				return err
 			}
-			failure = worse(failure, err)
-		case <-patience.C:
+			failure = lessCertainFault(failure, err)
+		case <-hedge.C:
 			if g.node.storeSlow() {
 				continue
 			}
 		}
 		if len(parts) > 0 && ctx.Err() == nil {
-			try()
+			startAttempt()
 		}
 	}
 	return failure
@@ -182,16 +182,16 @@
 	})
 	switch {
 	case err != nil:
-		return storeFailure(err)
+		return storeWriteFault(err)
 	case result.Committed:
 		g.node.announce(job.Queue.Pool, rows.Row{Key: key, Value: value, Version: result.Version})
 		return nil
 	}
-	return sameJob(result, job)
+	return checkDuplicate(result, job)
 }
 
-// sameJob tells a repeated submission from another job under the same identifier.
-func sameJob(result rows.Result, job *pool.Accepted) error {
+// checkDuplicate tells a repeated submission from another job under the same identifier.
+func checkDuplicate(result rows.Result, job *pool.Accepted) error {
 	for i := range result.Current {
 		var known pool.Accepted
 		if err := json.Unmarshal(result.Current[i].Value, &known); err != nil {
@@ -207,14 +207,14 @@
 // Cancel ends a job. On success the cancellation is in the store.
 func (g *Gateway) Cancel(ctx context.Context, access Access, id string) error {
 	if !taskgraph.ValidID(id) {
-		return g.refused(fault.New(fault.UnknownJob, "no such job"))
+		return g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
 	}
-	err := limited(ctx, submitTimeout, func(ctx context.Context) error {
+	err := withTimeout(ctx, submitTimeout, func(ctx context.Context) error {
 		return g.commitCancel(ctx, access.Queue.Pool, id)
 	})
 	if err != nil {
 		g.node.edges.Record.Decided("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
-		return g.refused(err)
+		return g.countRefusal(err)
 	}
 	g.node.edges.Record.Decided("cancellation accepted", "job", id)
 	return nil
@@ -246,7 +246,7 @@
 		if err == nil {
 			return nil
 		}
-		failure = worse(failure, storeFailure(err))
+		failure = lessCertainFault(failure, storeWriteFault(err))
 	}
 	return failure
 }
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -16,12 +16,12 @@
 // Lookup returns a job's state.
 func (g *Gateway) Lookup(ctx context.Context, access Access, id string) (taskgraph.State, error) {
 	if !taskgraph.ValidID(id) {
-		return "", g.refused(fault.New(fault.UnknownJob, "no such job"))
+		return "", g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
 	}
 	state, err := g.lookupAnywhere(ctx, access.Queue.Pool, id)
 	if err != nil {
 		g.node.edges.Record.Decided("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
-		return "", g.refused(err)
+		return "", g.countRefusal(err)
 	}
 	return state, nil
 }
@@ -32,7 +32,7 @@
 	lease := v.leases[poolName]
 	if v.owned[poolName] == nil && lease.Address != "" && lease.Owner != n.options.Name {
 		var reply lookupReply
-		err := limited(ctx, pingTimeout, func(ctx context.Context) error {
+		err := withTimeout(ctx, pingTimeout, func(ctx context.Context) error {
 			document, err := n.call(ctx, lease.Address, methodLookup, jobRequest{Pool: poolName, ID: id})
 			if err != nil {
 				return err
@@ -52,7 +52,7 @@
 	if p := n.snapshot.Load().owned[poolName]; p != nil {
 		var state taskgraph.State
 		known := false
-		err := limited(ctx, handOverLimit, func(ctx context.Context) error {
+		err := withTimeout(ctx, handOverLimit, func(ctx context.Context) error {
 			return loop.Call(ctx, n.edges.Loop, func() { state, known = p.State(id) })
 		})
 		if err == nil && known {
@@ -149,12 +149,12 @@
 	if v.owned[poolName] != nil || lease.Address == "" || lease.Owner == n.options.Name {
 		count, err := g.waitingHere(ctx, poolName, queue)
 		if err != nil {
-			return 0, g.refused(err)
+			return 0, g.countRefusal(err)
 		}
 		return count, nil
 	}
 	var reply waitingReply
-	err := limited(ctx, pingTimeout, func(ctx context.Context) error {
+	err := withTimeout(ctx, pingTimeout, func(ctx context.Context) error {
 		document, err := n.call(ctx, lease.Address, methodWaiting, jobRequest{Pool: poolName, Queue: queue})
 		if err != nil {
 			return err
@@ -167,7 +167,7 @@
 	if cached := v.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingAge {
 		return cached.counts[queue], nil
 	}
-	return 0, g.refused(fault.New(fault.NoOwner, "the pool's owner does not answer"))
+	return 0, g.countRefusal(fault.New(fault.NoOwner, "the pool's owner does not answer"))
 }
 
 func (g *Gateway) waitingHere(ctx context.Context, poolName, queue string) (int, error) {
@@ -177,7 +177,7 @@
 		return 0, fault.New(fault.NoOwner, "the pool has no owner here")
 	}
 	count, loaded := 0, false
-	err := limited(ctx, handOverLimit, func(ctx context.Context) error {
+	err := withTimeout(ctx, handOverLimit, func(ctx context.Context) error {
 		return loop.Call(ctx, n.edges.Loop, func() {
 			loaded = p.Loaded()
 			count = p.Waiting()[queue]
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -125,7 +125,7 @@
 	}
 	n.recordStoreResult(err)
 	if err != nil {
-		return reply, storeFailure(err)
+		return reply, storeWriteFault(err)
 	}
 	return reply, nil
 }
