--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -18,7 +18,7 @@
 	if !taskgraph.ValidID(id) {
 		return "", g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
 	}
-	state, err := g.lookupAnywhere(ctx, access.Queue.Pool, id)
+	state, err := g.lookupFromOwner(ctx, access.Queue.Pool, id)
 	if err != nil {
 		g.node.edges.Record.Decided("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
 		return "", g.countRefusal(err)
@@ -26,7 +26,7 @@
 	return state, nil
 }
 
-func (g *Gateway) lookupAnywhere(ctx context.Context, poolName, id string) (taskgraph.State, error) {
+func (g *Gateway) lookupFromOwner(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
 	v := n.snapshot.Load()
 	lease := v.leases[poolName]
@@ -43,16 +43,16 @@
 			return reply.State, err
 		}
 	}
-	return g.lookupHere(ctx, poolName, id)
+	return g.lookupLocal(ctx, poolName, id)
 }
 
-// lookupHere answers from the pool, if this node owns it, or from the store.
-func (g *Gateway) lookupHere(ctx context.Context, poolName, id string) (taskgraph.State, error) {
+// lookupLocal answers from the pool, if this node owns it, or from the store.
+func (g *Gateway) lookupLocal(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
 	if p := n.snapshot.Load().owned[poolName]; p != nil {
 		var state taskgraph.State
 		known := false
-		err := withTimeout(ctx, handOverLimit, func(ctx context.Context) error {
+		err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
 			return loop.Call(ctx, n.edges.Loop, func() { state, known = p.State(id) })
 		})
 		if err == nil && known {
@@ -86,7 +86,7 @@
 	for _, part := range pool.JobParts(poolName, id) {
 		listing, failure := g.node.ports.scan(ctx, pool.JobTable, part, id)
 		if failure != nil {
-			err = storeUnread(failure)
+			err = storeReadFault(failure)
 			continue
 		}
 		if hasRow(listing, pool.AcceptedKey(part, id)) {
@@ -106,7 +106,7 @@
 	for _, part := range pool.ProgressParts(poolName) {
 		listing, err := g.node.ports.scan(ctx, pool.ProgressTable, part, id)
 		if err != nil {
-			return "", storeUnread(err)
+			return "", storeReadFault(err)
 		}
 		for i := range listing.Rows {
 			var record pool.Progress
@@ -124,7 +124,7 @@
 	return newest.State, nil
 }
 
-func storeUnread(err error) error {
+func storeReadFault(err error) error {
 	return fault.New(fault.StoreUnavailable, "the store could not be read: %v", err)
 }
 
@@ -137,8 +137,8 @@
 	return false
 }
 
-// waitingAge is how old a cached count of waiting jobs may be.
-const waitingAge = 1500 * time.Millisecond
+// waitingCacheMaxAge is how old a cached count of waiting jobs may be.
+const waitingCacheMaxAge = 1500 * time.Millisecond
 
 // Waiting returns how many jobs of a queue have no task begun.
 func (g *Gateway) Waiting(ctx context.Context, access Access) (int, error) {
@@ -147,7 +147,7 @@
 	v := n.snapshot.Load()
 	lease := v.leases[poolName]
 	if v.owned[poolName] != nil || lease.Address == "" || lease.Owner == n.options.Name {
-		count, err := g.waitingHere(ctx, poolName, queue)
+		count, err := g.waitingLocal(ctx, poolName, queue)
 		if err != nil {
 			return 0, g.countRefusal(err)
 		}
@@ -164,20 +164,20 @@
 	if err == nil {
 		return reply.Waiting, nil
 	}
-	if cached := v.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingAge {
+	if cached := v.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingCacheMaxAge {
 		return cached.counts[queue], nil
 	}
 	return 0, g.countRefusal(fault.New(fault.NoOwner, "the pool's owner does not answer"))
 }
 
-func (g *Gateway) waitingHere(ctx context.Context, poolName, queue string) (int, error) {
+func (g *Gateway) waitingLocal(ctx context.Context, poolName, queue string) (int, error) {
 	n := g.node
 	p := n.snapshot.Load().owned[poolName]
 	if p == nil {
 		return 0, fault.New(fault.NoOwner, "the pool has no owner here")
 	}
 	count, loaded := 0, false
-	err := withTimeout(ctx, handOverLimit, func(ctx context.Context) error {
+	err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
 		return loop.Call(ctx, n.edges.Loop, func() {
 			loaded = p.Loaded()
 			count = p.Waiting()[queue]
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -80,7 +80,7 @@
 	var reply storeReply
 	document, err := p.node.call(ctx, p.address, methodStore, request)
 	if err != nil {
-		return reply, fromStoreFault(err)
+		return reply, storeErrorFromFault(err)
 	}
 	if err := json.Unmarshal(document, &reply); err != nil {
 		return reply, errors.Mark(err, rows.ErrNoAnswer)
@@ -91,8 +91,8 @@
 	return reply, nil
 }
 
-// fromStoreFault turns another node's fault into an error of the store.
-func fromStoreFault(err error) error {
+// storeErrorFromFault turns another node's fault into an error of the store.
+func storeErrorFromFault(err error) error {
 	if fault.IsKind(err, fault.StoreUnavailable) || fault.IsKind(err, fault.NoOwner) {
 		return errors.Mark(err, rows.ErrRefused)
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -51,13 +51,13 @@
 
 // callPeer is call for the loop: done runs on it.
 func (n *Node) callPeer(address, method string, body any, done func([]byte, error)) {
-	n.callPeerFor(pingTimeout, address, method, body, done)
+	n.callPeerWithTimeout(pingTimeout, address, method, body, done)
 }
 
-// callPeerFor is callPeer with a time limit of its own.
-func (n *Node) callPeerFor(limit time.Duration, address, method string, body any, done func([]byte, error)) {
+// callPeerWithTimeout is callPeer with a time limit of its own.
+func (n *Node) callPeerWithTimeout(timeout time.Duration, address, method string, body any, done func([]byte, error)) {
 	go func() {
-		ctx, cancel := context.WithTimeout(n.ports.ctx, limit)
+		ctx, cancel := context.WithTimeout(n.ports.ctx, timeout)
 		defer cancel()
 		document, err := n.call(ctx, address, method, body)
 		n.edges.Loop.Post(func() { done(document, err) })
@@ -130,14 +130,14 @@
 	gateway := &Gateway{node: n}
 	switch method {
 	case methodLookup:
-		state, err := gateway.lookupHere(ctx, request.Pool, request.ID)
+		state, err := gateway.lookupLocal(ctx, request.Pool, request.ID)
 		return lookupReply{State: state}, err
 	case methodWaiting:
-		count, err := gateway.waitingHere(ctx, request.Pool, request.Queue)
+		count, err := gateway.waitingLocal(ctx, request.Pool, request.Queue)
 		return waitingReply{Waiting: count}, err
 	}
 	return nil, fault.New(fault.InvalidRequest, "method %q is not known", method)
 }
 
-// handOverLimit bounds the wait for a loop that must answer a traffic goroutine.
-const handOverLimit = 500 * time.Millisecond
+// loopCallTimeout bounds the wait for a loop that must answer a traffic goroutine.
+const loopCallTimeout = 500 * time.Millisecond
