--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -109,7 +109,7 @@
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
-	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkShare*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
+	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(edges.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: edges.Store, node: n}}
 	n.snapshot.Store(&snapshot{})
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -84,17 +84,17 @@
 	pingTimeout       = 400 * time.Millisecond
 	// suspectAfterFailures in a row make an owner suspect.
 	suspectAfterFailures = 2
-	// storeDead is the age of the store's last answer at which a node counts as
+	// storeLossTimeout is the age of the store's last answer at which a node counts as
 	// having lost the store.
-	storeDead = 2200 * time.Millisecond
-	// storeFailing is that age for a node whose feeds fail.
-	storeFailing = 700 * time.Millisecond
-	// answerPause is how long an answer that has begun may stand still: longer than a
+	storeLossTimeout = 2200 * time.Millisecond
+	// failingStoreLossTimeout is that age for a node whose feeds fail.
+	failingStoreLossTimeout = 700 * time.Millisecond
+	// answerStallTimeout is how long an answer that has begun may stand still: longer than a
 	// lost packet or a spent quota of processor time holds it up.
-	answerPause = 1500 * time.Millisecond
-	// answerLimit bounds an answer as a whole: the largest that is read, 16 MiB, takes
+	answerStallTimeout = 1500 * time.Millisecond
+	// answerTimeout bounds an answer as a whole: the largest that is read, 16 MiB, takes
 	// 14 s on a link of 10 Mbit/s, which others may share.
-	answerLimit = 60 * time.Second
+	answerTimeout = 60 * time.Second
 	// takeoverRankDelay separates the nodes that would take a pool.
 	takeoverRankDelay = 200 * time.Millisecond
 	retryPause        = 200 * time.Millisecond
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -132,9 +132,9 @@
 
 // ownerLostStore reports whether an owner cannot reach the store in any way.
 func ownerLostStore(owner pingReply) bool {
-	limit := storeDead
+	limit := storeLossTimeout
 	if owner.StoreLost {
-		limit = storeFailing
+		limit = failingStoreLossTimeout
 	}
 	return time.Duration(owner.StoreAgeMillis)*time.Millisecond > limit
 }
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -23,53 +23,53 @@
 // of a pool at a takeover. On a small link the pings of its guards waited behind them for longer than they
 // are given, the pool was taken over, and the next owner's reading did the same.
 const (
-	// linkShare of the link is for orders and reads, of which linkBurst may pass at once.
-	linkShare = 0.8
-	linkBurst = 100 * time.Millisecond
-	// orderBytes is what an order takes on the link beside its payload, with headers; its answer takes
+	// linkFraction of the link is for orders and reads, of which linkBurst may pass at once.
+	linkFraction = 0.8
+	linkBurst    = 100 * time.Millisecond
+	// orderOverheadBytes is what an order takes on the link beside its payload, with headers; its answer takes
 	// about as much the other way.
-	orderBytes = 450
-	// scanBytes is taken for a scan whose size is not known before.
-	scanBytes = 4 << 10
+	orderOverheadBytes = 450
+	// scanEstimateBytes is taken for a scan whose size is not known before.
+	scanEstimateBytes = 4 << 10
 )
 
-// paced is run once it is the turn of some bytes on the link. The bounds count from then.
-func paced[T any](p *ports, bytes int, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
+// runPaced is run once it is the turn of some bytes on the link. The bounds count from then.
+func runPaced[T any](p *ports, bytes int, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
 		if err := p.pacer.Wait(p.ctx, bytes); err == nil {
-			perform(p, bounds, work, done)
+			runWithin(p, bounds, work, done)
 		}
 	}()
 }
 
-// perform calls work within bounds and posts what it returns.
-func perform[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
+// runWithin calls work within bounds and posts what it returns.
+func runWithin[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
 	ctx, cancel := progress.WithPatience(p.ctx, bounds)
 	defer cancel()
 	result, err := work(ctx)
 	p.node.edges.Loop.Post(func() { done(result, err) })
 }
 
-// patience lets an answer that begins within limit arrive however slow the link is.
+// progressTimeout lets an answer that begins within limit arrive however slow the link is.
 // Answers that were given up midway and asked for again filled small links for good.
-func patience(limit time.Duration) progress.Patience {
-	return progress.Patience{First: limit, Pause: answerPause, Whole: max(limit, answerLimit)}
+func progressTimeout(limit time.Duration) progress.Patience {
+	return progress.Patience{First: limit, Pause: answerStallTimeout, Whole: max(limit, answerTimeout)}
 }
 
-// exactly bounds a call as a whole.
-func exactly(limit time.Duration) progress.Patience {
+// fixedTimeout bounds a call as a whole.
+func fixedTimeout(limit time.Duration) progress.Patience {
 	return progress.Patience{First: limit, Pause: limit, Whole: limit}
 }
 
-// run calls work and posts what it returns.
-func run[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
-	go perform(p, bounds, work, done)
+// runAsync calls work and posts what it returns.
+func runAsync[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
+	go runWithin(p, bounds, work, done)
 }
 
 // Commit implements pool.Ports.
 func (p *ports) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	limit := storeTimeout + relayHops*rows.SendTime(transaction)
-	paced(p, transaction.Bytes(), patience(limit), func(ctx context.Context) (rows.Result, error) {
+	runPaced(p, transaction.Bytes(), progressTimeout(limit), func(ctx context.Context) (rows.Result, error) {
 		return p.commit(ctx, transaction)
 	}, done)
 }
@@ -81,9 +81,9 @@
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	// Each way of a scan has bounds of its own.
-	paced(p, scanBytes, exactly(answerLimit), func(ctx context.Context) (rows.Listing, error) {
+	runPaced(p, scanEstimateBytes, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
-		p.pacer.Charge(max(0, listing.Bytes()-scanBytes))
+		p.pacer.Charge(max(0, listing.Bytes()-scanEstimateBytes))
 		return listing, err
 	}, done)
 }
@@ -94,7 +94,7 @@
 
 // page reads some rows of a part, from a name on.
 func (p *ports) page(table, part, from string, limit int, done func(rows.Listing, error)) {
-	run(p, exactly(answerLimit), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Page(ctx, table, part, from, limit)
 	}, done)
 }
@@ -106,7 +106,7 @@
 
 // feedFor is Feed with a wait of its own.
 func (p *ports) feedFor(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
-	run(p, patience(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Feed(ctx, table, after, wait)
 	}, done)
 }
@@ -114,7 +114,7 @@
 // scanDirect and feedDirect read the configuration, without the help of other nodes: what
 // these hold of it they send in chunks (downloadConfiguration).
 func (p *ports) scanDirect(table, part string, done func(rows.Listing, error)) {
-	run(p, patience(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, progressTimeout(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
 		ctx, ended := p.node.trackStoreTransfer(ctx)
 		defer ended()
 		return p.node.store.scanDirect(ctx, table, part)
@@ -122,7 +122,7 @@
 }
 
 func (p *ports) feedDirect(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
-	run(p, patience(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
 		ctx, ended := p.node.trackStoreTransfer(ctx)
 		defer ended()
 		return p.node.store.feedDirect(ctx, table, after, wait)
@@ -132,7 +132,7 @@
 // Start implements pool.Ports.
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
 	target := *to
-	paced(p, orderBytes+len(order.Payload), exactly(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runPaced(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Orders.Start(ctx, &target, order)
 	}, done)
 }
@@ -140,7 +140,7 @@
 // Stop implements pool.Ports.
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
 	target := *to
-	paced(p, orderBytes, exactly(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runPaced(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Orders.Stop(ctx, &target, order)
 	}, done)
 }
@@ -148,7 +148,7 @@
 // Hold implements pool.Ports.
 func (p *ports) Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error)) {
 	target := *to
-	paced(p, orderBytes, patience(order.Wait+holdSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+holdSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Orders.Hold(ctx, &target, order)
 	}, done)
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -33,7 +33,7 @@
 		fn()
 		return
 	}
-	run(n.ports, exactly(n.probeLimit()), n.probe, func(_ struct{}, err error) {
+	runAsync(n.ports, fixedTimeout(n.probeLimit()), n.probe, func(_ struct{}, err error) {
 		if err == nil {
 			fn()
 		}
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -152,7 +152,7 @@
 	}
 	attempts := make(chan attempt[T], 2)
 	go func() {
-		directContext, cancel := progress.WithPatience(ctx, patience(bounds.direct))
+		directContext, cancel := progress.WithPatience(ctx, progressTimeout(bounds.direct))
 		defer cancel()
 		result, err := call(directContext, s.direct)
 		s.node.recordStoreResult(err)
@@ -219,7 +219,7 @@
 		return none, failure
 	}
 	for _, address := range s.relays() {
-		tryContext, cancel := progress.WithPatience(ctx, patience(bounds.relayed))
+		tryContext, cancel := progress.WithPatience(ctx, progressTimeout(bounds.relayed))
 		ended := func() {}
 		if bounds.repeatable {
 			tryContext, ended = s.relayedReads.add(tryContext, bounds.relayed)
