--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -109,8 +109,8 @@
 	require.False(t, n.storeLost(), "a feed without an answer, beside one that arrives")
 
 	looked := make(chan bool)
-	go func() { looked <- n.losesStore() }()
-	require.Eventually(t, func() bool { return n.look.Load() != nil }, time.Minute, time.Millisecond)
+	go func() { looked <- n.confirmStoreLost() }()
+	require.Eventually(t, func() bool { return n.currentProbe.Load() != nil }, time.Minute, time.Millisecond)
 	n.recordStoreResult(nil)
 	require.False(t, <-looked, "a look without an answer, beside one that arrives")
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,12 +74,12 @@
 	reportedLatency atomic.Pointer[reportedLatency]
 	// storeUnavailable is true from a failure of the store until its next answer.
 	storeUnavailable atomic.Bool
-	// look is the look under way whether the store is there, if any.
-	look            atomic.Pointer[storeLook]
+	// currentProbe is the currentProbe under way whether the store is there, if any.
+	currentProbe    atomic.Pointer[storeProbe]
 	stopping        atomic.Bool
 	schedulingDelay schedulingDelay
-	// probing is true while the node looks whether a store that it lost is back.
-	probing bool
+	// recoveryProbing is true while the node looks whether a store that it lost is back.
+	recoveryProbing bool
 
 	sample memberSample
 	// joining is true while this node's rows are being written.
@@ -183,7 +183,7 @@
 	now := uptime.Now()
 	n.storeFailed.Store(&now)
 	if n.storeUnavailable.CompareAndSwap(false, true) {
-		n.edges.Loop.After(probePeriod, n.probeStore)
+		n.edges.Loop.After(probePeriod, n.startRecoveryProbes)
 		n.feeds.cancelIdle(0)
 		n.edges.Record.Decided("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -246,7 +246,7 @@
 		return
 	}
 	if w.weakReplies++; w.weakReplies >= weakOwnerReplies {
-		n.withStore(func() { n.scheduleAcquire(w, "owner "+n.leases[w.pool].Owner+" is weak", n.ownerIsWeak) })
+		n.ifStoreReachable(func() { n.scheduleAcquire(w, "owner "+n.leases[w.pool].Owner+" is weak", n.ownerIsWeak) })
 	}
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -112,7 +112,7 @@
 		n.refreshLease(w)
 		n.replaceSuspectedOwner(w, "owner "+owner+" does not own")
 	case ownerLostStore(reply):
-		n.withStore(func() {
+		n.ifStoreReachable(func() {
 			w.failures = suspectAfterFailures
 			n.replaceSuspectedOwner(w, "owner "+owner+" lost the store")
 		})
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -16,33 +16,33 @@
 // calls take that are two hundred times slower.
 const slowProbeTimeout = 1200 * time.Millisecond
 
-// probeLimit bounds a look whether the store is there.
-func (n *Node) probeLimit() time.Duration {
+// currentProbeTimeout bounds a look whether the store is there.
+func (n *Node) currentProbeTimeout() time.Duration {
 	if n.storeSlow() {
 		return slowProbeTimeout
 	}
 	return probeTimeout
 }
 
-// withStore runs fn on the loop if the store answers this node directly.
-func (n *Node) withStore(fn func()) {
+// ifStoreReachable runs fn on the loop if the store answers this node directly.
+func (n *Node) ifStoreReachable(fn func()) {
 	if n.storeLost() {
 		return
 	}
-	if n.storeAge() < storeFresh {
+	if n.storeAge() < storeFreshAge {
 		fn()
 		return
 	}
-	runAsync(n.ports, fixedTimeout(n.probeLimit()), n.probe, func(_ struct{}, err error) {
+	runAsync(n.ports, fixedTimeout(n.currentProbeTimeout()), n.probe, func(_ struct{}, err error) {
 		if err == nil {
 			fn()
 		}
 	})
 }
 
-// storeFresh is the age of the store's last answer up to which a node need not ask
+// storeFreshAge is the age of the store's last answer up to which a node need not ask
 // whether it is there.
-const storeFresh = time.Second
+const storeFreshAge = time.Second
 
 // probe asks the store for this node's own row, directly.
 func (n *Node) probe(ctx context.Context) (struct{}, error) {
@@ -51,57 +51,57 @@
 	return struct{}{}, err
 }
 
-// losesStore looks whether the store still answers this node, after a call to it that
+// confirmStoreLost looks whether the store still answers this node, after a call to it that
 // failed or takes long. Calls that ask at the same time share one look.
-func (n *Node) losesStore() bool {
+func (n *Node) confirmStoreLost() bool {
 	if n.storeLost() {
 		return true
 	}
-	look := &storeLook{done: make(chan struct{})}
-	if !n.look.CompareAndSwap(nil, look) {
-		if other := n.look.Load(); other != nil {
+	probe := &storeProbe{done: make(chan struct{})}
+	if !n.currentProbe.CompareAndSwap(nil, probe) {
+		if other := n.currentProbe.Load(); other != nil {
 			<-other.done
 		}
 		return n.storeLost()
 	}
-	began := uptime.Now()
-	ctx, cancel := context.WithTimeout(n.ports.ctx, n.probeLimit())
+	startedAt := uptime.Now()
+	ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 	defer cancel()
 	_, err := n.probe(ctx)
-	if !n.storeAnsweredSince(began) {
+	if !n.storeAnsweredSince(startedAt) {
 		n.recordStoreFailure(err)
 	}
-	n.look.Store(nil)
-	close(look.done)
+	n.currentProbe.Store(nil)
+	close(probe.done)
 	return n.storeLost()
 }
 
-// storeLook is a look at the store under way.
-type storeLook struct{ done chan struct{} }
+// storeProbe is a look at the store under way.
+type storeProbe struct{ done chan struct{} }
 
 // probePeriod is the pause between two direct calls that look whether the store is
 // back.
 const probePeriod = 200 * time.Millisecond
 
-// probeStore looks whether a store that this node lost is back, until it is.
-func (n *Node) probeStore() {
-	if n.probing {
+// startRecoveryProbes looks whether a store that this node lost is back, until it is.
+func (n *Node) startRecoveryProbes() {
+	if n.recoveryProbing {
 		return
 	}
-	n.probing = true
-	n.probeAgain()
+	n.recoveryProbing = true
+	n.probeUntilAnswered()
 }
 
-func (n *Node) probeAgain() {
+func (n *Node) probeUntilAnswered() {
 	if !n.storeLost() {
-		n.probing = false
+		n.recoveryProbing = false
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(n.ports.ctx, n.probeLimit())
+		ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 		defer cancel()
 		// A store that is still away shows by what noteStore does not note.
 		_, _ = n.probe(ctx)
-		n.edges.Loop.After(probePeriod, n.probeAgain)
+		n.edges.Loop.After(probePeriod, n.probeUntilAnswered)
 	}()
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -169,7 +169,7 @@
 		direct = &first
 	case <-timer.C:
 	}
-	if !s.node.losesStore() {
+	if !s.node.confirmStoreLost() {
 		if direct == nil {
 			first := <-attempts
 			direct = &first
