--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -304,7 +304,7 @@
 func TestOwnersAreAskedForTheStoreToo(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.leaseOf("node-7", 3)
-	require.Equal(t, []string{"node-7"}, n.store.relays())
+	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
 
 // TestLightNodeTakesAPoolOnceAllCandidatesAreGone: it does not follow the leases, and looks at this one
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -17,11 +17,11 @@
 
 // Periods and limits of calls to the store through other nodes.
 const (
-	// doubtAfter is how long a direct call may go without an answer before the node asks
+	// probeAfter is how long a direct call may go without an answer before the node asks
 	// whether the store is there. The store answers in some 5 to 15 ms.
-	doubtAfter = 300 * time.Millisecond
-	// relayTries is how many other nodes are asked for one call.
-	relayTries = 2
+	probeAfter = 300 * time.Millisecond
+	// maxRelayAttempts is how many other nodes are asked for one call.
+	maxRelayAttempts = 2
 	// relayTimeout bounds one such call, on top of what the store is asked to wait and of
 	// what the call takes to send, which it is relayHops times.
 	relayTimeout = 500 * time.Millisecond
@@ -29,9 +29,9 @@
 	// relayScanTimeout bounds the beginning of all jobs' rows in a part through another
 	// node, which reads them all before it hands them on: 3.7 MB on a link of 10 Mbit/s.
 	relayScanTimeout = 3 * time.Second
-	// relayPause is how long no other node is asked after none of those asked had the
+	// relayBackoff is how long no other node is asked after none of those asked had the
 	// store: then it is away for all.
-	relayPause = 150 * time.Millisecond
+	relayBackoff = 150 * time.Millisecond
 )
 
 // relayedStore is the store as this node reaches it: directly, or through other nodes
@@ -50,28 +50,28 @@
 
 // Commit implements rows.Store.
 func (s *relayedStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
-	sending := rows.SendTime(transaction)
-	bounds := callBounds{direct: storeTimeout + sending, relayed: relayTimeout + relayHops*sending}
-	return reach(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Result, error) {
+	sendTime := rows.SendTime(transaction)
+	bounds := callTimeouts{direct: storeTimeout + sendTime, relayed: relayTimeout + relayHops*sendTime}
+	return callWithRelay(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Result, error) {
 		return store.Commit(ctx, transaction)
 	})
 }
 
 // Scan implements rows.Store.
 func (s *relayedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
-	bounds := callBounds{direct: storeTimeout, relayed: relayTimeout, repeatable: true}
+	bounds := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
 	if allJobs := prefix == "" && table != pool.NodeTable; allJobs {
 		bounds.relayed = relayScanTimeout
 	}
-	return reach(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+	return callWithRelay(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 		return store.Scan(ctx, table, part, prefix)
 	})
 }
 
 // Page implements rows.Store.
 func (s *relayedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
-	bounds := callBounds{direct: storeTimeout, relayed: relayTimeout, repeatable: true}
-	return reach(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+	bounds := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
+	return callWithRelay(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 		return store.Page(ctx, table, part, from, limit)
 	})
 }
@@ -80,7 +80,7 @@
 // try, which then goes through another node.
 func (s *relayedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
-		return relay(ctx, s, callBounds{relayed: wait + relayTimeout, repeatable: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+		return relay(ctx, s, callTimeouts{relayed: wait + relayTimeout, readOnly: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 			return store.Feed(ctx, table, after, wait)
 		})
 	}
@@ -133,20 +133,20 @@
 // answered reports whether the store itself said so.
 func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryGone) }
 
-// callBounds are by when the answer to a call has to begin.
-type callBounds struct {
+// callTimeouts are by when the answer to a call has to begin.
+type callTimeouts struct {
 	direct time.Duration
 	// relayed is the bound for each other node.
 	relayed time.Duration
-	// repeatable calls only read. Through other nodes they are given up once the store
+	// readOnly calls only read. Through other nodes they are given up once the store
 	// answers this one, which then reads by itself.
-	repeatable bool
+	readOnly bool
 }
 
-// reach makes a call directly and, if the store turns out to be lost to this node,
+// callWithRelay makes a call directly and, if the store turns out to be lost to this node,
 // through another one. A call that fails or takes long while the store is there is the
 // store's own matter: to make it twice would only add to its load.
-func reach[T any](ctx context.Context, s *relayedStore, bounds callBounds, call storeCall[T]) (T, error) {
+func callWithRelay[T any](ctx context.Context, s *relayedStore, bounds callTimeouts, call storeCall[T]) (T, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, bounds, call)
 	}
@@ -158,7 +158,7 @@
 		s.node.recordStoreResult(err)
 		attempts <- attempt[T]{result, err}
 	}()
-	timer := time.NewTimer(doubtAfter)
+	timer := time.NewTimer(probeAfter)
 	defer timer.Stop()
 	var direct *attempt[T]
 	select {
@@ -197,11 +197,11 @@
 		}
 		failed = &second
 	}
-	return first.result, lessKnown(failed.err, first.err)
+	return first.result, lessCertain(failed.err, first.err)
 }
 
-// lessKnown returns the error after which less is known of a call's effect.
-func lessKnown(a, b error) error {
+// lessCertain returns the error after which less is known of a call's effect.
+func lessCertain(a, b error) error {
 	if errors.Is(a, rows.ErrRefused) {
 		return b
 	}
@@ -209,22 +209,22 @@
 }
 
 // relay makes a call through other nodes, one after another.
-func relay[T any](ctx context.Context, s *relayedStore, bounds callBounds, call storeCall[T]) (T, error) {
-	var none T
+func relay[T any](ctx context.Context, s *relayedStore, bounds callTimeouts, call storeCall[T]) (T, error) {
+	var zero T
 	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrRefused)
 	if s.node.options.Off[mechanism.StoreRelay] {
-		return none, failure
+		return zero, failure
 	}
 	if until := s.noRelayUntil.Load(); until != nil && uptime.Now().Before(*until) {
-		return none, failure
+		return zero, failure
 	}
-	for _, address := range s.relays() {
-		tryContext, cancel := progress.WithPatience(ctx, progressTimeout(bounds.relayed))
+	for _, address := range s.relayAddresses() {
+		attemptContext, cancel := progress.WithPatience(ctx, progressTimeout(bounds.relayed))
 		ended := func() {}
-		if bounds.repeatable {
-			tryContext, ended = s.relayedReads.add(tryContext, bounds.relayed)
+		if bounds.readOnly {
+			attemptContext, ended = s.relayedReads.add(attemptContext, bounds.relayed)
 		}
-		result, err := call(tryContext, &peerStore{node: s.node, address: address})
+		result, err := call(attemptContext, &peerStore{node: s.node, address: address})
 		ended()
 		cancel()
 		tried := attempt[T]{result, err}
@@ -235,19 +235,19 @@
 			return result, err
 		}
 		s.node.edges.Record.Count("store_relays", "failed")
-		failure = lessKnown(failure, err)
-		if ctx.Err() != nil || feedCanceled(tryContext) {
-			return none, failure
+		failure = lessCertain(failure, err)
+		if ctx.Err() != nil || feedCanceled(attemptContext) {
+			return zero, failure
 		}
 	}
-	until := uptime.Now().Add(relayPause)
+	until := uptime.Now().Add(relayBackoff)
 	s.noRelayUntil.Store(&until)
-	return none, failure
+	return zero, failure
 }
 
-// relays lists the nodes to ask: the one that last answered, then others by chance. Owners of pools
+// relayAddresses lists the nodes to ask: the one that last answered, then others by chance. Owners of pools
 // are among them, which are known to be there also when most of the known members are not.
-func (s *relayedStore) relays() []string {
+func (s *relayedStore) relayAddresses() []string {
 	v := s.node.snapshot.Load()
 	addresses := map[string]bool{}
 	for _, other := range v.members {
@@ -266,5 +266,5 @@
 	others := sortedKeys(addresses)
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	order = append(order, others...)
-	return order[:min(relayTries, len(order))]
+	return order[:min(maxRelayAttempts, len(order))]
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -188,7 +188,7 @@
 func (s *slowStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	s.commits.Add(1)
 	select {
-	case <-time.After(doubtAfter + 100*time.Millisecond):
+	case <-time.After(probeAfter + 100*time.Millisecond):
 		return s.fakeStore.Commit(ctx, transaction)
 	case <-ctx.Done():
 		return rows.Result{}, errors.Mark(ctx.Err(), rows.ErrNoAnswer)
