--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -229,17 +229,17 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var h hearing
+			var h pingHistory
 			for second := 0.0; second <= c.at; second += 0.5 {
 				for who, times := range c.pings {
 					if slices.Contains(times, second) {
-						h.note(who, began.Add(time.Duration(second*float64(time.Second))))
+						h.record(who, began.Add(time.Duration(second*float64(time.Second))))
 					}
 				}
 			}
 			var gone []string
 			for _, who := range []string{"a", "b", "c"} {
-				if h.gone(who, began.Add(time.Duration(c.at*float64(time.Second)))) {
+				if h.expired(who, began.Add(time.Duration(c.at*float64(time.Second)))) {
 					gone = append(gone, who)
 				}
 			}
@@ -263,7 +263,7 @@
 	n := runningNode(t, store, peer.NewClient(nil))
 	store.writeMember(member{Name: "gone", Weight: 1})
 	store.writeMember(member{Name: "back", Weight: 1})
-	listing, err := store.Page(context.Background(), memberTable, "", "", prunePage)
+	listing, err := store.Page(context.Background(), memberTable, "", "", prunePageSize)
 	require.NoError(t, err)
 	for _, row := range listing.Rows {
 		var m member
@@ -272,12 +272,12 @@
 			store.writeMember(member{Name: "back", Incarnation: "second", Weight: 1})
 		}
 		onLoop(t, n, func() {
-			n.hearing = hearing{heardAt: map[string]time.Time{}, since: n.now().Add(-time.Hour), lastAt: n.now()}
-			n.removeGone([]rows.Row{row})
+			n.pingHistory = pingHistory{lastPings: map[string]time.Time{}, since: n.now().Add(-time.Hour), latest: n.now()}
+			n.removeExpired([]rows.Row{row})
 		})
 	}
 	left := func() []string {
-		listing, _ := store.Page(context.Background(), memberTable, "", "", prunePage)
+		listing, _ := store.Page(context.Background(), memberTable, "", "", prunePageSize)
 		var names []string
 		for _, row := range listing.Rows {
 			var m member
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,13 +87,13 @@
 	leases  map[string]versionedLease
 	// followingLeases is true while this node follows the table of leases.
 	followingLeases bool
-	// hearing is what this node knows, as an owner, of the others; pruning is true while it removes
+	// pingHistory is what this node knows, as an owner, of the others; pruning is true while it removes
 	// the rows of those that are gone.
-	hearing  hearing
-	pruning  bool
-	watchers map[string]*poolWatcher
-	owned    map[string]*pool.Pool
-	waiting  map[string]waitingCounts
+	pingHistory pingHistory
+	pruning     bool
+	watchers    map[string]*poolWatcher
+	owned       map[string]*pool.Pool
+	waiting     map[string]waitingCounts
 	// evacuated has the zones that operators have evacuated.
 	evacuated  evacuation.Set
 	onReleased func()
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -215,7 +215,7 @@
 		if p == nil || !n.confirmOwnership(p, &request) {
 			return
 		}
-		n.hearing.note(request.From, n.now())
+		n.pingHistory.record(request.From, n.now())
 		reply.Owner = true
 		if p.Loaded() {
 			reply.Waiting = p.Waiting()
