--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -15,8 +15,8 @@
 	"github.com/wheatroad/wheatroad/internal/pool"
 )
 
-// noticesOf serves as a pool's owner for a gateway's node and returns the notices it gets.
-func noticesOf(t *testing.T, gateway *Gateway) <-chan acceptedNotice {
+// receiveNotices serves as a pool's owner for a gateway's node and returns the notices it gets.
+func receiveNotices(t *testing.T, gateway *Gateway) <-chan acceptedNotice {
 	notices := make(chan acceptedNotice, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 func TestAcceptedJobIsAnnouncedToTheOwner(t *testing.T) {
 	store := newFakeStore()
 	gateway := newGateway(t, store)
-	notices := noticesOf(t, gateway)
+	notices := receiveNotices(t, gateway)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	select {
 	case notice := <-notices:
@@ -56,7 +56,7 @@
 	store := newFakeStore()
 	store.refuse = allOf(pool.JobParts(poolName, jobID))
 	gateway := newGateway(t, store)
-	notices := noticesOf(t, gateway)
+	notices := receiveNotices(t, gateway)
 	require.Error(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	store.refuse = nil
 	gateway.node.options.Off = mechanism.Off{mechanism.Announcements: true}
--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -19,45 +19,45 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// arrivingStore begins each answer about a table at once, and ends it when the test says
+// partialAnswerStore begins each answer about a table at once, and ends it when the test says
 // so, or gives it up with its caller. Calls about other tables get no answer.
-type arrivingStore struct {
+type partialAnswerStore struct {
 	rows.Store
-	table   string
-	listing rows.Listing
-	begun   chan struct{}
-	whole   chan struct{}
+	table    string
+	listing  rows.Listing
+	started  chan struct{}
+	complete chan struct{}
 }
 
-func newArrivingStore(table string, listing rows.Listing) *arrivingStore {
-	return &arrivingStore{table: table, listing: listing, begun: make(chan struct{}, 16), whole: make(chan struct{})}
+func newPartialAnswerStore(table string, listing rows.Listing) *partialAnswerStore {
+	return &partialAnswerStore{table: table, listing: listing, started: make(chan struct{}, 16), complete: make(chan struct{})}
 }
 
-func (s *arrivingStore) answer(ctx context.Context, table string) (rows.Listing, error) {
+func (s *partialAnswerStore) answer(ctx context.Context, table string) (rows.Listing, error) {
 	if table != s.table {
 		<-ctx.Done()
 		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
 	}
-	arrive(ctx, 1)
-	s.begun <- struct{}{}
+	receiveBytes(ctx, 1)
+	s.started <- struct{}{}
 	select {
-	case <-s.whole:
+	case <-s.complete:
 		return s.listing, nil
 	case <-ctx.Done():
 		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
 	}
 }
 
-func (s *arrivingStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
+func (s *partialAnswerStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
 	return s.answer(ctx, table)
 }
 
-func (s *arrivingStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
+func (s *partialAnswerStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
 	return s.answer(ctx, table)
 }
 
-// arrive lets some bytes of an answer arrive.
-func arrive(ctx context.Context, count int) {
+// receiveBytes lets some bytes of an answer receiveBytes.
+func receiveBytes(ctx context.Context, count int) {
 	_, _ = io.Copy(io.Discard, progress.Reader(ctx, bytes.NewReader(make([]byte, count))))
 }
 
@@ -67,7 +67,7 @@
 	t.Cleanup(cancel)
 	own := loop.NewGoroutine()
 	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, Edges{
-		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Record: silentRecorder{},
+		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 	})
 	go own.Run(ctx)
 	return n
@@ -81,42 +81,42 @@
 // TestArrivingFeedIsNotCalledOff: feeds were called off once the configuration had not been
 // confirmed for 0.9 s, which over a small link is while the next one arrives.
 func TestArrivingFeedIsNotCalledOff(t *testing.T) {
-	store := newArrivingStore("t", rows.Listing{Version: 7})
+	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	ended := make(chan error, 1)
 	go func() {
 		_, err := n.store.Feed(context.Background(), "t", 1, time.Hour)
 		ended <- err
 	}()
-	<-store.begun
+	<-store.started
 	n.feeds.cancelIdle(0)
-	close(store.whole)
+	close(store.complete)
 	require.NoError(t, <-ended)
 }
 
 // TestBytesOfAnAnswerTellThatTheStoreIsThere: small calls that waited behind a large answer
 // told of a store that was lost, and feeds were called off for that.
 func TestBytesOfAnAnswerTellThatTheStoreIsThere(t *testing.T) {
-	store := newArrivingStore("t", rows.Listing{Version: 7})
+	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	require.Equal(t, unknownAge, n.storeAge())
 	go func() { _, _ = n.store.Feed(context.Background(), "t", 1, time.Hour) }()
-	<-store.begun
+	<-store.started
 	require.Less(t, n.storeAge(), time.Minute)
 
-	_, err := n.store.Feed(briefly(t), "other", 1, time.Hour)
+	_, err := n.store.Feed(expiringContext(t), "other", 1, time.Hour)
 	require.True(t, errors.Is(err, rows.ErrNoAnswer), "%v", err)
 	require.False(t, n.storeLost(), "a feed without an answer, beside one that arrives")
 
-	looked := make(chan bool)
-	go func() { looked <- n.confirmStoreLost() }()
+	lost := make(chan bool)
+	go func() { lost <- n.confirmStoreLost() }()
 	require.Eventually(t, func() bool { return n.currentProbe.Load() != nil }, time.Minute, time.Millisecond)
 	n.recordStoreResult(nil)
-	require.False(t, <-looked, "a look without an answer, beside one that arrives")
+	require.False(t, <-lost, "a look without an answer, beside one that arrives")
 }
 
-// briefly returns a context that ends at once with a deadline.
-func briefly(t *testing.T) context.Context {
+// expiringContext returns a context that ends at once with a deadline.
+func expiringContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
@@ -125,31 +125,31 @@
 // TestAnswerHoldsAsOfItsBeginning: an answer that took 6 s to arrive confirmed a version that
 // had been replaced in the meantime, and a key that was gone was taken.
 func TestAnswerHoldsAsOfItsBeginning(t *testing.T) {
-	store := newArrivingStore("operator", rows.Listing{Version: 7})
+	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
 	n.edges.Loop.Post(n.readConfiguration)
-	<-store.begun
+	<-store.started
 	begun := time.Now()
 	time.Sleep(50 * time.Millisecond)
-	store.whole <- struct{}{}
+	store.complete <- struct{}{}
 	require.Eventually(t, func() bool { return n.confirmed.Load() != nil }, time.Minute, time.Millisecond)
 	require.False(t, n.confirmed.Load().After(begun), "confirmed %v after its beginning", n.confirmed.Load().Sub(begun))
 }
 
-// pacedStore answers slowly and without a stop.
-type pacedStore struct{ rows.Store }
+// slowAnswerStore answers slowly and without a stop.
+type slowAnswerStore struct{ rows.Store }
 
-func (s pacedStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
+func (s slowAnswerStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
 	return s.answer(ctx, storeTimeout+200*time.Millisecond)
 }
 
-func (s pacedStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
+func (s slowAnswerStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
 	return s.answer(ctx, wait+feedSlack+200*time.Millisecond)
 }
 
-func (pacedStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
+func (slowAnswerStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
 	for began := time.Now(); time.Since(began) < takes; {
-		arrive(ctx, 8<<10)
+		receiveBytes(ctx, 8<<10)
 		time.Sleep(10 * time.Millisecond)
 		if ctx.Err() != nil {
 			return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
@@ -159,7 +159,7 @@
 }
 
 func TestAnswersThatArriveSlowlyAreWaitedFor(t *testing.T) {
-	n := runningNode(t, pacedStore{}, peer.NewClient(nil))
+	n := runningNode(t, slowAnswerStore{}, peer.NewClient(nil))
 	calls := map[string]func(done func(rows.Listing, error)){
 		"scan":                      func(done func(rows.Listing, error)) { n.ports.Scan(pool.JobTable, "part", "", done) },
 		"feed":                      func(done func(rows.Listing, error)) { n.ports.feedFor(pool.JobTable, 1, 0, done) },
@@ -175,13 +175,13 @@
 	}
 }
 
-// sendingStore answers a transaction after a time.
-type sendingStore struct {
+// slowCommitStore answers a transaction after a time.
+type slowCommitStore struct {
 	rows.Store
 	takes time.Duration
 }
 
-func (s sendingStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
+func (s slowCommitStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
 	select {
 	case <-time.After(s.takes):
 		return rows.Result{Committed: true}, nil
@@ -191,7 +191,7 @@
 }
 
 // Scan answers the look whether the store is there.
-func (sendingStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
+func (slowCommitStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
@@ -203,8 +203,8 @@
 	cases := map[string]struct {
 		own, others rows.Store
 	}{
-		"directly":             {sendingStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
-		"through another node": {refusingStore{}, sendingStore{takes: relayTimeout + 500*time.Millisecond}},
+		"directly":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
+		"through another node": {refusingStore{}, slowCommitStore{takes: relayTimeout + 500*time.Millisecond}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -236,7 +236,7 @@
 // link to it is small.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfiguration/2)}}}
-	for name, others := range map[string]rows.Store{"slow store": pacedStore{}, "small link": &fixedStore{listing: listing}} {
+	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "small link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
 			small := &link{bytesPerSecond: smallLink}
 			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
@@ -322,7 +322,7 @@
 	n := newGateway(t, newFakeStore()).node
 	ctx, ended := n.trackStoreTransfer(context.Background())
 	require.False(t, n.storeTransferPending())
-	arrive(ctx, 1)
+	receiveBytes(ctx, 1)
 	require.True(t, n.storeTransferPending())
 	ended()
 	require.False(t, n.storeTransferPending())
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -117,7 +117,7 @@
 	own := loop.NewGoroutine()
 	small := &link{bytesPerSecond: smallLink}
 	n := New(ctx, Options{Name: "node-1"}, Edges{
-		Store: refusingStore{}, Peers: peer.NewClient(small.dial), Codec: jsonCodec{}, Loop: own, Record: silentRecorder{},
+		Store: refusingStore{}, Peers: peer.NewClient(small.dial), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 	})
 	n.sample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
 	own.Post(n.Start)
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -25,21 +25,21 @@
 
 // fakeStore keeps rows; parts listed in refuse or silent answer with that error.
 type fakeStore struct {
-	rows    map[rows.Key]rows.Row
-	refuse  map[string]bool
-	silent  map[string]bool
-	version int64
+	rows       map[rows.Key]rows.Row
+	refuse     map[string]bool
+	unanswered map[string]bool
+	version    int64
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, silent: map[string]bool{}}
+	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, unanswered: map[string]bool{}}
 }
 
 func (f *fakeStore) failure(part string) error {
 	switch {
 	case f.refuse[part]:
 		return rows.ErrRefused
-	case f.silent[part]:
+	case f.unanswered[part]:
 		return rows.ErrNoAnswer
 	}
 	return nil
@@ -91,18 +91,18 @@
 	return rows.Listing{}, rows.ErrRefused
 }
 
-type silentRecorder struct{}
+type discardRecorder struct{}
 
-func (silentRecorder) Count(string, string)   {}
-func (silentRecorder) Decided(string, ...any) {}
+func (discardRecorder) Count(string, string)   {}
+func (discardRecorder) Decided(string, ...any) {}
 
-func (silentRecorder) Set(string, int64)             {}
-func (silentRecorder) Observe(string, time.Duration) {}
+func (discardRecorder) Set(string, int64)             {}
+func (discardRecorder) Observe(string, time.Duration) {}
 
 func newGateway(t *testing.T, store rows.Store) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	edges := Edges{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: silentRecorder{}}
+	edges := Edges{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{}}
 	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, edges)
 	current := &catalog.Catalog{
 		Version: 1,
@@ -134,10 +134,10 @@
 	}{
 		"all well":            {func(*fakeStore) {}, ""},
 		"one part refuses":    {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part is silent":  {func(f *fakeStore) { f.silent[parts[0]] = true }, ""},
+		"one part is silent":  {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
 		"all parts refuse":    {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"all parts silent":    {func(f *fakeStore) { f.silent = allOf(parts) }, fault.OutcomeUnknown},
-		"silent then refusal": {func(f *fakeStore) { f.silent[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
+		"all parts silent":    {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
+		"silent then refusal": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		store := newFakeStore()
@@ -151,13 +151,13 @@
 	}
 }
 
-// partlyHangingStore gives no answer for one part.
-type partlyHangingStore struct {
+// hangingPartStore gives no answer for one part.
+type hangingPartStore struct {
 	*fakeStore
 	part string
 }
 
-func (p *partlyHangingStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+func (p *hangingPartStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	if transaction.Puts[0].Part != p.part {
 		return p.fakeStore.Commit(ctx, transaction)
 	}
@@ -167,7 +167,7 @@
 
 // TestPartWithoutAnswerIsPassedOver: a submission spent all its time on the first part.
 func TestPartWithoutAnswerIsPassedOver(t *testing.T) {
-	store := &partlyHangingStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
 	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
 }
@@ -217,7 +217,7 @@
 	state, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.NoError(t, err)
 	require.Equal(t, taskgraph.Completed, state)
-	store.silent[parts[1]] = true
+	store.unanswered[parts[1]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.Error(t, err, "an older row must not be told")
 }
@@ -266,25 +266,25 @@
 	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
-// linesRecorder keeps the fields of decisions.
-type linesRecorder struct {
-	silentRecorder
-	lines map[string][]any
+// fieldsRecorder keeps the fields of decisions.
+type fieldsRecorder struct {
+	discardRecorder
+	fields map[string][]any
 }
 
-func (l linesRecorder) Decided(decision string, fields ...any) { l.lines[decision] = fields }
+func (l fieldsRecorder) Decided(decision string, fields ...any) { l.fields[decision] = fields }
 
 // TestEarlyRefusalsHaveALine: a request that was refused before its job was read left
 // no line with its identifier.
 func TestEarlyRefusalsHaveALine(t *testing.T) {
 	g := newGateway(t, newFakeStore())
-	recorder := linesRecorder{lines: map[string][]any{}}
+	recorder := fieldsRecorder{fields: map[string][]any{}}
 	g.node.edges.Record = recorder
 	_, _, err := g.Resolve("h", "/q/"+jobID, "unknown key")
 	require.True(t, fault.IsKind(err, fault.Unauthenticated))
-	require.Contains(t, recorder.lines["request refused"], jobID)
-	require.Contains(t, recorder.lines["request refused"], "unauthenticated")
+	require.Contains(t, recorder.fields["request refused"], jobID)
+	require.Contains(t, recorder.fields["request refused"], "unauthenticated")
 	_, _, err = g.Resolve("h", "/none/", "key")
 	require.True(t, fault.IsKind(err, fault.NotFound))
-	require.Contains(t, recorder.lines["request refused"], "not_found")
+	require.Contains(t, recorder.fields["request refused"], "not_found")
 }
--- a/internal/node/lateness_test.go
+++ b/internal/node/lateness_test.go
@@ -30,10 +30,10 @@
 	n.startDelaySampling()
 	n.startDelaySampling()
 	require.Len(t, n.loop.timers, 1)
-	n.loop.pass(delaySampleInterval + 200*time.Millisecond)
+	n.loop.advance(delaySampleInterval + 200*time.Millisecond)
 	require.Equal(t, timeoutExtensionFactor*200*time.Millisecond, n.schedulingDelay.timeoutExtension())
 	delete(n.owned, poolName)
-	n.loop.pass(delaySampleInterval)
+	n.loop.advance(delaySampleInterval)
 	require.Zero(t, n.schedulingDelay.timeoutExtension())
 	require.Empty(t, n.loop.timers)
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -24,11 +24,11 @@
 type countingStore struct {
 	mutex sync.Mutex
 	*fakeStore
-	given int
+	returned int
 }
 
 func (s *countingStore) count(listing rows.Listing, err error) (rows.Listing, error) {
-	s.given += len(listing.Rows)
+	s.returned += len(listing.Rows)
 	return listing, err
 }
 
@@ -124,7 +124,7 @@
 			t.Cleanup(cancel)
 			own := loop.NewGoroutine()
 			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Edges{
-				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Record: silentRecorder{},
+				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 			})
 			go own.Run(ctx)
 			own.Post(n.Start)
@@ -139,11 +139,11 @@
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
 			// Two rounds of pings later the node has seen what it follows.
-			told := *n.confirmedByPeer.Load()
-			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(told) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
+			confirmedAt := *n.confirmedByPeer.Load()
+			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
-			require.LessOrEqual(t, store.given, 2*(candidateCount+successorCount+legacyMemberCount)+8)
+			require.LessOrEqual(t, store.returned, 2*(candidateCount+successorCount+legacyMemberCount)+8)
 		})
 	}
 }
@@ -222,18 +222,18 @@
 		gone  []string
 	}{
 		"nobody asked":      {nil, 60, nil},
-		"not heard so long": {map[string][]float64{"a": steady(0, 20)}, 14, nil},
-		"one is gone":       {map[string][]float64{"a": steady(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
-		"cut off itself":    {map[string][]float64{"a": steady(0, 20)}, 30, nil},
-		"after a gap":       {map[string][]float64{"a": append(steady(0, 20), steady(30, 40)...)}, 40, nil},
+		"not heard so long": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
+		"one is gone":       {map[string][]float64{"a": everyHalfSecond(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
+		"cut off itself":    {map[string][]float64{"a": everyHalfSecond(0, 20)}, 30, nil},
+		"after a gap":       {map[string][]float64{"a": append(everyHalfSecond(0, 20), everyHalfSecond(30, 40)...)}, 40, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var h pingHistory
 			for second := 0.0; second <= c.at; second += 0.5 {
-				for who, times := range c.pings {
+				for name, times := range c.pings {
 					if slices.Contains(times, second) {
-						h.record(who, began.Add(time.Duration(second*float64(time.Second))))
+						h.record(name, began.Add(time.Duration(second*float64(time.Second))))
 					}
 				}
 			}
@@ -248,8 +248,8 @@
 	}
 }
 
-// steady lists times half a second apart.
-func steady(from, until float64) []float64 {
+// everyHalfSecond lists times half a second apart.
+func everyHalfSecond(from, until float64) []float64 {
 	var times []float64
 	for at := from; at <= until; at += 0.5 {
 		times = append(times, at)
@@ -303,7 +303,7 @@
 // TestOwnersAreAskedForTheStoreToo: the other known members may all be gone.
 func TestOwnersAreAskedForTheStoreToo(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
-	n.leaseOf("node-7", 3)
+	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
 
@@ -345,19 +345,19 @@
 	require.Len(t, n.otherMembersExcept(""), 1, "the nodes of a large fleet are not all known")
 }
 
-// goneStore has no history before a version.
-type goneStore struct {
+// truncatedHistoryStore has no history before a version.
+type truncatedHistoryStore struct {
 	countingStore
 	horizon int64
 	feeds   int
 }
 
-func (s *goneStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
+func (s *truncatedHistoryStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	s.mutex.Lock()
 	s.feeds++
-	gone := after < s.horizon
+	truncated := after < s.horizon
 	s.mutex.Unlock()
-	if gone {
+	if truncated {
 		return rows.Listing{}, rows.ErrHistoryGone
 	}
 	return s.countingStore.Feed(ctx, table, after, wait)
@@ -365,7 +365,7 @@
 
 // TestLeasesAreFollowedAgainOnceTheHistoryIsGone, from where they are read anew.
 func TestLeasesAreFollowedAgainOnceTheHistoryIsGone(t *testing.T) {
-	store := &goneStore{countingStore: countingStore{fakeStore: newFakeStore()}}
+	store := &truncatedHistoryStore{countingStore: countingStore{fakeStore: newFakeStore()}}
 	store.writeMember(member{Name: "node-2", Weight: 1})
 	lease := func(owner string) {
 		_, err := store.Commit(context.Background(), rows.Transaction{Puts: []rows.Put{{Key: pool.LeaseKey(poolName), Value: pool.Encode(pool.Lease{Owner: owner, Address: "127.0.0.1:9"})}}})
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -32,8 +32,8 @@
 	return func() {}
 }
 
-// pass lets time pass, and runs the timers that are due.
-func (l *manualLoop) pass(d time.Duration) {
+// advance lets time advance, and runs the timers that are due.
+func (l *manualLoop) advance(d time.Duration) {
 	l.now = l.now.Add(d)
 	due := l.timers
 	l.timers = nil
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := &manualLoop{now: time.Now()}
-	n := New(ctx, Options{Name: "node-1", Weight: weight}, Edges{Store: newFakeStore(), Loop: l, Record: silentRecorder{}})
+	n := New(ctx, Options{Name: "node-1", Weight: weight}, Edges{Store: newFakeStore(), Loop: l, Record: discardRecorder{}})
 	n.sample.members["node-1"] = member{Name: "node-1", Weight: weight}
 	for name, other := range others {
 		n.sample.members[name] = member{Name: name, Weight: other}
@@ -68,8 +68,8 @@
 	return &watchingNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
-// leaseOf lets the node read a lease.
-func (n *watchingNode) leaseOf(owner string, version int64) {
+// applyLeaseOf lets the node read a lease.
+func (n *watchingNode) applyLeaseOf(owner string, version int64) {
 	key := pool.LeaseKey(poolName)
 	value, _ := json.Marshal(pool.Lease{Owner: owner, Address: owner})
 	n.applyNodeRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
@@ -79,17 +79,17 @@
 // on to a healthy one meanwhile, and the node then took the pool from that one.
 func TestSuspicionEndsWithTheLease(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
-	n.leaseOf("node-2", 5)
+	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
 	n.scheduleAcquire(n.watcher, "owner node-2 does not answer", n.ownerSuspected)
-	n.leaseOf("node-3", 6)
-	n.loop.pass(time.Minute)
+	n.applyLeaseOf("node-3", 6)
+	n.loop.advance(time.Minute)
 	require.False(t, n.watcher.acquiring, "the lease is another")
 
 	n.watcher.failures = suspectAfterFailures
 	n.scheduleAcquire(n.watcher, "owner node-3 does not answer", n.ownerSuspected)
 	n.handlePingReply(n.watcher, pingReply{Owner: true})
-	n.loop.pass(time.Minute)
+	n.loop.advance(time.Minute)
 	require.False(t, n.watcher.acquiring, "the owner answered meanwhile")
 }
 
@@ -97,13 +97,13 @@
 // owner already.
 func TestWitnessesOfAnEarlierLeaseAreIgnored(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
-	n.leaseOf("node-2", 5)
+	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
 	answer := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
-	n.leaseOf("node-3", 6)
+	n.applyLeaseOf("node-3", 6)
 	answer(false)
 	n.watcher.failures = suspectAfterFailures
-	n.loop.pass(time.Minute)
+	n.loop.advance(time.Minute)
 	require.False(t, n.watcher.acquiring)
 }
 
@@ -118,7 +118,7 @@
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, c.own, map[string]float64{"node-2": c.owner})
-		n.leaseOf("node-2", 5)
+		n.applyLeaseOf("node-2", 5)
 		for range weakOwnerReplies {
 			require.False(t, n.watcher.acquireScheduled, name)
 			n.handlePingReply(n.watcher, pingReply{Owner: true})
@@ -143,7 +143,7 @@
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, 1, nil)
-		n.leaseOf("node-2", 5)
+		n.applyLeaseOf("node-2", 5)
 		if c.lostHere {
 			n.recordStoreFailure(rows.ErrNoAnswer)
 		}
@@ -163,7 +163,7 @@
 		others[fmt.Sprintf("heavy-%d", i)] = 0.8
 	}
 	n := newWatchingNode(t, 0.2, others)
-	n.leaseOf("heavy-0", 5)
+	n.applyLeaseOf("heavy-0", 5)
 	for range 20 {
 		for _, checker := range n.indirectCheckers(poolName) {
 			require.NotEqual(t, "heavy-0", checker.Name)
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -39,7 +39,7 @@
 		pause  time.Duration
 	}{"guard": {nil, standbyPingPeriod}, "other": {heavier, pingPeriod}} {
 		n := newWatchingNode(t, 1, c.others)
-		n.leaseOf("node-1", 5)
+		n.applyLeaseOf("node-1", 5)
 		n.loop.timers = nil
 		n.pingOwners()
 		require.Len(t, n.loop.timers, 1, name)
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -46,7 +46,7 @@
 			t.Cleanup(cancel)
 			orders := &countingOrders{}
 			n := New(ctx, Options{Name: "node-1", LinkBytesPerSecond: c.rate}, Edges{
-				Store: refusingStore{}, Orders: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: silentRecorder{},
+				Store: refusingStore{}, Orders: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{},
 			})
 			for range burst {
 				n.ports.Stop(&fleet.Worker{}, fleet.Stop{}, func(fleet.Reply, error) {})
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -61,9 +61,9 @@
 	return listener.Addr().String()
 }
 
-// pairOfNodes returns a gateway on a node with one store whose only other node has
+// newGatewayWithPeer returns a gateway on a node with one store whose only other node has
 // another.
-func pairOfNodes(t *testing.T, own, others rows.Store) *Gateway {
+func newGatewayWithPeer(t *testing.T, own, others rows.Store) *Gateway {
 	gateway := newGateway(t, own)
 	address := servePeers(t, newGateway(t, others).node)
 	gateway.node.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
@@ -74,7 +74,7 @@
 	for name, own := range map[string]rows.Store{"turned away": refusingStore{}, "no answer": hangingStore{}} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
-			gateway := pairOfNodes(t, own, store)
+			gateway := newGatewayWithPeer(t, own, store)
 			require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
 			require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[0], jobID))
 			require.Less(t, gateway.node.storeReachedAge(), time.Minute)
@@ -83,7 +83,7 @@
 }
 
 func TestFeedGoesThroughAnotherNodeOnceTheStoreIsLost(t *testing.T) {
-	gateway := pairOfNodes(t, refusingStore{}, feedingStore{})
+	gateway := newGatewayWithPeer(t, refusingStore{}, feedStore{})
 	n := gateway.node
 	_, err := n.store.Feed(context.Background(), "t", 1, time.Millisecond)
 	require.ErrorIs(t, err, rows.ErrRefused)
@@ -91,25 +91,25 @@
 	listing, err := n.store.Feed(context.Background(), "t", 1, time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, int64(7), listing.Version)
-	_, err = n.store.Feed(context.Background(), goneTable, 1, time.Millisecond)
+	_, err = n.store.Feed(context.Background(), truncatedTable, 1, time.Millisecond)
 	require.ErrorIs(t, err, rows.ErrHistoryGone)
 	require.True(t, n.storeLost(), "an answer through another node is not a direct one")
 }
 
-const goneTable = "gone"
+const truncatedTable = "gone"
 
-// feedingStore answers feeds.
-type feedingStore struct{ rows.Store }
+// feedStore answers feeds.
+type feedStore struct{ rows.Store }
 
-func (feedingStore) Feed(_ context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
-	if table == goneTable {
+func (feedStore) Feed(_ context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
+	if table == truncatedTable {
 		return rows.Listing{}, rows.ErrHistoryGone
 	}
 	return rows.Listing{Version: 7}, nil
 }
 
 func TestStoreAwayForAllIsSaidAtOnce(t *testing.T) {
-	gateway := pairOfNodes(t, refusingStore{}, refusingStore{})
+	gateway := newGatewayWithPeer(t, refusingStore{}, refusingStore{})
 	err := gateway.Submit(context.Background(), testAccess(), testSpec())
 	require.True(t, fault.IsKind(err, fault.StoreUnavailable), "%v", err)
 }
@@ -158,9 +158,9 @@
 		return &at
 	}
 	cases := map[string]struct {
-		confirmed, told time.Duration
-		owner           bool
-		want            time.Duration
+		confirmed, confirmedByPeer time.Duration
+		owner                      bool
+		want                       time.Duration
 	}{
 		"told by an owner":  {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
 		"told by nobody":    {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
@@ -171,7 +171,7 @@
 	for name, c := range cases {
 		n := newGateway(t, newFakeStore()).node
 		n.confirmed.Store(ago(c.confirmed))
-		n.confirmedByPeer.Store(ago(c.told))
+		n.confirmedByPeer.Store(ago(c.confirmedByPeer))
 		if c.owner {
 			n.owned[poolName] = &pool.Pool{}
 		}
@@ -204,7 +204,7 @@
 // went through other nodes too doubled its load, and submissions ran into their deadline.
 func TestSlowStoreIsNotAskedTwice(t *testing.T) {
 	store := &slowStore{fakeStore: newFakeStore()}
-	gateway := pairOfNodes(t, store, store)
+	gateway := newGatewayWithPeer(t, store, store)
 	require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
 	require.Equal(t, int32(1), store.commits.Load())
 	require.False(t, gateway.node.storeLost())
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -14,7 +14,7 @@
 // owningNode returns a node that owns the watched pool with a token.
 func owningNode(t *testing.T, others map[string]float64) *watchingNode {
 	n := newWatchingNode(t, 1, others)
-	n.owned[poolName] = pool.New(n.poolOptions(poolName), n.loop, n.ports, silentRecorder{}, 5)
+	n.owned[poolName] = pool.New(n.poolOptions(poolName), n.loop, n.ports, discardRecorder{}, 5)
 	return n
 }
 
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -24,15 +24,15 @@
 // Settled by: 88 of 744 requests failed on the own day store-slow-twice, 84 of them at
 // their callers' deadlines, while the owner's own calls to the store were answered.
 
-// laggingStore takes long for each call and counts the transactions of jobs.
-type laggingStore struct {
+// overloadedStore takes long for each call and counts the transactions of jobs.
+type overloadedStore struct {
 	*fakeStore
 	latency time.Duration
 	mutex   sync.Mutex
 	commits int
 }
 
-func (s *laggingStore) wait(ctx context.Context) error {
+func (s *overloadedStore) wait(ctx context.Context) error {
 	select {
 	case <-time.After(s.latency):
 		return nil
@@ -41,7 +41,7 @@
 	}
 }
 
-func (s *laggingStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+func (s *overloadedStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	s.mutex.Lock()
 	s.commits++
 	s.mutex.Unlock()
@@ -56,7 +56,7 @@
 	return s.fakeStore.Commit(ctx, transaction)
 }
 
-func (s *laggingStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
+func (s *overloadedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
 	if err := s.wait(ctx); err != nil {
 		return rows.Listing{}, err
 	}
@@ -73,8 +73,8 @@
 	for name, latency := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			store := &laggingStore{fakeStore: newFakeStore(), latency: latency}
-			gateway := pairOfNodes(t, store, store)
+			store := &overloadedStore{fakeStore: newFakeStore(), latency: latency}
+			gateway := newGatewayWithPeer(t, store, store)
 			gateway.node.recordReportedLatency(latency.Milliseconds())
 			require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 			store.mutex.Lock()
@@ -88,7 +88,7 @@
 // TestSilentPartIsPassedOverWhileTheStoreIsQuick: what makes a job's row go into a second
 // part stays.
 func TestSilentPartIsPassedOverWhileTheStoreIsQuick(t *testing.T) {
-	store := &partlyHangingStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
 	gateway.node.recordReportedLatency(5)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
