--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -221,8 +221,8 @@
 // TestLargeAnswerThroughAnotherNodeIsWaitedFor: it takes longer over a small link than its
 // beginning may take.
 func TestLargeAnswerThroughAnotherNodeIsWaitedFor(t *testing.T) {
-	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfiguration/2)}}}
-	small := &link{bytesPerSecond: smallLink}
+	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
+	small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 	address := servePeers(t, newGateway(t, &fixedStore{listing: listing}).node)
 	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
@@ -235,10 +235,10 @@
 // TestScanThroughAnotherNodeIsWaitedFor: the other node reads slowly from the store, and the
 // link to it is small.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
-	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfiguration/2)}}}
+	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "small link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
-			small := &link{bytesPerSecond: smallLink}
+			small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 			address := servePeers(t, newGateway(t, others).node)
 			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
@@ -315,7 +315,7 @@
 	require.Eventually(t, func() bool {
 		current := n.catalog.Load()
 		return current != nil && current.Version == version
-	}, arrival, time.Millisecond)
+	}, transferTimeout, time.Millisecond)
 }
 
 func TestArrivalIsNotedUntilItsEnd(t *testing.T) {
@@ -345,7 +345,7 @@
 		active := true
 		onLoop(t, n, func() { active = n.download.active })
 		return !active
-	}, arrival, time.Millisecond, "the call fails")
+	}, transferTimeout, time.Millisecond, "the call fails")
 
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
@@ -360,7 +360,7 @@
 
 // unreachable returns an address at which nobody listens.
 func unreachable(t *testing.T) string {
-	listener, err := (&link{}).listen()
+	listener, err := (&throttledLink{}).listen()
 	require.NoError(t, err)
 	defer listener.Close()
 	return listener.Addr().String()
@@ -411,7 +411,7 @@
 	require.Error(t, err, "no document")
 	source.edges.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
-	for _, offset := range []int{-1, largeConfiguration + 1} {
+	for _, offset := range []int{-1, largeConfigurationBytes + 1} {
 		_, err := source.serveChunk(chunkRequest{Version: 2, Offset: offset})
 		require.Error(t, err, "offset %d", offset)
 	}
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -37,67 +37,67 @@
 }
 func (jsonCodec) DecodeWorker(string, []byte) (*fleet.Worker, error) { return &fleet.Worker{}, nil }
 
-// link paces what arrives over all connections of one machine.
-type link struct {
+// throttledLink paces what arrives over all connections of one machine.
+type throttledLink struct {
 	bytesPerSecond int
 	mutex          sync.Mutex
-	free           time.Time
+	freeAt         time.Time
 }
 
-// pass waits until the link has carried some bytes.
-func (l *link) pass(count int) {
+// transmit waits until the link has carried some bytes.
+func (l *throttledLink) transmit(count int) {
 	l.mutex.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(count) * time.Second / time.Duration(l.bytesPerSecond))
-	until := l.free
+	l.freeAt = l.freeAt.Add(time.Duration(count) * time.Second / time.Duration(l.bytesPerSecond))
+	until := l.freeAt
 	l.mutex.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-// slowConnection is a connection over a link.
-type slowConnection struct {
+// throttledConnection is a connection over a link.
+type throttledConnection struct {
 	net.Conn
-	link *link
+	link *throttledLink
 }
 
-// segment is how much of one connection a link carries before others get their turn.
-const segment = 8 << 10
+// readSegmentBytes is how much of one connection a link carries before others get their turn.
+const readSegmentBytes = 8 << 10
 
 // Read implements net.Conn.
-func (c *slowConnection) Read(buffer []byte) (int, error) {
-	count, err := c.Conn.Read(buffer[:min(len(buffer), segment)])
-	c.link.pass(count)
+func (c *throttledConnection) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer[:min(len(buffer), readSegmentBytes)])
+	c.link.transmit(count)
 	return count, err
 }
 
 // dial opens connections over the link.
-func (l *link) dial(ctx context.Context, address string) (net.Conn, error) {
+func (l *throttledLink) dial(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &slowConnection{Conn: connection, link: l}, nil
+	return &throttledConnection{Conn: connection, link: l}, nil
 }
 
 // listen opens a port of this machine.
-func (*link) listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
+func (*throttledLink) listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
 const (
-	largeConfiguration = 1 << 20
-	// smallLink carries the large configuration in some 3.5 s.
-	smallLink = 400_000
-	// arrival bounds the wait for what must arrive.
-	arrival = 40 * time.Second
+	largeConfigurationBytes = 1 << 20
+	// slowLinkBytesPerSecond carries the large configuration in some 3.5 s.
+	slowLinkBytesPerSecond = 400_000
+	// transferTimeout bounds the wait for what must arrive.
+	transferTimeout = 40 * time.Second
 )
 
 // largeDocument is a configuration of a version.
 func largeDocument(t *testing.T, version int64) []byte {
 	document, err := json.Marshal(catalog.Catalog{Version: version})
 	require.NoError(t, err)
-	return append(document, bytes.Repeat([]byte(" "), largeConfiguration-len(document))...)
+	return append(document, bytes.Repeat([]byte(" "), largeConfigurationBytes-len(document))...)
 }
 
 // TestLargeConfigurationComesFromAnotherNodeOverASmallLink: at the end of a day accepted
@@ -115,9 +115,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	own := loop.NewGoroutine()
-	small := &link{bytesPerSecond: smallLink}
+	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 	n := New(ctx, Options{Name: "node-1"}, Edges{
-		Store: refusingStore{}, Peers: peer.NewClient(small.dial), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
+		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 	})
 	n.sample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
 	own.Post(n.Start)
@@ -126,5 +126,5 @@
 	require.Eventually(t, func() bool {
 		current := n.catalog.Load()
 		return current != nil && current.Version == 2
-	}, arrival, 20*time.Millisecond)
+	}, transferTimeout, 20*time.Millisecond)
 }
