--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -34,13 +34,13 @@
 	}
 	n.followingLeases = true
 	names := sortedKeys(n.watchers)
-	left, version := len(names), n.recentSampleVersion()
+	pending, version := len(names), n.recentSampleVersion()
 	for _, name := range names {
 		n.readLease(name, func(asOf int64) {
 			if version == 0 || asOf < version {
 				version = asOf
 			}
-			if left--; left == 0 {
+			if pending--; pending == 0 {
 				n.followLeasesFrom(version)
 			}
 		})
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -154,12 +154,12 @@
 		pages = append(pages, samplePage{pool.NodeTable, n.options.Name, legacyMemberCount + 1})
 	}
 	listings := make([]rows.Listing, len(pages))
-	left, failed := len(pages), false
+	pending, failed := len(pages), false
 	for i, page := range pages {
 		n.ports.page(page.table, "", page.from, page.limit, func(listing rows.Listing, err error) {
 			listings[i] = listing
 			failed = failed || err != nil
-			if left--; left > 0 {
+			if pending--; pending > 0 {
 				return
 			}
 			if failed {
--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -22,15 +22,15 @@
 		done(false)
 		return
 	}
-	left, seen := len(checkers), false
+	pending, seen := len(checkers), false
 	for _, other := range checkers {
 		n.callPeer(other.Address, methodSeen, pingRequest{Pool: w.pool}, func(document []byte, err error) {
-			left--
+			pending--
 			var reply seenReply
 			if err == nil && json.Unmarshal(document, &reply) == nil {
 				seen = seen || reply.Seen
 			}
-			if left == 0 {
+			if pending == 0 {
 				done(seen)
 			}
 		})
