--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -333,11 +333,11 @@
 func TestDownloadGoesOnAfterAFailure(t *testing.T) {
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	content := largeDocument(t, 2)
-	first := chunkReply{Version: 2, Size: len(content), Content: content[:chunkBytes]}
+	first := chunkReply{Version: 2, Size: len(content), Content: content[:maxChunkBytes]}
 	onLoop(t, n, func() {
 		n.download = download{document: document{version: 2}, active: true}
 		n.handleChunk(unreachable(t), chunkRequest{Version: 2}, first)
-		assert.Len(t, n.download.content, chunkBytes)
+		assert.Len(t, n.download.content, maxChunkBytes)
 		n.downloadConfiguration(unreachable(t), 3)
 		assert.Equal(t, int64(2), n.download.version, "one transfer at a time")
 	})
@@ -353,7 +353,7 @@
 	address := servePeers(t, source)
 	onLoop(t, n, func() {
 		n.downloadConfiguration(address, 2)
-		assert.Len(t, n.download.content, chunkBytes, "it goes on from there")
+		assert.Len(t, n.download.content, maxChunkBytes, "it goes on from there")
 	})
 	requireVersion(t, n, 2)
 }
@@ -371,19 +371,19 @@
 func TestChangesInQuickSuccessionDoNotStopATransfer(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	var begun, fetched []byte
-	for version := int64(2); len(fetched) == 0 || len(fetched) < len(begun); version++ {
+	var first, fetched []byte
+	for version := int64(2); len(fetched) == 0 || len(fetched) < len(first); version++ {
 		content := largeDocument(t, version)
 		source.applyDocument(content, "feed")
-		if begun == nil {
-			begun = content
+		if first == nil {
+			first = content
 		}
 		reply, err := source.serveChunk(chunkRequest{Version: 2, Offset: len(fetched)})
 		require.NoError(t, err)
 		require.Equal(t, int64(2), reply.Version)
 		fetched = append(fetched, reply.Content...)
 	}
-	require.Equal(t, begun, fetched)
+	require.Equal(t, first, fetched)
 }
 
 func TestServedDocuments(t *testing.T) {
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -14,9 +14,9 @@
 
 // Limits of a configuration's transfer from another node.
 const (
-	// chunkBytes is how much of a configuration one call brings. With its encoding a chunk
+	// maxChunkBytes is how much of a configuration one call brings. With its encoding a chunk
 	// takes 35 ms of a link of 10 Mbit/s, so that pings behind it are answered in time.
-	chunkBytes = 32 << 10
+	maxChunkBytes = 32 << 10
 	// chunkTimeout bounds one such call: 30 times what a link of 10 Mbit/s takes for it.
 	chunkTimeout = time.Second
 	// storeTransferGrace is how long the store's own answer may take before other nodes are
@@ -121,7 +121,7 @@
 	if offset < 0 || offset > len(served.content) {
 		return chunkReply{}, fault.New(fault.InvalidRequest, "offset %d of a configuration of %d bytes", offset, len(served.content))
 	}
-	end := min(offset+chunkBytes, len(served.content))
+	end := min(offset+maxChunkBytes, len(served.content))
 	return chunkReply{Version: served.version, Size: len(served.content), Content: served.content[offset:end]}, nil
 }
 
