--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -9,9 +9,9 @@
 
 // handleOperatorFeed takes in an answer of the feed of the operators' rows, whose rows are
 // applied: the configuration and the evacuations are known as of it.
-func (n *Node) handleOperatorFeed(listing rows.Listing, askedAt time.Time) {
+func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
 	n.confirm(listing.AsOf)
-	n.applyEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
+	n.applyEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 }
 
 // applyEvacuations takes in what is known of evacuated zones, and tells this node's pools of
--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -21,7 +21,7 @@
 // least one is the store's own: others may wait behind large answers on a small link.
 type latencyWindow struct {
 	mutex             sync.Mutex
-	began             time.Time
+	startedAt         time.Time
 	current, previous time.Duration
 }
 
@@ -51,7 +51,7 @@
 
 // rotate begins a new period if the present one is over.
 func (w *latencyWindow) rotate(now time.Time) {
-	elapsed := now.Sub(w.began)
+	elapsed := now.Sub(w.startedAt)
 	switch {
 	case elapsed < latencyPeriod:
 		return
@@ -61,7 +61,7 @@
 		w.previous = 0
 	}
 	w.current = 0
-	w.began = now
+	w.startedAt = now
 }
 
 // reportedLatency is what a pool's owner told of the store's latency.
