--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -148,7 +148,7 @@
 }
 
 func (slowAnswerStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
-	for began := time.Now(); time.Since(began) < takes; {
+	for startedAt := time.Now(); time.Since(startedAt) < takes; {
 		receiveBytes(ctx, 8<<10)
 		time.Sleep(10 * time.Millisecond)
 		if ctx.Err() != nil {
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -148,7 +148,7 @@
 	apply func(rows.Row)
 	// onAnswer is called after each answer with the time at which it was asked for; nil if nothing
 	// is to be done.
-	onAnswer func(listing rows.Listing, askedAt time.Time)
+	onAnswer func(listing rows.Listing, requestedAt time.Time)
 	// needed reports whether the feed goes on; nil is for ever.
 	needed func() bool
 	// onEnd is called once it does not go on, or when the table must be read anew.
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -38,37 +38,37 @@
 func (s *observedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
 	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Scan(ctx, table, part, prefix)
-	s.recordLatency(answer.askedAt, err)
+	s.recordLatency(answer.requestedAt, err)
 	return answer.finish(listing, err)
 }
 
 // Page implements rows.Store.
 func (s *observedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
-	ctx, seen := s.observe(ctx, table)
+	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Page(ctx, table, part, from, limit)
-	s.recordLatency(seen.askedAt, err)
-	return seen.finish(listing, err)
+	s.recordLatency(answer.requestedAt, err)
+	return answer.finish(listing, err)
 }
 
 // Feed implements rows.Store.
 func (s *observedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
-	ctx, seen := s.observe(ctx, table)
+	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Feed(ctx, table, after, wait)
-	return seen.finish(listing, err)
+	return answer.finish(listing, err)
 }
 
 // observe watches an answer about a table arrive.
 func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
-	answer := &observedAnswer{node: s.node, table: table, askedAt: uptime.Now()}
+	answer := &observedAnswer{node: s.node, table: table, requestedAt: uptime.Now()}
 	return progress.With(ctx, answer.recordBytes), answer
 }
 
 // observedAnswer is what was seen of an answer.
 type observedAnswer struct {
-	node    *Node
-	table   string
-	askedAt time.Time
-	bytes   atomic.Int64
+	node        *Node
+	table       string
+	requestedAt time.Time
+	bytes       atomic.Int64
 	// firstByteAt is when the first byte came.
 	firstByteAt atomic.Pointer[time.Time]
 }
@@ -91,7 +91,7 @@
 	if err != nil && firstByteAt != nil {
 		a.node.edges.Record.Count("answers_given_up", a.table)
 		a.node.edges.Record.Decided("answer given up", "table", a.table, "bytes", a.bytes.Load(),
-			"after_ms", uptime.Since(a.askedAt).Milliseconds(), "reason", err.Error())
+			"after_ms", uptime.Since(a.requestedAt).Milliseconds(), "reason", err.Error())
 	}
 	return listing, err
 }
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -16,13 +16,13 @@
 			var schedule pingSchedule
 			now := time.Now()
 			end := now.Add(span)
-			asked := 0
+			pings := 0
 			for ; now.Before(end); now = now.Add(pause + late) {
 				if schedule.fullRoundDue(now) {
-					asked++
+					pings++
 				}
 			}
-			require.InDelta(t, span.Seconds()/pingPeriod.Seconds(), asked, 8, "rounds of %v, %v late", pause, late)
+			require.InDelta(t, span.Seconds()/pingPeriod.Seconds(), pings, 8, "rounds of %v, %v late", pause, late)
 		}
 	}
 }
