--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -7,14 +7,14 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// acceptedNotice tells a pool's owner of a job that another node has accepted.
+// acceptedNotice informs a pool's owner of a job that another node has accepted.
 type acceptedNotice struct {
 	Pool string   `json:"pool"`
 	Row  rows.Row `json:"row"`
 }
 
-// announce tells a pool's owner of an accepted job, whose row is in the store. Nobody waits
-// for it: the owner's feed brings the row in any case. It may be called anywhere.
+// announce sends the stored row of an accepted job to the pool's owner, without waiting for the
+// reply: the owner's feed delivers the row in any case. It may be called from any goroutine.
 func (n *Node) announce(poolName string, row rows.Row) {
 	if n.options.Off[mechanism.Announcements] {
 		return
@@ -39,14 +39,14 @@
 	}()
 }
 
-// handleAnnouncedJob hands a row to the pool, if this node owns it.
+// handleAnnouncedJob passes a row to the pool if this node owns it.
 func (n *Node) handleAnnouncedJob(poolName string, row rows.Row) {
 	if p := n.owned[poolName]; p != nil {
 		p.TakeAnnounced(row)
 	}
 }
 
-// serveAccepted takes in another node's notice.
+// serveAccepted handles another node's notice.
 func (n *Node) serveAccepted(notice acceptedNotice) (struct{}, error) {
 	n.edges.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
 	return struct{}{}, nil
