--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/pool"
 )
 
-// receiveNotices serves as a pool's owner for a gateway's node and returns the notices it gets.
+// receiveNotices serves as the pool owner of a gateway's node and returns the notices it receives.
 func receiveNotices(t *testing.T, gateway *Gateway) <-chan acceptedNotice {
 	notices := make(chan acceptedNotice, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestRefusedJobIsNotAnnounced: the owner must not hear of what is not in the store.
+// TestRefusedJobIsNotAnnounced: the owner must not receive a job that is not in the store.
 func TestRefusedJobIsNotAnnounced(t *testing.T) {
 	store := newFakeStore()
 	store.refuse = allOf(pool.JobParts(poolName, jobID))
