--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -19,8 +19,9 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// partialAnswerStore begins each answer about a table at once, and ends it when the test says
-// so, or gives it up with its caller. Calls about other tables get no answer.
+// partialAnswerStore sends the first byte of each answer about a table at once, and the rest when
+// the test closes complete. It gives up when the caller does. Calls about other tables get no
+// answer.
 type partialAnswerStore struct {
 	rows.Store
 	table    string
@@ -56,7 +57,7 @@
 	return s.answer(ctx, table)
 }
 
-// receiveBytes lets some bytes of an answer receiveBytes.
+// receiveBytes simulates the arrival of some bytes of an answer.
 func receiveBytes(ctx context.Context, count int) {
 	_, _ = io.Copy(io.Discard, progress.Reader(ctx, bytes.NewReader(make([]byte, count))))
 }
@@ -78,8 +79,8 @@
 	require.NoError(t, loop.Call(context.Background(), n.edges.Loop, fn))
 }
 
-// TestArrivingFeedIsNotCalledOff: feeds were called off once the configuration had not been
-// confirmed for 0.9 s, which over a small link is while the next one arrives.
+// TestArrivingFeedIsNotCalledOff: on a slow link a feed may be receiving its answer when idle feeds
+// are canceled.
 func TestArrivingFeedIsNotCalledOff(t *testing.T) {
 	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
@@ -94,8 +95,8 @@
 	require.NoError(t, <-ended)
 }
 
-// TestBytesOfAnAnswerTellThatTheStoreIsThere: small calls that waited behind a large answer
-// told of a store that was lost, and feeds were called off for that.
+// TestBytesOfAnAnswerTellThatTheStoreIsThere: small calls that time out behind a large answer must
+// not make the node lose the store.
 func TestBytesOfAnAnswerTellThatTheStoreIsThere(t *testing.T) {
 	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
@@ -115,15 +116,15 @@
 	require.False(t, <-lost, "a look without an answer, beside one that arrives")
 }
 
-// expiringContext returns a context that ends at once with a deadline.
+// expiringContext returns a context whose deadline passes almost at once.
 func expiringContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// TestAnswerHoldsAsOfItsBeginning: an answer that took 6 s to arrive confirmed a version that
-// had been replaced in the meantime, and a key that was gone was taken.
+// TestAnswerHoldsAsOfItsBeginning: the time an answer takes to arrive must count towards the age of
+// the configuration, or a revoked key may be accepted.
 func TestAnswerHoldsAsOfItsBeginning(t *testing.T) {
 	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -136,7 +137,7 @@
 	require.False(t, n.confirmed.Load().After(begun), "confirmed %v after its beginning", n.confirmed.Load().Sub(begun))
 }
 
-// slowAnswerStore answers slowly and without a stop.
+// slowAnswerStore sends its answers slowly but without stalling.
 type slowAnswerStore struct{ rows.Store }
 
 func (s slowAnswerStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
@@ -175,7 +176,7 @@
 	}
 }
 
-// slowCommitStore answers a transaction after a time.
+// slowCommitStore answers a transaction after a delay.
 type slowCommitStore struct {
 	rows.Store
 	takes time.Duration
@@ -190,13 +191,13 @@
 	}
 }
 
-// Scan answers the look whether the store is there.
+// Scan answers probes.
 func (slowCommitStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestLargeTransactionHasTheTimeItTakesToSend: one that takes longer to send than a small
-// one may take in all is not cut off, by itself or through another node.
+// TestLargeTransactionHasTheTimeItTakesToSend: the timeout of a transaction, direct or relayed,
+// includes the time it takes to send.
 func TestLargeTransactionHasTheTimeItTakesToSend(t *testing.T) {
 	large := rows.Transaction{Puts: []rows.Put{{Value: make([]byte, 200<<10)}}}
 	require.Greater(t, rows.SendTime(large), time.Second)
@@ -218,8 +219,8 @@
 	}
 }
 
-// TestLargeAnswerThroughAnotherNodeIsWaitedFor: it takes longer over a small link than its
-// beginning may take.
+// TestLargeAnswerThroughAnotherNodeIsWaitedFor: on a slow link the whole answer takes longer than
+// its first byte may.
 func TestLargeAnswerThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
@@ -232,8 +233,8 @@
 	require.Equal(t, int64(7), result.Version)
 }
 
-// TestScanThroughAnotherNodeIsWaitedFor: the other node reads slowly from the store, and the
-// link to it is small.
+// TestScanThroughAnotherNodeIsWaitedFor: the relaying node reads slowly from the store, or the link
+// to it is slow.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "small link": &fixedStore{listing: listing}} {
@@ -249,8 +250,8 @@
 	}
 }
 
-// TestScanThroughASilentNodeEndsOnceTheStoreIsBack: it hung for the whole time that other
-// nodes are given, 6 s, while a new owner read its rows.
+// TestScanThroughASilentNodeEndsOnceTheStoreIsBack: the read must not wait for its relay timeout
+// once the store answers this node.
 func TestScanThroughASilentNodeEndsOnceTheStoreIsBack(t *testing.T) {
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
@@ -269,7 +270,7 @@
 	require.Less(t, time.Since(began), relayScanTimeout)
 }
 
-// fixedStore answers each scan at once with the same listing.
+// fixedStore answers each read at once with the same listing.
 type fixedStore struct {
 	rows.Store
 	listing rows.Listing
@@ -283,9 +284,9 @@
 	return s.listing, nil
 }
 
-// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: while the store brings a configuration
-// nobody else is asked, since both would share the link; one that never becomes whole must
-// not keep it from coming from elsewhere.
+// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: no other node is asked while the store sends a
+// configuration, as both would share the link, unless the store takes longer than
+// storeTransferGrace.
 func TestOtherNodesAreAskedOnceTheStoreTakesTooLong(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
@@ -310,7 +311,7 @@
 	requireVersion(t, n, 2)
 }
 
-// requireVersion waits until a version is in force.
+// requireVersion waits until a configuration version is current.
 func requireVersion(t *testing.T, n *Node, version int64) {
 	require.Eventually(t, func() bool {
 		current := n.catalog.Load()
@@ -328,8 +329,8 @@
 	require.False(t, n.storeTransferPending())
 }
 
-// TestDownloadGoesOnAfterAFailure: what has arrived is kept, one transfer runs at a time, and
-// another node that has the version brings the rest.
+// TestDownloadGoesOnAfterAFailure: received content is kept, one transfer runs at a time, and
+// another node that has the version sends the rest.
 func TestDownloadGoesOnAfterAFailure(t *testing.T) {
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	content := largeDocument(t, 2)
@@ -358,7 +359,7 @@
 	requireVersion(t, n, 2)
 }
 
-// unreachable returns an address at which nobody listens.
+// unreachable returns an address without a listener.
 func unreachable(t *testing.T) string {
 	listener, err := (&throttledLink{}).listen()
 	require.NoError(t, err)
@@ -366,8 +367,8 @@
 	return listener.Addr().String()
 }
 
-// TestChangesInQuickSuccessionDoNotStopATransfer: a version that is replaced while another
-// node fetches it stays until that is done.
+// TestChangesInQuickSuccessionDoNotStopATransfer: a replaced version is retained while another node
+// downloads it.
 func TestChangesInQuickSuccessionDoNotStopATransfer(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
