--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -12,55 +12,54 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// Limits of a configuration's transfer from another node.
+// Limits of the transfer of a configuration from another node.
 const (
-	// maxChunkBytes is how much of a configuration one call brings. With its encoding a chunk
-	// takes 35 ms of a link of 10 Mbit/s, so that pings behind it are answered in time.
+	// maxChunkBytes is the maximum size of a chunk. Encoded, it takes 35 ms on a link of 10 Mbit/s,
+	// so that pings queued behind it are answered in time.
 	maxChunkBytes = 32 << 10
-	// chunkTimeout bounds one such call: 30 times what a link of 10 Mbit/s takes for it.
+	// chunkTimeout bounds the call for one chunk: 30 times its transmission time on a link of 10
+	// Mbit/s.
 	chunkTimeout = time.Second
-	// storeTransferGrace is how long the store's own answer may take before other nodes are
-	// asked as well: 1.8 MB on a link of 10 Mbit/s, within the least bound of 2 s.
+	// storeTransferGrace is how long the store's own answer may take before other nodes are asked
+	// too. It is below the strictest limit on the configuration's age, 2 s.
 	storeTransferGrace = 1500 * time.Millisecond
-	// servedRetention is how long a version that was replaced counts as being fetched after the
-	// last call for it: a version that replaces it sooner than a transfer takes would
-	// otherwise make them begin anew, for as long as changes come.
+	// servedRetention is how long a replaced version is kept after the last request for it, so that
+	// frequent changes do not make transfers start over.
 	servedRetention = 2 * chunkTimeout
-	// maxServedDocuments bounds the versions that are kept for that.
+	// maxServedDocuments bounds the retained versions.
 	maxServedDocuments = 4
 )
 
-// document is a configuration as the store keeps it.
+// document is a configuration as encoded in the store.
 type document struct {
 	version int64
 	content []byte
 }
 
-// chunkRequest asks for a part of a configuration, from an offset in bytes.
+// chunkRequest requests a chunk of a configuration at an offset in bytes.
 type chunkRequest struct {
 	Version int64 `json:"version"`
 	Offset  int   `json:"offset"`
 }
 
-// chunkReply is a part of the answering node's configuration: from the requested offset
-// if it is of the requested version, and from its beginning otherwise.
+// chunkReply is a chunk of a configuration: from the requested offset if the responding node has
+// the requested version, otherwise the first chunk of the version that it has.
 type chunkReply struct {
 	Version int64 `json:"version"`
-	// Size is how many bytes the whole configuration has.
+	// Size is the size of the whole configuration in bytes.
 	Size    int    `json:"size"`
 	Content []byte `json:"content"`
 }
 
-// download is a transfer of a configuration from other nodes: one at a time, and in
-// chunks. Whole documents in each answer about an owner or about news filled small links
-// and never arrived. What has arrived is kept when a call fails.
+// download is a transfer of a configuration from other nodes. There is one at a time; it runs in
+// chunks, so that it completes on slow links, and keeps the received content when a call fails.
 type download struct {
 	document
 	active bool
 }
 
-// downloadConfiguration fetches a version from another node, unless a transfer is under
-// way. The store's own answer goes first: both at once would share the link.
+// downloadConfiguration downloads a version from another node unless a transfer is in progress,
+// including one from the store, which would share the link.
 func (n *Node) downloadConfiguration(address string, version int64) {
 	if n.download.active || n.storeTransferPending() {
 		return
@@ -88,7 +87,7 @@
 	})
 }
 
-// handleChunk takes in a part of a configuration and asks for the next one.
+// handleChunk appends a chunk and requests the next one.
 func (n *Node) handleChunk(address string, request chunkRequest, reply chunkReply) {
 	if reply.Version != request.Version {
 		n.download.document = document{version: reply.Version}
@@ -107,8 +106,8 @@
 	}
 }
 
-// serveChunk answers another node with a part of this one's configuration. It may be
-// called anywhere.
+// serveChunk returns a chunk of this node's configuration to another node. It may be called from
+// any goroutine.
 func (n *Node) serveChunk(request chunkRequest) (chunkReply, error) {
 	served := n.servedDocuments.find(request.Version, n.document.Load())
 	if served == nil {
@@ -125,8 +124,8 @@
 	return chunkReply{Version: served.version, Size: len(served.content), Content: served.content[offset:end]}, nil
 }
 
-// servedDocuments are the versions that other nodes are fetching. Its methods may be
-// called anywhere.
+// servedDocuments are the versions that other nodes are downloading. Its methods may be called from
+// any goroutine.
 type servedDocuments struct {
 	mutex   sync.Mutex
 	entries []servedDocument
@@ -137,8 +136,8 @@
 	requestedAt time.Time
 }
 
-// find returns a version that is being fetched, and otherwise the newest one, which it
-// keeps for the calls to come. Versions that nobody fetches any more go with the next call.
+// find returns the requested version if it is retained, and otherwise the newest one, which it
+// retains for further requests. It evicts the versions that are no longer requested.
 func (s *servedDocuments) find(version int64, newest *document) *document {
 	if newest == nil {
 		return nil
@@ -162,14 +161,14 @@
 	return newest
 }
 
-// evictOldest drops the version whose last call is the oldest. The mutex is held.
+// evictOldest removes the version that was least recently requested. The mutex must be held.
 func (s *servedDocuments) evictOldest() {
 	oldest := slices.MinFunc(s.entries, func(a, b servedDocument) int { return a.requestedAt.Compare(b.requestedAt) })
 	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return d.document == oldest.document })
 }
 
-// trackStoreTransfer notes that an answer of the store about the configuration arrives, from its
-// first byte until the returned function is called.
+// trackStoreTransfer returns a context that records when the store's answer with the configuration
+// starts to arrive, and a function that ends the tracking.
 func (n *Node) trackStoreTransfer(ctx context.Context) (context.Context, func()) {
 	observed := progress.With(ctx, func(int) {
 		now := uptime.Now()
@@ -178,8 +177,8 @@
 	return observed, func() { n.configurationTransferStart.Store(nil) }
 }
 
-// storeTransferPending reports whether an answer about the configuration arrives that
-// still has its head start.
+// storeTransferPending reports whether the store's answer with the configuration is arriving and
+// still within storeTransferGrace.
 func (n *Node) storeTransferPending() bool {
 	startedAt := n.configurationTransferStart.Load()
 	return startedAt != nil && uptime.Since(*startedAt) < storeTransferGrace
