--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -19,7 +19,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// jsonCodec reads configurations that are catalogs in JSON.
+// jsonCodec decodes catalogs in JSON.
 type jsonCodec struct{}
 
 func (jsonCodec) ConfigurationTable() string { return "operator" }
@@ -37,14 +37,14 @@
 }
 func (jsonCodec) DecodeWorker(string, []byte) (*fleet.Worker, error) { return &fleet.Worker{}, nil }
 
-// throttledLink paces what arrives over all connections of one machine.
+// throttledLink limits the bandwidth of all connections of one machine.
 type throttledLink struct {
 	bytesPerSecond int
 	mutex          sync.Mutex
 	freeAt         time.Time
 }
 
-// transmit waits until the link has carried some bytes.
+// transmit waits until the link has carried the given bytes.
 func (l *throttledLink) transmit(count int) {
 	l.mutex.Lock()
 	now := time.Now()
@@ -63,7 +63,7 @@
 	link *throttledLink
 }
 
-// readSegmentBytes is how much of one connection a link carries before others get their turn.
+// readSegmentBytes is how much a link carries for one connection before the others.
 const readSegmentBytes = 8 << 10
 
 // Read implements net.Conn.
@@ -89,24 +89,20 @@
 	largeConfigurationBytes = 1 << 20
 	// slowLinkBytesPerSecond carries the large configuration in some 3.5 s.
 	slowLinkBytesPerSecond = 400_000
-	// transferTimeout bounds the wait for what must arrive.
+	// transferTimeout bounds the wait for a transfer.
 	transferTimeout = 40 * time.Second
 )
 
-// largeDocument is a configuration of a version.
+// largeDocument returns an encoded configuration of the given version.
 func largeDocument(t *testing.T, version int64) []byte {
 	document, err := json.Marshal(catalog.Catalog{Version: version})
 	require.NoError(t, err)
 	return append(document, bytes.Repeat([]byte(" "), largeConfigurationBytes-len(document))...)
 }
 
-// TestLargeConfigurationComesFromAnotherNodeOverASmallLink: at the end of a day accepted
-// jobs had no answer, since most nodes refused every request: their configuration was a
-// minute old. It had grown to 1.2 MB, and each node asked others for it all the time: in
-// each ping of a pool's owner and in each call for news, which end after 0.4 s. On links
-// of 10 Mbit/s none of these answers was ever whole; what had arrived was thrown away.
-// Their links were full at 1,160 KB/s while their processors were at 0 to 3%, 24 of the
-// 32 MB/s that all of them took in came from other nodes, and nothing ended it.
+// TestLargeConfigurationComesFromAnotherNodeOverASmallLink: a configuration that takes longer to
+// receive than one call may last must still arrive, or nodes on slow links refuse requests once
+// their configuration is too old.
 func TestLargeConfigurationComesFromAnotherNodeOverASmallLink(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
