--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,5 +1,5 @@
-// Package node is one process of wheatroad on a platform: it follows the
-// configuration, knows the other nodes, takes pools that have no owner, and serves
-// callers. Any node serves any caller; what only a pool's owner knows is asked of
-// the owner, and a node that lost the store asks one that has it.
+// Package node implements one wheatroad process of a cluster: it follows the configuration, tracks
+// the other nodes, acquires pools that have no owner, and serves callers. Every node serves every
+// caller; it forwards requests that need a pool's state to the pool's owner, and relays store calls
+// through another node while it cannot reach the store itself.
 package node
