--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -7,15 +7,14 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// handleOperatorFeed takes in an answer of the feed of the operators' rows, whose rows are
-// applied: the configuration and the evacuations are known as of it.
+// handleOperatorFeed handles an answer of the feed of the operators' rows after its rows are
+// applied: the configuration and the evacuations are current as of it.
 func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
 	n.confirm(listing.AsOf)
 	n.applyEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 }
 
-// applyEvacuations takes in what is known of evacuated zones, and tells this node's pools of
-// changes at once.
+// applyEvacuations updates the set of evacuated zones and notifies the owned pools of changes.
 func (n *Node) applyEvacuations(next evacuation.Set) {
 	previous := n.evacuated
 	n.evacuated = previous.Newest(next)
