--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -12,30 +12,29 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// How long the nodes' own feeds wait for a change. Every call to the store is priced,
-// so a node that hears from a pool's owner that its configuration is the newest follows
-// the store with long waits; changes arrive at once in any case.
+// How long feeds wait for a change. Every call to the store has a cost, so a node whose
+// configuration is confirmed by a pool's owner uses long waits. Changes end a wait at once.
 const (
-	// ownerFeedWait bounds the age of what an owner tells other nodes. With the period
-	// of pings it stays under staleConfirmation.
+	// ownerFeedWait bounds the age of the confirmation that an owner reports to other nodes.
+	// Together with pingPeriod it stays below staleConfirmationAge.
 	ownerFeedWait = 300 * time.Millisecond
-	// defaultFeedWait is for nodes that no owner tells.
+	// defaultFeedWait is for nodes whose configuration no owner confirms.
 	defaultFeedWait = 500 * time.Millisecond
 	longFeedWait    = 15 * time.Second
-	// immediateFeedWait is for a feed that is to be answered at once.
+	// immediateFeedWait is for a feed that should be answered at once.
 	immediateFeedWait = 20 * time.Millisecond
-	// staleConfirmationAge is the age of the configuration's confirmation from which a node
-	// asks the store itself. The least bound of the platform's sites is 2 s.
+	// staleConfirmationAge is the age of the configuration's confirmation from which a node asks
+	// the store itself. The strictest site allows an age of 2 s.
 	staleConfirmationAge = 900 * time.Millisecond
-	// confirmationCheckInterval is the pause between two looks at that age.
+	// confirmationCheckInterval is the interval between checks of that age.
 	confirmationCheckInterval = 150 * time.Millisecond
 )
 
-// errFeedCanceled ends a feed that waits too long for what is wanted now.
+// errFeedCanceled is the cause of canceled feeds.
 var errFeedCanceled = errors.New("feed called off")
 
-// cancelableReads are feeds, and other calls that only read, which wait for the store, so that
-// they can be called off. Its methods may be called anywhere.
+// cancelableReads are the pending feeds and other read-only calls, which can be canceled while they
+// wait for the store. Its methods may be called from any goroutine.
 type cancelableReads struct {
 	mutex   sync.Mutex
 	lastID  int
@@ -45,11 +44,12 @@
 type cancelableRead struct {
 	wait   time.Duration
 	cancel context.CancelCauseFunc
-	// receiving is true once the answer has begun.
+	// receiving is true once the first byte of the answer has arrived.
 	receiving bool
 }
 
-// add returns a context for a feed that waits for up to wait, and what to do at its end.
+// add registers a read that waits for up to wait. It returns the context for the read and a
+// function that unregisters it.
 func (f *cancelableReads) add(ctx context.Context, wait time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	f.mutex.Lock()
@@ -74,9 +74,9 @@
 	}
 }
 
-// cancelIdle ends the open feeds that wait for as long as least, or longer. One whose answer
-// arrives no longer waits: over a small link a large change takes longer than any period
-// after which feeds are called off.
+// cancelIdle cancels the pending reads that wait for minWait or longer and have not received a
+// byte. On a slow link a large answer may take longer to receive than any interval between
+// cancellations.
 func (f *cancelableReads) cancelIdle(minWait time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -87,13 +87,13 @@
 	}
 }
 
-// feedCanceled reports whether a feed's context was called off.
+// feedCanceled reports whether a read's context was canceled by cancelIdle.
 func feedCanceled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errFeedCanceled) }
 
-// maxFeedDoublings is more doublings than lead to maxFeedSlack.
+// maxFeedDoublings is enough doublings to reach maxFeedSlack.
 const maxFeedDoublings = 4
 
-// feedSlack is how much later than its wait a feed's answer may come.
+// feedSlack returns how long after its wait a feed may still be answered.
 func (n *Node) feedSlack() time.Duration {
 	slack := feedSlack
 	for range min(n.feedFailures.Load(), maxFeedDoublings) {
@@ -102,7 +102,7 @@
 	return min(slack, maxFeedSlack)
 }
 
-// recordFeedResult counts direct feeds in a row that got no answer in time.
+// recordFeedResult counts consecutive direct feeds that were not answered in time.
 func (n *Node) recordFeedResult(err error) {
 	if errors.Is(err, rows.ErrNoAnswer) {
 		n.feedFailures.Add(1)
@@ -111,7 +111,7 @@
 	n.feedFailures.Store(0)
 }
 
-// configurationFeedWait is how long the next feed of the configuration waits.
+// configurationFeedWait returns the wait of the next configuration feed.
 func (n *Node) configurationFeedWait() time.Duration {
 	switch {
 	case age(n.confirmed.Load()) > staleConfirmationAge:
@@ -124,38 +124,37 @@
 	return defaultFeedWait
 }
 
-// checkConfirmation calls off long feeds once nobody confirms the configuration: the
-// store is asked at once then.
+// checkConfirmation cancels long feeds once the configuration's confirmation is stale, so that the
+// store is asked at once.
 func (n *Node) checkConfirmation() {
 	confirmedAge := age(n.confirmed.Load())
 	if confirmedAge > staleConfirmationAge && !n.storeLost() {
 		n.feeds.cancelIdle(longFeedWait)
 	}
-	// A fresh confirmation is looked at when it would be stale, not each confirmationCheck. With
-	// other looks left out like this one an idle node wakes up 21 times a second, 45 before.
+	// A recent confirmation is next checked when it can become stale, which saves wakeups of idle
+	// nodes.
 	n.edges.Loop.After(max(confirmationCheckInterval, staleConfirmationAge-confirmedAge), n.checkConfirmation)
 }
 
-// feedCall reads the changes of a table after a version, or waits for some.
+// feedCall reads the changes of a table after a version, or waits for one.
 type feedCall func(table string, after int64, wait time.Duration, done func(rows.Listing, error))
 
 // subscription is a table whose changes a node follows.
 type subscription struct {
 	table string
 	feed  feedCall
-	// wait is how long the next feed waits for a change.
+	// wait returns how long the next feed waits for a change.
 	wait  func() time.Duration
 	apply func(rows.Row)
-	// onAnswer is called after each answer with the time at which it was asked for; nil if nothing
-	// is to be done.
+	// onAnswer is called after each answer with the time of the request; it may be nil.
 	onAnswer func(listing rows.Listing, requestedAt time.Time)
-	// needed reports whether the feed goes on; nil is for ever.
+	// needed reports whether to continue; nil means always.
 	needed func() bool
-	// onEnd is called once it does not go on, or when the table must be read anew.
+	// onEnd is called when the subscription ends or the table must be read in full again.
 	onEnd func()
 }
 
-// follow reads the changes of a table after a version for as long as they are wanted.
+// follow applies the changes of a table after a version while they are needed.
 func (n *Node) follow(s subscription, after int64) {
 	if s.needed != nil && !s.needed() {
 		s.onEnd()
@@ -185,7 +184,7 @@
 	})
 }
 
-// leaseFeedWait is how long a feed of the leases waits.
+// leaseFeedWait returns the wait of the next lease feed.
 func (n *Node) leaseFeedWait() time.Duration {
 	if n.options.Off[mechanism.LongFeeds] {
 		return feedWait
