--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -8,7 +8,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// readConfiguration reads the configuration, then follows it.
+// readConfiguration reads the configuration and the evacuations, then follows their changes.
 func (n *Node) readConfiguration() {
 	codec := n.edges.Codec
 	key := codec.ConfigurationKey()
@@ -36,7 +36,7 @@
 	}
 }
 
-// applyDocument puts a configuration in force unless a newer one is.
+// applyDocument makes a configuration current unless a newer one already is.
 func (n *Node) applyDocument(content []byte, source string) {
 	decoded, err := n.edges.Codec.DecodeCatalog(content)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// confirm notes that the configuration was the newest at a time.
+// confirm records that the configuration was the newest at the given time.
 func (n *Node) confirm(at time.Time) {
 	if known := n.confirmed.Load(); known == nil || at.After(*known) {
 		n.confirmed.Store(&at)
