--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -15,30 +15,29 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Gateway serves callers. Its methods may be called anywhere; errors are faults of
+// Gateway serves callers. Its methods may be called from any goroutine; their errors are faults of
 // a listed kind.
 type Gateway struct{ node *Node }
 
-// NewGateway returns a gateway over a node.
+// NewGateway returns a gateway to a node.
 func NewGateway(n *Node) *Gateway { return &Gateway{node: n} }
 
-// Access is what a caller may use: a queue, as a tenant.
+// Access is a queue and the tenant that a caller may use it as.
 type Access struct {
 	Queue  catalog.Queue
 	Tenant string
 }
 
-// Ready reports whether the node should get new connections.
+// Ready reports whether the node should receive new connections.
 func (g *Gateway) Ready() bool {
 	n := g.node
 	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.ConfigurationAge
 }
 
-// Stopping reports whether the node is about to end.
+// Stopping reports whether the node is shutting down.
 func (g *Gateway) Stopping() bool { return g.node.stopping.Load() }
 
-// Resolve finds the queue for a path and checks the caller's key. It returns the
-// rest of the path.
+// Resolve finds the queue for a path and checks the caller's key. It returns the rest of the path.
 func (g *Gateway) Resolve(host, path, key string) (Access, string, error) {
 	n := g.node
 	current := n.catalog.Load()
@@ -59,11 +58,11 @@
 	return access, path[len(queue.PathPrefix):], nil
 }
 
-// maxLoggedPathBytes bounds what of a refused request's path is logged.
+// maxLoggedPathBytes bounds the logged part of a refused request's path.
 const maxLoggedPathBytes = 200
 
-// refuseUnread logs and counts the refusal of a request that was not read. Its path ends
-// with the identifier of its job.
+// refuseUnread logs and counts the refusal of a request whose body was not read. The job's
+// identifier is taken from the end of the path.
 func (g *Gateway) refuseUnread(host, path string, confirmedAge time.Duration, err *fault.Error) error {
 	var version int64
 	if current := g.node.catalog.Load(); current != nil {
@@ -74,7 +73,7 @@
 	return g.countRefusal(err)
 }
 
-// jobInPath returns the identifier at the end of a path, or an empty text.
+// jobInPath returns the job identifier at the end of a path, or an empty string.
 func jobInPath(path string) string {
 	last := path[strings.LastIndexByte(path, '/')+1:]
 	if taskgraph.ValidID(last) {
@@ -83,13 +82,13 @@
 	return ""
 }
 
-// countRefusal counts a refusal and returns it.
+// countRefusal counts a refusal and returns its error.
 func (g *Gateway) countRefusal(err error) error {
 	g.node.edges.Record.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
 
-// Submit accepts a job. On success it is in the store.
+// Submit accepts a job. When it succeeds, the job is in the store.
 func (g *Gateway) Submit(ctx context.Context, access Access, spec *taskgraph.Spec) error {
 	if err := spec.Validate(); err != nil {
 		return g.countRefusal(err)
@@ -110,7 +109,7 @@
 	return nil
 }
 
-// lessCertainFault returns the error after which less is known.
+// lessCertainFault returns the fault that leaves the outcome more uncertain.
 func lessCertainFault(a, b error) error {
 	if a != nil && fault.IsKind(a, fault.OutcomeUnknown) {
 		return a
@@ -124,7 +123,7 @@
 	return work(ctx)
 }
 
-// storeWriteFault turns a failure of the store into a fault.
+// storeWriteFault converts an error of a store write into a fault.
 func storeWriteFault(err error) error {
 	if errors.Is(err, rows.ErrRefused) {
 		return fault.New(fault.StoreUnavailable, "the store did nothing")
@@ -132,13 +131,12 @@
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
 }
 
-// partHedgeDelay is how long a part of the store may go without an answer before the next
-// one is tried as well. A store that is fifty times slower answers a transaction in 0.5 s.
+// partHedgeDelay is how long a part of the store may take before the write is also sent to the next
+// part. A store at a fiftieth of its usual speed commits in 0.5 s.
 const partHedgeDelay = 600 * time.Millisecond
 
-// commitJob writes an accepted job into the first of its parts that takes it: the next
-// one is tried once one fails, or takes long while the store is quick otherwise. Repeating
-// it is harmless.
+// commitJob writes an accepted job into one of its parts. It tries the next part once one fails, or
+// takes long while the store is otherwise fast. Writing the job to several parts is harmless.
 func (g *Gateway) commitJob(ctx context.Context, poolName string, job *pool.Accepted) error {
 	value := pool.Encode(job)
 	parts := pool.JobParts(poolName, job.Spec.ID)
@@ -190,7 +188,8 @@
 	return checkDuplicate(result, job)
 }
 
-// checkDuplicate tells a repeated submission from another job under the same identifier.
+// checkDuplicate returns nil for a repeated submission of the same job, and a fault if the
+// identifier belongs to another job.
 func checkDuplicate(result rows.Result, job *pool.Accepted) error {
 	for i := range result.Current {
 		var known pool.Accepted
@@ -204,7 +203,7 @@
 	return fault.NewField(fault.DuplicateID, "id", "another job has this identifier")
 }
 
-// Cancel ends a job. On success the cancellation is in the store.
+// Cancel cancels a job. When it succeeds, the cancellation is in the store.
 func (g *Gateway) Cancel(ctx context.Context, access Access, id string) error {
 	if !taskgraph.ValidID(id) {
 		return g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
@@ -220,13 +219,13 @@
 	return nil
 }
 
-// cancellation is the row of a cancelled job.
+// cancellation is the row of a canceled job.
 type cancellation struct {
 	AtMillis int64 `json:"at_ms"`
 }
 
-// commitCancel writes a cancellation beside the job's accepted row, or into another
-// of its parts if that one is away.
+// commitCancel writes a cancellation to the part that holds the job's accepted row, or to another
+// of its parts if that one is unavailable.
 func (g *Gateway) commitCancel(ctx context.Context, poolName, id string) error {
 	accepted, cancelled, err := g.storedJob(ctx, poolName, id)
 	if err != nil {
