--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -23,7 +23,8 @@
 	jobID    = "00000000000000aa"
 )
 
-// fakeStore keeps rows; parts listed in refuse or silent answer with that error.
+// fakeStore keeps rows in memory. Calls about the parts in refuse fail with ErrRefused, those about
+// the parts in unanswered with ErrNoAnswer.
 type fakeStore struct {
 	rows       map[rows.Key]rows.Row
 	refuse     map[string]bool
@@ -151,7 +152,7 @@
 	}
 }
 
-// hangingPartStore gives no answer for one part.
+// hangingPartStore never answers transactions in one part.
 type hangingPartStore struct {
 	*fakeStore
 	part string
@@ -165,7 +166,8 @@
 	return rows.Result{}, rows.ErrNoAnswer
 }
 
-// TestPartWithoutAnswerIsPassedOver: a submission spent all its time on the first part.
+// TestPartWithoutAnswerIsPassedOver: one unresponsive part must not use up the time of a
+// submission.
 func TestPartWithoutAnswerIsPassedOver(t *testing.T) {
 	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
@@ -266,7 +268,7 @@
 	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
-// fieldsRecorder keeps the fields of decisions.
+// fieldsRecorder keeps the fields of logged decisions.
 type fieldsRecorder struct {
 	discardRecorder
 	fields map[string][]any
@@ -274,8 +276,8 @@
 
 func (l fieldsRecorder) Decided(decision string, fields ...any) { l.fields[decision] = fields }
 
-// TestEarlyRefusalsHaveALine: a request that was refused before its job was read left
-// no line with its identifier.
+// TestEarlyRefusalsHaveALine: a request that is refused before its body is read is logged with the
+// job's identifier.
 func TestEarlyRefusalsHaveALine(t *testing.T) {
 	g := newGateway(t, newFakeStore())
 	recorder := fieldsRecorder{fields: map[string][]any{}}
