--- a/internal/node/lateness.go
+++ b/internal/node/lateness.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// A process at the limit of its processor notices answers late. Its calls to workers then run
-// out of time though they were answered, each ends its connection, and connections that have
-// to be opened anew cost it more processor still, until it does little else: an owner of 3,000
-// workers opened 2,599 a second. So it gives workers the more time the later it is itself.
+// A process short of processor time reads replies late. Its calls to workers then time out although
+// they were answered, and reopening their connections takes even more processor time. Timeouts of
+// these calls are therefore extended by the process's own scheduling delay.
 const (
-	// delaySampleInterval is the pause between two looks how late this process is.
+	// delaySampleInterval is the interval between samples of the delay.
 	delaySampleInterval = 100 * time.Millisecond
-	// delaySampleCount is over how many looks the worst counts, some 1 s.
+	// delaySampleCount is how many samples the maximum is taken over.
 	delaySampleCount = 10
-	// minSchedulingDelay is more than timers are late on a machine with processor time to spare,
-	// and latenessFactor how much longer a call may take for each lateness: its goroutine
-	// and those that write and read its connection wait in turn.
+	// minSchedulingDelay is more than timers are delayed on an idle machine. Each call gets
+	// timeoutExtensionFactor times the delay, as its goroutine and those that write and read its
+	// connection wait in turn.
 	minSchedulingDelay     = 20 * time.Millisecond
 	timeoutExtensionFactor = 4
-	// maxTimeoutExtension bounds what calls are given on top. A start is not carried out later
-	// than 3 s.
+	// maxTimeoutExtension bounds the extension. Starts are not carried out after 3 s.
 	maxTimeoutExtension = 1200 * time.Millisecond
 )
 
-// schedulingDelay is how late this process lately was. All methods but allowance run on the loop.
+// schedulingDelay tracks how late timers of this process have fired recently. All methods but
+// timeoutExtension run on the loop.
 type schedulingDelay struct {
-	// sampling is true while somebody looks.
+	// sampling is true while samples are taken.
 	sampling bool
 	samples  [delaySampleCount]time.Duration
 	next     int
 	maximum  atomic.Int64
 }
 
-// record takes in how late the process was at one look.
+// record adds a sample.
 func (l *schedulingDelay) record(delay time.Duration) {
 	l.samples[l.next] = delay
 	l.next = (l.next + 1) % delaySampleCount
@@ -44,14 +43,15 @@
 	l.maximum.Store(int64(maximum))
 }
 
-// reset ends the looks and what they found.
+// reset stops sampling and clears the samples.
 func (l *schedulingDelay) reset() {
 	l.sampling = false
 	l.samples = [delaySampleCount]time.Duration{}
 	l.maximum.Store(0)
 }
 
-// timeoutExtension is how much longer a call to a worker may take. It may be called anywhere.
+// timeoutExtension returns how much longer a call to a worker may take. It may be called from any
+// goroutine.
 func (l *schedulingDelay) timeoutExtension() time.Duration {
 	maximum := time.Duration(l.maximum.Load())
 	if maximum < minSchedulingDelay {
@@ -60,8 +60,8 @@
 	return min(timeoutExtensionFactor*maximum, maxTimeoutExtension)
 }
 
-// startDelaySampling looks how late this process is, again and again while it owns a pool: the
-// only calls to workers are an owner's.
+// startDelaySampling samples the scheduling delay while this node owns a pool: only owners call
+// workers.
 func (n *Node) startDelaySampling() {
 	if n.schedulingDelay.sampling {
 		return
