--- a/internal/node/lateness_test.go
+++ b/internal/node/lateness_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLatenessIsAllowedFor: an owner at the limit of its processor took answers that it read
-// late for none, and opened connections anew until it did little else.
+// TestLatenessIsAllowedFor: an owner short of processor time must not take replies that it reads
+// late for timeouts.
 func TestLatenessIsAllowedFor(t *testing.T) {
 	var l schedulingDelay
 	l.record(minSchedulingDelay - time.Millisecond)
@@ -23,8 +23,7 @@
 	require.Zero(t, l.timeoutExtension(), "what was long ago is forgotten")
 }
 
-// TestOnlyOwnersWatchTheirLateness: the timers of a node that is late by a second, with and
-// without a pool.
+// TestOnlyOwnersWatchTheirLateness: sampling runs once, and ends with the last owned pool.
 func TestOnlyOwnersWatchTheirLateness(t *testing.T) {
 	n := owningNode(t, nil)
 	n.startDelaySampling()
