--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -7,16 +7,17 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Who owns a pool is in its lease row. The nodes that would take a pool first, and owners, follow the
-// table of leases; all others read a lease when the owner that they know does not answer as such.
+// A pool's lease row names its owner. Owners and the nodes next in line for a pool follow the lease
+// table; all others read a lease only when the owner that they know does not answer a ping as the
+// owner.
 
-// shouldFollowLeases reports whether this node follows the leases.
+// shouldFollowLeases reports whether this node needs the changes of the lease table.
 func (n *Node) shouldFollowLeases() bool {
 	if len(n.owned) > 0 {
 		return true
 	}
 	if n.sample.readAt.IsZero() {
-		// It is not known yet who would take a pool first.
+		// The takeover order is not known before the first sample.
 		return false
 	}
 	for name := range n.watchers {
@@ -27,7 +28,7 @@
 	return false
 }
 
-// followLeases reads and follows the leases for as long as this node needs it.
+// followLeases reads all leases and follows their changes while this node needs them.
 func (n *Node) followLeases() {
 	if n.followingLeases || !n.shouldFollowLeases() {
 		return
@@ -52,15 +53,15 @@
 		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leaseFeedWait, apply: n.applyNodeRow,
 		needed: n.shouldFollowLeases,
 		onEnd: func() {
-			// The history may be gone from where the sample was read.
+			// The history may no longer reach back to the version of the sample.
 			n.followingLeases, n.sample.version = false, 0
 			n.followLeases()
 		},
 	}, version)
 }
 
-// recentSampleVersion is the version from which the rows of nodes are to be followed so that none is
-// missed; 0 if the sample was not read just now.
+// recentSampleVersion returns the version from which member rows must be followed so that no change
+// is missed, or 0 if the sample is too old.
 func (n *Node) recentSampleVersion() int64 {
 	if n.now().Sub(n.sample.readAt) > minRefreshInterval {
 		return 0
@@ -68,8 +69,7 @@
 	return n.sample.version
 }
 
-// readLease reads a pool's lease for the first time, or anew, then calls done with the version as of
-// which it is known.
+// readLease scans a pool's lease and calls done with the version of the listing.
 func (n *Node) readLease(name string, done func(version int64)) {
 	n.scanLease(name, func(version int64) {
 		n.watchers[name].leaseRead = true
@@ -78,8 +78,8 @@
 	})
 }
 
-// scanLease reads a pool's lease until the store answers. What is suspected of an owner stands if the
-// lease is as it was.
+// scanLease scans a pool's lease and retries until the store answers. An unchanged lease leaves the
+// failure count of its owner as it is.
 func (n *Node) scanLease(name string, done func(version int64)) {
 	n.ports.Scan(pool.NodeTable, name, "", func(listing rows.Listing, err error) {
 		if err != nil {
@@ -93,14 +93,14 @@
 	})
 }
 
-// refreshLease reads a pool's lease again if this node does not follow it. It asks once.
+// refreshLease scans a pool's lease once, unless this node follows the lease table.
 func (n *Node) refreshLease(w *poolWatcher) {
 	if n.followingLeases || w.refreshingLease {
 		return
 	}
 	w.refreshingLease = true
 	n.ports.Scan(pool.NodeTable, w.pool, "", func(listing rows.Listing, _ error) {
-		// Without an answer the next ping leads here again.
+		// After an error the next ping starts another scan.
 		w.refreshingLease = false
 		for i := range listing.Rows {
 			n.applyNodeRow(listing.Rows[i])
@@ -108,8 +108,8 @@
 	})
 }
 
-// applyNodeRow takes in a row of the table of leases, which also has a row for each node. Where there are
-// few nodes all of them follow it, and learn of each other at once.
+// applyNodeRow applies a row of the lease table, which also holds one row for each node. In small
+// clusters all nodes apply these rows too and so learn of each other at once.
 func (n *Node) applyNodeRow(row rows.Row) {
 	switch {
 	case row.Part == "" && !n.sample.partial:
