--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -46,7 +46,7 @@
 	return g.lookupLocal(ctx, poolName, id)
 }
 
-// lookupLocal answers from the pool, if this node owns it, or from the store.
+// lookupLocal reads the state from the pool if this node owns it, or else from the store.
 func (g *Gateway) lookupLocal(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
 	if p := n.snapshot.Load().owned[poolName]; p != nil {
@@ -80,8 +80,8 @@
 	return state, err
 }
 
-// storedJob returns the part that holds a job, empty if there is none, and whether
-// the job is cancelled. Absence takes an answer of every part.
+// storedJob returns the part that holds a job, empty if there is none, and whether the job is
+// canceled. A job counts as absent only if every part has answered.
 func (g *Gateway) storedJob(ctx context.Context, poolName, id string) (accepted string, cancelled bool, err error) {
 	for _, part := range pool.JobParts(poolName, id) {
 		listing, failure := g.node.ports.scan(ctx, pool.JobTable, part, id)
@@ -100,7 +100,7 @@
 	return accepted, cancelled, err
 }
 
-// storedState returns the state in the newest of a job's rows of progress.
+// storedState returns the state of a job's newest progress row.
 func (g *Gateway) storedState(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	var newest pool.Progress
 	for _, part := range pool.ProgressParts(poolName) {
@@ -137,10 +137,10 @@
 	return false
 }
 
-// waitingCacheMaxAge is how old a cached count of waiting jobs may be.
+// waitingCacheMaxAge is the maximum age of a cached count of waiting jobs.
 const waitingCacheMaxAge = 1500 * time.Millisecond
 
-// Waiting returns how many jobs of a queue have no task begun.
+// Waiting returns how many jobs of a queue have started no task.
 func (g *Gateway) Waiting(ctx context.Context, access Access) (int, error) {
 	n := g.node
 	poolName, queue := access.Queue.Pool, access.Queue.Name
