--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -14,41 +14,40 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// A node knows a bounded sample of the others, whatever their number: the first in the order in which
-// nodes take pools, and some that follow itself in that order. Each node writes its own row when it
-// starts; nobody follows the rows of others. While every node followed every row, a restart cost as many
-// answers of the store as there were nodes.
+// A node knows a bounded sample of the others: the candidates at the head of the takeover order and
+// some of its own successors in that order. Each node writes its own row when it starts. Nodes of a
+// large cluster do not follow each other's rows, as each restart would cost one answer of the store
+// for every node.
 //
-// Rows stand in an order by weight, the heaviest first, and by a hash among equals, so that neighbours
-// are of all zones.
+// Rows are ordered by descending weight and by a hash among equal weights, so that neighbors in the
+// order are spread over all zones.
 
-// memberTable has a row for each node, named by memberName.
+// memberTable has one row for each node, named by memberRowName.
 const memberTable = "members"
 
 const (
-	// candidateCount is how many nodes are known that would take a pool first: its guards, and as
-	// many for the time when these are gone.
+	// candidateCount is how many nodes at the head of the takeover order are known: the standbys,
+	// and as many to replace them.
 	candidateCount = 2 * standbyCount
-	// successorCount is how many nodes are known that follow this one. With them a node that lost the
-	// store finds one that has it.
+	// successorCount is how many successors of this node are known. A node that loses the store
+	// looks among them for one that still reaches it.
 	successorCount = 12
-	// legacyMemberCount is how many nodes are looked for, once, that run a version which does not write
-	// memberTable.
+	// legacyMemberCount is how many nodes are read, once, whose version does not write memberTable.
 	legacyMemberCount = 4
-	// initialJoinBackoff is the pause after a refused write of a node's rows, give or take a half; it doubles
-	// with each one up to joinPauseMost. All rows are of one part of the store, which carries out some
-	// 200 writes a second, and hundreds of nodes may start at once.
+	// initialJoinBackoff is the first backoff after a failed write of a node's rows. It doubles up
+	// to maxJoinBackoff, with jitter: all member rows are in one part of the store, which commits
+	// some 200 writes a second, and hundreds of nodes may start at once.
 	initialJoinBackoff = 500 * time.Millisecond
 	maxJoinBackoff     = 16 * time.Second
-	// sampleRefreshInterval is how often the sample is read again, and settlePeriod how long after a start,
-	// when others start as well; both give or take a half. Earlier than refreshPause after one it is
-	// not read again for any reason.
+	// sampleRefreshInterval is the interval between reads of the sample, startupRefreshDelay the
+	// delay of the first further read after a start; both have jitter. Reads are at least
+	// minRefreshInterval apart.
 	sampleRefreshInterval = 2 * time.Minute
 	startupRefreshDelay   = 3 * time.Second
 	minRefreshInterval    = 2 * time.Second
 )
 
-// member is another node as its row has it.
+// member is another node as described by its row.
 type member struct {
 	Name        string  `json:"name"`
 	Incarnation string  `json:"incarnation"`
@@ -58,37 +57,39 @@
 
 // memberSample is what a node has read of the others.
 type memberSample struct {
-	// members are the known nodes by name; this one may be among them.
+	// members are the known nodes by name, which may include this one.
 	members map[string]member
-	// candidates are those that would take a pool first, and partial is true if there are more nodes.
+	// candidates are the names of the nodes at the head of the takeover order. partial is true if
+	// there are more nodes than these.
 	candidates map[string]bool
 	partial    bool
-	// version is that of the store as of which they are known.
+	// version is the version of the store that the sample reflects.
 	version int64
-	// reading is true while it is read, readAt is when it last was.
+	// reading is true while the sample is being read, readAt is when it was last read.
 	reading bool
 	readAt  time.Time
 }
 
-// memberRowName is the name of a node's row, which orders rows by weight.
+// memberRowName returns the name of a node's row, which sorts rows by descending weight.
 func memberRowName(m member) string {
-	// Weights are shares of a processor with three places after the point.
+	// Weights are fractions of a processor with three decimal places.
 	const scale, heaviest = 1000, 999_999
 	order := heaviest - min(heaviest, int(math.Round(m.Weight*scale)))
 	return fmt.Sprintf("%06d.%016x.%s", order, xxhash.Sum64String(m.Name), m.Name)
 }
 
-// self is this node as others see it.
+// self returns this node's member record.
 func (n *Node) self() member {
 	return member{Name: n.options.Name, Incarnation: n.options.Incarnation, Address: n.options.PeerAddress, Weight: n.options.Weight}
 }
 
-// memberRowKeys are the keys of this node's rows. Nodes of versions before memberTable read the other one.
+// memberRowKeys returns the keys of this node's rows. Nodes of versions without memberTable read
+// the row in pool.NodeTable.
 func (n *Node) memberRowKeys() []rows.Key {
 	return []rows.Key{{Table: memberTable, Name: memberRowName(n.self())}, {Table: pool.NodeTable, Name: n.options.Name}}
 }
 
-// join writes this node's rows until they are there.
+// join writes this node's rows and retries until they are stored.
 func (n *Node) join() {
 	if !n.joining {
 		n.joining = true
@@ -96,7 +97,7 @@
 	}
 }
 
-// joinWithBackoff is join with the pause after a failure.
+// joinWithBackoff is join with the backoff after the next failure.
 func (n *Node) joinWithBackoff(backoff time.Duration) {
 	if n.stopping.Load() {
 		return
@@ -116,13 +117,13 @@
 	})
 }
 
-// jitter returns a period give or take a half of it, so that nodes that began together do not go on
-// together.
+// jitter returns a random period between half and one and a half times the given one, so that nodes
+// that started together do not stay synchronized.
 func jitter(period time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(period))
 }
 
-// refreshMembersPeriodically reads the sample again and again.
+// refreshMembersPeriodically refreshes the sample each sampleRefreshInterval.
 func (n *Node) refreshMembersPeriodically() {
 	n.edges.Loop.After(jitter(sampleRefreshInterval), func() {
 		n.refreshMembers()
@@ -130,7 +131,8 @@
 	})
 }
 
-// refreshMembers reads the sample unless that was done just now.
+// refreshMembers reads the sample unless it is being read or was read less than minRefreshInterval
+// ago.
 func (n *Node) refreshMembers() {
 	if !n.sample.reading && n.now().Sub(n.sample.readAt) >= minRefreshInterval {
 		n.readMembers()
@@ -143,7 +145,7 @@
 	limit       int
 }
 
-// readMembers reads the sample.
+// readMembers reads the sample and retries until the store answers.
 func (n *Node) readMembers() {
 	n.sample.reading = true
 	pages := []samplePage{
@@ -171,7 +173,7 @@
 	}
 }
 
-// applySample takes in a sample.
+// applySample replaces the sample with the given listings.
 func (n *Node) applySample(candidates rows.Listing, others ...rows.Listing) {
 	next := memberSample{members: map[string]member{}, candidates: map[string]bool{}, readAt: n.now(), version: candidates.Version}
 	next.partial = len(candidates.Rows) >= candidateCount
@@ -187,7 +189,7 @@
 		}
 	}
 	if len(next.members) <= 1 {
-		// All others run an older version; those that the first sample found are kept.
+		// All other nodes run an older version; keep those that the first sample found.
 		maps.Copy(next.members, n.sample.members)
 	}
 	known, listed := next.members[n.options.Name]
@@ -196,12 +198,12 @@
 	n.publishSnapshot()
 	n.followLeases()
 	if missing {
-		// An owner that did not hear of this node for a while took it for gone.
+		// An owner that received no pings from this node removed its row.
 		n.join()
 	}
 }
 
-// add takes in a row of a node. It returns false if the row can't be read.
+// add adds the node of a row. It returns false if the row cannot be decoded.
 func (s *memberSample) add(row *rows.Row) (member, bool) {
 	var m member
 	if err := json.Unmarshal(row.Value, &m); err != nil || m.Name == "" {
@@ -211,7 +213,7 @@
 	return m, true
 }
 
-// apply takes in a change of a node's row.
+// apply applies a change of a node's row.
 func (s *memberSample) apply(row *rows.Row) {
 	if row.Gone {
 		delete(s.members, row.Name)
@@ -220,10 +222,11 @@
 	s.add(row)
 }
 
-// isCandidate reports whether a node is known to be among the first that would take a pool.
+// isCandidate reports whether a node is known to be at the head of the takeover order.
 func (s *memberSample) isCandidate(name string) bool { return !s.partial || s.candidates[name] }
 
-// otherMembersExcept lists the known members besides this node and one more, in random order.
+// otherMembersExcept lists the known members except this node and the excluded one, in random
+// order.
 func (n *Node) otherMembersExcept(excluded string) []member {
 	var others []member
 	for _, name := range sortedKeys(n.sample.members) {
@@ -235,7 +238,8 @@
 	return others
 }
 
-// candidatesExcept lists the known members, besides this node and one more, that would take a pool first.
+// candidatesExcept lists the known candidates except this node and the excluded one, in random
+// order.
 func (n *Node) candidatesExcept(excluded string) []member {
 	var found []member
 	for _, other := range n.otherMembersExcept(excluded) {
