--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -20,7 +20,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// countingStore counts the rows that it gives out, and answers feeds.
+// countingStore counts the rows that it returns, and answers feeds.
 type countingStore struct {
 	mutex sync.Mutex
 	*fakeStore
@@ -77,7 +77,7 @@
 	return listing
 }
 
-// writeMember writes the rows of a node as it does when it starts.
+// writeMember writes a node's rows as it does when it starts.
 func (s *countingStore) writeMember(m member) {
 	var transaction rows.Transaction
 	for _, key := range []rows.Key{{Table: memberTable, Name: memberRowName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
@@ -86,7 +86,7 @@
 	_, _ = s.Commit(context.Background(), transaction)
 }
 
-// serveOwner answers pings as an owner in good health and returns its address.
+// serveOwner answers pings as a healthy owner and returns its address.
 func serveOwner(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -98,15 +98,11 @@
 	return listener.Addr().String()
 }
 
-// Symptom: a quiet day of 583 nodes made 72,000 calls to the store, 34,000 more than one on which 45
-// nodes died at once, and 0.17 GB.
-// Sequence: 37 nodes were restarted a second apart; each restart was two changes, each of which
-// answered the feeds of all 583 nodes. At the start, and when the store had forgotten its history, each
-// node read the rows of all.
-// Cause: every node followed the rows of all nodes, of which it needs a few.
-// Settled by: the store's calls and bytes, and 583 lines "feed read anew" of one table within 10 ms.
+// A node that follows the rows of all others makes each restart cost one answer of the store for
+// every node of the cluster.
 
-// TestWhatANodeReadsOfOthersDoesNotGrow with their number, neither at its start nor as they come and go.
+// TestWhatANodeReadsOfOthersDoesNotGrow with their number, neither at its start nor as they
+// restart.
 func TestWhatANodeReadsOfOthersDoesNotGrow(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
@@ -138,7 +134,7 @@
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
-			// Two rounds of pings later the node has seen what it follows.
+			// After two rounds of pings the node has received the changes that it follows.
 			confirmedAt := *n.confirmedByPeer.Load()
 			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
@@ -157,7 +153,7 @@
 	require.NotEqual(t, memberRowName(member{Name: "a", Weight: 1}), memberRowName(member{Name: "b", Weight: 1}))
 }
 
-// applyPartialSample lets a node read a sample of candidates beyond which there are others.
+// applyPartialSample applies a sample of candidates from a cluster that has more nodes.
 func (n *watchingNode) applyPartialSample(t *testing.T, candidates ...member) {
 	for i := len(candidates); i < candidateCount; i++ {
 		candidates = append(candidates, member{Name: fmt.Sprintf("candidate-%02d", i), Weight: 1})
@@ -171,7 +167,7 @@
 	require.True(t, n.sample.partial)
 }
 
-// TestNodesBeyondTheCandidatesTakePoolsLast, the light ones after the heavy ones.
+// TestNodesBeyondTheCandidatesTakePoolsLast: those with less weight try after those with more.
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
 	latest := maxTakeoverRank * takeoverRankDelay
 	among := newWatchingNode(t, 1, nil)
@@ -187,8 +183,8 @@
 	require.GreaterOrEqual(t, light.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
-// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover from
-// the answers to its pings.
+// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover
+// from the replies to its pings.
 func TestLeaseIsReadWhenTheOwnerIsAnother(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -212,11 +208,12 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
-// TestRowsOfGoneNodesAreRemoved by an owner that hears from the others.
+// TestRowsOfGoneNodesAreRemoved: an owner removes the rows of nodes only while it receives the
+// pings of others.
 func TestRowsOfGoneNodesAreRemoved(t *testing.T) {
 	began := time.Now()
 	cases := map[string]struct {
-		// pings are the times, in seconds, at which each node asks.
+		// pings are the times, in seconds, at which each node pings the owner.
 		pings map[string][]float64
 		at    float64
 		gone  []string
@@ -257,7 +254,7 @@
 	return times
 }
 
-// TestRowsThatWereWrittenAnewStay: the node came back between the reading and the removal.
+// TestRowsThatWereWrittenAnewStay: the node wrote its row again between the read and the removal.
 func TestRowsThatWereWrittenAnewStay(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -289,7 +286,8 @@
 	require.Eventually(t, func() bool { return slices.Equal(left(), []string{"back"}) }, time.Minute, time.Millisecond)
 }
 
-// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was cut off from it had taken it for gone.
+// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from the node may have
+// removed its row.
 func TestNodeWhoseRowIsMissingWritesItAgain(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -300,15 +298,15 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// TestOwnersAreAskedForTheStoreToo: the other known members may all be gone.
+// TestOwnersAreAskedForTheStoreToo: all other known members may have failed.
 func TestOwnersAreAskedForTheStoreToo(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
 
-// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: it does not follow the leases, and looks at this one
-// before it takes the pool. That the lease is as it was must not clear the suspicion.
+// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: a node that does not follow the leases scans the
+// lease before it acquires the pool. An unchanged lease must not clear the suspicion.
 func TestLightNodeTakesAPoolOnceAllCandidatesAreGone(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	lease := pool.Lease{Owner: "candidate-00", Address: "127.0.0.1:9", Weight: 1}
@@ -326,8 +324,8 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
 }
 
-// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that started before the others knew of none of them
-// until it read its sample again.
+// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that starts first must learn of the others
+// before it next reads its sample.
 func TestNodesOfASmallFleetLearnOfEachOtherAtOnce(t *testing.T) {
 	row := func(name string, gone bool) rows.Row {
 		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: gone}
@@ -363,7 +361,8 @@
 	return s.countingStore.Feed(ctx, table, after, wait)
 }
 
-// TestLeasesAreFollowedAgainOnceTheHistoryIsGone, from where they are read anew.
+// TestLeasesAreFollowedAgainOnceTheHistoryIsGone: the node reads the leases in full and follows
+// them from there.
 func TestLeasesAreFollowedAgainOnceTheHistoryIsGone(t *testing.T) {
 	store := &truncatedHistoryStore{countingStore: countingStore{fakeStore: newFakeStore()}}
 	store.writeMember(member{Name: "node-2", Weight: 1})
