--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -7,16 +7,16 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// configurationStatus says how new a node's configuration is.
+// configurationStatus is the version and the age of a node's configuration.
 type configurationStatus struct {
 	Version int64 `json:"version"`
 	// AgeMillis is how long ago the configuration was known to be the newest.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// handleConfigurationStatus takes in what the node at an address knows of the configuration, asked at a
-// time. Its age counts from then: counted from the answer it would seem newer by the way,
-// and two nodes that tell each other over slow links would never see it age.
+// handleConfigurationStatus handles the status reported by the node at an address. Its age is
+// counted from the time of the request: counted from the reply, it would omit the transit time, and
+// two nodes that confirm each other over slow links would never see it age.
 func (n *Node) handleConfigurationStatus(address string, status configurationStatus, requestedAt time.Time) {
 	current := n.catalog.Load()
 	if current == nil || current.Version < status.Version {
@@ -28,7 +28,8 @@
 	n.confirmedByPeer.Store(&at)
 }
 
-// currentConfigurationStatus says how new this node's configuration is. It may be called anywhere.
+// currentConfigurationStatus returns the status that this node reports. It may be called from any
+// goroutine.
 func (n *Node) currentConfigurationStatus() configurationStatus {
 	status := configurationStatus{AgeMillis: age(n.confirmed.Load()).Milliseconds()}
 	if current := n.catalog.Load(); current != nil {
@@ -37,19 +38,18 @@
 	return status
 }
 
-// configurationPollInterval is how often a node without news from the store asks another.
+// configurationPollInterval is how often a node whose confirmation is stale polls other nodes.
 const configurationPollInterval = 400 * time.Millisecond
 
-// configurationPollAge is the age of the configuration's confirmation from which others are asked:
-// the store has not answered this node's question by then.
+// configurationPollAge is the age of the confirmation from which other nodes are polled. It leaves
+// the store time to answer first.
 const configurationPollAge = staleConfirmationAge + 400*time.Millisecond
 
-// pollConfiguration asks other nodes for the configuration while the store does
-// not tell it.
+// pollConfiguration polls other nodes for the configuration while the store does not confirm it.
 func (n *Node) pollConfiguration() {
 	limit := configurationPollAge
 	if n.storeLost() {
-		// No answer of the store is under way.
+		// No answer of the store is pending.
 		limit = staleConfirmationAge
 	}
 	confirmedAge := age(n.confirmed.Load())
