--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,13 +16,13 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// versionedLease is a pool's lease as this node last read it.
+// versionedLease is a pool's lease with the version of its row.
 type versionedLease struct {
 	pool.Lease
 	version int64
 }
 
-// snapshot is an immutable copy of what traffic needs to know.
+// snapshot is an immutable copy of the state that request handlers read.
 type snapshot struct {
 	members []member
 	leases  map[string]versionedLease
@@ -31,77 +31,78 @@
 	waiting map[string]waitingCounts
 }
 
-// waitingCounts are an owner's counts by queue at a time.
+// waitingCounts are an owner's counts of waiting jobs by queue at a time.
 type waitingCounts struct {
 	counts map[string]int
 	at     time.Time
 }
 
-// Node is the control state of one process. Unless said otherwise its methods run
-// on the loop.
+// Node is the control state of one process. Its methods run on the loop unless documented
+// otherwise.
 type Node struct {
 	options Options
 	edges   Edges
 	ports   *ports
 	feeds   cancelableReads
-	// feedFailures counts direct feeds in a row that got no answer in time.
+	// feedFailures counts consecutive direct feeds that were not answered in time.
 	feedFailures atomic.Int32
-	// storeRetries are calls to the store that wait to be made again.
+	// storeRetries are the store calls that wait for a retry.
 	storeRetries *loop.Retries
-	// store is the store as this node reaches it.
+	// store calls the store directly or through other nodes.
 	store   *relayedStore
 	catalog atomic.Pointer[catalog.Catalog]
-	// document is what the catalog was read from.
+	// document is the encoded form of the catalog.
 	document atomic.Pointer[document]
-	// servedDocuments are the documents that other nodes fetch.
+	// servedDocuments are the documents that other nodes are downloading.
 	servedDocuments servedDocuments
-	// configurationTransferStart is when the store's answer about the configuration began that
-	// arrives now, if one does. There is one such call at a time.
+	// configurationTransferStart is when the first byte of the store's current answer with the
+	// configuration arrived; nil if none is arriving. There is one such call at a time.
 	configurationTransferStart atomic.Pointer[time.Time]
 	// confirmed is when the catalog was last known to be the newest.
 	confirmed atomic.Pointer[time.Time]
-	// confirmedByPeer is for when another node last confirmed the catalog.
+	// confirmedByPeer is the time as of which another node last confirmed the catalog.
 	confirmedByPeer atomic.Pointer[time.Time]
 	snapshot        atomic.Pointer[snapshot]
-	// storeAnswered is when the store last answered this node directly, storeFailed when
-	// it last did not, and storeReached when it last answered in any way.
+	// storeAnswered is when the store last answered this node directly, storeFailed when a direct
+	// call last failed, and storeReached when the store last answered directly or through another
+	// node.
 	storeAnswered atomic.Pointer[time.Time]
 	storeFailed   atomic.Pointer[time.Time]
 	storeReached  atomic.Pointer[time.Time]
-	// storeLatency is that of this node's own calls to the store, and toldLatency what a pool's
-	// owner last told of it.
+	// storeLatency is measured on this node's own calls, reportedLatency is what a pool's owner
+	// last reported.
 	storeLatency    latencyWindow
 	reportedLatency atomic.Pointer[reportedLatency]
 	// storeUnavailable is true from a failure of the store until its next answer.
 	storeUnavailable atomic.Bool
-	// currentProbe is the currentProbe under way whether the store is there, if any.
+	// currentProbe is the store probe in flight, nil if there is none.
 	currentProbe    atomic.Pointer[storeProbe]
 	stopping        atomic.Bool
 	schedulingDelay schedulingDelay
-	// recoveryProbing is true while the node looks whether a store that it lost is back.
+	// recoveryProbing is true while the node probes a lost store for its recovery.
 	recoveryProbing bool
 
 	sample memberSample
 	// joining is true while this node's rows are being written.
 	joining bool
 	leases  map[string]versionedLease
-	// followingLeases is true while this node follows the table of leases.
+	// followingLeases is true while this node follows the lease table.
 	followingLeases bool
-	// pingHistory is what this node knows, as an owner, of the others; pruning is true while it removes
-	// the rows of those that are gone.
+	// pingHistory records, on an owner, the pings of other nodes. pruning is true while this node
+	// removes the rows of expired members.
 	pingHistory pingHistory
 	pruning     bool
 	watchers    map[string]*poolWatcher
 	owned       map[string]*pool.Pool
 	waiting     map[string]waitingCounts
-	// evacuated has the zones that operators have evacuated.
+	// evacuated are the zones that operators have evacuated.
 	evacuated  evacuation.Set
 	onReleased func()
 	download   download
 	pings      pingSchedule
 }
 
-// New returns a node that does nothing until Start.
+// New returns a node that is idle until Start.
 func New(ctx context.Context, options Options, edges Edges) *Node {
 	n := &Node{
 		options: options, edges: edges,
@@ -116,7 +117,7 @@
 	return n
 }
 
-// Start begins the node's work.
+// Start starts the node.
 func (n *Node) Start() {
 	n.join()
 	n.readConfiguration()
@@ -151,7 +152,8 @@
 	n.snapshot.Store(v)
 }
 
-// recordStoreResult notes an answer of the store. It may be called anywhere.
+// recordStoreResult records a direct answer of the store; errors are ignored. It may be called from
+// any goroutine.
 func (n *Node) recordStoreResult(err error) {
 	if err != nil {
 		return
@@ -165,7 +167,8 @@
 	}
 }
 
-// handleStoreRecovery makes the calls again that wait for the store, by itself or through others.
+// handleStoreRecovery retries the calls that wait for the store. Reads relayed through other nodes
+// are canceled, so that they go to the store directly.
 func (n *Node) handleStoreRecovery() {
 	n.store.relayedReads.cancelIdle(0)
 	n.storeRetries.Now()
@@ -174,8 +177,8 @@
 	}
 }
 
-// recordStoreFailure notes that a feed got no answer. Feeds stand for the whole store;
-// a failed transaction may say no more than that one part is away.
+// recordStoreFailure records a failed feed. Failed transactions are not recorded here, as they may
+// concern only one part of the store.
 func (n *Node) recordStoreFailure(err error) {
 	if err == nil || errors.Is(err, rows.ErrHistoryGone) {
 		return
@@ -189,7 +192,7 @@
 	}
 }
 
-// recordStoreReached notes an answer of the store through another node.
+// recordStoreReached records an answer of the store through another node.
 func (n *Node) recordStoreReached() {
 	now := uptime.Now()
 	n.storeReached.Store(&now)
@@ -204,10 +207,12 @@
 	return answered != nil && answered.After(at)
 }
 
-// storeReachedAge returns how long ago the store last answered this node in any way.
+// storeReachedAge returns how long ago the store last answered this node, directly or through
+// another node.
 func (n *Node) storeReachedAge() time.Duration { return age(n.storeReached.Load()) }
 
-// storeLost reports whether the store's last answer is older than its last failure.
+// storeLost reports whether the last failure of the store is more recent than its last direct
+// answer.
 func (n *Node) storeLost() bool {
 	answered, failed := n.storeAnswered.Load(), n.storeFailed.Load()
 	return failed != nil && (answered == nil || failed.After(*answered))
@@ -222,7 +227,8 @@
 	return uptime.Since(*at)
 }
 
-// Stop leaves the planned way: it hands over the pools, then calls done.
+// Stop shuts the node down gracefully: it removes its member rows, releases its pools, then calls
+// done.
 func (n *Node) Stop(done func()) {
 	n.stopping.Store(true)
 	n.onReleased = done
