--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// observedStore is the store as this node reaches it directly. Each byte of an answer
-// tells that the store is there: small calls may wait behind a large answer for longer
-// than they are given. Answers that were given up midway are told of.
+// observedStore is the store as this node calls it directly. It records each received byte as a
+// sign that the store is reachable, since small calls may time out behind a large answer, and logs
+// answers that were abandoned midway.
 type observedStore struct {
 	rows.Store
 	node *Node
@@ -26,7 +26,7 @@
 	return result, err
 }
 
-// recordLatency notes the latency of a call that was answered.
+// recordLatency records the latency of a successful call.
 func (s *observedStore) recordLatency(requestedAt time.Time, err error) {
 	if err == nil {
 		now := uptime.Now()
@@ -57,19 +57,19 @@
 	return answer.finish(listing, err)
 }
 
-// observe watches an answer about a table arrive.
+// observe returns a context that tracks the answer to a call about a table.
 func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
 	answer := &observedAnswer{node: s.node, table: table, requestedAt: uptime.Now()}
 	return progress.With(ctx, answer.recordBytes), answer
 }
 
-// observedAnswer is what was seen of an answer.
+// observedAnswer tracks the receipt of one answer.
 type observedAnswer struct {
 	node        *Node
 	table       string
 	requestedAt time.Time
 	bytes       atomic.Int64
-	// firstByteAt is when the first byte came.
+	// firstByteAt is when the first byte was received.
 	firstByteAt atomic.Pointer[time.Time]
 }
 
@@ -80,8 +80,8 @@
 	a.node.recordStoreResult(nil)
 }
 
-// finish dates a listing by its beginning: the store has composed it by then, however
-// long the rest was under way.
+// finish sets AsOf of a listing to the arrival of its first byte. The store had composed it by
+// then, however long the rest took to arrive.
 func (a *observedAnswer) finish(listing rows.Listing, err error) (rows.Listing, error) {
 	firstByteAt := a.firstByteAt.Load()
 	listing.AsOf = uptime.Now()
