--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -12,41 +12,41 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Codec reads the rows that the platform writes.
+// Codec decodes the rows that the platform writes.
 type Codec interface {
 	ConfigurationTable() string
 	ConfigurationKey() rows.Key
 	WorkerTable() string
-	// EvacuationRows names the table and the prefix of the rows by which operators evacuate
-	// zones, and EvacuatedZone reads the zone from a row's key; false if it is another row.
+	// EvacuationRows returns the table and the name prefix of the rows with which operators
+	// evacuate zones. EvacuatedZone returns the zone in such a row's key, and false for other rows.
 	EvacuationRows() (table, prefix string)
 	EvacuatedZone(key rows.Key) (string, bool)
 	DecodeCatalog(value []byte) (*catalog.Catalog, error)
 	DecodeWorker(id string, value []byte) (*fleet.Worker, error)
 }
 
-// Recorder counts and logs.
+// Recorder logs decisions and records metrics.
 type Recorder = pool.Recorder
 
 // Options configure a node.
 type Options struct {
 	Name        string
 	Incarnation string
-	// PeerAddress is where other nodes reach this one.
+	// PeerAddress is the address at which other nodes reach this one.
 	PeerAddress string
-	// Weight is the node's processor share: heavier nodes take pools first.
+	// Weight is the node's share of a processor. Nodes with more weight take over pools first.
 	Weight float64
-	// LinkBytesPerSecond is the rate of the machine's link; 0 if it need not be spared.
+	// LinkBytesPerSecond is the bandwidth of the machine's link; 0 disables pacing.
 	LinkBytesPerSecond float64
 	Bounds             pool.Bounds
-	// ConfigurationAge is how old the configuration's confirmation may be before
-	// callers are turned away.
+	// ConfigurationAge is the maximum age of the configuration's confirmation. Requests are refused
+	// beyond it.
 	ConfigurationAge time.Duration
-	// Off has mechanisms that are switched off, for measurements.
+	// Off are the mechanisms that are disabled, for measurements.
 	Off mechanism.Off
 }
 
-// Edges are what a node reaches the outside through.
+// Edges are the external services that a node uses.
 type Edges struct {
 	Store  rows.Store
 	Orders fleet.Orders
@@ -56,46 +56,45 @@
 	Record Recorder
 }
 
-// Periods of the node's own work.
+// Periods and timeouts of the node.
 const (
 	// feedWait is how long an owner's feeds of jobs and workers wait for a change.
 	feedWait = time.Second
-	// feedSlack is how much later than that a feed's answer may come: four times what a
-	// store takes that is fifty times slower. It doubles with each feed that gets
-	// none, up to maxFeedSlack, so that a store that is slower still is followed.
+	// feedSlack is how long after its wait a feed may still be answered. It doubles with each
+	// consecutive feed without an answer, up to maxFeedSlack, so that a very slow store can still
+	// be followed.
 	feedSlack    = 800 * time.Millisecond
 	maxFeedSlack = 3200 * time.Millisecond
-	// storeTimeout bounds a transaction of the control loop, on top of what it takes to
-	// send, and the beginning of a scan's answer; a slow store takes 0.5 s and makes calls
-	// wait for up to a second before it refuses them.
+	// storeTimeout bounds a transaction of the control loop, in addition to the time it takes to
+	// send, and the wait for the first byte of a scan. An overloaded store queues calls for up to a
+	// second before it refuses them.
 	storeTimeout = 1500 * time.Millisecond
-	// submitTimeout bounds the writes of one request of a caller, who gives it 3 s on the
-	// platform's sites; a store that is fifty times slower takes 0.5 s for one.
+	// submitTimeout bounds the writes of one request. Callers on the platform's sites time out
+	// after 3 s; a write to a store at a fiftieth of its usual speed takes 0.5 s.
 	submitTimeout = 1200 * time.Millisecond
-	// orderTimeout bounds an order to a worker, which answers in some 2 ms.
+	// orderTimeout bounds an order to a worker, which replies in some 2 ms.
 	orderTimeout = 350 * time.Millisecond
-	// holdSlack is how much later than a hold may wait its answer may come.
+	// holdSlack is how long after its wait a hold may still be answered.
 	holdSlack = 400 * time.Millisecond
-	// pingPeriod and guardPeriod are the pauses between two pings of an owner. With
-	// pingTimeout a guard finds a silent owner in 0.65 to 0.9 s; a frozen process of a
-	// quota that is spent is away for 0.1 s at the most.
+	// pingPeriod and standbyPingPeriod are the intervals between pings of an owner. With
+	// pingTimeout a standby detects an unresponsive owner in 0.65 to 0.9 s; throttling by a
+	// processor quota stops a process for at most 0.1 s.
 	pingPeriod        = 500 * time.Millisecond
 	standbyPingPeriod = 250 * time.Millisecond
 	pingTimeout       = 400 * time.Millisecond
-	// suspectAfterFailures in a row make an owner suspect.
+	// suspectAfterFailures consecutive failures make an owner suspected.
 	suspectAfterFailures = 2
-	// storeLossTimeout is the age of the store's last answer at which a node counts as
-	// having lost the store.
+	// storeLossTimeout is the age of the store's last answer from which a node has lost the store.
 	storeLossTimeout = 2200 * time.Millisecond
-	// failingStoreLossTimeout is that age for a node whose feeds fail.
+	// failingStoreLossTimeout replaces storeLossTimeout for nodes whose feeds fail.
 	failingStoreLossTimeout = 700 * time.Millisecond
-	// answerStallTimeout is how long an answer that has begun may stand still: longer than a
-	// lost packet or a spent quota of processor time holds it up.
+	// answerStallTimeout bounds the time without progress in an answer that has begun. It is longer
+	// than a retransmission or throttling by a processor quota.
 	answerStallTimeout = 1500 * time.Millisecond
-	// answerTimeout bounds an answer as a whole: the largest that is read, 16 MiB, takes
-	// 14 s on a link of 10 Mbit/s, which others may share.
+	// answerTimeout bounds an answer as a whole. The largest one, 16 MiB, takes 14 s on a link of
+	// 10 Mbit/s, which may be shared.
 	answerTimeout = 60 * time.Second
-	// takeoverRankDelay separates the nodes that would take a pool.
+	// takeoverRankDelay is the delay between nodes of consecutive takeover ranks.
 	takeoverRankDelay = 200 * time.Millisecond
 	retryPause        = 200 * time.Millisecond
 )
