--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -15,26 +15,26 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// poolWatcher is what a node knows of a pool's owner.
+// poolWatcher is what a node knows of a pool's owner and of its own attempts to acquire the pool.
 type poolWatcher struct {
 	pool string
-	// leaseRead is true once the lease row is leaseRead.
+	// leaseRead is true once the lease row has been read.
 	leaseRead bool
-	// failures counts pings in a row without an answer.
+	// failures counts consecutive failed pings.
 	failures    int
 	lastReplyAt time.Time
 	acquiring   bool
-	// unresponsive is true from an owner's first unanswered ping until it answers.
+	// unresponsive is true from the first unanswered ping until the owner replies again.
 	unresponsive     bool
 	acquireScheduled bool
 	acquireAttempts  int
-	// weakReplies counts answers in a row of an owner that this node outweighs.
+	// weakReplies counts consecutive replies of an owner that ownerIsWeak applies to.
 	weakReplies int
-	// refreshingLease is true while the lease is read again.
+	// refreshingLease is true while a scan of the lease is in flight.
 	refreshingLease bool
 }
 
-// watchPool begins to care for a pool.
+// watchPool starts watching a pool's lease and owner.
 func (n *Node) watchPool(name string) {
 	if n.watchers[name] != nil {
 		return
@@ -43,7 +43,8 @@
 	n.readLease(name, func(int64) { n.followLeases() })
 }
 
-// handleLeaseChange takes the pool if it has no owner.
+// handleLeaseChange resets what was suspected of the previous owner and acquires the pool if it has
+// no owner.
 func (n *Node) handleLeaseChange(name string) {
 	w := n.watchers[name]
 	if w == nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// takeoverRank is this node's place in the order in which nodes take a pool: the heaviest
-// first, and among equals by a hash.
+// takeoverRank returns this node's position in the order in which nodes take over a pool: by
+// descending weight, and by a hash among nodes of equal weight.
 func (n *Node) takeoverRank(name string) int {
 	if !n.sample.isCandidate(n.options.Name) {
 		return maxTakeoverRank
@@ -77,12 +78,12 @@
 	return min(rank, maxTakeoverRank)
 }
 
-// takeoverDelay is how long this node leaves it to others to take a pool. Those that are not known to be
-// among the first do not all try at once, and light ones last.
+// takeoverDelay returns how long this node waits before it tries to acquire a pool, so that nodes
+// do not all try at once and those with little weight try last.
 func (n *Node) takeoverDelay(name string) time.Duration {
 	delay := time.Duration(n.takeoverRank(name)) * takeoverRankDelay
 	if len(n.otherMembersExcept("")) == 0 {
-		// All may have just started, and know nobody yet.
+		// The whole cluster may have just started, with no node knowing another yet.
 		return delay + rand.N(startupJitter)
 	}
 	if n.sample.isCandidate(n.options.Name) {
@@ -96,11 +97,11 @@
 	return delay + rand.N(lowWeightDelay)
 }
 
-// startupJitter is over how long nodes that know no other try to take a pool.
+// startupJitter spreads the first attempts of nodes that know no other node.
 const startupJitter = 500 * time.Millisecond
 
-// lowWeightDelay is how much later nodes try to take a pool that are not among its first candidates and
-// are lighter than these.
+// lowWeightDelay is the extra delay of nodes that are not candidates and have less weight than the
+// candidates.
 const lowWeightDelay = time.Second
 
 // maxTakeoverRank bounds the delay of the last node.
@@ -115,8 +116,8 @@
 
 func rankHash(poolName, node string) uint64 { return xxhash.Sum64String(poolName + "/" + node) }
 
-// scheduleAcquire tries to take a pool after a delay that differs among nodes, if the
-// lease is the same and still holds then.
+// scheduleAcquire tries to acquire a pool after takeoverDelay, provided that the lease is unchanged
+// and stillNeeded holds by then.
 func (n *Node) scheduleAcquire(w *poolWatcher, reason string, stillNeeded func(*poolWatcher) bool) {
 	if w.acquireScheduled || n.stopping.Load() {
 		return
@@ -134,12 +135,13 @@
 			acquire()
 			return
 		}
-		// Another may have taken it meanwhile. To look costs the store less than a write that fails.
+		// Another node may have acquired the pool in the meantime. A scan costs the store less than
+		// a failed write.
 		n.scanLease(w.pool, func(int64) { acquire() })
 	})
 }
 
-// acquire takes a pool by a write that requires the lease as last read.
+// acquire writes this node's lease on condition that the lease is as last read.
 func (n *Node) acquire(w *poolWatcher, reason string) {
 	if w.acquiring || n.owned[w.pool] != nil || n.stopping.Load() {
 		return
@@ -153,7 +155,7 @@
 		w.acquiring = false
 		switch {
 		case err != nil:
-			// If the write took effect after all, the feed shows it.
+			// If the write took effect after all, the feed delivers it.
 			n.edges.Record.Count("retries", "acquire")
 			w.failures = 0
 			n.edges.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
@@ -165,22 +167,22 @@
 	})
 }
 
-// acquireAfterFailure tries again unless another owner stands: that one is as it was
-// before the store failed this node, and has to be suspected anew.
+// acquireAfterFailure retries unless the pool has another owner, whose failures have to be counted
+// again from zero.
 func (n *Node) acquireAfterFailure(w *poolWatcher, reason string) {
 	if n.hasNoOwner(w) || n.leases[w.pool].Owner == n.options.Name {
 		n.acquire(w, reason)
 	}
 }
 
-// handleAcquireConflict takes in the lease that stood in the way.
+// handleAcquireConflict applies the lease that made an acquisition fail.
 func (n *Node) handleAcquireConflict(w *poolWatcher, result rows.Result, nonce string) {
 	for i := range result.Current {
 		row := result.Current[i]
 		var lease pool.Lease
 		if json.Unmarshal(row.Value, &lease) == nil && lease.Incarnation == n.options.Incarnation && row.Version > 0 {
-			// An earlier try of this life took effect: take it anew, so that the head
-			// row is surely ours.
+			// An earlier attempt of this process took effect. Acquire again, so that the head row
+			// is this process's too.
 			n.leases[w.pool] = versionedLease{Lease: lease, version: row.Version}
 			n.acquire(w, "own earlier try")
 			return
@@ -231,15 +233,15 @@
 // hasNoOwner reports whether a pool has no owner.
 func (n *Node) hasNoOwner(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
 
-// An owner that a node outweighs by weakOwnerWeightRatio is relieved by it once it has
-// answered that node weakOwnerReplies times in a row.
+// An owner is replaced by a node with at least weakOwnerWeightRatio times its weight after
+// weakOwnerReplies consecutive replies to that node.
 const (
 	weakOwnerWeightRatio = 2.0
 	weakOwnerReplies     = 4
 )
 
-// replaceWeakOwner takes a pool from an owner that has much less processor time than
-// this node: at a takeover amid other trouble the first to try may be a weak one.
+// replaceWeakOwner acquires a pool from an owner that has much less processor time than this node.
+// After a takeover during an outage the new owner may be such a node.
 func (n *Node) replaceWeakOwner(w *poolWatcher) {
 	if !n.ownerIsWeak(w) {
 		w.weakReplies = 0
@@ -250,14 +252,14 @@
 	}
 }
 
-// ownerIsWeak reports whether this node is fit to relieve a pool's owner.
+// ownerIsWeak reports whether this node has enough weight to replace a pool's owner.
 func (n *Node) ownerIsWeak(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
 	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
 		!n.storeLost() && !n.stopping.Load()
 }
 
-// ownerWeight is the weight of a pool's owner; 0 if it is not known.
+// ownerWeight returns the weight of a pool's owner, or 0 if it is unknown.
 func (n *Node) ownerWeight(name string) float64 {
 	lease := n.leases[name]
 	if lease.Weight > 0 {
