--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// manualLoop runs what is posted at once and timers when the test lets time pass.
+// manualLoop runs posted functions at once, and timers when the test advances its time.
 type manualLoop struct {
 	now    time.Time
 	timers []manualTimer
@@ -32,7 +32,7 @@
 	return func() {}
 }
 
-// advance lets time advance, and runs the timers that are due.
+// advance moves the time forward and runs the timers that are due.
 func (l *manualLoop) advance(d time.Duration) {
 	l.now = l.now.Add(d)
 	due := l.timers
@@ -53,7 +53,7 @@
 	watcher *poolWatcher
 }
 
-// newWatchingNode returns a node of a weight beside others of given weights.
+// newWatchingNode returns a node of the given weight in a cluster with others of the given weights.
 func newWatchingNode(t *testing.T, weight float64, others map[string]float64) *watchingNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -68,15 +68,14 @@
 	return &watchingNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
-// applyLeaseOf lets the node read a lease.
+// applyLeaseOf applies a lease with the given owner.
 func (n *watchingNode) applyLeaseOf(owner string, version int64) {
 	key := pool.LeaseKey(poolName)
 	value, _ := json.Marshal(pool.Lease{Owner: owner, Address: owner})
 	n.applyNodeRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
 }
 
-// TestSuspicionEndsWithTheLease: a node asked others about an owner, the lease passed
-// on to a healthy one meanwhile, and the node then took the pool from that one.
+// TestSuspicionEndsWithTheLease: a suspected owner must not cost the next, healthy owner its pool.
 func TestSuspicionEndsWithTheLease(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
@@ -93,8 +92,8 @@
 	require.False(t, n.watcher.acquiring, "the owner answered meanwhile")
 }
 
-// TestWitnessesOfAnEarlierLeaseAreIgnored: the answers came when the pool had another
-// owner already.
+// TestWitnessesOfAnEarlierLeaseAreIgnored: the result of an indirect check arrives after the pool
+// has changed its owner.
 func TestWitnessesOfAnEarlierLeaseAreIgnored(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
@@ -127,8 +126,8 @@
 	}
 }
 
-// TestOwnerThatLostTheStoreIsReplacedSoon by what it says of the store, unless the
-// asking node has lost it too.
+// TestOwnerThatLostTheStoreIsReplacedSoon: judged by the store state in its replies, unless the
+// pinging node has lost the store too.
 func TestOwnerThatLostTheStoreIsReplacedSoon(t *testing.T) {
 	cases := map[string]struct {
 		reply    pingReply
@@ -152,8 +151,8 @@
 	}
 }
 
-// TestWitnessesAreThoseWhoWatchClosely: other nodes' knowledge of an owner is too old to
-// speak for it.
+// TestWitnessesAreThoseWhoWatchClosely: the other nodes' last replies of an owner are too old for
+// an indirect check.
 func TestWitnessesAreThoseWhoWatchClosely(t *testing.T) {
 	others := map[string]float64{}
 	for i := range 40 {
