--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -11,7 +11,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// peerStore is the store by way of one other node.
+// peerStore calls the store through one other node.
 type peerStore struct {
 	node    *Node
 	address string
@@ -48,7 +48,7 @@
 type storeReply struct {
 	Result  rows.Result  `json:"result"`
 	Listing rows.Listing `json:"listing"`
-	// HistoryGone says that a feed must be started anew.
+	// HistoryGone says that the feed must restart with a full read.
 	HistoryGone bool `json:"history_gone,omitempty"`
 }
 
@@ -91,7 +91,7 @@
 	return reply, nil
 }
 
-// storeErrorFromFault turns another node's fault into an error of the store.
+// storeErrorFromFault converts another node's fault into an error of the store.
 func storeErrorFromFault(err error) error {
 	if fault.IsKind(err, fault.StoreUnavailable) || fault.IsKind(err, fault.NoOwner) {
 		return errors.Mark(err, rows.ErrRefused)
@@ -99,7 +99,8 @@
 	return errors.Mark(err, rows.ErrNoAnswer)
 }
 
-// serveStore makes a call to the store for another node, directly only.
+// serveStore makes a call to the store for another node. It calls the store directly and does not
+// relay further.
 func (n *Node) serveStore(ctx context.Context, request storeRequest) (storeReply, error) {
 	var reply storeReply
 	if n.storeLost() {
