--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -19,11 +19,11 @@
 	methodWaiting             = "waiting"
 	methodStore               = "store"
 	methodChunk               = "chunk"
-	// methodAccepted tells a pool's owner of an accepted job.
+	// methodAccepted informs a pool's owner of an accepted job.
 	methodAccepted = "accepted"
 )
 
-// jobRequest names a job or a queue for another node.
+// jobRequest names a job or a queue.
 type jobRequest struct {
 	Pool  string `json:"pool"`
 	ID    string `json:"id,omitempty"`
@@ -38,8 +38,8 @@
 	Waiting int `json:"waiting"`
 }
 
-// call sends a request to another node and waits for the answer. It may be called
-// anywhere.
+// call sends a request to another node and waits for the reply. It may be called from any
+// goroutine.
 func (n *Node) call(ctx context.Context, address, method string, body any) ([]byte, error) {
 	document, err := json.Marshal(body)
 	if err != nil {
@@ -49,12 +49,12 @@
 	return n.edges.Peers.Call(ctx, address, request)
 }
 
-// callPeer is call for the loop: done runs on it.
+// callPeer sends a request without blocking the loop, on which it then runs done.
 func (n *Node) callPeer(address, method string, body any, done func([]byte, error)) {
 	n.callPeerWithTimeout(pingTimeout, address, method, body, done)
 }
 
-// callPeerWithTimeout is callPeer with a time limit of its own.
+// callPeerWithTimeout is callPeer with the given timeout.
 func (n *Node) callPeerWithTimeout(timeout time.Duration, address, method string, body any, done func([]byte, error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ports.ctx, timeout)
@@ -64,7 +64,7 @@
 	}()
 }
 
-// ServePeer answers another node's request. It may be called anywhere.
+// ServePeer handles another node's request. It may be called from any goroutine.
 func (n *Node) ServePeer(ctx context.Context, request *peerpb.Request) ([]byte, error) {
 	call := request.GetPoolCall()
 	if call == nil {
@@ -77,7 +77,7 @@
 	return json.Marshal(reply)
 }
 
-// decodeBody reads the body of a call of another node.
+// decodeBody decodes the body of another node's request.
 func decodeBody[T any](method string, body []byte) (T, error) {
 	var request T
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -121,7 +121,7 @@
 	return n.serveJobCall(ctx, method, body)
 }
 
-// serveJobCall answers a call about a job or a queue.
+// serveJobCall handles a request about a job or a queue.
 func (n *Node) serveJobCall(ctx context.Context, method string, body []byte) (any, error) {
 	request, err := decodeBody[jobRequest](method, body)
 	if err != nil {
@@ -139,5 +139,5 @@
 	return nil, fault.New(fault.InvalidRequest, "method %q is not known", method)
 }
 
-// loopCallTimeout bounds the wait for a loop that must answer a traffic goroutine.
+// loopCallTimeout bounds the wait of a request handler for the loop.
 const loopCallTimeout = 500 * time.Millisecond
