--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -12,43 +12,43 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// pingRequest asks a pool's owner how it is.
+// pingRequest checks the health of a pool's owner.
 type pingRequest struct {
 	Pool string `json:"pool"`
-	// From is the name of the node that asks; empty in calls of versions that did not tell it.
+	// From is the name of the requesting node; empty in requests of versions that do not send it.
 	From string `json:"from,omitempty"`
-	// Token is the owner's, by the lease as the asking node knows it.
+	// Token is the owner's fencing token in the lease known to the requesting node.
 	Token int64 `json:"token,omitempty"`
-	// StoreLost is true while the store does not answer the asking node.
+	// StoreLost is true while the requesting node has lost the store.
 	StoreLost bool `json:"store_lost,omitempty"`
 }
 
-// pingReply is an owner's account of itself.
+// pingReply is an owner's state.
 type pingReply struct {
 	Owner bool `json:"owner"`
-	// StoreAgeMillis is how long ago the store last answered the node, directly or
-	// through another one.
+	// StoreAgeMillis is how long ago the store last answered the node, directly or through another
+	// one.
 	StoreAgeMillis int64 `json:"store_age_ms"`
-	// StoreLost is true once the node's feeds have failed since that answer.
+	// StoreLost is true if the node's feeds have failed since that answer.
 	StoreLost bool           `json:"store_lost,omitempty"`
 	Waiting   map[string]int `json:"waiting,omitempty"`
-	// StoreLatencyMillis is the least latency of the node's late calls to the store; 0 if
-	// there were none.
+	// StoreLatencyMillis is the minimum latency of the node's recent store calls; 0 if there were
+	// none.
 	StoreLatencyMillis int64 `json:"store_latency_ms,omitempty"`
 	configurationStatus
 }
 
-// standbyCount is how many nodes watch a pool's owner closely: those that would take the
-// pool first. The owner's share of pings stays bounded however many nodes there are.
+// standbyCount is how many nodes ping a pool's owner at the shorter interval: the first in the
+// takeover order. It bounds the owner's load from pings in clusters of any size.
 const standbyCount = 8
 
-// isStandby reports whether this node watches a pool's owner closely.
+// isStandby reports whether this node is a standby for a pool.
 func (n *Node) isStandby(name string) bool {
 	return !n.options.Off[mechanism.Guards] && n.takeoverRank(name) < standbyCount
 }
 
-// pingOwners asks the owners of all pools how they are, again and again: a guard each
-// guardPeriod, others each pingPeriod.
+// pingOwners pings the owners of all pools periodically: standbys each standbyPingPeriod, other
+// nodes each pingPeriod.
 func (n *Node) pingOwners() {
 	n.confirmIfOnlyNode()
 	fullRound := n.pings.fullRoundDue(n.now())
@@ -65,11 +65,11 @@
 	n.edges.Loop.After(pause, n.pingOwners)
 }
 
-// pingSchedule says in which rounds of pings a node that guards no owner takes part. Rounds
-// come each guardPeriod or pingPeriod.
+// pingSchedule selects the rounds in which nodes that are not standbys ping too. Rounds run each
+// standbyPingPeriod or pingPeriod.
 type pingSchedule struct{ lastFullRound time.Time }
 
-// fullRoundDue reports whether a round at a time is one for all nodes.
+// fullRoundDue reports whether all owners are to be pinged in the round at a time, and records it.
 func (s *pingSchedule) fullRoundDue(now time.Time) bool {
 	if now.Sub(s.lastFullRound) < pingPeriod-standbyPingPeriod/2 {
 		return false
@@ -107,7 +107,7 @@
 	owner := n.leases[w.pool].Owner
 	switch {
 	case !reply.Owner:
-		// The process is a new life, or was deposed without our knowing.
+		// The process has restarted, or it lost the pool without this node reading the new lease.
 		w.failures++
 		n.refreshLease(w)
 		n.replaceSuspectedOwner(w, "owner "+owner+" does not own")
@@ -130,7 +130,8 @@
 	}
 }
 
-// ownerLostStore reports whether an owner cannot reach the store in any way.
+// ownerLostStore reports whether an owner reaches the store neither directly nor through other
+// nodes.
 func ownerLostStore(owner pingReply) bool {
 	limit := storeLossTimeout
 	if owner.StoreLost {
@@ -139,8 +140,7 @@
 	return time.Duration(owner.StoreAgeMillis)*time.Millisecond > limit
 }
 
-// handlePingFailure counts a failure. A refused connection says that the process is gone,
-// silence says so only the second time.
+// handlePingFailure counts a failure. A refused connection counts twice, as the process is gone.
 func (n *Node) handlePingFailure(w *poolWatcher, err error) {
 	w.failures++
 	if fault.IsKind(err, fault.NoOwner) {
@@ -155,7 +155,7 @@
 	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
 }
 
-// replaceSuspectedOwner takes a pool from an owner that others do not see either.
+// replaceSuspectedOwner acquires a pool from a suspected owner unless other nodes still reach it.
 func (n *Node) replaceSuspectedOwner(w *poolWatcher, reason string) {
 	if !n.ownerSuspected(w) || n.stopping.Load() {
 		return
@@ -163,13 +163,13 @@
 	n.checkOwnerIndirectly(w, n.handleIndirectCheck(w, reason))
 }
 
-// handleIndirectCheck returns what to do once others have said whether they see a pool's owner.
+// handleIndirectCheck returns the callback for an indirect check of a pool's owner.
 func (n *Node) handleIndirectCheck(w *poolWatcher, reason string) func(seen bool) {
 	lease := n.leases[w.pool]
 	return func(seen bool) {
 		switch {
 		case n.leases[w.pool].version != lease.version:
-			// What was suspected of one owner says nothing of the next.
+			// The result is about a previous owner.
 		case seen:
 			n.edges.Record.Count("takeovers", "owner_seen_by_others")
 			n.edges.Record.Decided("owner left in place", "pool", w.pool, "owner", lease.Owner, "reason", reason)
@@ -179,9 +179,9 @@
 	}
 }
 
-// confirmOwnership takes in what a node that asks a pool's owner knows of the lease. It returns false
-// if the pool has another owner by now. With the store away for both, that it knows of none
-// lets the owner keep what runs alive.
+// confirmOwnership compares the lease known to the requesting node with the owned pool. It abandons
+// the pool and returns false if that node knows a newer owner. While both have lost the store, a
+// matching token confirms the owner, whose running tasks then continue.
 func (n *Node) confirmOwnership(p *pool.Pool, request *pingRequest) bool {
 	if request.Token > p.Token() {
 		p.Abandon("another node knows a newer owner")
@@ -193,8 +193,8 @@
 	return true
 }
 
-// confirmIfOnlyNode lets owned pools keep what runs alive while the store is away, if there is no
-// other node that could take them.
+// confirmIfOnlyNode confirms the owned pools while the store is lost if no other node could acquire
+// them, so that running tasks continue.
 func (n *Node) confirmIfOnlyNode() {
 	if !n.storeLost() || len(n.otherMembersExcept("")) > 0 {
 		return
@@ -204,7 +204,7 @@
 	}
 }
 
-// servePing answers another node about a pool.
+// servePing answers another node's ping of a pool's owner.
 func (n *Node) servePing(ctx context.Context, request pingRequest) (pingReply, error) {
 	reply := pingReply{
 		StoreAgeMillis: n.storeReachedAge().Milliseconds(), StoreLost: n.storeLost(),
