--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAllNodesPingOwners: with rounds of both lengths, and with timers that are a little late,
-// a node that guards no owner asks it each half second.
+// TestAllNodesPingOwners: with rounds at either interval, and with late timers, a node that is not
+// a standby pings owners each pingPeriod.
 func TestAllNodesPingOwners(t *testing.T) {
 	const span = 20 * time.Second
 	for _, pause := range []time.Duration{standbyPingPeriod, pingPeriod} {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestRoundsOfANodeThatGuardsNobody: it sets a round each pingPeriod, one that guards an owner
-// each guardPeriod.
+// TestRoundsOfANodeThatGuardsNobody: it schedules a round each pingPeriod, a standby each
+// standbyPingPeriod.
 func TestRoundsOfANodeThatGuardsNobody(t *testing.T) {
 	heavier := map[string]float64{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
