--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -10,30 +10,31 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// ports make calls to the outside on goroutines of their own and bring the answers
-// to the loop. They implement pool.Ports.
+// ports makes calls to external services on separate goroutines and posts the results to the loop.
+// It implements pool.Ports.
 type ports struct {
 	ctx  context.Context
 	node *Node
-	// pacer spreads orders and reads over the machine's link.
+	// pacer limits the rate of orders and reads on the machine's link.
 	pacer *pacing.Pacer
 }
 
-// What an owner orders and reads comes in bursts: a start and a hold for each task of a wide step, all rows
-// of a pool at a takeover. On a small link the pings of its guards waited behind them for longer than they
-// are given, the pool was taken over, and the next owner's reading did the same.
+// An owner's orders and reads come in bursts: a start and a hold for each task of a wide step, or
+// all rows of a pool at a takeover. Without pacing, pings queue behind them on a slow link and time
+// out, and the pool is taken over.
 const (
-	// linkFraction of the link is for orders and reads, of which linkBurst may pass at once.
+	// linkFraction is the part of the link's bandwidth for orders and reads, linkBurst the length
+	// of a burst at that rate.
 	linkFraction = 0.8
 	linkBurst    = 100 * time.Millisecond
-	// orderOverheadBytes is what an order takes on the link beside its payload, with headers; its answer takes
-	// about as much the other way.
+	// orderOverheadBytes is the size of an order without its payload, including headers. Its reply
+	// has about the same size.
 	orderOverheadBytes = 450
-	// scanEstimateBytes is taken for a scan whose size is not known before.
+	// scanEstimateBytes is charged for a scan until its size is known.
 	scanEstimateBytes = 4 << 10
 )
 
-// runPaced is run once it is the turn of some bytes on the link. The bounds count from then.
+// runPaced is runAsync after the pacer admits the given bytes. The timeouts start then.
 func runPaced[T any](p *ports, bytes int, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
 		if err := p.pacer.Wait(p.ctx, bytes); err == nil {
@@ -42,7 +43,7 @@
 	}()
 }
 
-// runWithin calls work within bounds and posts what it returns.
+// runWithin calls work with the given timeouts and posts its result.
 func runWithin[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
 	ctx, cancel := progress.WithPatience(p.ctx, bounds)
 	defer cancel()
@@ -50,8 +51,8 @@
 	p.node.edges.Loop.Post(func() { done(result, err) })
 }
 
-// progressTimeout lets an answer that begins within limit arrive however slow the link is.
-// Answers that were given up midway and asked for again filled small links for good.
+// progressTimeout lets an answer whose first byte arrives within limit continue while it makes
+// progress. Abandoning and repeating large answers would saturate slow links.
 func progressTimeout(limit time.Duration) progress.Patience {
 	return progress.Patience{First: limit, Pause: answerStallTimeout, Whole: max(limit, answerTimeout)}
 }
@@ -61,7 +62,7 @@
 	return progress.Patience{First: limit, Pause: limit, Whole: limit}
 }
 
-// runAsync calls work and posts what it returns.
+// runAsync calls work on a separate goroutine and posts its result.
 func runAsync[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
 	go runWithin(p, bounds, work, done)
 }
@@ -80,7 +81,7 @@
 
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
-	// Each way of a scan has bounds of its own.
+	// The store applies timeouts to the direct and the relayed scan separately.
 	runPaced(p, scanEstimateBytes, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
 		p.pacer.Charge(max(0, listing.Bytes()-scanEstimateBytes))
@@ -92,7 +93,7 @@
 	return p.node.store.Scan(ctx, table, part, prefix)
 }
 
-// page reads some rows of a part, from a name on.
+// page reads up to limit rows of a part, starting at a name.
 func (p *ports) page(table, part, from string, limit int, done func(rows.Listing, error)) {
 	runAsync(p, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Page(ctx, table, part, from, limit)
@@ -104,15 +105,15 @@
 	p.feedFor(table, after, feedWait, done)
 }
 
-// feedFor is Feed with a wait of its own.
+// feedFor is Feed with the given wait.
 func (p *ports) feedFor(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
 	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Feed(ctx, table, after, wait)
 	}, done)
 }
 
-// scanDirect and feedDirect read the configuration, without the help of other nodes: what
-// these hold of it they send in chunks (downloadConfiguration).
+// scanDirect and feedDirect read the configuration without relays. Other nodes send it in chunks
+// (downloadConfiguration).
 func (p *ports) scanDirect(table, part string, done func(rows.Listing, error)) {
 	runAsync(p, progressTimeout(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
 		ctx, ended := p.node.trackStoreTransfer(ctx)
