--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -24,17 +24,11 @@
 	return fleet.Reply{}, nil
 }
 
-// Symptom: on machines with links of 2 Mbit/s a pool of 120 workers changed its owner every few seconds,
-// accepted jobs had no answer at the end, and a gang ended alone, on a calm day.
-// Sequence: an owner sent 200 starts and a hold after each within 0.3 s; their answers took 340 ms and
-// more. Its guards' pings, which are given 400 ms, waited behind them, and two misses in a row make
-// an owner suspect. The next owner read 0.3 MB and greeted all workers at once, and was suspected itself.
-// Cause: an owner used its link in bursts.
-// Settled by: 25 lines "pool acquired" in a minute, with answers to starts after 15 ms at first and 338 ms
-// at the end of the burst.
+// Bursts of orders on a slow link delay the pings of standbys until the owner is suspected and the
+// pool is taken over; the next owner then does the same.
 
-// TestBurstsOfOrdersAreSpreadOverASmallLink: one order passes; the next has its turn after minutes on a link
-// of a byte a second. Without a rate all go at once.
+// TestBurstsOfOrdersAreSpreadOverASmallLink: on a link of one byte per second the second order
+// waits for minutes; without a rate all orders are sent at once.
 func TestBurstsOfOrdersAreSpreadOverASmallLink(t *testing.T) {
 	const burst = 50
 	for name, c := range map[string]struct {
