--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -8,15 +8,14 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// probeTimeout bounds a look whether the store is there. A store that is slow for all, by
-// some fifty times, still answers a reading call in 0.2 s.
+// probeTimeout bounds a probe of the store. A store at a fiftieth of its usual speed still answers
+// a read in 0.2 s.
 const probeTimeout = 400 * time.Millisecond
 
-// slowProbeTimeout bounds it while the store is slow for all: longer than its reading
-// calls take that are two hundred times slower.
+// slowProbeTimeout bounds a probe while the store is slow for all calls.
 const slowProbeTimeout = 1200 * time.Millisecond
 
-// currentProbeTimeout bounds a look whether the store is there.
+// currentProbeTimeout returns the timeout for the next probe.
 func (n *Node) currentProbeTimeout() time.Duration {
 	if n.storeSlow() {
 		return slowProbeTimeout
@@ -40,19 +39,18 @@
 	})
 }
 
-// storeFreshAge is the age of the store's last answer up to which a node need not ask
-// whether it is there.
+// storeFreshAge is the age of the store's last answer below which no probe is needed.
 const storeFreshAge = time.Second
 
-// probe asks the store for this node's own row, directly.
+// probe reads this node's own row directly from the store.
 func (n *Node) probe(ctx context.Context) (struct{}, error) {
 	_, err := n.edges.Store.Scan(ctx, pool.NodeTable, "", n.options.Name)
 	n.recordStoreResult(err)
 	return struct{}{}, err
 }
 
-// confirmStoreLost looks whether the store still answers this node, after a call to it that
-// failed or takes long. Calls that ask at the same time share one look.
+// confirmStoreLost probes the store after a call that failed or takes long, and reports whether
+// this node has lost it. Concurrent callers share one probe.
 func (n *Node) confirmStoreLost() bool {
 	if n.storeLost() {
 		return true
@@ -76,14 +74,13 @@
 	return n.storeLost()
 }
 
-// storeProbe is a look at the store under way.
+// storeProbe is a probe in flight.
 type storeProbe struct{ done chan struct{} }
 
-// probePeriod is the pause between two direct calls that look whether the store is
-// back.
+// probePeriod is the interval between probes of a lost store.
 const probePeriod = 200 * time.Millisecond
 
-// startRecoveryProbes looks whether a store that this node lost is back, until it is.
+// startRecoveryProbes probes a lost store until it answers.
 func (n *Node) startRecoveryProbes() {
 	if n.recoveryProbing {
 		return
@@ -100,7 +97,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 		defer cancel()
-		// A store that is still away shows by what noteStore does not note.
+		// recordStoreResult records a success; a failure is followed by the next probe.
 		_, _ = n.probe(ctx)
 		n.edges.Loop.After(probePeriod, n.probeUntilAnswered)
 	}()
