--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -6,32 +6,34 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Rows of nodes that died stay. Owners remove them, since each node that lives asks the owner of each pool
-// how it is: else samples would come to hold nodes that are long gone, and nobody would guard an owner.
+// Nodes that crash leave their rows behind. Owners remove these rows, since every live node pings
+// the owner of each pool. Otherwise samples would fill with dead nodes, and owners would have no
+// standbys.
 
 const (
-	// memberExpiry is how long a node may go without a ping before its row is removed: many times as
-	// long as any pause between two. A node that lives nevertheless writes its row again.
+	// memberExpiry is how long a node may send no ping before its row is removed, many times the
+	// interval between pings. A live node whose row was removed writes it again.
 	memberExpiry = 15 * time.Second
-	// maxPingGap is the longest pause between any two pings of a pool with more than one other node.
-	// After a longer one the owner was cut off or stood still, and knows nothing of the others.
+	// maxPingGap is the longest interval between consecutive pings of an owner if there is more than
+	// one other node. After a longer gap the owner was partitioned or stalled and cannot judge
+	// other nodes.
 	maxPingGap = 2 * time.Second
-	// prunePageSize is how many rows are looked at once, prunePause the pause between two pages, and
-	// pruneRest that after the last one.
+	// prunePageSize is how many rows are checked at a time, prunePageInterval the interval between
+	// pages, and pruneInterval the interval between passes over all rows.
 	prunePageSize     = 40
 	prunePageInterval = time.Second
 	pruneInterval     = time.Minute
 )
 
-// pingHistory is what an owner knows of the nodes that ask it.
+// pingHistory is when other nodes last pinged an owner.
 type pingHistory struct {
 	lastPings map[string]time.Time
 	latest    time.Time
-	// since is when it began, without a gap up to lastAt.
+	// since is the start of the current period without a gap.
 	since time.Time
 }
 
-// record takes in a node that asked.
+// record adds a ping of a node.
 func (h *pingHistory) record(name string, now time.Time) {
 	if name == "" {
 		return
@@ -42,7 +44,7 @@
 	h.lastPings[name], h.latest = now, now
 }
 
-// expired reports whether a node has surely not asked for silenceLimit.
+// expired reports whether a node has certainly sent no ping for memberExpiry.
 func (h *pingHistory) expired(name string, now time.Time) bool {
 	if h.lastPings == nil || now.Sub(h.latest) > maxPingGap || now.Sub(h.since) < memberExpiry {
 		return false
@@ -50,7 +52,7 @@
 	return now.Sub(h.lastPings[name]) > memberExpiry
 }
 
-// pruneMembers removes rows of nodes that are gone, page by page, for as long as this node owns a pool.
+// pruneMembers removes the rows of expired members, page by page, while this node owns a pool.
 func (n *Node) pruneMembers(from string) {
 	if len(n.owned) == 0 {
 		n.pruning = false
@@ -68,7 +70,8 @@
 	})
 }
 
-// removeExpired removes those rows whose nodes are gone, unless they are written anew meanwhile.
+// removeExpired removes the rows of expired members unless they were written again since they were
+// read.
 func (n *Node) removeExpired(listed []rows.Row) {
 	var transaction rows.Transaction
 	read := memberSample{members: map[string]member{}}
@@ -84,6 +87,6 @@
 		return
 	}
 	n.edges.Record.Decided("rows of gone nodes removed", "count", len(transaction.Removes), "first", transaction.Removes[0].Name)
-	// What fails is tried again with the next round.
+	// The next pass retries after an error.
 	n.ports.Commit(transaction, func(rows.Result, error) {})
 }
