--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -15,36 +15,36 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// Periods and limits of calls to the store through other nodes.
+// Timeouts and limits of store calls through other nodes.
 const (
-	// probeAfter is how long a direct call may go without an answer before the node asks
-	// whether the store is there. The store answers in some 5 to 15 ms.
+	// probeAfter is how long a direct call may take before the node probes the store. The usual
+	// latency is 5 to 15 ms.
 	probeAfter = 300 * time.Millisecond
-	// maxRelayAttempts is how many other nodes are asked for one call.
+	// maxRelayAttempts is how many other nodes are tried for one call.
 	maxRelayAttempts = 2
-	// relayTimeout bounds one such call, on top of what the store is asked to wait and of
-	// what the call takes to send, which it is relayHops times.
+	// relayTimeout bounds one relayed call, in addition to the wait of a feed and to the time the
+	// call takes to send over relayHops links.
 	relayTimeout = 500 * time.Millisecond
 	relayHops    = 2
-	// relayScanTimeout bounds the beginning of all jobs' rows in a part through another
-	// node, which reads them all before it hands them on: 3.7 MB on a link of 10 Mbit/s.
+	// relayScanTimeout bounds the wait for the first byte of a relayed scan of all job rows in a
+	// part. The relaying node reads all of them before it replies: 3.7 MB on a link of 10 Mbit/s.
 	relayScanTimeout = 3 * time.Second
-	// relayBackoff is how long no other node is asked after none of those asked had the
-	// store: then it is away for all.
+	// relayBackoff is how long no call is relayed after all attempts have failed, as the store is
+	// then unavailable to all nodes.
 	relayBackoff = 150 * time.Millisecond
 )
 
-// relayedStore is the store as this node reaches it: directly, or through other nodes
-// while the store turns this one away or a cut lies between. The same call may be made
-// both ways; callers' transactions have conditions that make the second one harmless.
+// relayedStore calls the store directly, or through other nodes while the store refuses this one or
+// a partition separates them. A call may be made both ways; transactions of callers have conditions
+// that make a second commit harmless.
 type relayedStore struct {
 	node   *Node
 	direct rows.Store
-	// relayedReads are the reading calls that other nodes make for this one.
+	// relayedReads are the pending reads through other nodes.
 	relayedReads cancelableReads
-	// preferred is the address of the node that last answered for the store.
+	// preferred is the address of the node that last relayed a call.
 	preferred atomic.Pointer[string]
-	// noRelayUntil is when other nodes may be asked again.
+	// noRelayUntil is when calls may be relayed again.
 	noRelayUntil atomic.Pointer[time.Time]
 }
 
@@ -76,8 +76,7 @@
 	})
 }
 
-// Feed implements rows.Store. A direct feed that fails is left to its caller's next
-// try, which then goes through another node.
+// Feed implements rows.Store. A direct feed that fails is not relayed; the caller's retry is.
 func (s *relayedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, callTimeouts{relayed: wait + relayTimeout, readOnly: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
@@ -87,10 +86,10 @@
 	return s.feedDirect(ctx, table, after, wait)
 }
 
-// errStoreLost ends a direct call to a store that this node lost.
+// errStoreLost is returned for direct calls while this node has lost the store.
 var errStoreLost = errors.Mark(errors.New("the store does not answer this node"), rows.ErrRefused)
 
-// scanDirect reads a part without the help of other nodes.
+// scanDirect reads a part without relays.
 func (s *relayedStore) scanDirect(ctx context.Context, table, part string) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
@@ -100,7 +99,7 @@
 	return listing, err
 }
 
-// feedDirect is Feed without the help of other nodes.
+// feedDirect is Feed without relays.
 func (s *relayedStore) feedDirect(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
@@ -114,8 +113,8 @@
 	s.node.recordFeedResult(err)
 	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrNoAnswer) || s.node.storeAge() > probeTimeout {
-		// A feed without an answer says nothing of a store that answers other calls: its
-		// answer may wait behind a larger one.
+		// A feed that times out while other calls are answered does not mean that the store is
+		// lost: its answer may be queued behind a larger one.
 		s.node.recordStoreFailure(err)
 	}
 	return listing, err
@@ -124,28 +123,28 @@
 // storeCall is one call to a store.
 type storeCall[T any] func(ctx context.Context, store rows.Store) (T, error)
 
-// attempt is what one way of a call brought.
+// attempt is the outcome of one direct or relayed call.
 type attempt[T any] struct {
 	result T
 	err    error
 }
 
-// answered reports whether the store itself said so.
+// answered reports whether the outcome is the store's own answer.
 func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryGone) }
 
-// callTimeouts are by when the answer to a call has to begin.
+// callTimeouts bound the wait for the first byte of an answer.
 type callTimeouts struct {
 	direct time.Duration
-	// relayed is the bound for each other node.
+	// relayed is the timeout for each other node.
 	relayed time.Duration
-	// readOnly calls only read. Through other nodes they are given up once the store
-	// answers this one, which then reads by itself.
+	// readOnly calls are canceled at other nodes once the store answers this one, which then
+	// repeats them directly.
 	readOnly bool
 }
 
-// callWithRelay makes a call directly and, if the store turns out to be lost to this node,
-// through another one. A call that fails or takes long while the store is there is the
-// store's own matter: to make it twice would only add to its load.
+// callWithRelay makes a call directly and, if this node turns out to have lost the store, through
+// another one. A call that fails or takes long while the store is reachable is not relayed, as a
+// duplicate would add to the store's load.
 func callWithRelay[T any](ctx context.Context, s *relayedStore, bounds callTimeouts, call storeCall[T]) (T, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, bounds, call)
@@ -183,8 +182,7 @@
 	return firstAnswer(attempts, direct)
 }
 
-// firstAnswer returns the first answer of two attempts, of which one may have failed
-// already.
+// firstAnswer returns the first answer of two attempts, one of which may already have failed.
 func firstAnswer[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
 	first := <-attempts
 	if first.answered() {
@@ -200,7 +198,7 @@
 	return first.result, lessCertain(failed.err, first.err)
 }
 
-// lessCertain returns the error after which less is known of a call's effect.
+// lessCertain returns the error that leaves a call's effect more uncertain.
 func lessCertain(a, b error) error {
 	if errors.Is(a, rows.ErrRefused) {
 		return b
@@ -245,8 +243,8 @@
 	return zero, failure
 }
 
-// relayAddresses lists the nodes to ask: the one that last answered, then others by chance. Owners of pools
-// are among them, which are known to be there also when most of the known members are not.
+// relayAddresses lists the nodes to try: the one that last relayed a call, then others in random
+// order. They include the owners of pools, which are known to be alive even if most known members are not.
 func (s *relayedStore) relayAddresses() []string {
 	v := s.node.snapshot.Load()
 	addresses := map[string]bool{}
