--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// hangingStore gives no answer before its caller leaves.
+// hangingStore does not answer before its caller gives up.
 type hangingStore struct{ rows.Store }
 
 func (hangingStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
@@ -33,7 +33,7 @@
 	return s.Scan(ctx, "", "", "")
 }
 
-// refusingStore turns every call away.
+// refusingStore refuses every call.
 type refusingStore struct{ rows.Store }
 
 func (refusingStore) Commit(context.Context, rows.Transaction) (rows.Result, error) {
@@ -52,7 +52,7 @@
 	return rows.Listing{}, rows.ErrRefused
 }
 
-// servePeers lets other nodes reach a node and returns its address.
+// servePeers serves a node's peer requests and returns its address.
 func servePeers(t *testing.T, n *Node) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -61,8 +61,8 @@
 	return listener.Addr().String()
 }
 
-// newGatewayWithPeer returns a gateway on a node with one store whose only other node has
-// another.
+// newGatewayWithPeer returns a gateway to a node with one store whose only other node has another
+// store.
 func newGatewayWithPeer(t *testing.T, own, others rows.Store) *Gateway {
 	gateway := newGateway(t, own)
 	address := servePeers(t, newGateway(t, others).node)
@@ -119,7 +119,7 @@
 	require.True(t, fault.IsKind(err, fault.InvalidRequest), "%v", err)
 }
 
-// waitingStore answers a feed once its wait is over.
+// waitingStore answers a feed after its wait.
 type waitingStore struct{ rows.Store }
 
 func (waitingStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
@@ -150,8 +150,8 @@
 	require.False(t, n.storeLost(), "that says nothing of the store")
 }
 
-// TestWhoFollowsTheStoreForHowLong: an owner confirms the configuration often, a node
-// that an owner tells seldom, and one that nobody told lately at once.
+// TestWhoFollowsTheStoreForHowLong: feeds are short on owners, long on nodes whose configuration an
+// owner confirms, and immediate once the confirmation is stale.
 func TestWhoFollowsTheStoreForHowLong(t *testing.T) {
 	ago := func(d time.Duration) *time.Time {
 		at := time.Now().Add(-d)
@@ -179,7 +179,7 @@
 	}
 }
 
-// slowStore takes its time for transactions and counts them.
+// slowStore delays transactions and counts them.
 type slowStore struct {
 	*fakeStore
 	commits atomic.Int32
@@ -195,13 +195,12 @@
 	}
 }
 
-// Scan answers the look whether the store is there.
+// Scan answers probes.
 func (s *slowStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestSlowStoreIsNotAskedTwice: on a day on which the store was slow for all, calls that
-// went through other nodes too doubled its load, and submissions ran into their deadline.
+// TestSlowStoreIsNotAskedTwice: relaying the calls to a slow store would double its load.
 func TestSlowStoreIsNotAskedTwice(t *testing.T) {
 	store := &slowStore{fakeStore: newFakeStore()}
 	gateway := newGatewayWithPeer(t, store, store)
@@ -210,7 +209,7 @@
 	require.False(t, gateway.node.storeLost())
 }
 
-// TestNewsAgesOverSlowLinks: the age of a confirmation counts from when it was asked for.
+// TestNewsAgesOverSlowLinks: the age of a confirmation counts from the time of the request.
 func TestNewsAgesOverSlowLinks(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	n.confirmed.Store(nil)
@@ -219,8 +218,8 @@
 	require.Equal(t, askedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
 }
 
-// TestFeedsOfAVerySlowStoreAreWaitedFor: a store whose answers took longer than a feed's
-// slack was never followed again, as each try ended before its answer (soak seed 619).
+// TestFeedsOfAVerySlowStoreAreWaitedFor: the slack must grow until it exceeds the latency of the
+// store.
 func TestFeedsOfAVerySlowStoreAreWaitedFor(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.Equal(t, feedSlack, n.feedSlack())
