--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -11,19 +11,20 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// owningNode returns a node that owns the watched pool with a token.
+// owningNode returns a node that owns the watched pool with a fencing token.
 func owningNode(t *testing.T, others map[string]float64) *watchingNode {
 	n := newWatchingNode(t, 1, others)
 	n.owned[poolName] = pool.New(n.poolOptions(poolName), n.loop, n.ports, discardRecorder{}, 5)
 	return n
 }
 
-// sinceConfirmed is how long ago the owner was last known to stand.
+// sinceConfirmed returns how long ago the pool's owner was last confirmed.
 func (n *watchingNode) sinceConfirmed() time.Duration {
 	return time.Duration(n.owned[poolName].Summary().ConfirmedMillis) * time.Millisecond
 }
 
-// TestPingsTellAnOwnerWhetherItStands: what a node that asks the owner knows of the lease.
+// TestPingsTellAnOwnerWhetherItStands: the lease known to the pinging node confirms the owner or
+// makes it abandon the pool.
 func TestPingsTellAnOwnerWhetherItStands(t *testing.T) {
 	cases := map[string]struct {
 		request   pingRequest
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestOnlyNodeStandsAloneWhileTheStoreIsAway: no other node could take its pool.
+// TestOnlyNodeStandsAloneWhileTheStoreIsAway: the owner is confirmed without the store only if no
+// other node could acquire its pool.
 func TestOnlyNodeStandsAloneWhileTheStoreIsAway(t *testing.T) {
 	onlyNode := owningNode(t, nil)
 	onlyNode.confirmIfOnlyNode()
