--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,22 +7,22 @@
 	"github.com/wheatroad/wheatroad/internal/pool"
 )
 
-// Status is a node's account of itself for operators.
+// Status is a node's state for operators.
 type Status struct {
 	Name string `json:"name"`
-	// Ready is what the balancer is told.
+	// Ready is the state reported to the load balancer.
 	Ready    bool `json:"ready"`
 	Stopping bool `json:"stopping"`
-	// ConfigurationVersion is in force; it was known to be the newest
+	// ConfigurationVersion is the current version; it was known to be the newest
 	// ConfigurationAgeMillis ago.
 	ConfigurationVersion   int64 `json:"configuration_version"`
 	ConfigurationAgeMillis int64 `json:"configuration_age_ms"`
-	// StoreAgeMillis is how long ago the store last answered.
+	// StoreAgeMillis is how long ago the store last answered this node directly.
 	StoreAgeMillis int64 `json:"store_age_ms"`
 	StoreLost      bool  `json:"store_lost"`
-	// EvacuatedZones take no new work.
+	// EvacuatedZones receive no new work.
 	EvacuatedZones []string `json:"evacuated_zones"`
-	// Members are the nodes that this one knows: a sample, where there are many.
+	// Members are the nodes that this one knows: a sample in large clusters.
 	Members []string     `json:"members"`
 	Pools   []PoolStatus `json:"pools"`
 }
@@ -33,13 +33,13 @@
 	Owner string `json:"owner"`
 	// Token is the owner's fencing token.
 	Token int64 `json:"token"`
-	// OwnerFailures counts the owner's unanswered pings in a row.
+	// OwnerFailures counts consecutive failed pings of the owner.
 	OwnerFailures int `json:"owner_failures"`
-	// Owned has details if the node is the owner.
+	// Owned is the pool's summary if the node owns it.
 	Owned *pool.Summary `json:"owned,omitempty"`
 }
 
-// Status returns the node's account of itself. It may be called anywhere.
+// Status returns the node's state. It may be called from any goroutine.
 func (n *Node) Status(ctx context.Context) (Status, error) {
 	gateway := Gateway{node: n}
 	status := Status{
