--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// slowStoreLatency is the latency from which the store counts as slow for all: ten
-	// times what it takes at its usual speed, 4 to 15 ms.
+	// slowStoreLatency is the latency from which the store counts as overloaded. Its usual latency
+	// is 4 to 15 ms.
 	slowStoreLatency = 100 * time.Millisecond
-	// latencyPeriod is over how long the least latency is looked for, once or twice.
+	// latencyPeriod is the length of one window of latencies.
 	latencyPeriod = time.Second
-	// reportedLatencyMaxAge is how long what a pool's owner told of the store's latency holds.
+	// reportedLatencyMaxAge is how long a latency reported by a pool's owner is used.
 	reportedLatencyMaxAge = 2 * time.Second
 )
 
-// latencyWindow keeps the least latency of the calls of the last one to two periods. The
-// least one is the store's own: others may wait behind large answers on a small link.
+// latencyWindow keeps the minimum latency of the current and the previous period. The minimum is
+// the store's own latency: other calls may have queued behind large answers on a slow link.
 type latencyWindow struct {
 	mutex             sync.Mutex
 	startedAt         time.Time
 	current, previous time.Duration
 }
 
-// record takes in a call that was answered at a time after a latency.
+// record adds the latency of a call that was answered at a time.
 func (w *latencyWindow) record(now time.Time, latency time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -35,7 +35,7 @@
 	}
 }
 
-// least returns the least latency, and false if no call was answered lately.
+// least returns the minimum latency, and false if no call was answered recently.
 func (w *latencyWindow) least(now time.Time) (time.Duration, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -49,7 +49,7 @@
 	return min(w.current, w.previous), true
 }
 
-// rotate begins a new period if the present one is over.
+// rotate starts a new period if the current one is over.
 func (w *latencyWindow) rotate(now time.Time) {
 	elapsed := now.Sub(w.startedAt)
 	switch {
@@ -64,20 +64,21 @@
 	w.startedAt = now
 }
 
-// reportedLatency is what a pool's owner told of the store's latency.
+// reportedLatency is the store's latency as reported by a pool's owner.
 type reportedLatency struct {
 	latency time.Duration
 	at      time.Time
 }
 
-// recordReportedLatency takes in what a pool's owner told, in milliseconds; 0 is nothing.
+// recordReportedLatency stores the latency reported by a pool's owner, in milliseconds; 0 means
+// unknown.
 func (n *Node) recordReportedLatency(millis int64) {
 	if millis > 0 {
 		n.reportedLatency.Store(&reportedLatency{latency: time.Duration(millis) * time.Millisecond, at: uptime.Now()})
 	}
 }
 
-// storeLatencyMillis is what this node tells of the store's latency; 0 if it knows nothing.
+// storeLatencyMillis returns the latency that this node reports to others; 0 if it is unknown.
 func (n *Node) storeLatencyMillis() int64 {
 	least, known := n.storeLatency.least(uptime.Now())
 	if !known {
@@ -86,10 +87,10 @@
 	return max(1, least.Milliseconds())
 }
 
-// storeSlow reports whether the store takes long for every call, by this node's own calls
-// or, without any, by those of a pool's owner. To such a store a call without an answer is
-// not sent a second time, neither to another part nor through another node: copies of
-// calls add to the load under which it is slow. It may be called anywhere.
+// storeSlow reports whether the store is slow for all calls, judging by this node's own calls or
+// else by the latency that a pool's owner reported. Calls to a slow store are not hedged to another
+// part or relayed through another node, as duplicates add to its load. It may be called from any
+// goroutine.
 func (n *Node) storeSlow() bool {
 	if least, known := n.storeLatency.least(uptime.Now()); known {
 		return least > slowStoreLatency
