--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -13,18 +13,10 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Symptom: while the store was some 60 to 90 times slower than usual, most jobs that were
-// handed in were neither accepted nor refused: their callers' deadlines passed.
-// Sequence: each transaction takes 0.3 to 0.5 s; the parts of the store carry out theirs
-// one after another; 23 jobs a second come.
-// Cause: a job's row went into two further parts after 0.6 and 1.2 s, as if the first part
-// alone were silent, and a node whose reading call took more than 0.4 s took the store as
-// lost and made its calls once more through other nodes. Eight parts of 0.4 s carry 20
-// transactions a second; the copies were two to four times that.
-// Settled by: 88 of 744 requests failed on the own day store-slow-twice, 84 of them at
-// their callers' deadlines, while the owner's own calls to the store were answered.
+// While the store is 60 to 90 times slower than usual, hedged and relayed duplicates of a
+// transaction multiply its load until submissions run into their deadlines.
 
-// overloadedStore takes long for each call and counts the transactions of jobs.
+// overloadedStore delays each call and counts the transactions of jobs.
 type overloadedStore struct {
 	*fakeStore
 	latency time.Duration
@@ -45,7 +37,7 @@
 	s.mutex.Lock()
 	s.commits++
 	s.mutex.Unlock()
-	// A part that others wait for too takes longer than a reading call.
+	// Transactions queue for their part and take longer than a read.
 	for range 2 {
 		if err := s.wait(ctx); err != nil {
 			return rows.Result{}, err
@@ -85,8 +77,8 @@
 	}
 }
 
-// TestSilentPartIsPassedOverWhileTheStoreIsQuick: what makes a job's row go into a second
-// part stays.
+// TestSilentPartIsPassedOverWhileTheStoreIsQuick: a write is still hedged to a second part while
+// the store is otherwise fast.
 func TestSilentPartIsPassedOverWhileTheStoreIsQuick(t *testing.T) {
 	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
@@ -114,7 +106,7 @@
 	require.False(t, known)
 }
 
-// TestOwnCallsGoBeforeWhatTheOwnerTells: a store that answers this node quickly is quick.
+// TestOwnCallsGoBeforeWhatTheOwnerTells: a store that answers this node quickly is not slow.
 func TestOwnCallsGoBeforeWhatTheOwnerTells(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.False(t, n.storeSlow())
