--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -6,11 +6,11 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// suspensionCheckInterval is the pause between two looks whether the machine was suspended while its
-// time of day was set, which hides it from the looks that come with each reading of the time.
+// suspensionCheckInterval is the interval between checks for a suspension of the machine that other
+// clock readings miss because the time of day was set meanwhile.
 const suspensionCheckInterval = time.Second
 
-// watchSuspensions tells of each suspension of the machine once it is over.
+// watchSuspensions logs each suspension of the machine after it ends.
 func (n *Node) watchSuspensions() {
 	before := uptime.Suspended()
 	n.edges.Loop.After(suspensionCheckInterval, func() {
@@ -22,5 +22,5 @@
 	})
 }
 
-// minLoggedSuspension is the least suspension that is worth a line.
+// minLoggedSuspension is the shortest suspension that is logged.
 const minLoggedSuspension = 100 * time.Millisecond
