--- a/internal/node/witnesses.go
+++ b/internal/node/witnesses.go
@@ -10,12 +10,12 @@
 	"github.com/wheatroad/wheatroad/internal/loop"
 )
 
-// indirectCheckCount is how many other nodes are asked whether they see an owner.
+// indirectCheckCount is how many other nodes are asked about an owner.
 const indirectCheckCount = 3
 
-// checkOwnerIndirectly asks other nodes whether they see a pool's owner. A node that no other
-// answers may be the only one left, so that no answer counts as not seen; one that is cut
-// off from all others can at worst take a pool that still has an owner, which is safe.
+// checkOwnerIndirectly asks other nodes whether they reach a pool's owner. Missing replies count as
+// not seen, since this node may be the only one left. A node that is partitioned from all others
+// can at worst acquire a pool that still has an owner, which fencing tokens make safe.
 func (n *Node) checkOwnerIndirectly(w *poolWatcher, done func(seen bool)) {
 	checkers := n.indirectCheckers(w.pool)
 	if len(checkers) == 0 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// indirectCheckers lists some of the guards of a pool's owner, who know of it from lately.
+// indirectCheckers returns some of the standbys of a pool, which have recent replies of its owner.
 func (n *Node) indirectCheckers(name string) []member {
 	others := n.candidatesExcept(n.leases[name].Owner)
 	slices.SortStableFunc(others, func(a, b member) int {
@@ -51,16 +51,16 @@
 	return standbys[:min(indirectCheckCount, len(standbys))]
 }
 
-// seenReply says whether a node sees a pool's owner in good health.
+// seenReply says whether a node reaches a pool's owner.
 type seenReply struct {
 	Seen bool `json:"seen"`
 }
 
-// seenMaxAge is how old a good answer of an owner may be: one that a guard has missed two
-// pings of is older.
+// seenMaxAge is the maximum age of an owner's last reply for it to count as seen. A standby that
+// has missed two replies exceeds it.
 const seenMaxAge = 600 * time.Millisecond
 
-// serveSeen answers another node whether this one sees a pool's owner.
+// serveSeen answers an indirect check of a pool's owner.
 func (n *Node) serveSeen(ctx context.Context, request pingRequest) (seenReply, error) {
 	var reply seenReply
 	err := loop.Call(ctx, n.edges.Loop, func() {
