--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -45,9 +45,9 @@
 	case notice := <-notices:
 		key := pool.AcceptedKey(pool.JobParts(poolName, jobID)[0], jobID)
 		require.Equal(t, poolName, notice.Pool)
-		require.Equal(t, store.rows[key], notice.Row, "the row as the store holds it")
+		require.Equal(t, store.rows[key], notice.Row, "the notice must hold the stored row")
 	case <-time.After(10 * time.Second):
-		t.Fatal("the owner is not told")
+		t.Fatal("the owner did not receive the notice")
 	}
 }
 
@@ -66,5 +66,5 @@
 	other.ID = "00000000000000bb"
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), other))
 	notice := <-notices
-	require.Contains(t, notice.Row.Name, other.ID, "the first one that is told")
+	require.Contains(t, notice.Row.Name, other.ID, "the first notice must be of the job submitted last")
 }
--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -107,13 +107,13 @@
 
 	_, err := n.store.Feed(expiringContext(t), "other", 1, time.Hour)
 	require.True(t, errors.Is(err, rows.ErrNoAnswer), "%v", err)
-	require.False(t, n.storeLost(), "a feed without an answer, beside one that arrives")
+	require.False(t, n.storeLost(), "one feed timed out while another was receiving its answer")
 
 	lost := make(chan bool)
 	go func() { lost <- n.confirmStoreLost() }()
 	require.Eventually(t, func() bool { return n.currentProbe.Load() != nil }, time.Minute, time.Millisecond)
 	n.recordStoreResult(nil)
-	require.False(t, <-lost, "a look without an answer, beside one that arrives")
+	require.False(t, <-lost, "the probe timed out while an answer was arriving")
 }
 
 // expiringContext returns a context whose deadline passes almost at once.
@@ -134,7 +134,7 @@
 	time.Sleep(50 * time.Millisecond)
 	store.complete <- struct{}{}
 	require.Eventually(t, func() bool { return n.confirmed.Load() != nil }, time.Minute, time.Millisecond)
-	require.False(t, n.confirmed.Load().After(begun), "confirmed %v after its beginning", n.confirmed.Load().Sub(begun))
+	require.False(t, n.confirmed.Load().After(begun), "confirmed as of %v after the first byte", n.confirmed.Load().Sub(begun))
 }
 
 // slowAnswerStore sends its answers slowly but without stalling.
@@ -204,7 +204,7 @@
 	cases := map[string]struct {
 		own, others rows.Store
 	}{
-		"directly":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
+		"direct call":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
 		"through another node": {refusingStore{}, slowCommitStore{takes: relayTimeout + 500*time.Millisecond}},
 	}
 	for name, c := range cases {
@@ -237,7 +237,7 @@
 // to it is slow.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
-	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "small link": &fixedStore{listing: listing}} {
+	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "slow link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
 			small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
@@ -340,13 +340,13 @@
 		n.handleChunk(unreachable(t), chunkRequest{Version: 2}, first)
 		assert.Len(t, n.download.content, maxChunkBytes)
 		n.downloadConfiguration(unreachable(t), 3)
-		assert.Equal(t, int64(2), n.download.version, "one transfer at a time")
+		assert.Equal(t, int64(2), n.download.version, "a second transfer must not start")
 	})
 	require.Eventually(t, func() bool {
 		active := true
 		onLoop(t, n, func() { active = n.download.active })
 		return !active
-	}, transferTimeout, time.Millisecond, "the call fails")
+	}, transferTimeout, time.Millisecond, "the transfer must end when a call fails")
 
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
@@ -354,7 +354,7 @@
 	address := servePeers(t, source)
 	onLoop(t, n, func() {
 		n.downloadConfiguration(address, 2)
-		assert.Len(t, n.download.content, maxChunkBytes, "it goes on from there")
+		assert.Len(t, n.download.content, maxChunkBytes, "the received chunk must be kept")
 	})
 	requireVersion(t, n, 2)
 }
@@ -391,25 +391,25 @@
 	newest := &document{version: 9}
 	var served servedDocuments
 	require.Nil(t, served.find(1, nil))
-	require.Equal(t, newest, served.find(4, newest), "a version that is not there")
+	require.Equal(t, newest, served.find(4, newest), "an unknown version gets the newest document")
 	require.Equal(t, newest, served.find(5, newest))
 	require.Len(t, served.entries, 1)
 	for version := range int64(2 * maxServedDocuments) {
 		served.find(version+10, &document{version: version + 10})
-		require.Equal(t, newest, served.find(9, &document{version: version + 10}), "one that is being fetched stays")
+		require.Equal(t, newest, served.find(9, &document{version: version + 10}), "a version in download must be retained")
 	}
 	require.Len(t, served.entries, maxServedDocuments)
 	for i := range served.entries {
 		served.entries[i].requestedAt = time.Now().Add(-servedRetention - time.Second)
 	}
 	served.find(9, newest)
-	require.Len(t, served.entries, 1, "those that nobody fetches any more are gone")
+	require.Len(t, served.entries, 1, "versions that are no longer requested must be evicted")
 }
 
 func TestChunkOutsideTheConfigurationIsRefused(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	_, err := source.serveChunk(chunkRequest{Version: 1})
-	require.Error(t, err, "no document")
+	require.Error(t, err, "a node without a configuration must refuse chunks")
 	source.edges.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
 	for _, offset := range []int{-1, largeConfigurationBytes + 1} {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -133,12 +133,12 @@
 		prepare func(*fakeStore)
 		want    fault.Kind
 	}{
-		"all well":            {func(*fakeStore) {}, ""},
+		"no failure":            {func(*fakeStore) {}, ""},
 		"one part refuses":    {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part is silent":  {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
+		"one part does not answer":  {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
 		"all parts refuse":    {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"all parts silent":    {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
-		"silent then refusal": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
+		"no part answers":    {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
+		"no answer, then refusals": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		store := newFakeStore()
@@ -221,7 +221,7 @@
 	require.Equal(t, taskgraph.Completed, state)
 	store.unanswered[parts[1]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
-	require.Error(t, err, "an older row must not be told")
+	require.Error(t, err, "an older progress row must not be returned while a part is unread")
 }
 
 func TestCancelNeedsAJobAndIsIdempotent(t *testing.T) {
@@ -255,7 +255,7 @@
 	old := time.Now().Add(-2 * time.Hour)
 	gateway.node.confirmed.Store(&old)
 	_, _, err = gateway.Resolve("h", "/q/x", "key")
-	require.True(t, fault.IsKind(err, fault.ConfigurationOld), "a key that may be gone is not taken: %v", err)
+	require.True(t, fault.IsKind(err, fault.ConfigurationOld), "a key that may have been revoked must be refused: %v", err)
 	require.False(t, gateway.Ready())
 }
 
--- a/internal/node/lateness_test.go
+++ b/internal/node/lateness_test.go
@@ -12,7 +12,7 @@
 func TestLatenessIsAllowedFor(t *testing.T) {
 	var l schedulingDelay
 	l.record(minSchedulingDelay - time.Millisecond)
-	require.Zero(t, l.timeoutExtension(), "timers are always a little late")
+	require.Zero(t, l.timeoutExtension(), "a small delay must not extend timeouts")
 	l.record(100 * time.Millisecond)
 	require.Equal(t, timeoutExtensionFactor*100*time.Millisecond, l.timeoutExtension())
 	l.record(10 * time.Second)
@@ -20,7 +20,7 @@
 	for range delaySampleCount {
 		l.record(0)
 	}
-	require.Zero(t, l.timeoutExtension(), "what was long ago is forgotten")
+	require.Zero(t, l.timeoutExtension(), "old samples must not count")
 }
 
 // TestOnlyOwnersWatchTheirLateness: sampling runs once, and ends with the last owned pool.
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -218,11 +218,11 @@
 		at    float64
 		gone  []string
 	}{
-		"nobody asked":      {nil, 60, nil},
-		"not heard so long": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
-		"one is gone":       {map[string][]float64{"a": everyHalfSecond(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
-		"cut off itself":    {map[string][]float64{"a": everyHalfSecond(0, 20)}, 30, nil},
-		"after a gap":       {map[string][]float64{"a": append(everyHalfSecond(0, 20), everyHalfSecond(30, 40)...)}, 40, nil},
+		"no pings":      {nil, 60, nil},
+		"pinged for less than memberExpiry": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
+		"one node stopped":       {map[string][]float64{"a": everyHalfSecond(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
+		"owner partitioned":    {map[string][]float64{"a": everyHalfSecond(0, 20)}, 30, nil},
+		"pings resumed after a gap":       {map[string][]float64{"a": append(everyHalfSecond(0, 20), everyHalfSecond(30, 40)...)}, 40, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -340,7 +340,7 @@
 
 	n.sample.partial = true
 	n.applyNodeRow(row("node-4", false))
-	require.Len(t, n.otherMembersExcept(""), 1, "the nodes of a large fleet are not all known")
+	require.Len(t, n.otherMembersExcept(""), 1, "nodes of a large cluster must not be added from the lease table")
 }
 
 // truncatedHistoryStore has no history before a version.
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -83,13 +83,13 @@
 	n.scheduleAcquire(n.watcher, "owner node-2 does not answer", n.ownerSuspected)
 	n.applyLeaseOf("node-3", 6)
 	n.loop.advance(time.Minute)
-	require.False(t, n.watcher.acquiring, "the lease is another")
+	require.False(t, n.watcher.acquiring, "the lease has changed")
 
 	n.watcher.failures = suspectAfterFailures
 	n.scheduleAcquire(n.watcher, "owner node-3 does not answer", n.ownerSuspected)
 	n.handlePingReply(n.watcher, pingReply{Owner: true})
 	n.loop.advance(time.Minute)
-	require.False(t, n.watcher.acquiring, "the owner answered meanwhile")
+	require.False(t, n.watcher.acquiring, "the owner has answered since")
 }
 
 // TestWitnessesOfAnEarlierLeaseAreIgnored: the result of an indirect check arrives after the pool
@@ -111,7 +111,7 @@
 		own, owner float64
 		want       bool
 	}{
-		"much weaker": {0.8, 0.2, true},
+		"owner has a quarter of the weight": {0.8, 0.2, true},
 		"alike":       {0.4, 0.4, false},
 		"stronger":    {0.2, 0.8, false},
 	}
@@ -134,11 +134,11 @@
 		lostHere bool
 		want     bool
 	}{
-		"answered lately":           {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
+		"recent answer, feeds failing":           {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
 		"failing":                   {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
-		"quiet, nothing failed":     {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
+		"old answer, feeds not failing":     {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
 		"silent":                    {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
-		"lost by this node as well": {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
+		"store lost to both nodes": {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, 1, nil)
@@ -170,7 +170,7 @@
 		}
 	}
 	require.Len(t, n.indirectCheckers(poolName), indirectCheckCount)
-	require.GreaterOrEqual(t, n.takeoverRank(poolName), standbyCount-1, "lighter nodes do not watch closely")
+	require.GreaterOrEqual(t, n.takeoverRank(poolName), standbyCount-1, "nodes with less weight must not be standbys")
 }
 
 func TestRetriesAreMadeOnceTheStoreIsBack(t *testing.T) {
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -22,7 +22,7 @@
 					pings++
 				}
 			}
-			require.InDelta(t, span.Seconds()/pingPeriod.Seconds(), pings, 8, "rounds of %v, %v late", pause, late)
+			require.InDelta(t, span.Seconds()/pingPeriod.Seconds(), pings, 8, "interval %v, timers late by %v", pause, late)
 		}
 	}
 }
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -34,7 +34,7 @@
 	for name, c := range map[string]struct {
 		rate float64
 		sent int32
-	}{"small": {1, 1}, "not limited": {0, burst}} {
+	}{"small": {1, 1}, "no rate limit": {0, burst}} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestNodeWithoutTheStoreWritesThroughAnother(t *testing.T) {
-	for name, own := range map[string]rows.Store{"turned away": refusingStore{}, "no answer": hangingStore{}} {
+	for name, own := range map[string]rows.Store{"store refuses": refusingStore{}, "no answer": hangingStore{}} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
 			gateway := newGatewayWithPeer(t, own, store)
@@ -93,7 +93,7 @@
 	require.Equal(t, int64(7), listing.Version)
 	_, err = n.store.Feed(context.Background(), truncatedTable, 1, time.Millisecond)
 	require.ErrorIs(t, err, rows.ErrHistoryGone)
-	require.True(t, n.storeLost(), "an answer through another node is not a direct one")
+	require.True(t, n.storeLost(), "a relayed answer must not count as a direct one")
 }
 
 const truncatedTable = "gone"
@@ -144,10 +144,10 @@
 		return len(n.feeds.pending) == 1
 	}, time.Minute, time.Millisecond)
 	n.feeds.cancelIdle(2 * time.Hour)
-	require.Empty(t, ended, "short feeds go on")
+	require.Empty(t, ended, "feeds with a shorter wait must not be canceled")
 	n.feeds.cancelIdle(time.Hour)
 	require.ErrorIs(t, <-ended, errFeedCanceled)
-	require.False(t, n.storeLost(), "that says nothing of the store")
+	require.False(t, n.storeLost(), "a canceled feed must not count as a failure of the store")
 }
 
 // TestWhoFollowsTheStoreForHowLong: feeds are short on owners, long on nodes whose configuration an
@@ -162,11 +162,11 @@
 		owner                      bool
 		want                       time.Duration
 	}{
-		"told by an owner":  {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
-		"told by nobody":    {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
+		"confirmed by an owner":  {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
+		"not confirmed by a peer":    {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
 		"owner":             {100 * time.Millisecond, 100 * time.Millisecond, true, ownerFeedWait},
-		"not confirmed":     {2 * time.Second, time.Hour, false, immediateFeedWait},
-		"owner unconfirmed": {2 * time.Second, time.Hour, true, immediateFeedWait},
+		"stale confirmation":     {2 * time.Second, time.Hour, false, immediateFeedWait},
+		"owner with stale confirmation": {2 * time.Second, time.Hour, true, immediateFeedWait},
 	}
 	for name, c := range cases {
 		n := newGateway(t, newFakeStore()).node
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -31,11 +31,11 @@
 		owner     bool
 		confirmed bool
 	}{
-		"newer owner known":         {pingRequest{Pool: poolName, Token: 6}, false, false},
-		"store away for both":       {pingRequest{Pool: poolName, Token: 5, StoreLost: true}, true, true},
-		"store there for the other": {pingRequest{Pool: poolName, Token: 5}, true, false},
-		"older owner known there":   {pingRequest{Pool: poolName, Token: 4, StoreLost: true}, true, false},
-		"earlier version of a node": {pingRequest{Pool: poolName}, true, false},
+		"peer knows a newer owner":         {pingRequest{Pool: poolName, Token: 6}, false, false},
+		"store lost to both":       {pingRequest{Pool: poolName, Token: 5, StoreLost: true}, true, true},
+		"store reachable for the peer": {pingRequest{Pool: poolName, Token: 5}, true, false},
+		"peer knows an older owner":   {pingRequest{Pool: poolName, Token: 4, StoreLost: true}, true, false},
+		"peer of an earlier version": {pingRequest{Pool: poolName}, true, false},
 		"another pool":              {pingRequest{Pool: "other", Token: 9}, false, false},
 	}
 	for name, c := range cases {
@@ -56,7 +56,7 @@
 func TestOnlyNodeStandsAloneWhileTheStoreIsAway(t *testing.T) {
 	onlyNode := owningNode(t, nil)
 	onlyNode.confirmIfOnlyNode()
-	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is there to be asked")
+	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is reachable")
 	onlyNode.recordStoreFailure(rows.ErrNoAnswer)
 	onlyNode.confirmIfOnlyNode()
 	require.Less(t, onlyNode.sinceConfirmed(), time.Second)
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -72,7 +72,7 @@
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
 			require.Equal(t, 1, store.commits)
-			require.False(t, gateway.node.storeLost(), "it answers")
+			require.False(t, gateway.node.storeLost(), "the store answers and must not count as lost")
 		})
 	}
 }
@@ -96,12 +96,12 @@
 	window.record(start, 20*time.Millisecond)
 	least, known := window.least(start)
 	require.True(t, known)
-	require.Equal(t, 20*time.Millisecond, least, "a large answer on a small link is no slow store")
+	require.Equal(t, 20*time.Millisecond, least, "one slow answer must not make the store slow")
 	later := start.Add(latencyPeriod)
 	window.record(later, 310*time.Millisecond)
 	window.record(later.Add(latencyPeriod), 320*time.Millisecond)
 	least, _ = window.least(later.Add(latencyPeriod))
-	require.Equal(t, 310*time.Millisecond, least, "what is older is forgotten")
+	require.Equal(t, 310*time.Millisecond, least, "older periods must not count")
 	_, known = window.least(later.Add(4 * latencyPeriod))
 	require.False(t, known)
 }
