--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -133,11 +133,11 @@
 		prepare func(*fakeStore)
 		want    fault.Kind
 	}{
-		"no failure":            {func(*fakeStore) {}, ""},
-		"one part refuses":    {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part does not answer":  {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
-		"all parts refuse":    {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"no part answers":    {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
+		"no failure":               {func(*fakeStore) {}, ""},
+		"one part refuses":         {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
+		"one part does not answer": {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
+		"all parts refuse":         {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
+		"no part answers":          {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
 		"no answer, then refusals": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -218,11 +218,11 @@
 		at    float64
 		gone  []string
 	}{
-		"no pings":      {nil, 60, nil},
+		"no pings":                          {nil, 60, nil},
 		"pinged for less than memberExpiry": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
-		"one node stopped":       {map[string][]float64{"a": everyHalfSecond(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
-		"owner partitioned":    {map[string][]float64{"a": everyHalfSecond(0, 20)}, 30, nil},
-		"pings resumed after a gap":       {map[string][]float64{"a": append(everyHalfSecond(0, 20), everyHalfSecond(30, 40)...)}, 40, nil},
+		"one node stopped":                  {map[string][]float64{"a": everyHalfSecond(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
+		"owner partitioned":                 {map[string][]float64{"a": everyHalfSecond(0, 20)}, 30, nil},
+		"pings resumed after a gap":         {map[string][]float64{"a": append(everyHalfSecond(0, 20), everyHalfSecond(30, 40)...)}, 40, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -112,8 +112,8 @@
 		want       bool
 	}{
 		"owner has a quarter of the weight": {0.8, 0.2, true},
-		"alike":       {0.4, 0.4, false},
-		"stronger":    {0.2, 0.8, false},
+		"alike":                             {0.4, 0.4, false},
+		"stronger":                          {0.2, 0.8, false},
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, c.own, map[string]float64{"node-2": c.owner})
@@ -134,11 +134,11 @@
 		lostHere bool
 		want     bool
 	}{
-		"recent answer, feeds failing":           {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
-		"failing":                   {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
-		"old answer, feeds not failing":     {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
-		"silent":                    {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
-		"store lost to both nodes": {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
+		"recent answer, feeds failing":  {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
+		"failing":                       {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
+		"old answer, feeds not failing": {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
+		"silent":                        {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
+		"store lost to both nodes":      {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, 1, nil)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -51,27 +51,27 @@
 // Commit implements rows.Store.
 func (s *relayedStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	sendTime := rows.SendTime(transaction)
-	bounds := callTimeouts{direct: storeTimeout + sendTime, relayed: relayTimeout + relayHops*sendTime}
-	return callWithRelay(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Result, error) {
+	timeouts := callTimeouts{direct: storeTimeout + sendTime, relayed: relayTimeout + relayHops*sendTime}
+	return callWithRelay(ctx, s, timeouts, func(ctx context.Context, store rows.Store) (rows.Result, error) {
 		return store.Commit(ctx, transaction)
 	})
 }
 
 // Scan implements rows.Store.
 func (s *relayedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
-	bounds := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
+	timeouts := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
 	if allJobs := prefix == "" && table != pool.NodeTable; allJobs {
-		bounds.relayed = relayScanTimeout
+		timeouts.relayed = relayScanTimeout
 	}
-	return callWithRelay(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+	return callWithRelay(ctx, s, timeouts, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 		return store.Scan(ctx, table, part, prefix)
 	})
 }
 
 // Page implements rows.Store.
 func (s *relayedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
-	bounds := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
-	return callWithRelay(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+	timeouts := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
+	return callWithRelay(ctx, s, timeouts, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 		return store.Page(ctx, table, part, from, limit)
 	})
 }
@@ -145,13 +145,13 @@
 // callWithRelay makes a call directly and, if this node turns out to have lost the store, through
 // another one. A call that fails or takes long while the store is reachable is not relayed, as a
 // duplicate would add to the store's load.
-func callWithRelay[T any](ctx context.Context, s *relayedStore, bounds callTimeouts, call storeCall[T]) (T, error) {
+func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	if s.node.storeLost() {
-		return relay(ctx, s, bounds, call)
+		return relay(ctx, s, timeouts, call)
 	}
 	attempts := make(chan attempt[T], 2)
 	go func() {
-		directContext, cancel := progress.WithPatience(ctx, progressTimeout(bounds.direct))
+		directContext, cancel := progress.WithPatience(ctx, progressTimeout(timeouts.direct))
 		defer cancel()
 		result, err := call(directContext, s.direct)
 		s.node.recordStoreResult(err)
@@ -176,7 +176,7 @@
 		return direct.result, direct.err
 	}
 	go func() {
-		result, err := relay(ctx, s, bounds, call)
+		result, err := relay(ctx, s, timeouts, call)
 		attempts <- attempt[T]{result, err}
 	}()
 	return firstAnswer(attempts, direct)
@@ -207,7 +207,7 @@
 }
 
 // relay makes a call through other nodes, one after another.
-func relay[T any](ctx context.Context, s *relayedStore, bounds callTimeouts, call storeCall[T]) (T, error) {
+func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	var zero T
 	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrRefused)
 	if s.node.options.Off[mechanism.StoreRelay] {
@@ -217,16 +217,16 @@
 		return zero, failure
 	}
 	for _, address := range s.relayAddresses() {
-		attemptContext, cancel := progress.WithPatience(ctx, progressTimeout(bounds.relayed))
+		attemptContext, cancel := progress.WithPatience(ctx, progressTimeout(timeouts.relayed))
 		ended := func() {}
-		if bounds.readOnly {
-			attemptContext, ended = s.relayedReads.add(attemptContext, bounds.relayed)
+		if timeouts.readOnly {
+			attemptContext, ended = s.relayedReads.add(attemptContext, timeouts.relayed)
 		}
 		result, err := call(attemptContext, &peerStore{node: s.node, address: address})
 		ended()
 		cancel()
-		tried := attempt[T]{result, err}
-		if tried.answered() {
+		outcome := attempt[T]{result, err}
+		if outcome.answered() {
 			s.preferred.Store(&address)
 			s.node.recordStoreReached()
 			s.node.edges.Record.Count("store_relays", "answered")
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -162,10 +162,10 @@
 		owner                      bool
 		want                       time.Duration
 	}{
-		"confirmed by an owner":  {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
-		"not confirmed by a peer":    {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
-		"owner":             {100 * time.Millisecond, 100 * time.Millisecond, true, ownerFeedWait},
-		"stale confirmation":     {2 * time.Second, time.Hour, false, immediateFeedWait},
+		"confirmed by an owner":         {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
+		"not confirmed by a peer":       {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
+		"owner":                         {100 * time.Millisecond, 100 * time.Millisecond, true, ownerFeedWait},
+		"stale confirmation":            {2 * time.Second, time.Hour, false, immediateFeedWait},
 		"owner with stale confirmation": {2 * time.Second, time.Hour, true, immediateFeedWait},
 	}
 	for name, c := range cases {
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -31,12 +31,12 @@
 		owner     bool
 		confirmed bool
 	}{
-		"peer knows a newer owner":         {pingRequest{Pool: poolName, Token: 6}, false, false},
-		"store lost to both":       {pingRequest{Pool: poolName, Token: 5, StoreLost: true}, true, true},
+		"peer knows a newer owner":     {pingRequest{Pool: poolName, Token: 6}, false, false},
+		"store lost to both":           {pingRequest{Pool: poolName, Token: 5, StoreLost: true}, true, true},
 		"store reachable for the peer": {pingRequest{Pool: poolName, Token: 5}, true, false},
-		"peer knows an older owner":   {pingRequest{Pool: poolName, Token: 4, StoreLost: true}, true, false},
-		"peer of an earlier version": {pingRequest{Pool: poolName}, true, false},
-		"another pool":              {pingRequest{Pool: "other", Token: 9}, false, false},
+		"peer knows an older owner":    {pingRequest{Pool: poolName, Token: 4, StoreLost: true}, true, false},
+		"peer of an earlier version":   {pingRequest{Pool: poolName}, true, false},
+		"another pool":                 {pingRequest{Pool: "other", Token: 9}, false, false},
 	}
 	for name, c := range cases {
 		n := owningNode(t, nil)
