--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -213,9 +213,9 @@
 func TestNewsAgesOverSlowLinks(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	n.confirmed.Store(nil)
-	askedAt := time.Now().Add(-time.Minute)
-	n.handleConfigurationStatus("", configurationStatus{Version: 1, AgeMillis: 500}, askedAt)
-	require.Equal(t, askedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
+	requestedAt := time.Now().Add(-time.Minute)
+	n.handleConfigurationStatus("", configurationStatus{Version: 1, AgeMillis: 500}, requestedAt)
+	require.Equal(t, requestedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
 }
 
 // TestFeedsOfAVerySlowStoreAreWaitedFor: the slack must grow until it exceeds the latency of the
