--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/arriving_answers_test.go
@@ -204,7 +204,7 @@
 	cases := map[string]struct {
 		own, others rows.Store
 	}{
-		"direct call":          {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
+		"directly":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
 		"through another node": {refusingStore{}, slowCommitStore{takes: relayTimeout + 500*time.Millisecond}},
 	}
 	for name, c := range cases {
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -235,9 +235,9 @@
 				}
 			}
 			var gone []string
-			for _, who := range []string{"a", "b", "c"} {
-				if h.expired(who, began.Add(time.Duration(c.at*float64(time.Second)))) {
-					gone = append(gone, who)
+			for _, name := range []string{"a", "b", "c"} {
+				if h.expired(name, began.Add(time.Duration(c.at*float64(time.Second)))) {
+					gone = append(gone, name)
 				}
 			}
 			require.Equal(t, c.gone, gone)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -244,7 +244,8 @@
 }
 
 // relayAddresses lists the nodes to try: the one that last relayed a call, then others in random
-// order. They include the owners of pools, which are known to be alive even if most known members are not.
+// order. They include the owners of pools, which are known to be alive even if most known members
+// are not.
 func (s *relayedStore) relayAddresses() []string {
 	v := s.node.snapshot.Load()
 	addresses := map[string]bool{}
