--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,8 +63,8 @@
 	// confirmedByPeer is the time as of which another node last confirmed the catalog.
 	confirmedByPeer atomic.Pointer[time.Time]
 	snapshot        atomic.Pointer[snapshot]
-	// storeAnswered is when the store last answered this node directly, storeFailed when a direct
-	// call last failed, and storeReached when the store last answered directly or through another
+	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or a
+	// probe last failed, and storeReached when the store last answered directly or through another
 	// node.
 	storeAnswered atomic.Pointer[time.Time]
 	storeFailed   atomic.Pointer[time.Time]
@@ -177,8 +177,8 @@
 	}
 }
 
-// recordStoreFailure records a failed feed. Failed transactions are not recorded here, as they may
-// concern only one part of the store.
+// recordStoreFailure records a failed feed or probe. Failed transactions are not recorded here, as
+// they may concern only one part of the store.
 func (n *Node) recordStoreFailure(err error) {
 	if err == nil || errors.Is(err, rows.ErrHistoryGone) {
 		return
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -43,8 +43,8 @@
 	n.readLease(name, func(int64) { n.followLeases() })
 }
 
-// handleLeaseChange resets what was suspected of the previous owner and acquires the pool if it has
-// no owner.
+// handleLeaseChange clears the suspicion of the previous owner. It acquires the pool if it has no
+// owner, or if its owner is an earlier process of this node.
 func (n *Node) handleLeaseChange(name string) {
 	w := n.watchers[name]
 	if w == nil {
