--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -99,10 +99,10 @@
 		n.downloadChunk(address)
 		return
 	}
-	finished := n.download.document
+	completed := n.download.document
 	n.download = download{}
-	if !superseded && len(finished.content) == reply.Size {
-		n.applyDocument(finished.content, "peer")
+	if !superseded && len(completed.content) == reply.Size {
+		n.applyDocument(completed.content, "peer")
 	}
 }
 
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -30,8 +30,8 @@
 	confirmationCheckInterval = 150 * time.Millisecond
 )
 
-// errFeedCanceled is the cause of canceled feeds.
-var errFeedCanceled = errors.New("feed called off")
+// errReadCanceled is the cause of reads that cancelIdle ends.
+var errReadCanceled = errors.New("feed called off")
 
 // cancelableReads are the pending feeds and other read-only calls, which can be canceled while they
 // wait for the store. Its methods may be called from any goroutine.
@@ -50,26 +50,26 @@
 
 // add registers a read that waits for up to wait. It returns the context for the read and a
 // function that unregisters it.
-func (f *cancelableReads) add(ctx context.Context, wait time.Duration) (context.Context, func()) {
+func (r *cancelableReads) add(ctx context.Context, wait time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if f.pending == nil {
-		f.pending = map[int]*cancelableRead{}
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.pending == nil {
+		r.pending = map[int]*cancelableRead{}
 	}
-	f.lastID++
-	id := f.lastID
+	r.lastID++
+	id := r.lastID
 	read := &cancelableRead{wait: wait, cancel: cancel}
-	f.pending[id] = read
+	r.pending[id] = read
 	observed := progress.With(ctx, func(int) {
-		f.mutex.Lock()
-		defer f.mutex.Unlock()
+		r.mutex.Lock()
+		defer r.mutex.Unlock()
 		read.receiving = true
 	})
 	return observed, func() {
-		f.mutex.Lock()
-		delete(f.pending, id)
-		f.mutex.Unlock()
+		r.mutex.Lock()
+		delete(r.pending, id)
+		r.mutex.Unlock()
 		cancel(nil)
 	}
 }
@@ -77,18 +77,18 @@
 // cancelIdle cancels the pending reads that wait for minWait or longer and have not received a
 // byte. On a slow link a large answer may take longer to receive than any interval between
 // cancellations.
-func (f *cancelableReads) cancelIdle(minWait time.Duration) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	for _, feed := range f.pending {
-		if feed.wait >= minWait && !feed.receiving {
-			feed.cancel(errFeedCanceled)
+func (r *cancelableReads) cancelIdle(minWait time.Duration) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for _, read := range r.pending {
+		if read.wait >= minWait && !read.receiving {
+			read.cancel(errReadCanceled)
 		}
 	}
 }
 
-// feedCanceled reports whether a read's context was canceled by cancelIdle.
-func feedCanceled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errFeedCanceled) }
+// readCanceled reports whether a read's context was canceled by cancelIdle.
+func readCanceled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errReadCanceled) }
 
 // maxFeedDoublings is enough doublings to reach maxFeedSlack.
 const maxFeedDoublings = 4
@@ -167,7 +167,7 @@
 			n.edges.Record.Count("feed_gaps", s.table)
 			n.edges.Record.Decided("feed read anew", "table", s.table, "after", after)
 			s.onEnd()
-		case errors.Is(err, errFeedCanceled):
+		case errors.Is(err, errReadCanceled):
 			n.follow(s, after)
 		case err != nil:
 			n.edges.Record.Count("retries", "feed")
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -192,8 +192,8 @@
 		// All other nodes run an older version; keep those that the first sample found.
 		maps.Copy(next.members, n.sample.members)
 	}
-	known, listed := next.members[n.options.Name]
-	missing := !listed || known.Incarnation != n.options.Incarnation
+	ownRow, listed := next.members[n.options.Name]
+	missing := !listed || ownRow.Incarnation != n.options.Incarnation
 	n.sample = next
 	n.publishSnapshot()
 	n.followLeases()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	return n
 }
 
-// Start starts the node.
+// Start joins the cluster and begins to follow the configuration and to ping the owners of pools.
 func (n *Node) Start() {
 	n.join()
 	n.readConfiguration()
@@ -130,7 +130,6 @@
 	n.watchSuspensions()
 }
 
-// now returns the loop's time.
 func (n *Node) now() time.Time { return n.edges.Loop.Now() }
 
 func (n *Node) publishSnapshot() {
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -230,7 +230,6 @@
 	n.notifyIfReleased()
 }
 
-// hasNoOwner reports whether a pool has no owner.
 func (n *Node) hasNoOwner(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
 
 // An owner is replaced by a node with at least weakOwnerWeightRatio times its weight after
--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -74,9 +74,9 @@
 // read.
 func (n *Node) removeExpired(listed []rows.Row) {
 	var transaction rows.Transaction
-	read := memberSample{members: map[string]member{}}
+	pageSample := memberSample{members: map[string]member{}}
 	for i := range listed {
-		m, ok := read.add(&listed[i])
+		m, ok := pageSample.add(&listed[i])
 		if !ok || m.Name == n.options.Name || !n.pingHistory.expired(m.Name, n.now()) {
 			continue
 		}
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -107,8 +107,8 @@
 	ctx, done := s.node.feeds.add(ctx, wait)
 	defer done()
 	listing, err := s.direct.Feed(ctx, table, after, wait)
-	if err != nil && feedCanceled(ctx) {
-		return listing, errors.Mark(errFeedCanceled, rows.ErrNoAnswer)
+	if err != nil && readCanceled(ctx) {
+		return listing, errors.Mark(errReadCanceled, rows.ErrNoAnswer)
 	}
 	s.node.recordFeedResult(err)
 	s.node.recordStoreResult(err)
@@ -234,7 +234,7 @@
 		}
 		s.node.edges.Record.Count("store_relays", "failed")
 		failure = lessCertain(failure, err)
-		if ctx.Err() != nil || feedCanceled(attemptContext) {
+		if ctx.Err() != nil || readCanceled(attemptContext) {
 			return zero, failure
 		}
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -146,7 +146,7 @@
 	n.feeds.cancelIdle(2 * time.Hour)
 	require.Empty(t, ended, "feeds with a shorter wait must not be canceled")
 	n.feeds.cancelIdle(time.Hour)
-	require.ErrorIs(t, <-ended, errFeedCanceled)
+	require.ErrorIs(t, <-ended, errReadCanceled)
 	require.False(t, n.storeLost(), "a canceled feed must not count as a failure of the store")
 }
 
