--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -20,7 +20,7 @@
 	// chunkTimeout bounds the call for one chunk: 30 times its transmission time on a link of 10
 	// Mbit/s.
 	chunkTimeout = time.Second
-	// storeTransferGrace is how long the store's own answer may take before other nodes are asked
+	// storeTransferGrace is how long the store's own answer may take before other nodes are polled
 	// too. It is below the strictest limit on the configuration's age, 2 s.
 	storeTransferGrace = 1500 * time.Millisecond
 	// servedRetention is how long a replaced version is kept after the last request for it, so that
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -23,7 +23,7 @@
 	longFeedWait    = 15 * time.Second
 	// immediateFeedWait is for a feed that should be answered at once.
 	immediateFeedWait = 20 * time.Millisecond
-	// staleConfirmationAge is the age of the configuration's confirmation from which a node asks
+	// staleConfirmationAge is the age of the configuration's confirmation from which a node queries
 	// the store itself. The strictest site allows an age of 2 s.
 	staleConfirmationAge = 900 * time.Millisecond
 	// confirmationCheckInterval is the interval between checks of that age.
@@ -125,7 +125,7 @@
 }
 
 // checkConfirmation cancels long feeds once the configuration's confirmation is stale, so that the
-// store is asked at once.
+// store is queried at once.
 func (n *Node) checkConfirmation() {
 	confirmedAge := age(n.confirmed.Load())
 	if confirmedAge > staleConfirmationAge && !n.storeLost() {
--- a/internal/node/indirect_check.go
+++ b/internal/node/indirect_check.go
@@ -10,11 +10,11 @@
 	"github.com/wheatroad/wheatroad/internal/loop"
 )
 
-// indirectCheckCount is how many other nodes are asked about an owner.
+// indirectCheckCount is how many other nodes are queried about an owner.
 const indirectCheckCount = 3
 
-// checkOwnerIndirectly asks other nodes whether they reach a pool's owner. Missing replies count as
-// not seen, since this node may be the only one left. A node that is partitioned from all others
+// checkOwnerIndirectly queries other nodes whether they reach a pool's owner. Missing replies count
+// as not seen, since this node may be the only one left. A node that is partitioned from all others
 // can at worst acquire a pool that still has an owner, which fencing tokens make safe.
 func (n *Node) checkOwnerIndirectly(w *poolWatcher, done func(seen bool)) {
 	checkers := n.indirectCheckers(w.pool)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -30,7 +30,7 @@
 	// and as many to replace them.
 	candidateCount = 2 * standbyCount
 	// successorCount is how many successors of this node are known. A node that loses the store
-	// looks among them for one that still reaches it.
+	// finds one among them that still reaches it.
 	successorCount = 12
 	// legacyMemberCount is how many nodes are read, once, whose version does not write memberTable.
 	legacyMemberCount = 4
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -284,7 +284,7 @@
 	return s.listing, nil
 }
 
-// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: no other node is asked while the store sends a
+// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: no other node is polled while the store sends a
 // configuration, as both would share the link, unless the store takes longer than
 // storeTransferGrace.
 func TestOtherNodesAreAskedOnceTheStoreTakesTooLong(t *testing.T) {
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -17,7 +17,7 @@
 	address string
 }
 
-// storeRequest asks a node to make one call to the store. Exactly one field is set.
+// storeRequest is one store call to be made by another node. Exactly one field is set.
 type storeRequest struct {
 	Commit *rows.Transaction `json:"commit,omitempty"`
 	Scan   *scanRequest      `json:"scan,omitempty"`
