--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -11,12 +11,12 @@
 	queue      string
 	firstAt    time.Time
 	acceptedAt time.Time
-	// refusal is the last reason for which it was not taken, at refusedAt.
-	refusal   string
-	refusedAt time.Time
-	placed    []record
-	ends      []record
-	ended     record
+	// rejectionReason is the last reason for which it was not taken, at refusedAt.
+	rejectionReason string
+	rejectedAt      time.Time
+	placements      []logLine
+	runEnds         []logLine
+	jobEnd          logLine
 }
 
 // Cause names what took a job's time.
@@ -24,30 +24,30 @@
 
 // The causes that are not a reason of a wait or of an end.
 const (
-	CauseRefused   Cause = "refused at first: "
-	CauseNotTaken  Cause = "not taken: "
-	CauseStoreAway Cause = "accepted, store away"
-	CauseTakeover  Cause = "takeover"
-	CauseWait      Cause = "waited: "
-	CauseWrite     Cause = "placement written late"
-	CauseRerun     Cause = "run again after: "
-	CauseSlow      Cause = "ran on slow workers"
-	CauseUnknown   Cause = "not told by the lines"
+	CauseRejectedFirst    Cause = "refused at first: "
+	CauseNotAccepted      Cause = "not taken: "
+	CauseStoreUnavailable Cause = "accepted, store away"
+	CauseTakeover         Cause = "takeover"
+	CauseQueueWait        Cause = "waited: "
+	CausePlacementWrite   Cause = "placement written late"
+	CauseRerun            Cause = "run again after: "
+	CauseSlowWorkers      Cause = "ran on slow workers"
+	CauseUnknown          Cause = "not told by the lines"
 )
 
-// notAllowed are the refusals of what the configuration does not allow.
-var notAllowed = map[string]bool{"unauthenticated": true, "not_found": true, "": true}
+// callerErrorReasons are the refusals of what the configuration does not allow.
+var callerErrorReasons = map[string]bool{"unauthenticated": true, "not_found": true, "": true}
 
-// owed reports whether the job was taken, or should have been.
-func (j *job) owed() bool { return !j.acceptedAt.IsZero() || !notAllowed[j.refusal] }
+// counted reports whether the job was taken, or should have been.
+func (j *job) counted() bool { return !j.acceptedAt.IsZero() || !callerErrorReasons[j.rejectionReason] }
 
 // late reports whether the job was completed after its objective.
 func (j *job) late() bool {
-	return j.ended.State == "completed" && j.total() > j.objective()
+	return j.jobEnd.State == "completed" && j.total() > j.objective()
 }
 
 // total is the time from the first line about the job to its end.
-func (j *job) total() time.Duration { return j.ended.At.Sub(j.firstAt) }
+func (j *job) total() time.Duration { return j.jobEnd.At.Sub(j.firstAt) }
 
 // objective is the time in which the job should have ended, by how long its work, and
 // the runs that failed, take on ordinary workers. The owner had only estimates to go by; its own
@@ -55,49 +55,49 @@
 func (j *job) objective() time.Duration {
 	var work time.Duration
 	for step := range j.stepCount() {
-		unit := j.lastUnit(step)
-		for i := range j.placed {
-			p := &j.placed[i]
+		unit := j.lastUnitToEnd(step)
+		for i := range j.placements {
+			p := &j.placements[i]
 			if p.Step != step || p.Unit != unit {
 				continue
 			}
-			if end := j.endOf(p); end != nil && (end.How == "done" || end.How == "failed") {
-				work += workOf(p, end)
+			if end := j.endOf(p); end != nil && (end.Result == "done" || end.Result == "failed") {
+				work += nominalDuration(p, end)
 			}
 		}
 	}
 	if work == 0 {
-		return milliseconds(j.ended.Objective)
+		return milliseconds(j.jobEnd.ObjectiveMillis)
 	}
-	return time.Duration(j.ended.Stretch*float64(work)) + milliseconds(j.ended.Target)
+	return time.Duration(j.jobEnd.Stretch*float64(work)) + milliseconds(j.jobEnd.TargetMillis)
 }
 
-// decidingCause returns what took most of a late job's time, and how much of it.
-func (j *job) decidingCause(l *Log) (Cause, time.Duration) {
+// dominantCause returns what took most of a late job's time, and how much of it.
+func (j *job) dominantCause(l *Log) (Cause, time.Duration) {
 	causes := map[Cause]time.Duration{}
-	if j.refusal != "" && !j.acceptedAt.IsZero() {
-		causes[CauseRefused+Cause(j.refusal)] += j.acceptedAt.Sub(j.firstAt)
+	if j.rejectionReason != "" && !j.acceptedAt.IsZero() {
+		causes[CauseRejectedFirst+Cause(j.rejectionReason)] += j.acceptedAt.Sub(j.firstAt)
 	}
 	for step := range j.stepCount() {
-		j.addStep(l, causes, step)
+		j.addStepTime(l, causes, step)
 	}
-	if away := (span{j.ended.At, j.ended.At.Add(time.Millisecond)}).overlap(l.storeAway); away > 0 {
-		causes[CauseStoreAway] += l.storeBack(j.ended.At).Sub(j.ended.At)
+	if outage := (interval{j.jobEnd.At, j.jobEnd.At.Add(time.Millisecond)}).overlap(l.storeOutages); outage > 0 {
+		causes[CauseStoreUnavailable] += l.storeOutageEnd(j.jobEnd.At).Sub(j.jobEnd.At)
 	}
-	return largest(causes)
+	return longestCause(causes)
 }
 
-// storeBack returns when the store was back that was away at a time.
-func (l *Log) storeBack(at time.Time) time.Time {
-	for _, away := range l.storeAway {
-		if !away.from.After(at) && away.to.After(at) {
-			return away.to
+// storeOutageEnd returns when the store was back that was away at a time.
+func (l *Log) storeOutageEnd(at time.Time) time.Time {
+	for _, outage := range l.storeOutages {
+		if !outage.from.After(at) && outage.to.After(at) {
+			return outage.to
 		}
 	}
 	return at
 }
 
-func largest(causes map[Cause]time.Duration) (Cause, time.Duration) {
+func longestCause(causes map[Cause]time.Duration) (Cause, time.Duration) {
 	deciding, longest := CauseUnknown, time.Duration(0)
 	for cause, d := range causes {
 		if d > longest || d == longest && cause < deciding {
@@ -109,75 +109,75 @@
 
 func (j *job) stepCount() int {
 	count := 0
-	for i := range j.placed {
-		count = max(count, j.placed[i].Step+1)
+	for i := range j.placements {
+		count = max(count, j.placements[i].Step+1)
 	}
 	return count
 }
 
-// addStep adds up what the unit of a step that ended last lost its time to.
-func (j *job) addStep(l *Log, causes map[Cause]time.Duration, step int) {
-	unit := j.lastUnit(step)
-	for i := range j.placed {
-		p := &j.placed[i]
+// addStepTime adds up what the unit of a step that ended last lost its time to.
+func (j *job) addStepTime(l *Log, causes map[Cause]time.Duration, step int) {
+	unit := j.lastUnitToEnd(step)
+	for i := range j.placements {
+		p := &j.placements[i]
 		if p.Step != step || p.Unit != unit {
 			continue
 		}
-		j.addWait(l, causes, p)
+		j.addWaitTime(l, causes, p)
 		if end := j.endOf(p); end != nil {
-			j.addRun(l, causes, p, end)
+			j.addRunTime(l, causes, p, end)
 		}
 	}
 }
 
-func (j *job) addWait(l *Log, causes map[Cause]time.Duration, p *record) {
-	waited := span{p.At.Add(-milliseconds(p.Waited)), p.At}
-	away, taken := waited.overlap(l.storeAway), waited.overlap(l.takeovers)
-	causes[CauseStoreAway] += away
-	causes[CauseTakeover] += taken
-	causes[CauseWait+Cause(p.WaitedFor)] += max(0, milliseconds(p.Waited)-away-taken)
+func (j *job) addWaitTime(l *Log, causes map[Cause]time.Duration, p *logLine) {
+	waitInterval := interval{p.At.Add(-milliseconds(p.WaitedMillis)), p.At}
+	outage, takeover := waitInterval.overlap(l.storeOutages), waitInterval.overlap(l.takeovers)
+	causes[CauseStoreUnavailable] += outage
+	causes[CauseTakeover] += takeover
+	causes[CauseQueueWait+Cause(p.WaitedFor)] += max(0, milliseconds(p.WaitedMillis)-outage-takeover)
 }
 
-func (j *job) addRun(l *Log, causes map[Cause]time.Duration, p, end *record) {
-	ran := ranFor(p, end)
+func (j *job) addRunTime(l *Log, causes map[Cause]time.Duration, p, end *logLine) {
+	ran := runDuration(p, end)
 	started := end.At.Add(-ran)
-	written := span{p.At, started}
-	away := written.overlap(l.storeAway)
-	causes[CauseStoreAway] += away
-	causes[CauseWrite] += max(0, started.Sub(p.At)-away)
-	if end.How == "done" {
-		causes[CauseSlow] += max(0, ran-workOf(p, end))
+	writePending := interval{p.At, started}
+	outage := writePending.overlap(l.storeOutages)
+	causes[CauseStoreUnavailable] += outage
+	causes[CausePlacementWrite] += max(0, started.Sub(p.At)-outage)
+	if end.Result == "done" {
+		causes[CauseSlowWorkers] += max(0, ran-nominalDuration(p, end))
 		return
 	}
-	causes[CauseRerun+Cause(end.endCause())] += ran
+	causes[CauseRerun+Cause(end.failureCause())] += ran
 }
 
-// ranFor returns how long a run took. An owner that did not start the run does not
+// runDuration returns how long a run took. An owner that did not start the run does not
 // know; then it is taken to have begun when it was placed.
-func ranFor(p, end *record) time.Duration {
-	if end.Ran > 0 {
-		return milliseconds(end.Ran)
+func runDuration(p, end *logLine) time.Duration {
+	if end.RanMillis > 0 {
+		return milliseconds(end.RanMillis)
 	}
 	return end.At.Sub(p.At)
 }
 
-// workOf returns how long a run takes on ordinary workers.
-func workOf(p, end *record) time.Duration {
-	ran := ranFor(p, end)
+// nominalDuration returns how long a run takes on ordinary workers.
+func nominalDuration(p, end *logLine) time.Duration {
+	ran := runDuration(p, end)
 	if end.Slowness <= 0 {
 		return ran
 	}
 	return time.Duration(float64(ran) / end.Slowness)
 }
 
-// lastUnit returns the unit of a step whose last run ended last.
-func (j *job) lastUnit(step int) int {
-	gang := slices.ContainsFunc(j.placed, func(p record) bool { return p.Step == step && p.Tasks > 1 })
+// lastUnitToEnd returns the unit of a step whose last run ended last.
+func (j *job) lastUnitToEnd(step int) int {
+	gang := slices.ContainsFunc(j.placements, func(p logLine) bool { return p.Step == step && p.Tasks > 1 })
 	last, unit := time.Time{}, 0
-	for i := range j.ends {
-		endStep, index := taskPlace(j.ends[i].Task)
-		if endStep == step && j.ends[i].At.After(last) {
-			last, unit = j.ends[i].At, index
+	for i := range j.runEnds {
+		endStep, index := parseTaskName(j.runEnds[i].Task)
+		if endStep == step && j.runEnds[i].At.After(last) {
+			last, unit = j.runEnds[i].At, index
 		}
 	}
 	if gang {
@@ -187,15 +187,15 @@
 }
 
 // endOf returns the end of a placed run: of a gang the member's that says most.
-func (j *job) endOf(p *record) *record {
-	var found *record
-	for i := range j.ends {
-		end := &j.ends[i]
-		step, index := taskPlace(end.Task)
+func (j *job) endOf(p *logLine) *logLine {
+	var found *logLine
+	for i := range j.runEnds {
+		end := &j.runEnds[i]
+		step, index := parseTaskName(end.Task)
 		if step != p.Step || end.Run != p.Run || p.Tasks <= 1 && index != p.Unit {
 			continue
 		}
-		if found == nil || end.How == "failed" {
+		if found == nil || end.Result == "failed" {
 			found = end
 		}
 	}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -66,19 +66,19 @@
 			"refused at first: configuration_old"},
 		"store away": {[]string{line("a", 0, "pool acquired", ""), accepted(10, "x"), line("a", 100, "store lost", `"reason":"reset"`), placed(120, "x", 1, 0, ""),
 			line("a", 3000, "store answers again", ""), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
-			CauseStoreAway},
+			CauseStoreUnavailable},
 		"takeover": {[]string{accepted(0, "x"), line("b", 10, "owner does not answer", ""), line("a", 2900, "pool acquired", ""), line("a", 3000, "rows read", ""),
 			placed(3000, "x", 1, 3000, ""), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
 			CauseTakeover},
 		"slow workers": {[]string{accepted(0, "x"), placed(0, "x", 1, 0, ""), runEndedOn(2.5, 2000, "x", 2000), jobEnded(2000, "x", "completed")},
-			CauseSlow},
+			CauseSlowWorkers},
 		"never taken": {[]string{refused(0, "x", "store_unavailable"), refused(1000, "x", "store_unavailable")}, "not taken: store_unavailable"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := summarize(t, c.lines...)
-			require.Len(t, s.causes, 1)
-			require.Equal(t, c.cause, s.causes[0].cause)
+			require.Len(t, s.causeCounts, 1)
+			require.Equal(t, c.cause, s.causeCounts[0].cause)
 		})
 	}
 }
@@ -90,9 +90,9 @@
 		accepted(0, "x"), placed(0, "x", 1, 0, ""), runEnded(1500, "x", 1, 1500, "failed", ""),
 		placed(1500, "x", 2, 0, ""), runEnded(3000, "x", 2, 1500, "done", ""), jobEnded(3000, "x", "completed"),
 		refused(0, "y", "unauthenticated"), "not a line of ours", `{"no":"decision"}`)
-	require.Empty(t, s.causes)
+	require.Empty(t, s.causeCounts)
 	require.Equal(t, &queueCounts{jobs: 1, inTime: 1}, s.queues["urgent"])
-	require.Equal(t, map[string]float64{"failed": 5}, s.thrown)
+	require.Equal(t, map[string]float64{"failed": 5}, s.wastedCoreSeconds)
 }
 
 // TestJobsOfWhichLinesWereLeftOutGoByTheOwnersObjective: a busy node leaves lines out, and work of which
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -12,31 +12,31 @@
 // maxLine bounds a log line, in bytes.
 const maxLine = 1 << 20
 
-// record has the fields of a log line that are read here; the operators' page on log
+// logLine has the fields of a log line that are read here; the operators' page on log
 // lines says what they hold.
-type record struct {
-	At        time.Time `json:"ts"`
-	Decision  string    `json:"msg"`
-	Node      string    `json:"-"`
-	Job       string    `json:"job"`
-	Queue     string    `json:"queue"`
-	Reason    string    `json:"reason"`
-	State     string    `json:"state"`
-	Task      string    `json:"task"`
-	Step      int       `json:"step"`
-	Unit      int       `json:"unit"`
-	Run       int       `json:"run"`
-	Tasks     int       `json:"tasks"`
-	How       string    `json:"how"`
-	WaitedFor string    `json:"waited_for"`
-	Waited    int64     `json:"waited_ms"`
-	Estimate  int64     `json:"estimate_ms"`
-	Ran       int64     `json:"ran_ms"`
-	Unsaved   float64   `json:"unsaved_core_s"`
-	Age       int64     `json:"age_ms"`
-	Stretch   float64   `json:"stretch"`
-	Target    int64     `json:"target_ms"`
-	Objective int64     `json:"objective_ms"`
+type logLine struct {
+	At                 time.Time `json:"ts"`
+	Message            string    `json:"msg"`
+	Node               string    `json:"-"`
+	Job                string    `json:"job"`
+	Queue              string    `json:"queue"`
+	Reason             string    `json:"reason"`
+	State              string    `json:"state"`
+	Task               string    `json:"task"`
+	Step               int       `json:"step"`
+	Unit               int       `json:"unit"`
+	Run                int       `json:"run"`
+	Tasks              int       `json:"tasks"`
+	Result             string    `json:"how"`
+	WaitedFor          string    `json:"waited_for"`
+	WaitedMillis       int64     `json:"waited_ms"`
+	EstimateMillis     int64     `json:"estimate_ms"`
+	RanMillis          int64     `json:"ran_ms"`
+	UnsavedCoreSeconds float64   `json:"unsaved_core_s"`
+	AgeMillis          int64     `json:"age_ms"`
+	Stretch            float64   `json:"stretch"`
+	TargetMillis       int64     `json:"target_ms"`
+	ObjectiveMillis    int64     `json:"objective_ms"`
 	// Slowness is how many times longer a run took on its workers than on ordinary ones; 0 in lines
 	// of versions that did not tell it.
 	Slowness float64 `json:"slowness"`
@@ -46,24 +46,24 @@
 
 // Log is what was read of nodes' log lines.
 type Log struct {
-	records []record
-	jobs    map[string]*job
-	// storeAway has the spans in which an owner did without the store, and takeovers
+	lines []logLine
+	jobs  map[string]*job
+	// storeOutages has the spans in which an owner did without the store, and takeovers
 	// those from the first doubt of an owner to the next one's readiness.
-	storeAway []span
-	takeovers []span
-	thrown    map[string]float64
-	owner     string
+	storeOutages      []interval
+	takeovers         []interval
+	wastedCoreSeconds map[string]float64
+	owner             string
 	// storeLostAt and doubtedAt are the beginnings of spans that have not ended yet.
 	storeLostAt map[string]time.Time
-	doubtedAt   time.Time
+	ownerLostAt time.Time
 }
 
-// span is a span of time.
-type span struct{ from, to time.Time }
+// interval is a interval of time.
+type interval struct{ from, to time.Time }
 
 // overlap returns how much of a span lies in others.
-func (s span) overlap(others []span) time.Duration {
+func (s interval) overlap(others []interval) time.Duration {
 	var sum time.Duration
 	for _, other := range others {
 		from, to := s.from, s.to
@@ -80,7 +80,7 @@
 
 // New returns an empty log.
 func New() *Log {
-	return &Log{jobs: map[string]*job{}, thrown: map[string]float64{}, storeLostAt: map[string]time.Time{}}
+	return &Log{jobs: map[string]*job{}, wastedCoreSeconds: map[string]float64{}, storeLostAt: map[string]time.Time{}}
 }
 
 // Read takes in log lines. Words before a line's JSON are taken for the node, of which
@@ -94,56 +94,56 @@
 		if begin < 0 {
 			continue
 		}
-		var r record
-		if json.Unmarshal([]byte(text[begin:]), &r) != nil || r.Decision == "" {
+		var r logLine
+		if json.Unmarshal([]byte(text[begin:]), &r) != nil || r.Message == "" {
 			continue
 		}
 		if words := strings.Fields(text[:begin]); len(words) > 0 {
 			r.Node = words[len(words)-1]
 		}
-		l.records = append(l.records, r)
+		l.lines = append(l.lines, r)
 	}
 	return scanner.Err()
 }
 
-func (l *Log) take(r record) {
-	switch r.Decision {
+func (l *Log) apply(r logLine) {
+	switch r.Message {
 	case "store lost":
 		l.storeLostAt[r.Node] = r.At
 	case "store answers again":
-		if from, any := l.storeLostAt[r.Node]; any && r.Node == l.owner {
-			l.storeAway = append(l.storeAway, span{from, r.At})
+		if from, ok := l.storeLostAt[r.Node]; ok && r.Node == l.owner {
+			l.storeOutages = append(l.storeOutages, interval{from, r.At})
 		}
 		delete(l.storeLostAt, r.Node)
 	case "owner does not answer", "pool lost":
-		if l.doubtedAt.IsZero() {
-			l.doubtedAt = r.At
+		if l.ownerLostAt.IsZero() {
+			l.ownerLostAt = r.At
 		}
 	case "owner answers again", "owner left in place":
-		l.doubtedAt = time.Time{}
+		l.ownerLostAt = time.Time{}
 	case "pool acquired":
 		l.owner = r.Node
-		if l.doubtedAt.IsZero() {
-			l.doubtedAt = r.At
+		if l.ownerLostAt.IsZero() {
+			l.ownerLostAt = r.At
 		}
 	case "rows read":
-		if !l.doubtedAt.IsZero() {
-			l.takeovers = append(l.takeovers, span{l.doubtedAt, r.At})
+		if !l.ownerLostAt.IsZero() {
+			l.takeovers = append(l.takeovers, interval{l.ownerLostAt, r.At})
 		}
-		l.doubtedAt = time.Time{}
+		l.ownerLostAt = time.Time{}
 	}
 	if r.Job != "" {
-		l.takeOfJob(r)
+		l.applyToJob(r)
 	}
 }
 
-func (l *Log) takeOfJob(r record) {
+func (l *Log) applyToJob(r logLine) {
 	j := l.jobs[r.Job]
 	if j == nil {
 		j = &job{firstAt: r.At}
 		l.jobs[r.Job] = j
 	}
-	switch r.Decision {
+	switch r.Message {
 	case "job accepted":
 		if j.acceptedAt.IsZero() {
 			j.acceptedAt = r.At
@@ -151,34 +151,34 @@
 		j.queue = r.Queue
 	case "job not accepted", "request refused":
 		if j.acceptedAt.IsZero() {
-			j.refusal, j.refusedAt = r.Reason, r.At
+			j.rejectionReason, j.rejectedAt = r.Reason, r.At
 		}
 		if r.Queue != "" {
 			j.queue = r.Queue
 		}
 	case "placed":
-		j.placed = append(j.placed, r)
+		j.placements = append(j.placements, r)
 	case "run ended":
-		j.ends = append(j.ends, r)
-		if r.How != "done" {
-			l.thrown[r.endCause()] += r.Unsaved
+		j.runEnds = append(j.runEnds, r)
+		if r.Result != "done" {
+			l.wastedCoreSeconds[r.failureCause()] += r.UnsavedCoreSeconds
 		}
 	case "job ended":
-		j.ended = r
+		j.jobEnd = r
 		j.queue = r.Queue
 	}
 }
 
-// endCause says why a run ended without being done.
-func (r *record) endCause() string {
-	if r.How == "stopped" && r.Reason != "" {
+// failureCause says why a run ended without being done.
+func (r *logLine) failureCause() string {
+	if r.Result == "stopped" && r.Reason != "" {
 		return "stopped: " + r.Reason
 	}
-	return r.How
+	return r.Result
 }
 
-// taskPlace returns the step and the index in a task's name.
-func taskPlace(name string) (step, index int) {
+// parseTaskName returns the step and the index in a task's name.
+func parseTaskName(name string) (step, index int) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return -1, -1
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -19,28 +19,28 @@
 	cause Cause
 	queue string
 	jobs  int
-	took  time.Duration
+	total time.Duration
 }
 
 // Summary is what was lost, by queue and by cause.
 type Summary struct {
-	queues map[string]*queueCounts
-	causes []causeCount
-	// Late has a line for each job that ended late or was not taken.
-	late   []string
-	thrown map[string]float64
+	queues      map[string]*queueCounts
+	causeCounts []causeCount
+	// Late has a line for each job that ended lateJobs or was not taken.
+	lateJobs          []string
+	wastedCoreSeconds map[string]float64
 }
 
 // Summarize decides each job's cause.
 func (l *Log) Summarize() *Summary {
-	slices.SortStableFunc(l.records, func(a, b record) int { return a.At.Compare(b.At) })
-	for i := range l.records {
-		l.take(l.records[i])
+	slices.SortStableFunc(l.lines, func(a, b logLine) int { return a.At.Compare(b.At) })
+	for i := range l.lines {
+		l.apply(l.lines[i])
 	}
-	s := &Summary{queues: map[string]*queueCounts{}, thrown: l.thrown}
+	s := &Summary{queues: map[string]*queueCounts{}, wastedCoreSeconds: l.wastedCoreSeconds}
 	for _, id := range l.sortedJobs() {
 		j := l.jobs[id]
-		if !j.owed() {
+		if !j.counted() {
 			continue
 		}
 		counts := s.queues[j.queue]
@@ -50,40 +50,40 @@
 		}
 		counts.jobs++
 		switch {
-		case j.acceptedAt.IsZero() && j.ended.Decision == "":
+		case j.acceptedAt.IsZero() && j.jobEnd.Message == "":
 			counts.notTaken++
-			s.add(id, j, CauseNotTaken+Cause(j.refusal), j.refusedAt.Sub(j.firstAt))
+			s.add(id, j, CauseNotAccepted+Cause(j.rejectionReason), j.rejectedAt.Sub(j.firstAt))
 		case j.late():
 			counts.late++
-			cause, took := j.decidingCause(l)
+			cause, took := j.dominantCause(l)
 			s.add(id, j, cause, took)
-		case j.ended.State == "completed":
+		case j.jobEnd.State == "completed":
 			counts.inTime++
-		case j.ended.State == "failed":
+		case j.jobEnd.State == "failed":
 			counts.failed++
-		case j.ended.State == "cancelled":
+		case j.jobEnd.State == "cancelled":
 			counts.cancelled++
 		default:
 			counts.open++
 		}
 	}
-	slices.SortFunc(s.causes, func(a, b causeCount) int {
+	slices.SortFunc(s.causeCounts, func(a, b causeCount) int {
 		return cmp.Or(b.jobs-a.jobs, cmp.Compare(a.cause, b.cause), cmp.Compare(a.queue, b.queue))
 	})
 	return s
 }
 
 func (s *Summary) add(id string, j *job, cause Cause, took time.Duration) {
-	s.late = append(s.late, fmt.Sprintf("%s\t%s\t%v\t%v\t%s\t%v", id, j.queue, max(0, j.total()).Round(time.Millisecond),
+	s.lateJobs = append(s.lateJobs, fmt.Sprintf("%s\t%s\t%v\t%v\t%s\t%v", id, j.queue, max(0, j.total()).Round(time.Millisecond),
 		j.objective().Round(time.Millisecond), cause, took.Round(time.Millisecond)))
-	for i := range s.causes {
-		if s.causes[i].cause == cause && s.causes[i].queue == j.queue {
-			s.causes[i].jobs++
-			s.causes[i].took += took
+	for i := range s.causeCounts {
+		if s.causeCounts[i].cause == cause && s.causeCounts[i].queue == j.queue {
+			s.causeCounts[i].jobs++
+			s.causeCounts[i].total += took
 			return
 		}
 	}
-	s.causes = append(s.causes, causeCount{cause: cause, queue: j.queue, jobs: 1, took: took})
+	s.causeCounts = append(s.causeCounts, causeCount{cause: cause, queue: j.queue, jobs: 1, total: took})
 }
 
 // Print writes the tables; with jobs it lists every late job too.
@@ -95,16 +95,16 @@
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.jobs, c.inTime, c.late, c.notTaken, c.failed, c.cancelled, c.open)
 	}
 	fmt.Fprintln(table, "\ncause\tqueue\tjobs\tseconds")
-	for _, c := range s.causes {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\n", c.cause, c.queue, c.jobs, c.took.Seconds())
+	for _, c := range s.causeCounts {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\n", c.cause, c.queue, c.jobs, c.total.Seconds())
 	}
 	fmt.Fprintln(table, "\nwork thrown away\tcore-seconds")
-	for _, cause := range sortedKeys(s.thrown) {
-		fmt.Fprintf(table, "%s\t%.0f\n", cause, s.thrown[cause])
+	for _, cause := range sortedKeys(s.wastedCoreSeconds) {
+		fmt.Fprintf(table, "%s\t%.0f\n", cause, s.wastedCoreSeconds[cause])
 	}
 	if jobs {
 		fmt.Fprintln(table, "\njob\tqueue\ttook\tobjective\tcause\tof which")
-		for _, line := range s.late {
+		for _, line := range s.lateJobs {
 			fmt.Fprintln(table, line)
 		}
 	}
