--- a/internal/losses/doc.go
+++ b/internal/losses/doc.go
@@ -1,3 +1,3 @@
-// Package losses tells from nodes' log lines what jobs ended late or were not taken,
-// what each of them lost its time to, and what work was thrown away for what reason.
+// Package losses reads nodes' logs and reports which jobs missed their objective or were
+// rejected, the main cause of each delay, and the work wasted, by reason.
 package losses
--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// job is what the lines say of one job.
+// job collects the log lines about one job.
 type job struct {
 	queue      string
 	firstAt    time.Time
 	acceptedAt time.Time
-	// rejectionReason is the last reason for which it was not taken, at refusedAt.
+	// rejectionReason is the reason of the last rejection before acceptance, at rejectedAt.
 	rejectionReason string
 	rejectedAt      time.Time
 	placements      []logLine
@@ -19,10 +19,10 @@
 	jobEnd          logLine
 }
 
-// Cause names what took a job's time.
+// Cause names what delayed a job.
 type Cause string
 
-// The causes that are not a reason of a wait or of an end.
+// Causes. Those that end in a colon and a space are prefixes of a reason.
 const (
 	CauseRejectedFirst    Cause = "refused at first: "
 	CauseNotAccepted      Cause = "not taken: "
@@ -35,23 +35,24 @@
 	CauseUnknown          Cause = "not told by the lines"
 )
 
-// callerErrorReasons are the refusals of what the configuration does not allow.
+// callerErrorReasons are the rejection reasons that the caller is responsible for; ""
+// is a job without a rejection.
 var callerErrorReasons = map[string]bool{"unauthenticated": true, "not_found": true, "": true}
 
-// counted reports whether the job was taken, or should have been.
-func (j *job) counted() bool { return !j.acceptedAt.IsZero() || !callerErrorReasons[j.rejectionReason] }
+// isCounted reports whether the job was accepted, or was rejected through no fault of its caller.
+func (j *job) isCounted() bool { return !j.acceptedAt.IsZero() || !callerErrorReasons[j.rejectionReason] }
 
-// late reports whether the job was completed after its objective.
+// late reports whether the job completed after its objective.
 func (j *job) late() bool {
 	return j.jobEnd.State == "completed" && j.total() > j.objective()
 }
 
-// total is the time from the first line about the job to its end.
+// total returns the time from the first log line about the job to its end.
 func (j *job) total() time.Duration { return j.jobEnd.At.Sub(j.firstAt) }
 
-// objective is the time in which the job should have ended, by how long its work, and
-// the runs that failed, take on ordinary workers. The owner had only estimates to go by; its own
-// objective counts where lines about the job's runs were left out.
+// objective returns the target completion time, computed from the nominal durations of the
+// completed and failed runs. Without log lines of such runs it falls back to the objective that
+// the owner computed from estimates.
 func (j *job) objective() time.Duration {
 	var work time.Duration
 	for step := range j.stepCount() {
@@ -72,7 +73,7 @@
 	return time.Duration(j.jobEnd.Stretch*float64(work)) + milliseconds(j.jobEnd.TargetMillis)
 }
 
-// dominantCause returns what took most of a late job's time, and how much of it.
+// dominantCause returns the cause that accounts for most of a late job's time, and that time.
 func (j *job) dominantCause(l *Log) (Cause, time.Duration) {
 	causes := map[Cause]time.Duration{}
 	if j.rejectionReason != "" && !j.acceptedAt.IsZero() {
@@ -87,7 +88,7 @@
 	return longestCause(causes)
 }
 
-// storeOutageEnd returns when the store was back that was away at a time.
+// storeOutageEnd returns the end of the store outage in progress at a time, or that time if there is none.
 func (l *Log) storeOutageEnd(at time.Time) time.Time {
 	for _, outage := range l.storeOutages {
 		if !outage.from.After(at) && outage.to.After(at) {
@@ -115,7 +116,7 @@
 	return count
 }
 
-// addStepTime adds up what the unit of a step that ended last lost its time to.
+// addStepTime attributes the time of the unit that ended last in a step to causes.
 func (j *job) addStepTime(l *Log, causes map[Cause]time.Duration, step int) {
 	unit := j.lastUnitToEnd(step)
 	for i := range j.placements {
@@ -152,8 +153,8 @@
 	causes[CauseRerun+Cause(end.failureCause())] += ran
 }
 
-// runDuration returns how long a run took. An owner that did not start the run does not
-// know; then it is taken to have begun when it was placed.
+// runDuration returns how long a run took. Log lines of an owner that did not start the run
+// have no duration; the placement then counts as its start.
 func runDuration(p, end *logLine) time.Duration {
 	if end.RanMillis > 0 {
 		return milliseconds(end.RanMillis)
@@ -161,7 +162,7 @@
 	return end.At.Sub(p.At)
 }
 
-// nominalDuration returns how long a run takes on ordinary workers.
+// nominalDuration returns how long a run takes on workers of normal speed.
 func nominalDuration(p, end *logLine) time.Duration {
 	ran := runDuration(p, end)
 	if end.Slowness <= 0 {
@@ -186,7 +187,7 @@
 	return unit
 }
 
-// endOf returns the end of a placed run: of a gang the member's that says most.
+// endOf returns the end of a placed run. For a gang, a failed member takes precedence.
 func (j *job) endOf(p *logLine) *logLine {
 	var found *logLine
 	for i := range j.runEnds {
@@ -202,7 +203,7 @@
 	return found
 }
 
-// sortedJobs lists the jobs in the order in which they came.
+// sortedJobs returns the job identifiers ordered by first log line.
 func (l *Log) sortedJobs() []string {
 	ids := make([]string, 0, len(l.jobs))
 	for id := range l.jobs {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -27,7 +27,7 @@
 	return line("a", at, "run ended", fmt.Sprintf(`"job":"%s","task":"%s.0.0.0","run":%d,"ran_ms":%d,"how":"%s","reason":"%s","unsaved_core_s":5`, job, job, run, ran, how, reason))
 }
 
-// runEndedOn is the line of a run that ended well on workers that take slowness times as long.
+// runEndedOn renders the line of a run that completed on workers with the given slowness.
 func runEndedOn(slowness float64, at int, job string, ran int) string {
 	return line("a", at, "run ended", fmt.Sprintf(`"job":"%s","task":"%s.0.0.0","run":1,"ran_ms":%d,"how":"done","slowness":%g`, job, job, ran, slowness))
 }
@@ -40,7 +40,7 @@
 	return line("b", at, "job accepted", fmt.Sprintf(`"job":"%s","queue":"urgent"`, job))
 }
 
-func refused(at int, job, reason string) string {
+func requestRefused(at int, job, reason string) string {
 	return line("b", at, "request refused", fmt.Sprintf(`"job":"%s","reason":"%s"`, job, reason))
 }
 
@@ -56,15 +56,15 @@
 		lines []string
 		cause Cause
 	}{
-		"no room": {[]string{accepted(0, "x"), placed(3000, "x", 1, 2990, "no room"), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
+		"insufficient capacity": {[]string{accepted(0, "x"), placed(3000, "x", 1, 2990, "no room"), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
 			"waited: no room"},
 		"preempted": {[]string{accepted(0, "x"), placed(0, "x", 1, 0, ""), runEnded(2000, "x", 1, 2000, "stopped", "preempted"),
 			placed(2000, "x", 2, 0, ""), runEnded(3000, "x", 2, 1000, "done", ""), jobEnded(3000, "x", "completed")},
 			"run again after: stopped: preempted"},
-		"refused at first": {[]string{refused(0, "x", "configuration_old"), accepted(2500, "x"), placed(2500, "x", 1, 0, ""),
+		"rejected before acceptance": {[]string{requestRefused(0, "x", "configuration_old"), accepted(2500, "x"), placed(2500, "x", 1, 0, ""),
 			runEnded(3500, "x", 1, 1000, "done", ""), jobEnded(3500, "x", "completed")},
 			"refused at first: configuration_old"},
-		"store away": {[]string{line("a", 0, "pool acquired", ""), accepted(10, "x"), line("a", 100, "store lost", `"reason":"reset"`), placed(120, "x", 1, 0, ""),
+		"store unavailable": {[]string{line("a", 0, "pool acquired", ""), accepted(10, "x"), line("a", 100, "store lost", `"reason":"reset"`), placed(120, "x", 1, 0, ""),
 			line("a", 3000, "store answers again", ""), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
 			CauseStoreUnavailable},
 		"takeover": {[]string{accepted(0, "x"), line("b", 10, "owner does not answer", ""), line("a", 2900, "pool acquired", ""), line("a", 3000, "rows read", ""),
@@ -72,7 +72,7 @@
 			CauseTakeover},
 		"slow workers": {[]string{accepted(0, "x"), placed(0, "x", 1, 0, ""), runEndedOn(2.5, 2000, "x", 2000), jobEnded(2000, "x", "completed")},
 			CauseSlowWorkers},
-		"never taken": {[]string{refused(0, "x", "store_unavailable"), refused(1000, "x", "store_unavailable")}, "not taken: store_unavailable"},
+		"never accepted": {[]string{requestRefused(0, "x", "store_unavailable"), requestRefused(1000, "x", "store_unavailable")}, "not taken: store_unavailable"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -83,20 +83,20 @@
 	}
 }
 
-// TestTimelyAndForbiddenJobsAreNoLosses: an objective counts from how long the work
-// took, failures of the job's own among it.
+// TestTimelyAndForbiddenJobsAreNoLosses checks that failed runs extend a job's objective, and
+// that requests without valid credentials are not counted.
 func TestTimelyAndForbiddenJobsAreNoLosses(t *testing.T) {
 	s := summarize(t,
 		accepted(0, "x"), placed(0, "x", 1, 0, ""), runEnded(1500, "x", 1, 1500, "failed", ""),
 		placed(1500, "x", 2, 0, ""), runEnded(3000, "x", 2, 1500, "done", ""), jobEnded(3000, "x", "completed"),
-		refused(0, "y", "unauthenticated"), "not a line of ours", `{"no":"decision"}`)
+		requestRefused(0, "y", "unauthenticated"), "not a JSON line", `{"no":"decision"}`)
 	require.Empty(t, s.causeCounts)
 	require.Equal(t, &queueCounts{jobs: 1, inTime: 1}, s.queues["urgent"])
 	require.Equal(t, map[string]float64{"failed": 5}, s.wastedCoreSeconds)
 }
 
-// TestJobsOfWhichLinesWereLeftOutGoByTheOwnersObjective: a busy node leaves lines out, and work of which
-// nothing was told made every such job late.
+// TestJobsOfWhichLinesWereLeftOutGoByTheOwnersObjective guards against counting a job as late
+// because the log lines of its runs were dropped.
 func TestJobsOfWhichLinesWereLeftOutGoByTheOwnersObjective(t *testing.T) {
 	ended := func(at int, objective int) string {
 		return line("a", at, "job ended", fmt.Sprintf(`"job":"x","queue":"urgent","state":"completed","stretch":1.5,"target_ms":200,"objective_ms":%d`, objective))
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// maxLine bounds a log line, in bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// logLine has the fields of a log line that are read here; the operators' page on log
-// lines says what they hold.
+// logLine holds the log fields that the report uses. They are documented in the
+// operators' page on log lines.
 type logLine struct {
 	At                 time.Time `json:"ts"`
 	Message            string    `json:"msg"`
@@ -37,19 +37,19 @@
 	Stretch            float64   `json:"stretch"`
 	TargetMillis       int64     `json:"target_ms"`
 	ObjectiveMillis    int64     `json:"objective_ms"`
-	// Slowness is how many times longer a run took on its workers than on ordinary ones; 0 in lines
-	// of versions that did not tell it.
+	// Slowness is the ratio of a run's duration on its workers to its nominal duration; 0 in
+	// lines of versions that do not log it.
 	Slowness float64 `json:"slowness"`
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Log is what was read of nodes' log lines.
+// Log accumulates nodes' log lines.
 type Log struct {
 	lines []logLine
 	jobs  map[string]*job
-	// storeOutages has the spans in which an owner did without the store, and takeovers
-	// those from the first doubt of an owner to the next one's readiness.
+	// storeOutages are the intervals in which the owner could not reach the store. takeovers
+	// last from the first suspicion that an owner failed until its successor has read the rows.
 	storeOutages      []interval
 	takeovers         []interval
 	wastedCoreSeconds map[string]float64
@@ -59,14 +59,13 @@
 	ownerLostAt time.Time
 }
 
-// interval is a interval of time.
 type interval struct{ from, to time.Time }
 
-// overlap returns how much of a span lies in others.
-func (s interval) overlap(others []interval) time.Duration {
+// overlap returns how much of the interval lies within others.
+func (i interval) overlap(others []interval) time.Duration {
 	var sum time.Duration
 	for _, other := range others {
-		from, to := s.from, s.to
+		from, to := i.from, i.to
 		if other.from.After(from) {
 			from = other.from
 		}
@@ -83,8 +82,8 @@
 	return &Log{jobs: map[string]*job{}, wastedCoreSeconds: map[string]float64{}, storeLostAt: map[string]time.Time{}}
 }
 
-// Read takes in log lines. Words before a line's JSON are taken for the node, of which
-// the last counts; lines of another kind are passed over.
+// Read appends log lines. The last word before a line's JSON object names the node;
+// lines without a log message in JSON are skipped.
 func (l *Log) Read(input io.Reader) error {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxLine)
@@ -169,7 +168,7 @@
 	}
 }
 
-// failureCause says why a run ended without being done.
+// failureCause returns why a run ended without completing.
 func (r *logLine) failureCause() string {
 	if r.Result == "stopped" && r.Reason != "" {
 		return "stopped: " + r.Reason
@@ -177,7 +176,7 @@
 	return r.Result
 }
 
-// parseTaskName returns the step and the index in a task's name.
+// parseTaskName returns the step and the index in a task name, or -1 for each if it is malformed.
 func parseTaskName(name string) (step, index int) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -14,7 +14,7 @@
 	jobs, inTime, late, notTaken, failed, cancelled, open int
 }
 
-// causeCount counts the jobs of one queue that one cause decided.
+// causeCount counts the jobs of one queue that share a dominant cause.
 type causeCount struct {
 	cause Cause
 	queue string
@@ -22,16 +22,16 @@
 	total time.Duration
 }
 
-// Summary is what was lost, by queue and by cause.
+// Summary counts late and rejected jobs, by queue and by cause, and wasted work.
 type Summary struct {
 	queues      map[string]*queueCounts
 	causeCounts []causeCount
-	// Late has a line for each job that ended lateJobs or was not taken.
+	// lateJobs has a table row for each job that was late or rejected.
 	lateJobs          []string
 	wastedCoreSeconds map[string]float64
 }
 
-// Summarize decides each job's cause.
+// Summarize orders the lines by time and determines the dominant cause of each late job.
 func (l *Log) Summarize() *Summary {
 	slices.SortStableFunc(l.lines, func(a, b logLine) int { return a.At.Compare(b.At) })
 	for i := range l.lines {
@@ -40,7 +40,7 @@
 	s := &Summary{queues: map[string]*queueCounts{}, wastedCoreSeconds: l.wastedCoreSeconds}
 	for _, id := range l.sortedJobs() {
 		j := l.jobs[id]
-		if !j.counted() {
+		if !j.isCounted() {
 			continue
 		}
 		counts := s.queues[j.queue]
@@ -86,7 +86,7 @@
 	s.causeCounts = append(s.causeCounts, causeCount{cause: cause, queue: j.queue, jobs: 1, total: took})
 }
 
-// Print writes the tables; with jobs it lists every late job too.
+// Print writes the tables. With jobs set, it also lists each late or rejected job.
 func (s *Summary) Print(output io.Writer, jobs bool) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "queue\tjobs\tin time\tlate\tnot taken\tfailed\tcancelled\topen")
