--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -40,7 +40,9 @@
 var callerErrorReasons = map[string]bool{"unauthenticated": true, "not_found": true, "": true}
 
 // isCounted reports whether the job was accepted, or was rejected through no fault of its caller.
-func (j *job) isCounted() bool { return !j.acceptedAt.IsZero() || !callerErrorReasons[j.rejectionReason] }
+func (j *job) isCounted() bool {
+	return !j.acceptedAt.IsZero() || !callerErrorReasons[j.rejectionReason]
+}
 
 // late reports whether the job completed after its objective.
 func (j *job) late() bool {
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// maxLine is the maximum length of a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
 // logLine holds the log fields that the report uses. They are documented in the
 // operators' page on log lines.
@@ -54,7 +54,7 @@
 	takeovers         []interval
 	wastedCoreSeconds map[string]float64
 	owner             string
-	// storeLostAt and doubtedAt are the beginnings of spans that have not ended yet.
+	// storeLostAt and ownerLostAt are the starts of intervals that are still open.
 	storeLostAt map[string]time.Time
 	ownerLostAt time.Time
 }
@@ -86,7 +86,7 @@
 // lines without a log message in JSON are skipped.
 func (l *Log) Read(input io.Reader) error {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		begin := strings.IndexByte(text, '{')
