--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -22,14 +22,14 @@
 	deadline  time.Duration
 }
 
-// AnswerError is an answer that is not a success.
-type AnswerError struct {
+// ResponseError is an answer that is not a success.
+type ResponseError struct {
 	Status int
 	Answer api.ErrorAnswer
 }
 
 // Error renders the answer on one line.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	text := string(e.Answer.Error)
 	if e.Answer.Field != "" {
 		text += ": " + e.Answer.Field
@@ -44,14 +44,14 @@
 // call sends a request to the first daemon that can be connected to and decodes
 // the answer.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	content, err := c.raw(ctx, method, path, in)
+	content, err := c.do(ctx, method, path, in)
 	if err != nil || out == nil {
 		return err
 	}
 	return json.Unmarshal(content, out)
 }
 
-func (c *Client) raw(ctx context.Context, method, path string, in any) ([]byte, error) {
+func (c *Client) do(ctx context.Context, method, path string, in any) ([]byte, error) {
 	var body []byte
 	if in != nil {
 		var err error
@@ -66,7 +66,7 @@
 			last = err
 			continue
 		}
-		return readAnswer(response)
+		return readResponse(response)
 	}
 	return nil, last
 }
@@ -82,7 +82,7 @@
 	return c.http.Do(request)
 }
 
-func readAnswer(response *http.Response) ([]byte, error) {
+func readResponse(response *http.Response) ([]byte, error) {
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -91,7 +91,7 @@
 	if response.StatusCode < http.StatusBadRequest {
 		return content, nil
 	}
-	failure := &AnswerError{Status: response.StatusCode}
+	failure := &ResponseError{Status: response.StatusCode}
 	if json.Unmarshal(content, &failure.Answer) != nil {
 		failure.Answer.Detail = strings.TrimSpace(string(content))
 	}
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -27,7 +27,7 @@
 			"  wheatroadctl submit --id gearbox-17 --once --accelerators 1 --duration 10m",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			spec.Priority, spec.Spread = job.Priority(priority), job.Spread(spread)
@@ -75,14 +75,14 @@
 	return a.showRecord(command, record)
 }
 
-// followStep is how long one request waits for a job's end.
-const followStep = 20 * time.Second
+// followPollTimeout is how long one request waits for a job's end.
+const followPollTimeout = 20 * time.Second
 
 // follow waits for a job's end, telling each change of state.
 func (a *app) follow(command *cobra.Command, record *job.Record) error {
 	state := record.State
 	fmt.Fprintf(command.ErrOrStderr(), "%s %s\n", record.Spec.ID, state)
-	path := jobPath(record.Spec.Tenant, record.Spec.ID) + "?wait=" + followStep.String()
+	path := jobPath(record.Spec.Tenant, record.Spec.ID) + "?wait=" + followPollTimeout.String()
 	for !record.State.Terminal() {
 		record = &job.Record{}
 		if err := a.client.call(command.Context(), http.MethodGet, path, nil, record); err != nil {
@@ -97,7 +97,7 @@
 		return err
 	}
 	if record.State != job.Finished {
-		return &JobEnded{record}
+		return &JobFailedError{record}
 	}
 	return nil
 }
@@ -110,7 +110,7 @@
 		Example: "  wheatroadctl status vibration gearbox-17 --wait",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
-			record, err := a.fetch(command.Context(), args)
+			record, err := a.fetchRecord(command.Context(), args)
 			if err != nil {
 				return err
 			}
@@ -124,8 +124,8 @@
 	return command
 }
 
-func (a *app) fetch(ctx context.Context, args []string) (*job.Record, error) {
-	if err := a.needServer(); err != nil {
+func (a *app) fetchRecord(ctx context.Context, args []string) (*job.Record, error) {
+	if err := a.requireAddress(); err != nil {
 		return nil, err
 	}
 	record := &job.Record{}
@@ -140,7 +140,7 @@
 		Example: "  wheatroadctl list -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			var answer struct {
@@ -162,14 +162,14 @@
 		Example: "  wheatroadctl result vibration gearbox-17 > report",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			path := jobPath(args[0], args[1]) + "/result"
 			if member >= 0 {
 				path += fmt.Sprintf("?member=%d", member)
 			}
-			content, err := a.client.raw(command.Context(), http.MethodGet, path, nil)
+			content, err := a.client.do(command.Context(), http.MethodGet, path, nil)
 			if err != nil {
 				return err
 			}
@@ -188,7 +188,7 @@
 		Example: "  wheatroadctl cancel vibration gearbox-17",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			record := &job.Record{}
@@ -207,7 +207,7 @@
 		Example: "  wheatroadctl explain vibration gearbox-17",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			var explanation schedule.Explanation
@@ -228,7 +228,7 @@
 }
 
 // show prints an answer as JSON, or as a table through draw.
-func (a *app) show(command *cobra.Command, answer any, draw func(*tabwriter.Writer)) error {
+func (a *app) show(command *cobra.Command, answer any, printTable func(*tabwriter.Writer)) error {
 	if a.output == "json" {
 		encoder := json.NewEncoder(command.OutOrStdout())
 		encoder.SetIndent("", "  ")
@@ -236,7 +236,7 @@
 	}
 	const padding = 2
 	writer := tabwriter.NewWriter(command.OutOrStdout(), 0, 0, padding, ' ', 0)
-	draw(writer)
+	printTable(writer)
 	return writer.Flush()
 }
 
@@ -253,18 +253,18 @@
 		for _, r := range records {
 			shape := fmt.Sprintf("%dx%d/%s", r.Spec.Members, r.Spec.Accelerators, r.Spec.Spread)
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", r.Spec.Tenant, r.Spec.ID, r.Spec.Priority, shape,
-				r.Domain, r.State, r.Attempt, r.Outcome, r.Reason, placementText(r.Placement))
+				r.Domain, r.State, r.Attempt, r.Outcome, r.Reason, formatPlacement(r.Placement))
 		}
 	})
 }
 
-// placementShown bounds how many workers a table row names.
-const placementShown = 2
+// maxPlacementWorkers bounds how many workers a table row names.
+const maxPlacementWorkers = 2
 
-func placementText(placement []job.Assignment) string {
+func formatPlacement(placement []job.Assignment) string {
 	text := ""
 	for i, assignment := range placement {
-		if i == placementShown {
+		if i == maxPlacementWorkers {
 			return text + fmt.Sprintf(" +%d", len(placement)-i)
 		}
 		if i > 0 {
--- a/internal/cli/node_status.go
+++ b/internal/cli/node_status.go
@@ -26,18 +26,18 @@
 		Example: "  wheatroadctl node-status 10.1.0.19:9464 10.2.0.35:9464",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			var failure error
+			var combined error
 			for _, address := range args {
 				status, err := fetchStatus(command.Context(), address)
 				if err != nil {
-					failure = errors.CombineErrors(failure, errors.Wrap(err, address))
+					combined = errors.CombineErrors(combined, errors.Wrap(err, address))
 					continue
 				}
 				if err := printStatus(command.OutOrStdout(), status, asJSON); err != nil {
 					return err
 				}
 			}
-			return failure
+			return combined
 		},
 	}
 	command.Flags().BoolVar(&asJSON, "json", false, "print JSON, a line a node")
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -24,7 +24,7 @@
 }
 
 func (a *app) makePlan(ctx context.Context, declared *declaration.Declaration) (*planning.Plan, error) {
-	if err := a.needServer(); err != nil {
+	if err := a.requireAddress(); err != nil {
 		return nil, err
 	}
 	plan := &planning.Plan{}
@@ -52,8 +52,8 @@
 	}
 }
 
-// sign marks a change as a diff does.
-func sign(action string) string {
+// changeSign marks a change as a diff does.
+func changeSign(action string) string {
 	switch action {
 	case "add":
 		return "+"
@@ -68,7 +68,7 @@
 	return a.show(command, plan, func(w *tabwriter.Writer) {
 		fmt.Fprintf(w, "plan\t%s\nbase version\t%d\n", plan.Digest, plan.Base)
 		for _, change := range plan.Changes {
-			fmt.Fprintf(w, "%s %s\t%s\n", sign(change.Action), change.Subject, change.Detail)
+			fmt.Fprintf(w, "%s %s\t%s\n", changeSign(change.Action), change.Subject, change.Detail)
 		}
 		if len(plan.Changes) == 0 {
 			fmt.Fprintln(w, "no changes")
@@ -87,7 +87,7 @@
 		Example: "  wheatroadctl confirm 5f3c... --base 12",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			return a.confirm(command, args[0], base)
@@ -97,24 +97,24 @@
 	return command
 }
 
-// inForceWait is how long confirm waits for all nodes.
-const inForceWait = 20 * time.Second
+// rolloutTimeout is how long confirm waits for all nodes.
+const rolloutTimeout = 20 * time.Second
 
 func (a *app) confirm(command *cobra.Command, digest string, base int64) error {
-	var confirmed api.Confirmed
-	if err := a.client.call(command.Context(), http.MethodPost, "/v1/plans/"+digest+"/confirm", api.Confirmation{Base: base}, &confirmed); err != nil {
+	var confirmation api.Confirmed
+	if err := a.client.call(command.Context(), http.MethodPost, "/v1/plans/"+digest+"/confirm", api.Confirmation{Base: base}, &confirmation); err != nil {
 		return err
 	}
 	var answer api.ConfigurationAnswer
-	path := fmt.Sprintf("/v1/configuration?version=%d&wait=%s", confirmed.Version, inForceWait)
+	path := fmt.Sprintf("/v1/configuration?version=%d&wait=%s", confirmation.Version, rolloutTimeout)
 	if err := a.client.call(command.Context(), http.MethodGet, path, nil, &answer); err != nil {
 		return err
 	}
 	if !answer.InForce {
-		return fmt.Errorf("version %d is confirmed, but not in force on all %d nodes yet", confirmed.Version, len(answer.Members))
+		return fmt.Errorf("version %d is confirmed, but not in force on all %d nodes yet", confirmation.Version, len(answer.Members))
 	}
-	return a.show(command, confirmed, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "version %d is in force on all %d nodes\n", confirmed.Version, len(answer.Members))
+	return a.show(command, confirmation, func(w *tabwriter.Writer) {
+		fmt.Fprintf(w, "version %d is in force on all %d nodes\n", confirmation.Version, len(answer.Members))
 	})
 }
 
@@ -154,7 +154,7 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			var current api.ConfigurationAnswer
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			if err := a.client.call(command.Context(), http.MethodGet, "/v1/configuration", nil, &current); err != nil {
@@ -187,7 +187,7 @@
 		Example: "  wheatroadctl configuration -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			var answer api.ConfigurationAnswer
@@ -196,7 +196,7 @@
 			}
 			return a.show(command, answer, func(w *tabwriter.Writer) {
 				fmt.Fprintf(w, "version\t%d\nin force everywhere\t%t\n", answer.Version, answer.InForce)
-				drawMembers(w, answer.Members)
+				printMembers(w, answer.Members)
 				for _, tenant := range answer.Declaration.Tenant {
 					for _, g := range tenant.Guarantee {
 						fmt.Fprintf(w, "guarantee\t%s\t%d x %dx%d/%s in %s\n", tenant.Name, g.Count, g.Members, g.Accelerators, g.Spread, g.Zone)
@@ -207,7 +207,7 @@
 	}
 }
 
-func drawMembers(w io.Writer, members []blackboard.Member) {
+func printMembers(w io.Writer, members []blackboard.Member) {
 	for _, member := range members {
 		fmt.Fprintf(w, "node\t%s\t%s\t%s\tversion %d\n", member.Node, member.Zone, member.State, member.Configuration)
 	}
@@ -220,7 +220,7 @@
 		Example: "  wheatroadctl domains",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if err := a.needServer(); err != nil {
+			if err := a.requireAddress(); err != nil {
 				return err
 			}
 			var answer struct {
@@ -237,7 +237,7 @@
 					fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%d\t%d\t%d\t%d\t%d\t%d\n", d.Name, d.Lease.Owner, d.Lease.Epoch, d.Lease.Active,
 						d.Machines, s.FreeAccelerators, s.Accelerators, s.QueuedJobs, s.RunningJobs, s.MissingWitness)
 				}
-				drawMembers(w, answer.Members)
+				printMembers(w, answer.Members)
 			})
 		},
 	}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -54,7 +54,7 @@
 	root := &cobra.Command{
 		Use: "wheatroadctl", Short: "Submit jobs to wheatroad and declare what it guarantees",
 		Version: version, SilenceUsage: true, SilenceErrors: true,
-		PersistentPreRunE: func(*cobra.Command, []string) error { return a.prepare() },
+		PersistentPreRunE: func(*cobra.Command, []string) error { return a.configureClient() },
 	}
 	flags := root.PersistentFlags()
 	flags.StringSliceVar(&a.addresses, "address", nil, "daemon addresses, tried in order (or WHEATROAD_ADDRESS)")
@@ -79,9 +79,9 @@
 	return filepath.Join(folder, "wheatroad", "profiles.toml")
 }
 
-// prepare resolves addresses and key: flags first, then the environment, then the
+// configureClient resolves addresses and key: flags first, then the environment, then the
 // profile.
-func (a *app) prepare() error {
+func (a *app) configureClient() error {
 	if a.output != "json" && a.output != "table" {
 		return fault.NewField(fault.InvalidRequest, "output", "must be json or table")
 	}
@@ -123,34 +123,34 @@
 	return nil
 }
 
-// needServer refuses to go on without an address.
-func (a *app) needServer() error {
+// requireAddress refuses to go on without an address.
+func (a *app) requireAddress() error {
 	if len(a.addresses) == 0 {
 		return fault.NewField(fault.InvalidRequest, "address", "give --address, WHEATROAD_ADDRESS or --profile")
 	}
 	return nil
 }
 
-// JobEnded reports a job that ended other than by finishing.
-type JobEnded struct{ Record *job.Record }
+// JobFailedError reports a job that ended other than by finishing.
+type JobFailedError struct{ Record *job.Record }
 
 // Error renders how the job ended.
-func (e *JobEnded) Error() string {
+func (e *JobFailedError) Error() string {
 	return fmt.Sprintf("job %s is %s (%s, outcome: %s)", e.Record.Spec.ID, e.Record.State, e.Record.Reason, e.Record.Outcome)
 }
 
 // ExitStatus returns the exit status for an error of a command.
 func ExitStatus(err error) int {
-	var answer *AnswerError
+	var answer *ResponseError
 	var listed *fault.Error
-	var ended *JobEnded
+	var ended *JobFailedError
 	switch {
 	case err == nil:
 		return ExitOK
 	case errors.As(err, &ended):
 		return ExitJobFailed
 	case errors.As(err, &answer):
-		return answerStatus(answer)
+		return responseExitStatus(answer)
 	case errors.As(err, &listed):
 		return ExitUsage
 	default:
@@ -158,7 +158,7 @@
 	}
 }
 
-func answerStatus(answer *AnswerError) int {
+func responseExitStatus(answer *ResponseError) int {
 	switch {
 	case answer.Answer.Outcome == fault.MayHaveRun:
 		return ExitUnknown
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -17,10 +17,10 @@
 
 // traceLine is a log line that names a job.
 type traceLine struct {
-	at       string
-	node     string
-	text     string
-	decision string
+	at      string
+	node    string
+	text    string
+	message string
 	// end is what became of a run; nil for other lines.
 	end *runEnd
 }
@@ -30,41 +30,41 @@
 	Task   string `json:"task"`
 	Run    int    `json:"run"`
 	Worker string `json:"worker"`
-	// Born is when the worker's life began in which it ran; 0 if that is not known.
-	Born   int64  `json:"born"`
-	How    string `json:"how"`
-	Reason string `json:"reason"`
+	// StartedAt is when the worker's life began in which it ran; 0 if that is not known.
+	StartedAt int64  `json:"born"`
+	Result    string `json:"how"`
+	Reason    string `json:"reason"`
 }
 
-// endingLines are the decisions that tell of the end of a run.
-var endingLines = map[string]bool{"run ended": true, "run lost": true, "run listed nowhere": true}
+// runEndMessages are the decisions that tell of the end of a run.
+var runEndMessages = map[string]bool{"run ended": true, "run lost": true, "run listed nowhere": true}
 
-// describe renders the end with the life of the worker.
-func (e *runEnd) describe(decision string) string {
-	life := fleet.Life{ID: e.Worker, Born: e.Born}
-	how := e.How
-	if how == "" {
-		how = strings.TrimPrefix(decision, "run ")
+// format renders the end with the life of the worker.
+func (e *runEnd) format(decision string) string {
+	life := fleet.Life{ID: e.Worker, Born: e.StartedAt}
+	result := e.Result
+	if result == "" {
+		result = strings.TrimPrefix(decision, "run ")
 	}
 	if e.Reason != "" {
-		how += ", " + e.Reason
+		result += ", " + e.Reason
 	}
-	return fmt.Sprintf("%s run %d in %s: %s", e.Task, e.Run, life, how)
+	return fmt.Sprintf("%s run %d in %s: %s", e.Task, e.Run, life, result)
 }
 
 // logRecord has the fields of a log line that the trace reads.
 type logRecord struct {
 	Timestamp string `json:"ts"`
-	Decision  string `json:"msg"`
+	Message   string `json:"msg"`
 	Job       string `json:"job"`
 	runEnd
 }
 
-// explainingLine tells why a job is about to end as failed; the line that follows only says so.
-const explainingLine = "job given up"
+// failureReasonMessage tells why a job is about to end as failed; the line that follows only says so.
+const failureReasonMessage = "job given up"
 
-// decidingLines are the decisions that settle what a caller is told.
-var decidingLines = map[string]bool{
+// outcomeMessages are the decisions that settle what a caller is told.
+var outcomeMessages = map[string]bool{
 	"job not accepted": true, "request refused": true, "job ended": true, "lookup refused": true, "cancellation refused": true,
 }
 
@@ -106,12 +106,12 @@
 	return lines, nil
 }
 
-const maxLogLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // scanTrace reads lines of JSON; words before the JSON are taken for the node.
 func scanTrace(input io.Reader, node, id string) ([]traceLine, error) {
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, maxLogLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []traceLine
 	for scanner.Scan() {
 		text := scanner.Text()
@@ -127,8 +127,8 @@
 		if prefix := strings.TrimSpace(text[:begin]); prefix != "" {
 			source = prefix
 		}
-		line := traceLine{at: record.Timestamp, node: source, text: text[begin:], decision: record.Decision}
-		if endingLines[record.Decision] {
+		line := traceLine{at: record.Timestamp, node: source, text: text[begin:], message: record.Message}
+		if runEndMessages[record.Message] {
 			line.end = &record.runEnd
 		}
 		lines = append(lines, line)
@@ -136,35 +136,35 @@
 	return lines, scanner.Err()
 }
 
-// decidingLine returns the place of the line that settled the job's fate, or -1.
-func decidingLine(lines []traceLine) int {
-	deciding := -1
+// outcomeLine returns the place of the line that settled the job's fate, or -1.
+func outcomeLine(lines []traceLine) int {
+	outcome := -1
 	for i := range lines {
-		if lines[i].decision == explainingLine {
+		if lines[i].message == failureReasonMessage {
 			return i
 		}
-		if decidingLines[lines[i].decision] {
-			deciding = i
+		if outcomeMessages[lines[i].message] {
+			outcome = i
 		}
 	}
-	return deciding
+	return outcome
 }
 
 func printTrace(output io.Writer, id string, lines []traceLine) error {
 	if len(lines) == 0 {
 		return errors.Newf("no line names job %s", id)
 	}
-	deciding := decidingLine(lines)
+	outcome := outcomeLine(lines)
 	for i := range lines {
 		mark := " "
-		if i == deciding {
+		if i == outcome {
 			mark = "*"
 		}
 		if _, err := fmt.Fprintf(output, "%s %s %s\n", mark, lines[i].node, lines[i].text); err != nil {
 			return err
 		}
 	}
-	if deciding < 0 {
+	if outcome < 0 {
 		if _, err := fmt.Fprintln(output, "no deciding line yet"); err != nil {
 			return err
 		}
@@ -179,7 +179,7 @@
 		if lines[i].end == nil {
 			continue
 		}
-		if _, err := fmt.Fprintf(output, "  run: %s\n", lines[i].end.describe(lines[i].decision)); err != nil {
+		if _, err := fmt.Fprintf(output, "  run: %s\n", lines[i].end.format(lines[i].message)); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// traced returns what the command prints about a job from log lines.
-func traced(t *testing.T, input string) []string {
+// traceOutput returns what the command prints about a job from log lines.
+func traceOutput(t *testing.T, input string) []string {
 	var output bytes.Buffer
 	command := newTraceCommand()
 	command.SetIn(strings.NewReader(input))
@@ -27,7 +27,7 @@
 		`not a line of ours 00000000000000aa`,
 		`  9.9 node-1 {"ts":"2026-01-01T00:00:09Z","msg":"job ended","job":"00000000000000aa","state":"failed"}`,
 	}, "\n")
-	lines := traced(t, input)
+	lines := traceOutput(t, input)
 	require.Len(t, lines, 3)
 	require.Contains(t, lines[0], "job accepted")
 	require.True(t, strings.HasPrefix(lines[2], "* 9.9 node-1"), lines[2])
@@ -41,7 +41,7 @@
 		`2.0 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"job given up","job":"00000000000000aa","reason":"crash_odds"}`,
 		`2.0 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"job ended","job":"00000000000000aa","state":"failed"}`,
 	}, "\n")
-	lines := traced(t, input)
+	lines := traceOutput(t, input)
 	require.Len(t, lines, 4)
 	require.True(t, strings.HasPrefix(lines[1], "* 2.0 node-1"), lines[1])
 }
@@ -53,7 +53,7 @@
 		`{"ts":"2","msg":"run ended","job":"00000000000000aa","task":"00000000000000aa.0.0.1","run":2,"worker":"w-1","born":9,"how":"done","reason":""}`,
 		`{"ts":"3","msg":"job ended","job":"00000000000000aa","state":"completed"}`,
 	}, "\n")
-	lines := traced(t, input)
+	lines := traceOutput(t, input)
 	require.Len(t, lines, 5)
 	require.Equal(t, "run: 00000000000000aa.0.0.1 run 1 in w-1@5: lost, worker restarted", strings.TrimSpace(lines[3]))
 	require.Equal(t, "run: 00000000000000aa.0.0.1 run 2 in w-1@9: done", strings.TrimSpace(lines[4]))
