--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -14,7 +14,7 @@
 	"github.com/wheatroad/wheatroad/internal/api"
 )
 
-// Client talks to any daemon of a cluster.
+// Client sends requests to the daemons of a cluster.
 type Client struct {
 	addresses []string
 	key       string
@@ -22,13 +22,13 @@
 	deadline  time.Duration
 }
 
-// ResponseError is an answer that is not a success.
+// ResponseError is a response with an error status.
 type ResponseError struct {
 	Status int
 	Answer api.ErrorAnswer
 }
 
-// Error renders the answer on one line.
+// Error formats the response on one line.
 func (e *ResponseError) Error() string {
 	text := string(e.Answer.Error)
 	if e.Answer.Field != "" {
@@ -41,8 +41,8 @@
 	return text + ")"
 }
 
-// call sends a request to the first daemon that can be connected to and decodes
-// the answer.
+// call sends a request to the first daemon that accepts a connection and decodes the
+// response.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	content, err := c.do(ctx, method, path, in)
 	if err != nil || out == nil {
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,3 +1,3 @@
-// Package cli is the wheatroadctl command: it submits and follows jobs, and plans
-// and confirms declarations.
+// Package cli implements the wheatroadctl command, which submits and follows jobs and
+// plans and confirms configuration changes.
 package cli
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -75,10 +75,10 @@
 	return a.showRecord(command, record)
 }
 
-// followPollTimeout is how long one request waits for a job's end.
+// followPollTimeout is how long the server may hold a request that waits for a job's end.
 const followPollTimeout = 20 * time.Second
 
-// follow waits for a job's end, telling each change of state.
+// follow waits for a job to end and prints each state change.
 func (a *app) follow(command *cobra.Command, record *job.Record) error {
 	state := record.State
 	fmt.Fprintf(command.ErrOrStderr(), "%s %s\n", record.Spec.ID, state)
@@ -227,7 +227,7 @@
 	}
 }
 
-// show prints an answer as JSON, or as a table through draw.
+// show prints an answer as JSON, or as a table with printTable.
 func (a *app) show(command *cobra.Command, answer any, printTable func(*tabwriter.Writer)) error {
 	if a.output == "json" {
 		encoder := json.NewEncoder(command.OutOrStdout())
@@ -258,7 +258,7 @@
 	})
 }
 
-// maxPlacementWorkers bounds how many workers a table row names.
+// maxPlacementWorkers is the maximum number of workers that a table row lists.
 const maxPlacementWorkers = 2
 
 func formatPlacement(placement []job.Assignment) string {
--- a/internal/cli/names_test.go
+++ b/internal/cli/names_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCommandNamesAreUnique: a second command named status hid the one for jobs.
+// TestCommandNamesAreUnique guards against a command that shadows another of the same name.
 func TestCommandNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for _, command := range New("test").Commands() {
--- a/internal/cli/node_status.go
+++ b/internal/cli/node_status.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/node"
 )
 
-// statusTimeout bounds the wait for one node.
+// statusTimeout is the timeout of the request to one node.
 const statusTimeout = 5 * time.Second
 
 func newNodeStatusCommand() *cobra.Command {
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// changeSign marks a change as a diff does.
+// changeSign returns the diff marker of a change.
 func changeSign(action string) string {
 	switch action {
 	case "add":
@@ -97,7 +97,7 @@
 	return command
 }
 
-// rolloutTimeout is how long confirm waits for all nodes.
+// rolloutTimeout is how long confirm waits until all nodes use the new configuration.
 const rolloutTimeout = 20 * time.Second
 
 func (a *app) confirm(command *cobra.Command, digest string, base int64) error {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -16,28 +16,28 @@
 	"github.com/wheatroad/wheatroad/internal/job"
 )
 
-// Exit statuses, for scripts.
+// Exit statuses. Scripts depend on their values.
 const (
 	ExitOK = iota
-	// ExitFailure is for what has no status of its own.
+	// ExitFailure means an error without a more specific status.
 	ExitFailure
-	// ExitUsage is for input at fault.
+	// ExitUsage means invalid input.
 	ExitUsage
-	// ExitRetry means that the daemon said when to come back.
+	// ExitRetry means that the daemon asked the caller to retry later.
 	ExitRetry
-	// ExitJobFailed means that the job ended other than by finishing.
+	// ExitJobFailed means that the job ended without finishing.
 	ExitJobFailed
-	// ExitUnknown means that it is not known whether the request took effect.
+	// ExitUnknown means that the request may have taken effect.
 	ExitUnknown
 )
 
-// Profile is how to reach one cluster.
+// Profile holds the addresses and the access key of one cluster.
 type Profile struct {
 	Addresses []string `toml:"addresses"`
 	Key       string   `toml:"key"`
 }
 
-// app holds what all commands share.
+// app holds the flags and the client that all commands share.
 type app struct {
 	addresses   []string
 	key         string
@@ -79,8 +79,8 @@
 	return filepath.Join(folder, "wheatroad", "profiles.toml")
 }
 
-// configureClient resolves addresses and key: flags first, then the environment, then the
-// profile.
+// configureClient creates the client. Addresses and key come from flags, the environment or
+// the profile, in this order of precedence.
 func (a *app) configureClient() error {
 	if a.output != "json" && a.output != "table" {
 		return fault.NewField(fault.InvalidRequest, "output", "must be json or table")
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// requireAddress refuses to go on without an address.
+// requireAddress returns an error if no daemon address is configured.
 func (a *app) requireAddress() error {
 	if len(a.addresses) == 0 {
 		return fault.NewField(fault.InvalidRequest, "address", "give --address, WHEATROAD_ADDRESS or --profile")
@@ -131,10 +131,10 @@
 	return nil
 }
 
-// JobFailedError reports a job that ended other than by finishing.
+// JobFailedError reports a job that ended without finishing.
 type JobFailedError struct{ Record *job.Record }
 
-// Error renders how the job ended.
+// Error formats the job's final state.
 func (e *JobFailedError) Error() string {
 	return fmt.Sprintf("job %s is %s (%s, outcome: %s)", e.Record.Spec.ID, e.Record.State, e.Record.Reason, e.Record.Outcome)
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -15,31 +15,31 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// traceLine is a log line that names a job.
+// traceLine is a log line about the traced job.
 type traceLine struct {
 	at      string
 	node    string
 	text    string
 	message string
-	// end is what became of a run; nil for other lines.
+	// end is set only for lines that report the end of a run.
 	end *runEnd
 }
 
-// runEnd is what a line tells of the end of a run.
+// runEnd holds the log fields of the end of a run.
 type runEnd struct {
 	Task   string `json:"task"`
 	Run    int    `json:"run"`
 	Worker string `json:"worker"`
-	// StartedAt is when the worker's life began in which it ran; 0 if that is not known.
+	// StartedAt is the start time of the worker process, in Unix milliseconds; 0 if unknown.
 	StartedAt int64  `json:"born"`
 	Result    string `json:"how"`
 	Reason    string `json:"reason"`
 }
 
-// runEndMessages are the decisions that tell of the end of a run.
+// runEndMessages are the log messages that report the end of a run.
 var runEndMessages = map[string]bool{"run ended": true, "run lost": true, "run listed nowhere": true}
 
-// format renders the end with the life of the worker.
+// format describes the end of the run and identifies the worker process.
 func (e *runEnd) format(decision string) string {
 	life := fleet.Life{ID: e.Worker, Born: e.StartedAt}
 	result := e.Result
@@ -52,18 +52,18 @@
 	return fmt.Sprintf("%s run %d in %s: %s", e.Task, e.Run, life, result)
 }
 
-// logRecord has the fields of a log line that the trace reads.
-type logRecord struct {
+// logLine holds the log fields that the trace uses.
+type logLine struct {
 	Timestamp string `json:"ts"`
 	Message   string `json:"msg"`
 	Job       string `json:"job"`
 	runEnd
 }
 
-// failureReasonMessage tells why a job is about to end as failed; the line that follows only says so.
+// failureReasonMessage precedes "job ended" and gives the reason for the failure.
 const failureReasonMessage = "job given up"
 
-// outcomeMessages are the decisions that settle what a caller is told.
+// outcomeMessages are the log messages that decide the response to the caller.
 var outcomeMessages = map[string]bool{
 	"job not accepted": true, "request refused": true, "job ended": true, "lookup refused": true, "cancellation refused": true,
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// readTrace reads the lines about a job from files, or from input if there are none.
+// readTrace reads the lines about a job from files, or from input if no files are given.
 func readTrace(input io.Reader, id string, files []string) ([]traceLine, error) {
 	if len(files) == 0 {
 		return scanTrace(input, "", id)
@@ -108,7 +108,7 @@
 
 const maxLineBytes = 1 << 20
 
-// scanTrace reads lines of JSON; words before the JSON are taken for the node.
+// scanTrace reads the lines about a job. Text before a line's JSON object names the node.
 func scanTrace(input io.Reader, node, id string) ([]traceLine, error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxLineBytes)
@@ -119,7 +119,7 @@
 		if begin < 0 || !strings.Contains(text, id) {
 			continue
 		}
-		var record logRecord
+		var record logLine
 		if err := json.Unmarshal([]byte(text[begin:]), &record); err != nil || record.Job != id {
 			continue
 		}
@@ -136,7 +136,7 @@
 	return lines, scanner.Err()
 }
 
-// outcomeLine returns the place of the line that settled the job's fate, or -1.
+// outcomeLine returns the index of the line that decided the job's outcome, or -1.
 func outcomeLine(lines []traceLine) int {
 	outcome := -1
 	for i := range lines {
@@ -172,8 +172,8 @@
 	return printRuns(output, lines)
 }
 
-// printRuns lists the runs that ended, with the lives of the workers they ran in: whether a task was
-// rightly started again shows in how its runs before ended.
+// printRuns lists the ended runs with their worker processes, which shows whether each
+// restart of a task was justified.
 func printRuns(output io.Writer, lines []traceLine) error {
 	for i := range lines {
 		if lines[i].end == nil {
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -24,7 +24,7 @@
 		`  1.0 node-2 {"ts":"2026-01-01T00:00:01Z","msg":"job accepted","job":"00000000000000aa"}`,
 		`  1.1 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"placed","job":"00000000000000aa","step":0}`,
 		`  1.2 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"placed","job":"00000000000000bb","step":0}`,
-		`not a line of ours 00000000000000aa`,
+		`not a JSON line 00000000000000aa`,
 		`  9.9 node-1 {"ts":"2026-01-01T00:00:09Z","msg":"job ended","job":"00000000000000aa","state":"failed"}`,
 	}, "\n")
 	lines := traceOutput(t, input)
@@ -33,8 +33,8 @@
 	require.True(t, strings.HasPrefix(lines[2], "* 9.9 node-1"), lines[2])
 }
 
-// TestTraceMarksWhyAJobWasGivenUp: the line that says why, not the one that only says that it
-// ended.
+// TestTraceMarksWhyAJobWasGivenUp checks that the trace marks the line with the reason, not the
+// later one that reports the end.
 func TestTraceMarksWhyAJobWasGivenUp(t *testing.T) {
 	input := strings.Join([]string{
 		`1.0 node-1 {"ts":"2026-01-01T00:00:01Z","msg":"run lost","job":"00000000000000aa","worker":"w-1"}`,
@@ -46,7 +46,8 @@
 	require.True(t, strings.HasPrefix(lines[1], "* 2.0 node-1"), lines[1])
 }
 
-// TestTraceTellsTheLivesOfRuns: a worker came back under its identifier between two runs.
+// TestTraceTellsTheLivesOfRuns checks that runs on a worker before and after its restart are
+// distinguished.
 func TestTraceTellsTheLivesOfRuns(t *testing.T) {
 	input := strings.Join([]string{
 		`{"ts":"1","msg":"run lost","job":"00000000000000aa","task":"00000000000000aa.0.0.1","run":1,"worker":"w-1","born":5,"reason":"worker restarted"}`,
