--- a/cmd/wheatroad-bench/faults_command.go
+++ b/cmd/wheatroad-bench/faults_command.go
@@ -17,16 +17,16 @@
 
 // faultsFlags are the flags of the faults command.
 type faultsFlags struct {
-	binaries  string
-	logs      string
-	seed      uint64
-	seeds     int
-	seconds   float64
-	processes int
-	callers   int
-	lives     bool
-	asJSON    bool
-	list      bool
+	binaries       string
+	logs           string
+	seed           uint64
+	seeds          int
+	seconds        float64
+	processes      int
+	callers        int
+	workerRestarts bool
+	asJSON         bool
+	list           bool
 }
 
 func newFaultsCommand() *cobra.Command {
@@ -56,7 +56,7 @@
 	command.Flags().Float64Var(&flags.seconds, "seconds", 15, "how long faults come")
 	command.Flags().IntVar(&flags.processes, "processes", 3, "how many daemons, each a process of its own")
 	command.Flags().IntVar(&flags.callers, "callers", 4, "how many callers")
-	command.Flags().BoolVar(&flags.lives, "lives", false, "restart workers under their identifiers, and leave rows of another writer, also with seeds that draw none")
+	command.Flags().BoolVar(&flags.workerRestarts, "lives", false, "restart workers under their identifiers, and leave rows of another writer, also with seeds that draw none")
 	command.Flags().BoolVar(&flags.asJSON, "json", false, "print each report as JSON")
 	command.Flags().BoolVar(&flags.list, "list-kinds", false, "list the kinds of faults and end")
 	return command
@@ -65,7 +65,7 @@
 func runFaults(out io.Writer, flags *faultsFlags) error {
 	failed := 0
 	for seed := flags.seed; seed < flags.seed+uint64(flags.seeds); seed++ {
-		report, err := playSeed(flags, seed)
+		report, err := runSeed(flags, seed)
 		if err != nil {
 			return err
 		}
@@ -82,14 +82,14 @@
 	return nil
 }
 
-func playSeed(flags *faultsFlags, seed uint64) (*soak.Report, error) {
+func runSeed(flags *faultsFlags, seed uint64) (*soak.Report, error) {
 	folder, err := soak.NewFolder(flags.logs, seed)
 	if err != nil {
 		return nil, err
 	}
 	report, err := soak.Run(soak.Options{
 		Program: filepath.Join(flags.binaries, "wheatroadd"), Seed: seed, Folder: folder,
-		Length: time.Duration(flags.seconds * float64(time.Second)), Daemons: flags.processes, Callers: flags.callers, Lives: flags.lives,
+		Length: time.Duration(flags.seconds * float64(time.Second)), Daemons: flags.processes, Callers: flags.callers, Lives: flags.workerRestarts,
 	})
 	if err == nil && len(report.Broken) == 0 {
 		err = os.RemoveAll(folder)
@@ -97,8 +97,8 @@
 	return report, err
 }
 
-// maxPrinted bounds the broken promises that are printed for one seed.
-const maxPrinted = 12
+// maxPrintedViolations bounds the broken promises that are printed for one seed.
+const maxPrintedViolations = 12
 
 func printReport(out io.Writer, flags *faultsFlags, report *soak.Report) error {
 	if flags.asJSON {
@@ -109,7 +109,7 @@
 		injected += count
 	}
 	_, err := fmt.Fprintf(out, "seed %d: %d faults, jobs %v, broken %d\n", report.Seed, injected, report.States, len(report.Broken))
-	for _, line := range report.Broken[:min(len(report.Broken), maxPrinted)] {
+	for _, line := range report.Broken[:min(len(report.Broken), maxPrintedViolations)] {
 		_, err = fmt.Fprintln(out, "  broken:", line)
 	}
 	if len(report.Broken) > 0 {
--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -16,10 +16,10 @@
 
 // loadFlags are the flags of the command load.
 type loadFlags struct {
-	loads     []string
-	without   []string
-	firstSeed uint64
-	seeds     int
+	loads        []string
+	disabledSets []string
+	firstSeed    uint64
+	seeds        int
 }
 
 func newLoadCommand() *cobra.Command {
@@ -37,7 +37,7 @@
 		},
 	}
 	command.Flags().StringArrayVar(&flags.loads, "load", nil, "load to play, repeatable (default all)")
-	command.Flags().StringArrayVar(&flags.without, "without", nil, "a way without these mechanisms, joined by commas; repeatable")
+	command.Flags().StringArrayVar(&flags.disabledSets, "without", nil, "a way without these mechanisms, joined by commas; repeatable")
 	command.Flags().Uint64Var(&flags.firstSeed, "seed", 1, "first seed")
 	command.Flags().IntVar(&flags.seeds, "seeds", 10, "how many seeds")
 	return command
@@ -47,49 +47,49 @@
 	if flags.seeds < 2 {
 		return errors.New("--seeds must be at least 2")
 	}
-	ways := []loadplay.Way{{Name: "all"}}
-	for _, names := range flags.without {
+	variants := []loadplay.Way{{Name: "all"}}
+	for _, names := range flags.disabledSets {
 		off, err := mechanism.ParseOff(strings.Split(names, ","))
 		if err != nil {
 			return errors.Wrap(err, "--without")
 		}
-		ways = append(ways, loadplay.Way{Name: "without " + names, Off: off})
+		variants = append(variants, loadplay.Way{Name: "without " + names, Off: off})
 	}
-	loads, err := chosenLoads(flags.loads)
+	loads, err := selectLoads(flags.loads)
 	if err != nil {
 		return err
 	}
 	for i := range loads {
-		printComparison(out, &loads[i], loadplay.Compare(&loads[i], ways, flags.firstSeed, flags.seeds, runtime.NumCPU()))
+		printComparison(out, &loads[i], loadplay.Compare(&loads[i], variants, flags.firstSeed, flags.seeds, runtime.NumCPU()))
 	}
 	return nil
 }
 
-func chosenLoads(names []string) ([]loadplay.Load, error) {
+func selectLoads(names []string) ([]loadplay.Load, error) {
 	all := loadplay.Loads()
 	if len(names) == 0 {
 		return all, nil
 	}
-	var chosen []loadplay.Load
+	var selected []loadplay.Load
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(load loadplay.Load) bool { return load.Name == name })
 		if i < 0 {
 			return nil, errors.Newf("--load: no load %q", name)
 		}
-		chosen = append(chosen, all[i])
+		selected = append(selected, all[i])
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func printComparison(out io.Writer, load *loadplay.Load, compared []loadplay.Comparison) {
-	fmt.Fprintf(out, "%s: %d seeds\n", load.Name, len(compared[0].Results))
+func printComparison(out io.Writer, load *loadplay.Load, comparisons []loadplay.Comparison) {
+	fmt.Fprintf(out, "%s: %d seeds\n", load.Name, len(comparisons[0].Results))
 	fmt.Fprintf(out, "  %-44s %-15s %-15s %-8s", "way", "worth", "gain", "served")
-	for _, class := range compared[0].Results[0].Classes {
+	for _, class := range comparisons[0].Results[0].Classes {
 		fmt.Fprintf(out, " %-8s", class.Name)
 	}
 	fmt.Fprintf(out, " %-12s %-10s %s\n", "stops/placed", "most stops", "thrown away, core-s")
-	for i := range compared {
-		c := &compared[i]
+	for i := range comparisons {
+		c := &comparisons[i]
 		fmt.Fprintf(out, "  %-44s %.3f +- %.3f  %+.3f +- %.3f %.3f   ", c.Way.Name, c.Worth.Mean, c.Worth.Error, c.Gain.Mean, c.Gain.Error, c.Served.Mean)
 		for _, class := range c.Classes {
 			fmt.Fprintf(out, " %-8.3f", class.Mean)
--- a/cmd/wheatroad-bench/main.go
+++ b/cmd/wheatroad-bench/main.go
@@ -14,20 +14,20 @@
 
 // Exit statuses.
 const (
-	exitPromiseBroken = 1
-	exitUsage         = 2
+	exitInvariantViolated = 1
+	exitUsage             = 2
 )
 
 func main() {
 	root := bench.NewCommand(buildinfo.Version)
-	root.AddCommand(newStormCommand(), newFaultsCommand(), newLoadCommand())
+	root.AddCommand(newOverloadCommand(), newFaultsCommand(), newLoadCommand())
 	err := root.Execute()
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, "wheatroad-bench:", err)
 	if errors.Is(err, bench.ErrPromiseBroken) {
-		os.Exit(exitPromiseBroken)
+		os.Exit(exitInvariantViolated)
 	}
 	os.Exit(exitUsage)
 }
--- a/cmd/wheatroad-bench/storm.go
+++ b/cmd/wheatroad-bench/storm.go
@@ -20,23 +20,23 @@
 
 // The storm: nine daemons, workers of 8 accelerators, jobs of 4 for 2 s.
 const (
-	stormNodes       = 9
-	stormWorkers     = 56
-	jobsPerWorker    = 2
-	stormRunSeconds  = 2.0
-	stormOperatorKey = "storm-operator-key"
-	// smallShare is the part of the capacity that the small tenant asks for.
-	smallShare = 0.1
-	// slowEvery is how many workers there are to one that is slow.
-	slowEvery = 10
-	// queueLimit bounds each large tenant's queue in a domain.
-	queueLimit = 60
-	// settleTime lets jobs under way end before they are counted.
-	settleTime = 10 * time.Second
+	nodeCount     = 9
+	workerCount   = 56
+	jobsPerWorker = 2
+	jobRunSeconds = 2.0
+	operatorKey   = "storm-operator-key"
+	// smallTenantShare is the part of the capacity that the small tenant asks for.
+	smallTenantShare = 0.1
+	// slowWorkerInterval is how many workers there are to one that is slow.
+	slowWorkerInterval = 10
+	// maxQueuedJobs bounds each large tenant's queue in a domain.
+	maxQueuedJobs = 60
+	// drainTime lets jobs under way end before they are counted.
+	drainTime = 10 * time.Second
 )
 
-// StormPhase is what happened at one load.
-type StormPhase struct {
+// OverloadPhase is what happened at one load.
+type OverloadPhase struct {
 	Load      float64        `json:"load"`
 	Seconds   float64        `json:"seconds"`
 	Submitted int            `json:"submitted"`
@@ -59,14 +59,14 @@
 	NotRunRan int `json:"not_run_ran"`
 }
 
-// StormReport is the result of a storm.
-type StormReport struct {
-	Phases []StormPhase `json:"phases"`
+// OverloadReport is the result of a storm.
+type OverloadReport struct {
+	Phases []OverloadPhase `json:"phases"`
 	// GoodputRatio is the goodput at twice the load over that at one.
 	GoodputRatio float64 `json:"goodput_ratio"`
 }
 
-func newStormCommand() *cobra.Command {
+func newOverloadCommand() *cobra.Command {
 	var binaries string
 	var seconds float64
 	command := &cobra.Command{
@@ -75,7 +75,7 @@
 		Example: "  wheatroad-bench storm --bin bin --seconds 20",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			report, err := runStorm(binaries, seconds)
+			report, err := runOverload(binaries, seconds)
 			if err != nil {
 				return err
 			}
@@ -95,9 +95,9 @@
 	return command
 }
 
-// storm is a running system of processes.
-type storm struct {
-	folder    string
+// testCluster is a running system of processes.
+type testCluster struct {
+	directory string
 	binaries  string
 	processes map[string]*exec.Cmd
 	platform  string
@@ -105,10 +105,10 @@
 	client    *http.Client
 }
 
-func runStorm(binaries string, seconds float64) (*StormReport, error) {
-	report := &StormReport{}
+func runOverload(binaries string, seconds float64) (*OverloadReport, error) {
+	report := &OverloadReport{}
 	for _, load := range []float64{1, 2} {
-		phase, err := stormPhase(binaries, load, seconds)
+		phase, err := runPhase(binaries, load, seconds)
 		if err != nil {
 			return nil, err
 		}
@@ -118,40 +118,40 @@
 	return report, nil
 }
 
-func stormPhase(binaries string, load, seconds float64) (*StormPhase, error) {
+func runPhase(binaries string, load, seconds float64) (*OverloadPhase, error) {
 	folder, err := os.MkdirTemp("", "wheatroad-storm")
 	if err != nil {
 		return nil, err
 	}
-	s := &storm{folder: folder, binaries: binaries, processes: map[string]*exec.Cmd{}, client: &http.Client{Timeout: 20 * time.Second}}
-	defer s.end()
+	s := &testCluster{directory: folder, binaries: binaries, processes: map[string]*exec.Cmd{}, client: &http.Client{Timeout: 20 * time.Second}}
+	defer s.stop()
 	if err := s.start(); err != nil {
 		return nil, err
 	}
 	return s.run(load, seconds)
 }
 
-// end stops every process that was started, by its handle.
-func (s *storm) end() {
+// stop stops every process that was started, by its handle.
+func (s *testCluster) stop() {
 	for _, process := range s.processes {
 		_ = process.Process.Signal(syscall.SIGCONT)
 		_ = process.Process.Kill()
 		_ = process.Wait()
 	}
-	_ = os.RemoveAll(s.folder)
+	_ = os.RemoveAll(s.directory)
 }
 
-func (s *storm) run(load, seconds float64) (*StormPhase, error) {
-	t := &tally{phase: &StormPhase{Load: load, Seconds: seconds, Answers: map[string]int{}}, accepted: map[string]bool{}, notRun: map[string]bool{}}
-	s.slowWorkers()
-	capacity := stormWorkers * jobsPerWorker / stormRunSeconds
+func (s *testCluster) run(load, seconds float64) (*OverloadPhase, error) {
+	t := &phaseRecorder{phase: &OverloadPhase{Load: load, Seconds: seconds, Answers: map[string]int{}}, accepted: map[string]bool{}, notRun: map[string]bool{}}
+	s.slowDownWorkers()
+	capacity := workerCount * jobsPerWorker / jobRunSeconds
 	var group sync.WaitGroup
 	began := time.Now()
 	length := time.Duration(seconds * float64(time.Second))
-	group.Go(func() { s.submitters(t, "large", capacity*(load-smallShare), began.Add(length)) })
-	group.Go(func() { s.submitters(t, "small", capacity*smallShare, began.Add(length)) })
+	group.Go(func() { s.submitAtRate(t, "large", capacity*(load-smallTenantShare), began.Add(length)) })
+	group.Go(func() { s.submitAtRate(t, "small", capacity*smallTenantShare, began.Add(length)) })
 	time.Sleep(length / 2)
-	killed, frozen, err := s.twoOwners()
+	killed, frozen, err := s.findTwoOwners()
 	if err != nil {
 		return nil, err
 	}
@@ -162,17 +162,17 @@
 	t.phase.Killed, t.phase.Frozen = killed, frozen
 	group.Wait()
 	finishedBy := time.Now()
-	time.Sleep(settleTime)
-	return t.phase, s.count(t, began, finishedBy)
+	time.Sleep(drainTime)
+	return t.phase, s.collectResults(t, began, finishedBy)
 }
 
-// twoOwners names two nodes that own a domain each.
-func (s *storm) twoOwners() (first, second string, err error) {
+// findTwoOwners names two nodes that own a domain each.
+func (s *testCluster) findTwoOwners() (first, second string, err error) {
 	var answer struct {
 		Domains []api.DomainAnswer `json:"domains"`
 	}
 	for _, address := range s.addresses {
-		if err = s.call(address, stormOperatorKey, "GET", "/v1/domains", nil, &answer); err == nil {
+		if err = s.call(address, operatorKey, "GET", "/v1/domains", nil, &answer); err == nil {
 			break
 		}
 	}
@@ -188,14 +188,14 @@
 	return "", "", errors.CombineErrors(errors.New("fewer than two nodes own domains"), err)
 }
 
-// slowWorkers makes every tenth worker answer late.
-func (s *storm) slowWorkers() {
+// slowDownWorkers makes every tenth worker answer late.
+func (s *testCluster) slowDownWorkers() {
 	number := 0
 	for zone, racks := range map[string]int{"z1": 3, "z2": 2, "z3": 2} {
 		for rack := range racks {
 			for worker := range 8 {
 				number++
-				if number%slowEvery != 0 {
+				if number%slowWorkerInterval != 0 {
 					continue
 				}
 				fault := map[string]any{"service": fmt.Sprintf("worker:r/%s/rack%02d/worker%02d", zone, rack, worker), "mode": standin.Slow, "delay_seconds": 0.5}
--- a/cmd/wheatroad-bench/storm_processes.go
+++ b/cmd/wheatroad-bench/storm_processes.go
@@ -19,7 +19,7 @@
 	"github.com/wheatroad/wheatroad/internal/planning"
 )
 
-func (s *storm) spawn(name string, args ...string) error {
+func (s *testCluster) startProcess(name string, args ...string) error {
 	process := exec.Command(filepath.Join(s.binaries, args[0]), args[1:]...)
 	if err := process.Start(); err != nil {
 		return err
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// awaitFile waits for a file with content.
-func awaitFile(path string) (string, error) {
+// waitForFile waits for a file with content.
+func waitForFile(path string) (string, error) {
 	for range 400 {
 		if content, err := os.ReadFile(path); err == nil && len(content) > 0 {
 			return string(content), nil
@@ -39,7 +39,7 @@
 	return "", errors.Newf("nothing wrote %s", path)
 }
 
-const stormCluster = `[[pool]]
+const zoneConfig = `[[pool]]
 region = "r"
 zone = "%s"
 racks = %d
@@ -49,37 +49,37 @@
 memory_gb = 256
 `
 
-func (s *storm) start() error {
-	cluster := fmt.Sprintf(stormCluster, "z1", 3) + fmt.Sprintf(stormCluster, "z2", 2) + fmt.Sprintf(stormCluster, "z3", 2)
-	clusterPath := filepath.Join(s.folder, "cluster.toml")
+func (s *testCluster) start() error {
+	cluster := fmt.Sprintf(zoneConfig, "z1", 3) + fmt.Sprintf(zoneConfig, "z2", 2) + fmt.Sprintf(zoneConfig, "z3", 2)
+	clusterPath := filepath.Join(s.directory, "cluster.toml")
 	if err := os.WriteFile(clusterPath, []byte(cluster), 0o600); err != nil {
 		return err
 	}
-	address := filepath.Join(s.folder, "platform")
-	if err := s.spawn("platform", "wheatroad-platform", "--cluster", clusterPath, "--address-file", address); err != nil {
+	address := filepath.Join(s.directory, "platform")
+	if err := s.startProcess("platform", "wheatroad-platform", "--cluster", clusterPath, "--address-file", address); err != nil {
 		return err
 	}
-	platformAddress, err := awaitFile(address)
+	platformAddress, err := waitForFile(address)
 	if err != nil {
 		return err
 	}
 	s.platform = "http://" + platformAddress
-	for n := range stormNodes {
+	for n := range nodeCount {
 		if err := s.startNode(n); err != nil {
 			return err
 		}
 	}
-	for n := range stormNodes {
-		address, err := awaitFile(filepath.Join(s.folder, fmt.Sprintf("node%d", n)))
+	for n := range nodeCount {
+		address, err := waitForFile(filepath.Join(s.directory, fmt.Sprintf("node%d", n)))
 		if err != nil {
 			return err
 		}
 		s.addresses = append(s.addresses, "http://"+address)
 	}
-	return s.declare()
+	return s.applyConfiguration()
 }
 
-func (s *storm) startNode(n int) error {
+func (s *testCluster) startNode(n int) error {
 	text := fmt.Sprintf(`node = "node%d"
 zone = "r/z%d"
 [http]
@@ -89,40 +89,40 @@
 connections_per_address = 128
 [access]
 operator_key_hashes = [%q]
-`, n, 1+n%3, filepath.Join(s.folder, fmt.Sprintf("node%d", n)), s.platform, auth.Hash(stormOperatorKey))
-	path := filepath.Join(s.folder, fmt.Sprintf("node%d.toml", n))
+`, n, 1+n%3, filepath.Join(s.directory, fmt.Sprintf("node%d", n)), s.platform, auth.Hash(operatorKey))
+	path := filepath.Join(s.directory, fmt.Sprintf("node%d.toml", n))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	return s.spawn(fmt.Sprintf("node%d", n), "wheatroadd", "run", path)
+	return s.startProcess(fmt.Sprintf("node%d", n), "wheatroadd", "run", path)
 }
 
-func (s *storm) declare() error {
+func (s *testCluster) applyConfiguration() error {
 	declared := map[string]any{"tenant": []map[string]any{
-		{"name": "large", "key_hashes": []string{auth.Hash("large")}, "quota": map[string]int{"queued_jobs": queueLimit}},
-		{"name": "small", "key_hashes": []string{auth.Hash("small")}, "quota": map[string]int{"queued_jobs": queueLimit}},
+		{"name": "large", "key_hashes": []string{auth.Hash("large")}, "quota": map[string]int{"queued_jobs": maxQueuedJobs}},
+		{"name": "small", "key_hashes": []string{auth.Hash("small")}, "quota": map[string]int{"queued_jobs": maxQueuedJobs}},
 	}}
 	var err error
 	for range 200 {
 		var plan planning.Plan
-		if err = s.call(s.addresses[0], stormOperatorKey, "POST", "/v1/plans", declared, &plan); err == nil && len(plan.Impact) == 0 {
-			if err = s.call(s.addresses[0], stormOperatorKey, "POST", "/v1/plans/"+plan.Digest+"/confirm", api.Confirmation{Base: plan.Base}, nil); err != nil {
+		if err = s.call(s.addresses[0], operatorKey, "POST", "/v1/plans", declared, &plan); err == nil && len(plan.Impact) == 0 {
+			if err = s.call(s.addresses[0], operatorKey, "POST", "/v1/plans/"+plan.Digest+"/confirm", api.Confirmation{Base: plan.Base}, nil); err != nil {
 				return err
 			}
-			return s.call(s.addresses[0], stormOperatorKey, "GET", "/v1/configuration?version=1&wait=15s", nil, nil)
+			return s.call(s.addresses[0], operatorKey, "GET", "/v1/configuration?version=1&wait=15s", nil, nil)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return errors.Wrap(err, "the domains have no owners")
 }
 
-// refusal is an answer that is not a success.
-type refusal struct{ answer api.ErrorAnswer }
+// responseError is an answer that is not a success.
+type responseError struct{ answer api.ErrorAnswer }
 
 // Error names the refusal's kind.
-func (r *refusal) Error() string { return string(r.answer.Error) }
+func (r *responseError) Error() string { return string(r.answer.Error) }
 
-func (s *storm) call(address, key, method, path string, in, out any) error {
+func (s *testCluster) call(address, key, method, path string, in, out any) error {
 	document, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 		return err
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		failure := &refusal{}
+		failure := &responseError{}
 		_ = json.Unmarshal(content, &failure.answer)
 		return failure
 	}
--- a/cmd/wheatroad-bench/storm_tally.go
+++ b/cmd/wheatroad-bench/storm_tally.go
@@ -15,52 +15,52 @@
 	"github.com/wheatroad/wheatroad/internal/standin"
 )
 
-// tally collects what callers were told.
-type tally struct {
+// phaseRecorder collects what callers were told.
+type phaseRecorder struct {
 	mutex    sync.Mutex
-	phase    *StormPhase
+	phase    *OverloadPhase
 	accepted map[string]bool
 	notRun   map[string]bool
-	sends    int
+	attempts int
 }
 
-// submitters sends jobs at a rate until a time and waits for all answers.
-func (s *storm) submitters(t *tally, tenant string, perSecond float64, until time.Time) {
+// submitAtRate sends jobs at a rate until a time and waits for all answers.
+func (s *testCluster) submitAtRate(t *phaseRecorder, tenant string, perSecond float64, until time.Time) {
 	var group sync.WaitGroup
-	gap := time.Duration(float64(time.Second) / perSecond)
+	interval := time.Duration(float64(time.Second) / perSecond)
 	for number := 0; time.Now().Before(until); number++ {
 		group.Go(func() { s.submit(t, tenant, fmt.Sprintf("%s-%d", tenant, number), number) })
-		time.Sleep(gap)
+		time.Sleep(interval)
 	}
 	group.Wait()
 }
 
 // submit sends one job through the next daemon that can be connected to, as a plain
 // balancer would. Only a refused connection is tried elsewhere.
-func (s *storm) submit(t *tally, tenant, id string, number int) {
+func (s *testCluster) submit(t *phaseRecorder, tenant, id string, number int) {
 	body := map[string]any{
-		"id": id, "members": 1, "accelerators": 4, "cpus": 1, "memory_gb": 1, "duration": stormRunSeconds,
-		"repeatable": false, "payload": fmt.Sprintf(`{"run_seconds":%g,"output_bytes":64}`, stormRunSeconds),
+		"id": id, "members": 1, "accelerators": 4, "cpus": 1, "memory_gb": 1, "duration": jobRunSeconds,
+		"repeatable": false, "payload": fmt.Sprintf(`{"run_seconds":%g,"output_bytes":64}`, jobRunSeconds),
 	}
 	var record job.Record
 	var err error
-	sends := 0
-	for offset := range stormNodes {
-		sends++
-		err = s.call(s.addresses[(number+offset)%stormNodes], tenant, "POST", "/v1/jobs", body, &record)
+	attempts := 0
+	for offset := range nodeCount {
+		attempts++
+		err = s.call(s.addresses[(number+offset)%nodeCount], tenant, "POST", "/v1/jobs", body, &record)
 		if err == nil || !errors.Is(err, syscall.ECONNREFUSED) {
 			break
 		}
 	}
-	t.note(tenant, id, sends, err)
+	t.record(tenant, id, attempts, err)
 }
 
-func (t *tally) note(tenant, id string, sends int, err error) {
+func (t *phaseRecorder) record(tenant, id string, attempts int, err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.phase.Submitted++
-	t.sends += sends
-	var failure *refusal
+	t.attempts += attempts
+	var failure *responseError
 	switch {
 	case err == nil:
 		t.accepted[id] = true
@@ -79,8 +79,8 @@
 	}
 }
 
-// count reads from the platform what ran, and from the daemons what was repeated.
-func (s *storm) count(t *tally, began, until time.Time) error {
+// collectResults reads from the platform what ran, and from the daemons what was repeated.
+func (s *testCluster) collectResults(t *phaseRecorder, began, until time.Time) error {
 	var history []standin.Execution
 	if err := s.call(s.platform, "", "GET", "/history", nil, &history); err != nil {
 		return err
@@ -104,12 +104,12 @@
 		}
 	}
 	t.phase.Goodput = float64(t.phase.Finished) / until.Sub(began).Seconds()
-	t.phase.AttemptsPerRequest = float64(t.sends+s.repeated()) / float64(max(1, t.phase.Submitted))
+	t.phase.AttemptsPerRequest = float64(t.attempts+s.daemonRetries()) / float64(max(1, t.phase.Submitted))
 	return nil
 }
 
-// repeated adds up how often daemons tried a submission again.
-func (s *storm) repeated() int {
+// daemonRetries adds up how often daemons tried a submission again.
+func (s *testCluster) daemonRetries() int {
 	total := 0
 	for _, address := range s.addresses {
 		response, err := s.client.Get(address + "/metrics")
