--- a/cmd/wheatroad-bench/faults_command.go
+++ b/cmd/wheatroad-bench/faults_command.go
@@ -15,7 +15,6 @@
 	"github.com/wheatroad/wheatroad/internal/soak"
 )
 
-// faultsFlags are the flags of the faults command.
 type faultsFlags struct {
 	binaries       string
 	logs           string
@@ -97,7 +96,7 @@
 	return report, err
 }
 
-// maxPrintedViolations bounds the broken promises that are printed for one seed.
+// maxPrintedViolations is the maximum number of violations printed per seed.
 const maxPrintedViolations = 12
 
 func printReport(out io.Writer, flags *faultsFlags, report *soak.Report) error {
--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -14,7 +14,6 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// loadFlags are the flags of the command load.
 type loadFlags struct {
 	loads        []string
 	disabledSets []string
--- a/cmd/wheatroad-bench/main.go
+++ b/cmd/wheatroad-bench/main.go
@@ -1,5 +1,5 @@
-// Command wheatroad-bench generates and replays traces, loads daemons and runs
-// experiments.
+// Command wheatroad-bench generates and replays traces and runs load, overload and
+// fault-injection tests.
 package main
 
 import (
--- a/cmd/wheatroad-bench/overload.go
+++ b/cmd/wheatroad-bench/overload.go
@@ -18,51 +18,51 @@
 	"github.com/wheatroad/wheatroad/internal/standin"
 )
 
-// The storm: nine daemons, workers of 8 accelerators, jobs of 4 for 2 s.
+// Parameters of the overload test. A worker has 8 accelerators and a job uses 4.
 const (
 	nodeCount     = 9
 	workerCount   = 56
 	jobsPerWorker = 2
 	jobRunSeconds = 2.0
 	operatorKey   = "storm-operator-key"
-	// smallTenantShare is the part of the capacity that the small tenant asks for.
+	// smallTenantShare is the fraction of the capacity that the small tenant requests.
 	smallTenantShare = 0.1
-	// slowWorkerInterval is how many workers there are to one that is slow.
+	// slowWorkerInterval makes one worker in this many slow.
 	slowWorkerInterval = 10
-	// maxQueuedJobs bounds each large tenant's queue in a domain.
+	// maxQueuedJobs is each tenant's limit of queued jobs in a domain.
 	maxQueuedJobs = 60
-	// drainTime lets jobs under way end before they are counted.
+	// drainTime lets running jobs end before they are counted.
 	drainTime = 10 * time.Second
 )
 
-// OverloadPhase is what happened at one load.
+// OverloadPhase is the result of the test at one load.
 type OverloadPhase struct {
 	Load      float64        `json:"load"`
 	Seconds   float64        `json:"seconds"`
 	Submitted int            `json:"submitted"`
 	Answers   map[string]int `json:"answers"`
-	// Killed and Frozen are the owners that were killed, and stopped for a quarter of
-	// the phase, at its middle.
+	// Killed and Frozen are the owners that were killed, and suspended for a quarter of the
+	// phase, at its midpoint.
 	Killed string `json:"killed"`
 	Frozen string `json:"frozen"`
-	// Finished counts jobs that ended well; Goodput is that a second.
+	// Finished counts successful jobs; Goodput is their rate per second.
 	Finished int     `json:"finished"`
 	Goodput  float64 `json:"goodput"`
-	// AttemptsPerRequest is how often a submission was sent, by callers and nodes.
+	// AttemptsPerRequest is the mean number of times that callers and nodes sent a submission.
 	AttemptsPerRequest float64 `json:"attempts_per_request"`
-	// SmallTenantShed counts how often the tenant that stays within its share was
-	// refused for load.
+	// SmallTenantShed counts the load-shedding rejections of the tenant that stays within
+	// its share.
 	SmallTenantShed int `json:"small_tenant_shed"`
-	// RanTwice counts jobs not to be repeated that ran more than once.
+	// RanTwice counts non-repeatable jobs that ran more than once.
 	RanTwice int `json:"ran_twice"`
-	// NotRunRan counts jobs that were told not_run and ran.
+	// NotRunRan counts jobs that ran although the caller received the outcome not_run.
 	NotRunRan int `json:"not_run_ran"`
 }
 
-// OverloadReport is the result of a storm.
+// OverloadReport is the result of the overload test.
 type OverloadReport struct {
 	Phases []OverloadPhase `json:"phases"`
-	// GoodputRatio is the goodput at twice the load over that at one.
+	// GoodputRatio is the goodput at twice the capacity divided by that at capacity.
 	GoodputRatio float64 `json:"goodput_ratio"`
 }
 
@@ -95,7 +95,7 @@
 	return command
 }
 
-// testCluster is a running system of processes.
+// testCluster is a platform and daemons that run as child processes.
 type testCluster struct {
 	directory string
 	binaries  string
@@ -131,7 +131,7 @@
 	return s.run(load, seconds)
 }
 
-// stop stops every process that was started, by its handle.
+// stop kills all child processes and removes their files.
 func (s *testCluster) stop() {
 	for _, process := range s.processes {
 		_ = process.Process.Signal(syscall.SIGCONT)
@@ -166,7 +166,7 @@
 	return t.phase, s.collectResults(t, began, finishedBy)
 }
 
-// findTwoOwners names two nodes that own a domain each.
+// findTwoOwners returns two nodes that each own a domain.
 func (s *testCluster) findTwoOwners() (first, second string, err error) {
 	var answer struct {
 		Domains []api.DomainAnswer `json:"domains"`
@@ -188,7 +188,7 @@
 	return "", "", errors.CombineErrors(errors.New("fewer than two nodes own domains"), err)
 }
 
-// slowDownWorkers makes every tenth worker answer late.
+// slowDownWorkers delays the responses of one worker in slowWorkerInterval.
 func (s *testCluster) slowDownWorkers() {
 	number := 0
 	for zone, racks := range map[string]int{"z1": 3, "z2": 2, "z3": 2} {
--- a/cmd/wheatroad-bench/overload_processes.go
+++ b/cmd/wheatroad-bench/overload_processes.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// waitForFile waits for a file with content.
+// waitForFile waits until a file has content and returns it.
 func waitForFile(path string) (string, error) {
 	for range 400 {
 		if content, err := os.ReadFile(path); err == nil && len(content) > 0 {
@@ -116,10 +116,10 @@
 	return errors.Wrap(err, "the domains have no owners")
 }
 
-// responseError is an answer that is not a success.
+// responseError is a response with an error status.
 type responseError struct{ answer api.ErrorAnswer }
 
-// Error names the refusal's kind.
+// Error returns the error kind of the response.
 func (r *responseError) Error() string { return string(r.answer.Error) }
 
 func (s *testCluster) call(address, key, method, path string, in, out any) error {
--- a/cmd/wheatroad-bench/overload_results.go
+++ b/cmd/wheatroad-bench/overload_results.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/standin"
 )
 
-// phaseRecorder collects what callers were told.
+// phaseRecorder collects the responses to the callers.
 type phaseRecorder struct {
 	mutex    sync.Mutex
 	phase    *OverloadPhase
@@ -24,7 +24,7 @@
 	attempts int
 }
 
-// submitAtRate sends jobs at a rate until a time and waits for all answers.
+// submitAtRate submits jobs at a rate until a time and waits for all responses.
 func (s *testCluster) submitAtRate(t *phaseRecorder, tenant string, perSecond float64, until time.Time) {
 	var group sync.WaitGroup
 	interval := time.Duration(float64(time.Second) / perSecond)
@@ -35,8 +35,8 @@
 	group.Wait()
 }
 
-// submit sends one job through the next daemon that can be connected to, as a plain
-// balancer would. Only a refused connection is tried elsewhere.
+// submit sends one job like a round-robin load balancer: it tries the next daemon only if
+// the connection is refused.
 func (s *testCluster) submit(t *phaseRecorder, tenant, id string, number int) {
 	body := map[string]any{
 		"id": id, "members": 1, "accelerators": 4, "cpus": 1, "memory_gb": 1, "duration": jobRunSeconds,
@@ -79,7 +79,7 @@
 	}
 }
 
-// collectResults reads from the platform what ran, and from the daemons what was repeated.
+// collectResults reads executions from the platform and retry counts from the daemons.
 func (s *testCluster) collectResults(t *phaseRecorder, began, until time.Time) error {
 	var history []standin.Execution
 	if err := s.call(s.platform, "", "GET", "/history", nil, &history); err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// daemonRetries adds up how often daemons tried a submission again.
+// daemonRetries sums the submission retries that the daemons count.
 func (s *testCluster) daemonRetries() int {
 	total := 0
 	for _, address := range s.addresses {
--- a/cmd/wheatroad-platform/main.go
+++ b/cmd/wheatroad-platform/main.go
@@ -1,5 +1,5 @@
-// Command wheatroad-platform is the stand-in for the platform: table service,
-// object store, machine list and hollow workers on one address.
+// Command wheatroad-platform runs a fake platform for tests: table service, object store,
+// machine list and simulated workers on one address.
 package main
 
 import (
--- a/cmd/wheatroadctl/main.go
+++ b/cmd/wheatroadctl/main.go
@@ -1,4 +1,4 @@
-// Command wheatroadctl submits jobs to wheatroad and declares what it guarantees.
+// Command wheatroadctl submits jobs to wheatroad and manages its configuration.
 package main
 
 import (
--- a/cmd/wheatroadd/main.go
+++ b/cmd/wheatroadd/main.go
@@ -1,4 +1,4 @@
-// Command wheatroadd is the scheduling daemon. Every entry machine runs the same.
+// Command wheatroadd is the scheduling daemon. Every entry machine runs the same program.
 package main
 
 import (
@@ -29,7 +29,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
-	if _, faulty := err.(settings.Problems); faulty {
+	if _, invalid := err.(settings.Problems); invalid {
 		os.Exit(exitSettings)
 	}
 	os.Exit(exitFailure)
--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -27,7 +27,7 @@
 	"github.com/wheatroad/wheatroad/platform"
 )
 
-// settingsVariable names the settings file where no argument does.
+// settingsVariable is the environment variable with the settings path, used without an argument.
 const settingsVariable = "WHEATROAD_CONFIG"
 
 func newServeCommand() *cobra.Command {
@@ -51,27 +51,26 @@
 	callerHeaderTimeout = 5 * time.Second
 	callerIdleTimeout   = 60 * time.Second
 	callerHeaderBytes   = 16 << 10
-	// storeConnections lets a takeover read the 32 parts of accepted jobs at once.
+	// storeConnections lets a takeover read the 32 partitions of accepted jobs concurrently.
 	storeConnections  = 40
 	workerConnections = 6
 	gcPercent         = 400
-	// memoryShare of the machine's memory is what the collector may let the process grow
-	// to; the rest is for what has arrived on sockets. Close to the limit the collector
-	// takes up to half of the processor; with a half of the memory an owner of 3,000 workers
-	// with 5,500 connections came there, at 269 MB of 536.
-	memoryShare      = 0.75
+	// memoryLimitShare is the fraction of the machine's memory that the Go runtime may use.
+	// The rest holds socket buffers. Near the limit, garbage collection takes up to half of
+	// the CPU time.
+	memoryLimitShare = 0.75
 	incarnationBytes = 6
 )
 
-// service is a node and its servers.
+// service combines a node with its servers.
 type service struct {
-	settings  *settings.Node
-	telemetry *telemetry.Telemetry
-	loop      *loop.Goroutine
-	node      *node.Node
-	peers     *peer.Server
-	callers   *http.Server
-	failed    chan error
+	settings     *settings.Node
+	telemetry    *telemetry.Telemetry
+	loop         *loop.Goroutine
+	node         *node.Node
+	peerServer   *peer.Server
+	callerServer *http.Server
+	serverErrors chan error
 }
 
 func serve(path string) error {
@@ -80,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(int64(s.MemoryMB)<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(int64(s.MemoryMB)<<20)))
 	log := telemetry.NewDecisionLog(os.Stdout)
 	tele, err := telemetry.New(log.Logger())
 	if err != nil {
@@ -102,7 +101,7 @@
 }
 
 func newService(ctx context.Context, s *settings.Node, tele *telemetry.Telemetry) *service {
-	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), failed: make(chan error, 4)}
+	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), serverErrors: make(chan error, 4)}
 	unacknowledged := settings.Millis(s.Bounds.UnacknowledgedTimeout)
 	edges := node.Edges{
 		Store:  platform.NewStore(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
@@ -113,13 +112,13 @@
 		Record: tele,
 	}
 	d.node = node.New(ctx, nodeOptions(s), edges)
-	d.peers = peer.NewServer(d.node.ServePeer)
+	d.peerServer = peer.NewServer(d.node.ServePeer)
 	return d
 }
 
 func nodeOptions(s *settings.Node) node.Options {
 	b := &s.Bounds
-	// The settings were checked when they were read.
+	// ParseOff cannot fail: the settings were validated when read.
 	off, _ := mechanism.ParseOff(s.Without)
 	return node.Options{
 		Off:  off,
@@ -136,24 +135,23 @@
 	}
 }
 
-// bytesPerMbit is how many bytes a second a megabit a second is.
 const bytesPerMbit = 1_000_000 / 8
 
 func newIncarnation() string {
 	random := make([]byte, incarnationBytes)
-	// Reading from the system's random source does not fail.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(random)
 	return hex.EncodeToString(random)
 }
 
-// listen opens the listeners and begins to serve.
+// listen opens the listeners and starts the servers.
 func (d *service) listen() error {
 	ingress := platform.NewIngress(node.NewGateway(d.node))
-	d.callers = &http.Server{
+	d.callerServer = &http.Server{
 		Handler: ingress, ReadHeaderTimeout: callerHeaderTimeout,
 		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: callerHeaderBytes,
 	}
-	if err := d.serveHTTP(d.settings.Callers, d.callers); err != nil {
+	if err := d.serveHTTP(d.settings.Callers, d.callerServer); err != nil {
 		return errors.Wrap(err, "callers")
 	}
 	if err := d.serveHTTP(d.settings.Readiness, &http.Server{Handler: ingress.Readiness(), ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
@@ -171,11 +169,11 @@
 	if err != nil {
 		return errors.Wrap(err, "peers")
 	}
-	go func() { d.failed <- d.peers.Serve(listener) }()
+	go func() { d.serverErrors <- d.peerServer.Serve(listener) }()
 	return nil
 }
 
-// serveStatus answers an operator who asks for the node's state.
+// serveStatus handles GET /status.
 func (d *service) serveStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
@@ -188,7 +186,7 @@
 	_ = json.NewEncoder(w).Encode(status)
 }
 
-// statusTimeout bounds the wait for the control loop.
+// statusTimeout limits the wait for the control loop.
 const statusTimeout = 2 * time.Second
 
 func (d *service) serveHTTP(address string, server *http.Server) error {
@@ -198,23 +196,23 @@
 	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			d.failed <- err
+			d.serverErrors <- err
 		}
 	}()
 	return nil
 }
 
-// wait serves until a signal to stop, then leaves the planned way.
+// wait serves until SIGTERM or SIGINT, then shuts down gracefully.
 func (d *service) wait(path string) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	for {
 		select {
-		case err := <-d.failed:
+		case err := <-d.serverErrors:
 			return errors.Wrap(err, "serve")
 		case received := <-signals:
 			if received == syscall.SIGHUP {
-				d.reload(path)
+				d.validateSettings(path)
 				continue
 			}
 			d.stop()
@@ -223,9 +221,8 @@
 	}
 }
 
-// reload checks the settings file again. Everything in it takes effect at the next
-// start.
-func (d *service) reload(path string) {
+// validateSettings checks the settings file on SIGHUP. Changes take effect at the next start.
+func (d *service) validateSettings(path string) {
 	if _, err := settings.ReadNode(path); err != nil {
 		d.telemetry.Decided("settings refused", "reason", err.Error())
 		return
@@ -233,8 +230,8 @@
 	d.telemetry.Decided("settings read", "effect", "at the next start")
 }
 
-// stop hands the pools over at once and serves callers until the balancer has
-// turned to other nodes.
+// stop releases the pools immediately and keeps serving callers while the load balancer
+// takes the node out of rotation.
 func (d *service) stop() {
 	d.telemetry.Decided("stopping", "node", d.settings.Name)
 	began := time.Now()
@@ -244,14 +241,14 @@
 	grace := settings.Seconds(d.settings.Bounds.GraceSeconds)
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-stopMargin))
 	defer cancel()
-	// Requests that outlast the grace period are cut off in any case.
-	_ = d.callers.Shutdown(ctx)
+	// Requests still in flight at the deadline are aborted.
+	_ = d.callerServer.Shutdown(ctx)
 	select {
 	case <-released:
 	case <-ctx.Done():
 	}
-	d.peers.Shutdown(ctx)
+	d.peerServer.Shutdown(ctx)
 }
 
-// stopMargin is left between the end of a planned stop and the grace period's end.
+// stopMargin is reserved between the shutdown deadline and the end of the grace period.
 const stopMargin = 400 * time.Millisecond
