--- a/internal/telemetry/budget.go
+++ b/internal/telemetry/budget.go
@@ -9,56 +9,56 @@
 // get more, so that they are the last to go; those about single runs too, since an owner
 // of 350 workers has some 300 of them in a busy second.
 const (
-	defaultBudget = 200
-	runBudget     = 600
-	requestBudget = 1000
+	defaultLinesPerSecond = 200
+	runLinesPerSecond     = 600
+	requestLinesPerSecond = 1000
 )
 
-// runDecisions are the decisions about single runs.
-var runDecisions = map[string]bool{"placed": true, "run ended": true, "stopped": true}
+// runMessages are the decisions about single runs.
+var runMessages = map[string]bool{"placed": true, "run ended": true, "stopped": true}
 
-// requestDecisions are the decisions that tell a caller something.
-var requestDecisions = map[string]bool{
+// requestMessages are the decisions that tell a caller something.
+var requestMessages = map[string]bool{
 	"job accepted": true, "job not accepted": true, "job ended": true, "lookup refused": true,
 	"cancellation accepted": true, "cancellation refused": true, "request refused": true,
 }
 
-// lineBudget decides which lines are written in a second.
-type lineBudget struct {
+// rateLimiter decides which lines are written in a second.
+type rateLimiter struct {
 	mutex   sync.Mutex
 	now     func() time.Time
 	second  int64
 	written map[string]int
-	left    map[string]int
+	dropped map[string]int
 }
 
-func newLineBudget(now func() time.Time) *lineBudget {
-	return &lineBudget{now: now, written: map[string]int{}, left: map[string]int{}}
+func newRateLimiter(now func() time.Time) *rateLimiter {
+	return &rateLimiter{now: now, written: map[string]int{}, dropped: map[string]int{}}
 }
 
-// take reports whether a line of a decision may be written. In a new second it also
+// allow reports whether a line of a decision may be written. In a new second it also
 // returns how many lines of each decision the last one left out.
-func (b *lineBudget) take(decision string) (allowed bool, leftOut map[string]int) {
+func (b *rateLimiter) allow(message string) (allowed bool, dropped map[string]int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if second := b.now().Unix(); second != b.second {
 		b.second = second
 		clear(b.written)
-		if len(b.left) > 0 {
-			leftOut, b.left = b.left, map[string]int{}
+		if len(b.dropped) > 0 {
+			dropped, b.dropped = b.dropped, map[string]int{}
 		}
 	}
-	limit := defaultBudget
+	limit := defaultLinesPerSecond
 	switch {
-	case requestDecisions[decision]:
-		limit = requestBudget
-	case runDecisions[decision]:
-		limit = runBudget
+	case requestMessages[message]:
+		limit = requestLinesPerSecond
+	case runMessages[message]:
+		limit = runLinesPerSecond
 	}
-	if b.written[decision] >= limit {
-		b.left[decision]++
-		return false, leftOut
+	if b.written[message] >= limit {
+		b.dropped[message]++
+		return false, dropped
 	}
-	b.written[decision]++
-	return true, leftOut
+	b.written[message]++
+	return true, dropped
 }
--- a/internal/telemetry/budget_test.go
+++ b/internal/telemetry/budget_test.go
@@ -11,20 +11,20 @@
 // and the next second tells how many lines were left out.
 func TestBudgetBoundsEachDecision(t *testing.T) {
 	now := time.Unix(1000, 0)
-	budget := newLineBudget(func() time.Time { return now })
-	for i := range defaultBudget + 5 {
-		allowed, left := budget.take("start failed")
-		require.Equal(t, i < defaultBudget, allowed)
-		require.Empty(t, left)
+	limiter := newRateLimiter(func() time.Time { return now })
+	for i := range defaultLinesPerSecond + 5 {
+		allowed, dropped := limiter.allow("start failed")
+		require.Equal(t, i < defaultLinesPerSecond, allowed)
+		require.Empty(t, dropped)
 	}
-	for range requestBudget {
-		allowed, _ := budget.take("job accepted")
+	for range requestLinesPerSecond {
+		allowed, _ := limiter.allow("job accepted")
 		require.True(t, allowed, "decisions about requests have a budget of their own")
 	}
 	now = now.Add(time.Second)
-	allowed, left := budget.take("placed")
+	allowed, dropped := limiter.allow("placed")
 	require.True(t, allowed)
-	require.Equal(t, map[string]int{"start failed": 5}, left)
-	_, left = budget.take("placed")
-	require.Empty(t, left, "told once")
+	require.Equal(t, map[string]int{"start failed": 5}, dropped)
+	_, dropped = limiter.allow("placed")
+	require.Empty(t, dropped, "told once")
 }
--- a/internal/telemetry/decisions_test.go
+++ b/internal/telemetry/decisions_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockedSink takes nothing until it is opened.
-type blockedSink struct {
+// blockedWriter takes nothing until it is opened.
+type blockedWriter struct {
 	open    chan struct{}
 	content bytes.Buffer
 }
 
-func (b *blockedSink) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.open
 	return b.content.Write(p)
 }
@@ -21,9 +21,9 @@
 // TestBlockedOutputStopsNobody: a reader that stands still costs lines, which are
 // counted, and nothing else.
 func TestBlockedOutputStopsNobody(t *testing.T) {
-	sink := &blockedSink{open: make(chan struct{})}
+	sink := &blockedWriter{open: make(chan struct{})}
 	log := NewDecisionLog(sink)
-	for i := range 3 * logQueue {
+	for i := range 3 * logQueueLines {
 		log.Logger().Info("decision", "number", i)
 	}
 	require.Positive(t, log.Dropped())
@@ -40,7 +40,7 @@
 	log := NewDecisionLog(&sink)
 	log.Logger().Info("before")
 	log.Close()
-	for i := range 2 * logQueue {
+	for i := range 2 * logQueueLines {
 		log.Logger().Info("after", "number", i)
 	}
 	require.Contains(t, sink.String(), "before")
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -79,13 +79,13 @@
 	}
 }
 
-// latencyBounds are the bucket bounds of the histograms, in seconds.
-var latencyBounds = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30}
+// latencyBucketsSeconds are the bucket bounds of the histograms, in seconds.
+var latencyBucketsSeconds = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30}
 
 // Telemetry is a node's counters, histograms and log.
 type Telemetry struct {
 	log        logr.Logger
-	budget     *lineBudget
+	limiter    *rateLimiter
 	histograms map[string]metric.Float64Histogram
 	counters   map[string]metric.Int64Counter
 	gauges     map[string]metric.Int64Gauge
@@ -106,9 +106,9 @@
 		return nil, err
 	}
 	t := &Telemetry{
-		log: log, budget: newLineBudget(time.Now),
+		log: log, limiter: newRateLimiter(time.Now),
 		counters: map[string]metric.Int64Counter{}, gauges: map[string]metric.Int64Gauge{}, histograms: map[string]metric.Float64Histogram{}, labels: map[string]string{},
-		handler: inTurn(counters, histograms, runtime),
+		handler: serveInOrder(counters, histograms, runtime),
 	}
 	for short, definition := range Definitions() {
 		counter, err := counterMeter.Int64Counter(definition.Name, metric.WithDescription(definition.Description))
@@ -128,7 +128,7 @@
 	for short, definition := range Histograms() {
 		histogram, err := histogramMeter.Float64Histogram(definition.Name,
 			metric.WithDescription(definition.Description), metric.WithUnit("s"),
-			metric.WithExplicitBucketBoundaries(latencyBounds...))
+			metric.WithExplicitBucketBoundaries(latencyBucketsSeconds...))
 		if err != nil {
 			return nil, err
 		}
@@ -151,10 +151,10 @@
 	return sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter)).Meter("github.com/wheatroad/wheatroad"), nil
 }
 
-// inTurn serves registries one after another. The node's own counters come first: a
+// serveInOrder serves registries one after another. The node's own counters come first: a
 // collector that keeps only the beginning of a page would otherwise keep nothing but the
 // figures of Go's runtime, which alone take 8 KB.
-func inTurn(registries ...*prometheus.Registry) http.Handler {
+func serveInOrder(registries ...*prometheus.Registry) http.Handler {
 	handlers := make([]http.Handler, len(registries))
 	for i, registry := range registries {
 		handlers[i] = promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true})
@@ -199,13 +199,13 @@
 
 // Decided logs one line for a decision that touches a job or a belief, within the
 // decision's budget.
-func (t *Telemetry) Decided(decision string, keysAndValues ...any) {
-	allowed, leftOut := t.budget.take(decision)
-	for other, count := range leftOut {
-		t.log.Info("lines left out", "decision", other, "count", count)
+func (t *Telemetry) Decided(message string, keysAndValues ...any) {
+	allowed, dropped := t.limiter.allow(message)
+	for droppedMessage, count := range dropped {
+		t.log.Info("lines left out", "decision", droppedMessage, "count", count)
 	}
 	if allowed {
-		t.log.Info(decision, keysAndValues...)
+		t.log.Info(message, keysAndValues...)
 	}
 }
 
