--- a/internal/telemetry/async_log.go
+++ b/internal/telemetry/async_log.go
@@ -8,16 +8,15 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// logQueueLines bounds the lines that wait to be written. Lines beyond are counted and
-// left out, so that a reader that stands still costs neither time nor memory.
+// logQueueLines is the capacity of the queue of lines to write. Further lines are dropped and
+// counted, so that a blocked reader costs neither time nor memory.
 const logQueueLines = 2048
 
-// AsyncLog writes JSON lines on a goroutine of its own and never blocks those
-// who log.
+// AsyncLog writes JSON lines on its own goroutine and never blocks its callers.
 type AsyncLog struct {
 	lines   chan string
 	dropped atomic.Int64
-	// closing ends the writer, which closes done once all that waited is written.
+	// closing stops the writer, which closes done after it has written the queued lines.
 	closing chan struct{}
 	done    chan struct{}
 	sink    io.Writer
@@ -32,10 +31,10 @@
 	return d
 }
 
-// Logger returns the logger whose lines go to the log.
+// Logger returns a logger that writes to the log.
 func (d *AsyncLog) Logger() logr.Logger { return d.logger }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (d *AsyncLog) Dropped() int64 { return d.dropped.Load() }
 
 func (d *AsyncLog) enqueue(line string) {
@@ -60,8 +59,8 @@
 	}
 }
 
-// writeQueued writes buffer and all lines that wait, and a line that counts those
-// left out since reported. It returns how many were left out so far.
+// writeQueued writes buffer and all queued lines, and a line with the number of lines dropped
+// since reported. It returns the total number of dropped lines.
 func (d *AsyncLog) writeQueued(buffer []byte, reported int64) int64 {
 	for range len(d.lines) {
 		buffer = append(buffer, <-d.lines...)
@@ -71,7 +70,7 @@
 	if dropped > reported {
 		buffer = append(buffer, droppedLine(dropped-reported)...)
 	}
-	// A log that cannot be written has nobody to be told.
+	// There is nowhere to report a failed write of the log.
 	_, _ = d.sink.Write(buffer)
 	return dropped
 }
@@ -82,8 +81,8 @@
 	return append([]byte(text), '\n')
 }
 
-// Close writes what waits and ends the log. Lines that are logged afterwards, by
-// calls that outlast a planned stop, are lost.
+// Close writes the queued lines and closes the log. Lines logged afterwards, by calls that
+// outlast a graceful shutdown, are lost.
 func (d *AsyncLog) Close() {
 	close(d.closing)
 	<-d.done
--- a/internal/telemetry/async_log_test.go
+++ b/internal/telemetry/async_log_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockedWriter takes nothing until it is opened.
+// blockedWriter blocks writes until open is closed.
 type blockedWriter struct {
 	open    chan struct{}
 	content bytes.Buffer
@@ -18,8 +18,8 @@
 	return b.content.Write(p)
 }
 
-// TestBlockedOutputStopsNobody: a reader that stands still costs lines, which are
-// counted, and nothing else.
+// TestBlockedOutputStopsNobody checks that logging does not block while the output does, and
+// that dropped lines are counted.
 func TestBlockedOutputStopsNobody(t *testing.T) {
 	sink := &blockedWriter{open: make(chan struct{})}
 	log := NewDecisionLog(sink)
@@ -33,8 +33,8 @@
 	require.Contains(t, sink.content.String(), `"number":0}`)
 }
 
-// TestLinesAfterCloseAreLost: a call to the store that outlasted a planned stop wrote
-// its line into the closed log, and the process ended with a panic.
+// TestLinesAfterCloseAreLost guards against a panic when a store call that outlasts a graceful
+// shutdown logs to the closed log.
 func TestLinesAfterCloseAreLost(t *testing.T) {
 	var sink bytes.Buffer
 	log := NewDecisionLog(&sink)
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -9,7 +9,7 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// NewLogger returns a logger that writes one line a message, as JSON or as text.
+// NewLogger returns a logger that writes one line per message, as JSON or as text.
 func NewLogger(sink io.Writer, format string) logr.Logger {
 	var mutex sync.Mutex
 	options := funcr.Options{LogTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00"}
--- a/internal/telemetry/logs_page_test.go
+++ b/internal/telemetry/logs_page_test.go
@@ -15,8 +15,8 @@
 	decisionField = regexp.MustCompile(`"([a-z_]+)", `)
 )
 
-// TestLogsPageIsTrue holds the operators' page against the decisions in the sources, and
-// the fields that they carry.
+// TestLogsPageIsTrue checks that the operators' page documents every log message in the
+// sources and its fields.
 func TestLogsPageIsTrue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/logs.md")
 	require.NoError(t, err)
--- a/internal/telemetry/rate_limiter.go
+++ b/internal/telemetry/rate_limiter.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// Budgets bound the lines a second of one decision. Decisions about a single request
-// get more, so that they are the last to go; those about single runs too, since an owner
-// of 350 workers has some 300 of them in a busy second.
+// Rate limits of one log message, in lines per second. Messages about requests and runs have
+// higher limits, because a busy owner logs hundreds of them per second.
 const (
 	defaultLinesPerSecond = 200
 	runLinesPerSecond     = 600
 	requestLinesPerSecond = 1000
 )
 
-// runMessages are the decisions about single runs.
+// runMessages are the log messages about single runs.
 var runMessages = map[string]bool{"placed": true, "run ended": true, "stopped": true}
 
-// requestMessages are the decisions that tell a caller something.
+// requestMessages are the log messages about responses to callers.
 var requestMessages = map[string]bool{
 	"job accepted": true, "job not accepted": true, "job ended": true, "lookup refused": true,
 	"cancellation accepted": true, "cancellation refused": true, "request refused": true,
 }
 
-// rateLimiter decides which lines are written in a second.
+// rateLimiter limits the log lines per second of each message.
 type rateLimiter struct {
 	mutex   sync.Mutex
 	now     func() time.Time
--- a/internal/telemetry/rate_limiter_test.go
+++ b/internal/telemetry/rate_limiter_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBudgetBoundsEachDecision: one decision that comes too often leaves the others alone,
-// and the next second tells how many lines were left out.
+// TestBudgetBoundsEachDecision checks that messages are limited independently and that the
+// number of dropped lines is reported once in the next second.
 func TestBudgetBoundsEachDecision(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limiter := newRateLimiter(func() time.Time { return now })
@@ -19,12 +19,12 @@
 	}
 	for range requestLinesPerSecond {
 		allowed, _ := limiter.allow("job accepted")
-		require.True(t, allowed, "decisions about requests have a budget of their own")
+		require.True(t, allowed, "messages about requests have a limit of their own")
 	}
 	now = now.Add(time.Second)
 	allowed, dropped := limiter.allow("placed")
 	require.True(t, allowed)
 	require.Equal(t, map[string]int{"start failed": 5}, dropped)
 	_, dropped = limiter.allow("placed")
-	require.Empty(t, dropped, "told once")
+	require.Empty(t, dropped, "dropped lines must be reported only once")
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry counts what a node does, in OpenTelemetry instruments that are
-// read in the Prometheus text format, and logs changes of state.
+// Package telemetry records a node's metrics with OpenTelemetry, exposes them in the
+// Prometheus text format, and logs state changes.
 package telemetry
 
 import (
@@ -22,11 +22,11 @@
 type Definition struct {
 	Name        string
 	Description string
-	// Label is the attribute that holds the reason.
+	// Label is the name of the attribute that holds the reason.
 	Label string
 }
 
-// Definitions lists every counter, by the short name that code uses.
+// Definitions returns all counters, by the short name used in the code.
 func Definitions() map[string]Definition {
 	return map[string]Definition{
 		"refusals":          {"wheatroad.refusals", "Requests and orders refused, by reason.", "reason"},
@@ -58,7 +58,7 @@
 	Description string
 }
 
-// Histograms lists every latency histogram, by the short name that code uses.
+// Histograms returns all latency histograms, by the short name used in the code.
 func Histograms() map[string]HistogramDefinition {
 	return map[string]HistogramDefinition{
 		"acceptance":             {"wheatroad.job.acceptance", "From a submission's arrival to its answer."},
@@ -71,7 +71,7 @@
 	}
 }
 
-// Gauges lists every gauge, by the short name that code uses.
+// Gauges returns all gauges, by the short name used in the code.
 func Gauges() map[string]Definition {
 	return map[string]Definition{
 		"foreign_rows":    {Name: "wheatroad.pool.foreign.rows", Description: "Rows of workers that name no worker to use, as another writer left them."},
@@ -79,10 +79,10 @@
 	}
 }
 
-// latencyBucketsSeconds are the bucket bounds of the histograms, in seconds.
+// latencyBucketsSeconds are the upper bounds of the histogram buckets.
 var latencyBucketsSeconds = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30}
 
-// Telemetry is a node's counters, histograms and log.
+// Telemetry records a node's metrics and log lines.
 type Telemetry struct {
 	log        logr.Logger
 	limiter    *rateLimiter
@@ -137,7 +137,7 @@
 	return t, nil
 }
 
-// newMeter returns a meter whose instruments are read from a registry.
+// newMeter returns a meter that exports its instruments to a registry.
 func newMeter(registry *prometheus.Registry) (metric.Meter, error) {
 	exporter, err := otelprometheus.New(
 		otelprometheus.WithRegisterer(registry),
@@ -151,9 +151,8 @@
 	return sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter)).Meter("github.com/wheatroad/wheatroad"), nil
 }
 
-// serveInOrder serves registries one after another. The node's own counters come first: a
-// collector that keeps only the beginning of a page would otherwise keep nothing but the
-// figures of Go's runtime, which alone take 8 KB.
+// serveInOrder serves the registries one after another. The node's own counters come first,
+// so that a scraper that truncates the response keeps them rather than Go runtime metrics.
 func serveInOrder(registries ...*prometheus.Registry) http.Handler {
 	handlers := make([]http.Handler, len(registries))
 	for i, registry := range registries {
@@ -166,24 +165,23 @@
 	})
 }
 
-// Observe adds a duration to a histogram. Histograms without a definition are a
-// defect that the metrics test finds; here they are dropped.
+// Observe records a duration in a histogram. Undefined histograms are ignored; the metrics
+// test detects them.
 func (t *Telemetry) Observe(histogram string, d time.Duration) {
 	if instrument, ok := t.histograms[histogram]; ok {
 		instrument.Record(context.Background(), d.Seconds())
 	}
 }
 
-// Set sets a gauge. Gauges without a definition are a defect that the metrics test finds; here
-// they are dropped.
+// Set sets a gauge. Undefined gauges are ignored; the metrics test detects them.
 func (t *Telemetry) Set(gauge string, value int64) {
 	if instrument, ok := t.gauges[gauge]; ok {
 		instrument.Record(context.Background(), value)
 	}
 }
 
-// Count adds one to a counter for a reason. Counters without a definition are a
-// defect that the metrics test finds; here they are dropped.
+// Count increments a counter for a reason. Undefined counters are ignored; the metrics test
+// detects them.
 func (t *Telemetry) Count(counter, reason string) {
 	instrument, ok := t.counters[counter]
 	if !ok {
@@ -192,7 +190,7 @@
 	instrument.Add(context.Background(), 1, metric.WithAttributes(attribute.String(t.labels[counter], reason)))
 }
 
-// Changed logs one line for a change of state.
+// Changed logs a state change.
 func (t *Telemetry) Changed(message string, keysAndValues ...any) {
 	t.log.Info(message, keysAndValues...)
 }
@@ -209,5 +207,5 @@
 	}
 }
 
-// Handler serves the counters.
+// Handler serves the metrics.
 func (t *Telemetry) Handler() http.Handler { return t.handler }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -13,8 +13,7 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// TestCountersPageIsTrue holds the operators' page against the counters that
-// exist and the kinds of refusals.
+// TestCountersPageIsTrue checks that the operators' page documents all metrics and error kinds.
 func TestCountersPageIsTrue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/counters.md")
 	require.NoError(t, err)
@@ -46,7 +45,7 @@
 	}
 }
 
-// requireHistograms holds the page against the histograms that are served.
+// requireHistograms checks that all histograms are served and documented on the page.
 func requireHistograms(t *testing.T, tele *Telemetry, page string) {
 	for short := range Histograms() {
 		tele.Observe(short, 3*time.Millisecond)
@@ -67,8 +66,8 @@
 	tele.Observe("no_such_histogram", time.Second)
 }
 
-// TestOwnCountersComeFirst: a collector that keeps only the first 4,000 bytes of the page
-// kept nothing but the figures of Go's runtime. No family may stand twice.
+// TestOwnCountersComeFirst checks that the node's counters fit in the first 4,000 bytes, which
+// is all that a truncating scraper keeps, and that no metric family appears twice.
 func TestOwnCountersComeFirst(t *testing.T) {
 	tele, err := New(logr.Discard())
 	require.NoError(t, err)
