--- a/internal/telemetry/logs_page_test.go
+++ b/internal/telemetry/logs_page_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	decisionCall  = regexp.MustCompile(`Decided\("([^"]+)"([^\n]*\n?[^\n]*)`)
-	decisionField = regexp.MustCompile(`"([a-z_]+)", `)
+	logCall  = regexp.MustCompile(`Decided\("([^"]+)"([^\n]*\n?[^\n]*)`)
+	logField = regexp.MustCompile(`"([a-z_]+)", `)
 )
 
 // TestLogsPageIsTrue checks that the operators' page documents every log message in the
@@ -30,12 +30,12 @@
 			}
 			source, err := os.ReadFile(file)
 			require.NoError(t, err)
-			for _, call := range decisionCall.FindAllStringSubmatch(string(source), -1) {
+			for _, call := range logCall.FindAllStringSubmatch(string(source), -1) {
 				found++
 				require.Contains(t, string(page), "`"+call[1]+"`", file)
 				arguments, _, _ := strings.Cut(call[2], "\n\t}")
 				line, _, _ := strings.Cut(arguments, ")\n")
-				for _, field := range decisionField.FindAllStringSubmatch(line, -1) {
+				for _, field := range logField.FindAllStringSubmatch(line, -1) {
 					require.Contains(t, string(page), "`"+field[1]+"`", "field of %q in %s", call[1], file)
 				}
 			}
--- a/internal/telemetry/rate_limiter.go
+++ b/internal/telemetry/rate_limiter.go
@@ -35,8 +35,8 @@
 	return &rateLimiter{now: now, written: map[string]int{}, dropped: map[string]int{}}
 }
 
-// allow reports whether a line of a decision may be written. In a new second it also
-// returns how many lines of each decision the last one left out.
+// allow reports whether a line of a message may be written. The first call in a second also
+// returns the number of lines dropped since the last report, by message.
 func (b *rateLimiter) allow(message string) (allowed bool, dropped map[string]int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -195,8 +195,7 @@
 	t.log.Info(message, keysAndValues...)
 }
 
-// Decided logs one line for a decision that touches a job or a belief, within the
-// decision's budget.
+// Decided logs an event, subject to the rate limit of its message.
 func (t *Telemetry) Decided(message string, keysAndValues ...any) {
 	allowed, dropped := t.limiter.allow(message)
 	for droppedMessage, count := range dropped {
