--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings reads the daemon's TOML settings and checks them as a whole:
-// every fault is named by its key.
+// Package settings reads and validates the daemon's TOML settings. It reports all invalid
+// keys at once.
 package settings
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -10,35 +10,35 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Node is the content of a settings file of `wheatroadd serve`: a node on a
-// platform that is spoken to through an adapter.
+// Node holds the settings of `wheatroadd serve`, which runs a node on a platform behind an
+// adapter.
 type Node struct {
-	// Name is unlike that of any other node.
+	// Name is unique among the nodes.
 	Name string `toml:"name"`
-	// Zone is where the node stands; its first log line says so.
+	// Zone is the node's zone, for logging.
 	Zone string `toml:"zone"`
-	// Callers and Readiness are IP addresses and ports to listen on.
+	// Callers and Readiness are the addresses to listen on for requests and readiness probes.
 	Callers   string `toml:"callers"`
 	Readiness string `toml:"readiness"`
-	// Peers is the address that other nodes reach this one at.
+	// Peers is the address at which other nodes reach this one.
 	Peers string `toml:"peers"`
-	// Metrics is the address that serves counters; empty serves none.
+	// Metrics is the address to serve metrics on; empty disables them.
 	Metrics string `toml:"metrics"`
 	// Store is the address of the platform's store.
 	Store    string `toml:"store"`
 	MemoryMB int    `toml:"memory_mb"`
-	// LinkMbps is the rate of the machine's link; 0 if it need not be spared.
+	// LinkMbps is the bandwidth of the machine's network link; 0 means unlimited.
 	LinkMbps float64 `toml:"link_mbps"`
-	// CPUShare is the machine's share of a core: larger nodes take pools first.
-	CPUShare  float64    `toml:"cpu_share"`
-	Bounds    NodeBounds `toml:"bounds"`
-	Stretches Stretches  `toml:"stop"`
-	// Without names mechanisms to switch off. It is for measurements, not for operators.
+	// CPUShare is the machine's share of a CPU core. Nodes with a larger share acquire pools first.
+	CPUShare  float64         `toml:"cpu_share"`
+	Bounds    PlatformPeriods `toml:"bounds"`
+	Stretches Shutdown        `toml:"stop"`
+	// Without names mechanisms to disable, for measurements only.
 	Without []string `toml:"without"`
 }
 
-// NodeBounds are the platform's periods, in milliseconds unless said otherwise.
-type NodeBounds struct {
+// PlatformPeriods holds the platform's time limits and periods.
+type PlatformPeriods struct {
 	MaxHoldMillis         int64   `toml:"max_hold_ms"`
 	StopTimeoutMillis     int64   `toml:"stop_timeout_ms"`
 	GangTimeoutMillis     int64   `toml:"gang_timeout_ms"`
@@ -49,18 +49,18 @@
 	ConfigurationMillis   int64   `toml:"config_apply_ms"`
 	GraceSeconds          float64 `toml:"grace_period_s"`
 	UnacknowledgedTimeout int64   `toml:"unacknowledged_ms"`
-	// EvacuationMillis is the time after the acknowledgement of a zone's evacuation from which
-	// nothing starts there; 0 if the platform bounds it by nothing.
+	// EvacuationMillis is the time after the acknowledgement of a zone's evacuation after which
+	// no work starts there; 0 if the platform sets no limit.
 	EvacuationMillis int64 `toml:"evacuation_ms"`
 }
 
-// leastEvacuationMillis is the shortest bound within which an owner can know of an evacuation:
-// half of it is for orders under way, and a feed is answered each 0.3 s.
-const leastEvacuationMillis = 2000
+// minEvacuationMillis is the shortest supported limit. Half of it covers orders in flight; the
+// rest covers the 0.3 s polling interval of the feed.
+const minEvacuationMillis = 2000
 
-// Stretches are how long a planned stop lasts.
-type Stretches struct {
-	// ServeSeconds is how long callers are still served after the signal.
+// Shutdown holds the durations of a graceful shutdown.
+type Shutdown struct {
+	// ServeSeconds is how long the node serves requests after the signal.
 	ServeSeconds float64 `toml:"serve_s"`
 }
 
@@ -70,21 +70,21 @@
 // Seconds returns a number of seconds as a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// DefaultNode returns settings in which only what has no good default is missing.
+// DefaultNode returns the defaults. Keys without a sensible default are empty.
 func DefaultNode() Node {
 	return Node{
 		MemoryMB: 256, CPUShare: 1,
-		Bounds: NodeBounds{
+		Bounds: PlatformPeriods{
 			MaxHoldMillis: 6000, StopTimeoutMillis: 1000, GangTimeoutMillis: 3000, ReclaimMillis: 3000,
 			CheckpointSeconds: 1, StatusSeconds: 120, RemoteFactor: 3,
 			ConfigurationMillis: 2000, GraceSeconds: 6, UnacknowledgedTimeout: 1500,
 		},
-		Stretches: Stretches{ServeSeconds: 3},
+		Stretches: Shutdown{ServeSeconds: 3},
 	}
 }
 
-// ReadNode reads and checks a settings file. The error is of type Problems, or says
-// why the file could not be read.
+// ReadNode reads and validates a settings file. Invalid settings give an error of type
+// Problems.
 func ReadNode(path string) (*Node, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return ParseNode(string(text))
 }
 
-// ParseNode reads and checks settings from TOML text.
+// ParseNode parses and validates settings in TOML.
 func ParseNode(text string) (*Node, error) {
 	s := DefaultNode()
 	meta, err := toml.Decode(text, &s)
@@ -138,7 +138,7 @@
 	} {
 		c.require(positive[key] > 0, key, "must be positive")
 	}
-	c.require(b.EvacuationMillis == 0 || b.EvacuationMillis >= leastEvacuationMillis, "bounds.evacuation_ms", "must be 0 or at least %d", leastEvacuationMillis)
+	c.require(b.EvacuationMillis == 0 || b.EvacuationMillis >= minEvacuationMillis, "bounds.evacuation_ms", "must be 0 or at least %d", minEvacuationMillis)
 	c.require(b.CheckpointSeconds >= 0, "bounds.checkpoint_interval_s", "must not be negative")
 	c.require(b.StatusSeconds > 0, "bounds.status_s", "must be positive")
 	c.require(b.RemoteFactor >= 1, "bounds.remote_factor", "must be at least 1")
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodNode = `
+const validNode = `
 name = "node-1"
 callers = "127.0.0.1:1"
 readiness = "127.0.0.1:2"
@@ -15,7 +15,7 @@
 `
 
 func TestNodeSettings(t *testing.T) {
-	s, err := ParseNode(goodNode)
+	s, err := ParseNode(validNode)
 	require.NoError(t, err)
 	require.EqualValues(t, 6000, s.Bounds.MaxHoldMillis)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,23 +14,23 @@
 	"github.com/wheatroad/wheatroad/internal/job"
 )
 
-// Duration is a time.Duration written as "1.5s" or "200ms".
+// Duration is a time.Duration in Go syntax, such as "1.5s" or "200ms".
 type Duration time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	*d = Duration(parsed)
 	return err
 }
 
-// Settings is the content of a settings file.
+// Settings holds the settings of `wheatroadd run`.
 type Settings struct {
-	// Node names the process; it must be unlike that of any other process.
+	// Node is the name of the process; it must be unique.
 	Node string `toml:"node"`
-	// Zone is the zone ("region/zone") that the process stands in.
+	// Zone is the zone of the process, as "region/zone".
 	Zone string `toml:"zone"`
-	// Domains is "zone" or "region": how much one owner schedules.
+	// Domains is the size of a scheduling domain: "zone" or "region".
 	Domains    string     `toml:"domains"`
 	HTTP       Listener   `toml:"http"`
 	Peer       Listener   `toml:"peer"`
@@ -42,20 +42,20 @@
 	Log        Log        `toml:"log"`
 }
 
-// Listener is an address to listen on and the one that others use.
+// Listener holds an address to listen on and the address to advertise.
 type Listener struct {
-	// Listen is an IP address and port; port 0 picks a free one.
+	// Listen is an IP address and port; port 0 selects a free port.
 	Listen string `toml:"listen"`
-	// Advertise is what others connect to; empty means the address listened on.
+	// Advertise is the address that others connect to; it defaults to the address listened on.
 	Advertise string `toml:"advertise"`
-	// AddressFile receives the address listened on once it is known.
+	// AddressFile is a file to write the address listened on to.
 	AddressFile string `toml:"address_file"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures access to the platform's services.
 type Platform struct {
 	URL string `toml:"url"`
-	// ConnectionsPerAddress is this process's share of a worker's connections.
+	// ConnectionsPerAddress is the maximum number of connections to one worker.
 	ConnectionsPerAddress int      `toml:"connections_per_address"`
 	Timeout               Duration `toml:"timeout"`
 }
@@ -66,28 +66,28 @@
 	OperatorKeyHashes []string `toml:"operator_key_hashes"`
 }
 
-// Limits bound what callers can ask of this process.
+// Limits holds the limits on callers' requests to this process.
 type Limits struct {
-	// BodyBytes bounds a request's body.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `toml:"body_bytes"`
-	// InFlight bounds the requests under way, InFlightPerTenant those of one tenant.
+	// InFlight limits all concurrent requests, InFlightPerTenant those of one tenant.
 	InFlight          int `toml:"in_flight"`
 	InFlightPerTenant int `toml:"in_flight_per_tenant"`
-	// SubmitsPerSecond and SubmitBurst bound one tenant's submissions here.
+	// SubmitsPerSecond and SubmitBurst limit one tenant's rate of submissions to this process.
 	SubmitsPerSecond float64  `toml:"submits_per_second"`
 	SubmitBurst      int      `toml:"submit_burst"`
 	MaxWait          Duration `toml:"max_wait"`
-	// DefaultDeadline holds for requests that state none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline Duration `toml:"default_deadline"`
 }
 
-// Scheduling holds the choices operators can make about decisions.
+// Scheduling configures the scheduling policy.
 type Scheduling struct {
-	// FragmentationWeight, 0 to 1, prices scattered capacity against completion time.
+	// FragmentationWeight is the weight, 0 to 1, of fragmentation against completion time.
 	FragmentationWeight float64 `toml:"fragmentation_weight"`
 }
 
-// Timing holds the periods that operators may change.
+// Timing holds leases, timeouts and polling intervals.
 type Timing struct {
 	Lease         Duration `toml:"lease"`
 	Heartbeat     Duration `toml:"heartbeat"`
@@ -98,13 +98,13 @@
 	MachineList   Duration `toml:"machine_list"`
 }
 
-// Log says how to log.
+// Log configures logging.
 type Log struct {
 	// Format is "json" or "text".
 	Format string `toml:"format"`
 }
 
-// Default returns settings in which only what has no good default is missing.
+// Default returns the defaults. Keys without a sensible default are empty.
 func Default() Settings {
 	return Settings{
 		Domains:  "zone",
@@ -126,16 +126,16 @@
 	}
 }
 
-// Problem is one fault of a settings file.
-type Problem struct {
+// FieldError describes one invalid setting.
+type FieldError struct {
 	Key    string
 	Detail string
 }
 
-// Problems are all faults of a settings file.
-type Problems []Problem
+// Problems lists all invalid settings of a file.
+type Problems []FieldError
 
-// Error lists every fault on a line of its own.
+// Error lists the invalid settings, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -144,8 +144,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Read reads and checks a settings file. The error is of type Problems, or says
-// why the file could not be read.
+// Read reads and validates a settings file. Invalid settings give an error of type Problems.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -154,7 +153,7 @@
 	return Parse(string(text))
 }
 
-// Parse reads and checks settings from TOML text.
+// Parse parses and validates settings in TOML.
 func Parse(text string) (*Settings, error) {
 	s := Default()
 	meta, err := toml.Decode(text, &s)
@@ -163,7 +162,7 @@
 	}
 	var problems Problems
 	for _, key := range meta.Undecoded() {
-		problems = append(problems, Problem{Key: key.String(), Detail: "is not a known key"})
+		problems = append(problems, FieldError{Key: key.String(), Detail: "is not a known key"})
 	}
 	problems = append(problems, s.Check()...)
 	if len(problems) > 0 {
@@ -172,16 +171,16 @@
 	return &s, nil
 }
 
-// checker collects faults.
+// checker collects invalid settings.
 type checker struct{ problems Problems }
 
 func (c *checker) require(ok bool, key, format string, args ...any) {
 	if !ok {
-		c.problems = append(c.problems, Problem{Key: key, Detail: fmt.Sprintf(format, args...)})
+		c.problems = append(c.problems, FieldError{Key: key, Detail: fmt.Sprintf(format, args...)})
 	}
 }
 
-// Check returns every fault of the settings.
+// Check returns all invalid settings.
 func (s *Settings) Check() Problems {
 	c := &checker{}
 	c.require(job.ValidName(s.Node), "node", "must be 1 to 63 letters, digits, '.', '_' or '-'")
@@ -231,16 +230,16 @@
 	c.require(l.DefaultDeadline > 0, "limits.default_deadline", "must be positive")
 }
 
-// leaseFactor is how many heartbeats or watches must fit into a lease.
-const leaseFactor = 3
+// minLeaseFactor is the minimum ratio of a lease to the interval that it has to outlast.
+const minLeaseFactor = 3
 
 func (c *checker) timing(t *Timing) {
 	c.require(t.Watch > 0, "timing.watch", "must be positive")
 	c.require(t.Heartbeat > 0, "timing.heartbeat", "must be positive")
 	c.require(t.MachineList > 0, "timing.machine_list", "must be positive")
-	c.require(t.Lease >= leaseFactor*t.Watch, "timing.lease", "must be at least %d times timing.watch", leaseFactor)
+	c.require(t.Lease >= minLeaseFactor*t.Watch, "timing.lease", "must be at least %d times timing.watch", minLeaseFactor)
 	c.require(t.WorkerRenewal > 0, "timing.worker_renewal", "must be positive")
-	c.require(t.WorkerLease >= leaseFactor*t.WorkerRenewal, "timing.worker_lease", "must be at least %d times timing.worker_renewal", leaseFactor)
-	c.require(t.WorkerLease >= leaseFactor*t.Lease, "timing.worker_lease", "must be at least %d times timing.lease, so that work outlives a takeover", leaseFactor)
+	c.require(t.WorkerLease >= minLeaseFactor*t.WorkerRenewal, "timing.worker_lease", "must be at least %d times timing.worker_renewal", minLeaseFactor)
+	c.require(t.WorkerLease >= minLeaseFactor*t.Lease, "timing.worker_lease", "must be at least %d times timing.lease, so that work outlives a takeover", minLeaseFactor)
 	c.require(t.DrainGrace >= 0, "timing.drain_grace", "must not be negative")
 }
