--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -23,44 +23,44 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// backend is an api.Backend: it serves a request on this node if the node owns the
-// request's domain, and forwards it to the owner otherwise.
+// backend implements api.Backend. It serves a request on this node if the node owns the
+// request's domain and forwards it to the owner otherwise.
 type backend struct {
-	node      *control.Node
-	table     store.Table
-	objects   store.Objects
-	peers     *peer.Client
-	telemetry *telemetry.Telemetry
-	serial    atomic.Int64
+	node         *control.Node
+	table        store.Table
+	objects      store.Objects
+	peers        *peer.Client
+	telemetry    *telemetry.Telemetry
+	requestCount atomic.Int64
 }
 
-// View returns the node's present view.
+// View returns the node's current view of the cluster.
 func (b *backend) View() *blackboard.View { return b.node.View() }
 
-// answer is what a call on the loop returns.
-type answer[T any] struct {
+// result is the result of a call on the loop.
+type result[T any] struct {
 	value T
 	err   error
 }
 
-// onLoop runs a call of the node on its loop and waits for the answer, or for the
+// callOnLoop runs a call of the node on its loop and waits for the result or the
 // caller's deadline.
-func onLoop[T any](ctx context.Context, n *control.Node, start func(done func(T, error))) (T, error) {
-	answers := make(chan answer[T], 1)
+func callOnLoop[T any](ctx context.Context, n *control.Node, start func(done func(T, error))) (T, error) {
+	results := make(chan result[T], 1)
 	n.Loop().Post(func() {
-		start(func(value T, err error) { answers <- answer[T]{value, err} })
+		start(func(value T, err error) { results <- result[T]{value, err} })
 	})
 	select {
-	case got := <-answers:
-		return got.value, got.err
+	case received := <-results:
+		return received.value, received.err
 	case <-ctx.Done():
 		var none T
 		return none, fault.New(fault.DeadlineExceeded, "the deadline passed before there was an answer")
 	}
 }
 
-// owner returns the peer address of a domain's owner, empty for this node.
-func (b *backend) owner(domain string) (string, error) {
+// ownerAddress returns the peer address of a domain's ownerAddress, empty for this node.
+func (b *backend) ownerAddress(domain string) (string, error) {
 	view := b.node.View()
 	if view.Owned[domain] {
 		return "", nil
@@ -75,10 +75,10 @@
 	return lease.PeerAddress, nil
 }
 
-// forward sends a request to another node and decodes its answer.
+// forward sends a request to another node and decodes the response.
 func forward[T any](ctx context.Context, b *backend, address string, request *peerpb.Request) (T, error) {
 	var value T
-	request.Id = b.node.View().Node + "." + strconv.FormatInt(b.serial.Add(1), 10)
+	request.Id = b.node.View().Node + "." + strconv.FormatInt(b.requestCount.Add(1), 10)
 	document, err := b.peers.Call(ctx, address, request)
 	if err != nil {
 		b.telemetry.Count("forwards", string(fault.From(err).Kind))
@@ -91,21 +91,21 @@
 	return value, nil
 }
 
-// route serves a request here or at the domain's owner.
+// route serves a request on this node or forwards it to the domain's owner.
 func route[T any](ctx context.Context, b *backend, domain string, request *peerpb.Request, start func(done func(T, error))) (T, error) {
-	address, err := b.owner(domain)
+	address, err := b.ownerAddress(domain)
 	if err != nil {
 		var none T
 		return none, err
 	}
 	if address == "" {
-		return onLoop(ctx, b.node, start)
+		return callOnLoop(ctx, b.node, start)
 	}
 	request.Domain = domain
 	return forward[T](ctx, b, address, request)
 }
 
-// Submit accepts a job into a domain.
+// Submit submits a job to a domain.
 func (b *backend) Submit(ctx context.Context, domain string, spec job.Spec) (*job.Record, error) {
 	document, err := json.Marshal(spec)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return route(ctx, b, domain, request, func(done func(*job.Record, error)) { b.node.Lookup(domain, key, wait, done) })
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 func (b *backend) Cancel(ctx context.Context, domain string, key job.Key) (*job.Record, error) {
 	request := &peerpb.Request{Body: &peerpb.Request_Cancel{Cancel: &peerpb.Cancel{Key: peerKey(key)}}}
 	return route(ctx, b, domain, request, func(done func(*job.Record, error)) { b.node.Cancel(domain, key, done) })
@@ -135,13 +135,13 @@
 	return route(ctx, b, domain, request, func(done func([]*job.Record, error)) { b.node.List(domain, tenant, done) })
 }
 
-// Explain says why a job waits.
+// Explain returns why a job is queued.
 func (b *backend) Explain(ctx context.Context, domain string, key job.Key) (schedule.Explanation, error) {
 	request := &peerpb.Request{Body: &peerpb.Request_Explain{Explain: &peerpb.Explain{Key: peerKey(key)}}}
 	return route(ctx, b, domain, request, func(done func(schedule.Explanation, error)) { b.node.Explain(domain, key, done) })
 }
 
-// FindDomain reads the domain that a job was accepted in.
+// FindDomain reads from the store which domain accepted a job.
 func (b *backend) FindDomain(ctx context.Context, key job.Key) (string, error) {
 	row, err := b.table.Get(ctx, control.NameKey(key))
 	if err != nil {
@@ -154,7 +154,7 @@
 	return name.Domain, nil
 }
 
-// Output reads one member's output.
+// Output reads one member's output from the object store.
 func (b *backend) Output(ctx context.Context, record *job.Record, member int) ([]byte, error) {
 	name := worker.ResultName(record.Spec.Tenant, record.Spec.ID, record.Attempt, member)
 	content, err := b.objects.Get(ctx, name)
@@ -164,23 +164,23 @@
 	return content, nil
 }
 
-func planObject(digest string) string { return "plans/" + digest }
+func planObjectName(digest string) string { return "plans/" + digest }
 
-// SavePlan keeps a plan for its confirmation.
+// SavePlan stores a plan until it is confirmed.
 func (b *backend) SavePlan(ctx context.Context, plan *planning.Plan) error {
 	document, err := json.Marshal(plan)
 	if err != nil {
 		return fault.New(fault.Internal, "the plan cannot be encoded")
 	}
-	if err := b.objects.Put(ctx, planObject(plan.Digest), document); err != nil {
+	if err := b.objects.Put(ctx, planObjectName(plan.Digest), document); err != nil {
 		return fault.New(fault.StoreUnavailable, "the plan cannot be kept now")
 	}
 	return nil
 }
 
-// LoadPlan reads a plan back and checks it against its digest.
+// LoadPlan reads a stored plan and verifies its digest.
 func (b *backend) LoadPlan(ctx context.Context, digest string) (*planning.Plan, error) {
-	document, err := b.objects.Get(ctx, planObject(digest))
+	document, err := b.objects.Get(ctx, planObjectName(digest))
 	if errors.Is(err, store.ErrNotFound) {
 		return nil, fault.New(fault.NotFound, "no plan with this digest")
 	}
@@ -194,7 +194,7 @@
 	return plan, nil
 }
 
-// Impact lists what a plan would do to a domain's jobs.
+// Impact returns the effects of a plan on a domain's jobs.
 func (b *backend) Impact(ctx context.Context, domain string, plan *planning.Plan) ([]planning.Effect, error) {
 	document, err := json.Marshal(plan.Declaration)
 	if err != nil {
@@ -204,12 +204,12 @@
 	return route(ctx, b, domain, request, func(done func([]planning.Effect, error)) { b.node.Impact(domain, plan.Declaration, done) })
 }
 
-// Confirm puts a plan in force.
+// Confirm applies a plan.
 func (b *backend) Confirm(ctx context.Context, plan *planning.Plan) (int64, error) {
-	return onLoop(ctx, b.node, func(done func(int64, error)) { b.node.Confirm(plan, done) })
+	return callOnLoop(ctx, b.node, func(done func(int64, error)) { b.node.Confirm(plan, done) })
 }
 
-// servePeer answers the requests that other nodes forward.
+// servePeer handles requests forwarded by other nodes.
 func (b *backend) servePeer(ctx context.Context, request *peerpb.Request) ([]byte, error) {
 	switch body := request.Body.(type) {
 	case *peerpb.Request_Submit:
@@ -217,25 +217,25 @@
 		if err := json.Unmarshal(body.Submit.Spec, &spec); err != nil {
 			return nil, fault.New(fault.InvalidRequest, "the forwarded job is malformed")
 		}
-		return encoded(onLoop(ctx, b.node, func(done func(*job.Record, error)) { b.node.Submit(request.Domain, spec, done) }))
+		return encodeResult(callOnLoop(ctx, b.node, func(done func(*job.Record, error)) { b.node.Submit(request.Domain, spec, done) }))
 	case *peerpb.Request_Lookup:
 		wait := time.Duration(body.Lookup.WaitMillis) * time.Millisecond
 		key := jobKey(body.Lookup.Key)
-		return encoded(onLoop(ctx, b.node, func(done func(*job.Record, error)) { b.node.Lookup(request.Domain, key, wait, done) }))
+		return encodeResult(callOnLoop(ctx, b.node, func(done func(*job.Record, error)) { b.node.Lookup(request.Domain, key, wait, done) }))
 	case *peerpb.Request_Cancel:
 		key := jobKey(body.Cancel.Key)
-		return encoded(onLoop(ctx, b.node, func(done func(*job.Record, error)) { b.node.Cancel(request.Domain, key, done) }))
+		return encodeResult(callOnLoop(ctx, b.node, func(done func(*job.Record, error)) { b.node.Cancel(request.Domain, key, done) }))
 	case *peerpb.Request_List:
-		return encoded(onLoop(ctx, b.node, func(done func([]*job.Record, error)) { b.node.List(request.Domain, body.List.Tenant, done) }))
+		return encodeResult(callOnLoop(ctx, b.node, func(done func([]*job.Record, error)) { b.node.List(request.Domain, body.List.Tenant, done) }))
 	case *peerpb.Request_Explain:
 		key := jobKey(body.Explain.Key)
-		return encoded(onLoop(ctx, b.node, func(done func(schedule.Explanation, error)) { b.node.Explain(request.Domain, key, done) }))
+		return encodeResult(callOnLoop(ctx, b.node, func(done func(schedule.Explanation, error)) { b.node.Explain(request.Domain, key, done) }))
 	case *peerpb.Request_Impact:
 		var declared declaration.Declaration
 		if err := json.Unmarshal(body.Impact.Declaration, &declared); err != nil {
 			return nil, fault.New(fault.InvalidRequest, "the forwarded declaration is malformed")
 		}
-		return encoded(onLoop(ctx, b.node, func(done func([]planning.Effect, error)) { b.node.Impact(request.Domain, declared, done) }))
+		return encodeResult(callOnLoop(ctx, b.node, func(done func([]planning.Effect, error)) { b.node.Impact(request.Domain, declared, done) }))
 	case *peerpb.Request_Refresh:
 		b.node.Loop().Post(b.node.Refresh)
 		return nil, nil
@@ -245,7 +245,7 @@
 
 func jobKey(key *peerpb.JobKey) job.Key { return job.Key{Tenant: key.GetTenant(), ID: key.GetId()} }
 
-func encoded[T any](value T, err error) ([]byte, error) {
+func encodeResult[T any](value T, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -37,15 +37,15 @@
 	stopLoop   context.CancelFunc
 }
 
-// Limits of the HTTP server: what a caller may make it hold on to.
+// Limits of the HTTP server and clients.
 const (
-	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 60 * time.Second
-	maxHeaderBytes    = 16 << 10
-	idleConnections   = 64
+	readHeaderTimeout   = 5 * time.Second
+	idleTimeout         = 60 * time.Second
+	maxHeaderBytes      = 16 << 10
+	maxIdleConnsPerHost = 64
 )
 
-// New prepares a daemon and opens its listeners.
+// New creates a daemon and opens its listeners.
 func New(s *settings.Settings, log logr.Logger) (*Daemon, error) {
 	tele, err := telemetry.New(log)
 	if err != nil {
@@ -61,7 +61,7 @@
 		httpListener.Close()
 		return nil, errors.Wrap(err, "peer.listen")
 	}
-	d.assemble(advertised(s.HTTP, httpListener), advertised(s.Peer, peerListener))
+	d.buildNode(advertisedAddress(s.HTTP, httpListener), advertisedAddress(s.Peer, peerListener))
 	return d, nil
 }
 
@@ -77,7 +77,7 @@
 	return listener, err
 }
 
-func advertised(l settings.Listener, listener net.Listener) string {
+func advertisedAddress(l settings.Listener, listener net.Listener) string {
 	if l.Advertise != "" {
 		return l.Advertise
 	}
@@ -88,15 +88,15 @@
 
 func newIncarnation() string {
 	random := make([]byte, incarnationBytes)
-	// Reading from the system's random source does not fail.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(random)
 	return hex.EncodeToString(random)
 }
 
-func (d *Daemon) assemble(httpAddress, peerAddress string) {
+func (d *Daemon) buildNode(httpAddress, peerAddress string) {
 	s := d.settings
 	services := newClient(0)
-	// All entry machines together must keep within a worker's limit.
+	// The connections of all entry machines count against a worker's limit.
 	workers := newClient(s.Platform.ConnectionsPerAddress)
 	store := httpstore.New(s.Platform.URL, services)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -108,22 +108,22 @@
 	ports.fleet = httpfleet.New(s.Platform.URL, services, workers)
 	ports.peers = d.peers
 	d.node = control.NewNode(controlOptions(s, httpAddress, peerAddress), d.loop, ports, d.telemetry)
-	back := &backend{node: d.node, table: store, objects: store.Objects(), peers: d.peers, telemetry: d.telemetry}
-	d.peerServer = peer.NewServer(back.servePeer)
+	apiBackend := &backend{node: d.node, table: store, objects: store.Objects(), peers: d.peers, telemetry: d.telemetry}
+	d.peerServer = peer.NewServer(apiBackend.servePeer)
 	d.http = &http.Server{
-		Handler:           api.New(apiOptions(s), back, d.telemetry, d.telemetry.Handler(), time.Now),
+		Handler:           api.New(apiOptions(s), apiBackend, d.telemetry, d.telemetry.Handler(), time.Now),
 		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	go d.loop.Run(ctx)
 	d.loop.Post(d.node.Start)
 }
 
-// newClient returns an HTTP client with a bound on the connections to one address;
-// 0 means none.
+// newClient returns an HTTP client with a limit on the connections per address; 0 means
+// unlimited.
 func newClient(connectionsPerAddress int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxConnsPerHost:     connectionsPerAddress,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 	}}
 }
@@ -163,8 +163,8 @@
 	}
 }
 
-// Run serves until stop is closed, then stops the planned way: it leaves the
-// balancer's rotation, hands its domains over, answers what is under way and ends.
+// Run serves until stop is closed, then shuts down gracefully: it leaves the load balancer's
+// rotation, hands over its domains and completes the requests in flight.
 func (d *Daemon) Run(stop <-chan struct{}) error {
 	failed := make(chan error, 2)
 	go func() { failed <- d.peerServer.Serve(d.listeners[1]) }()
@@ -179,20 +179,20 @@
 	return nil
 }
 
-// handOverLimit bounds the wait for the handover when the store is away.
-const handOverLimit = 20 * time.Second
+// handoverTimeout limits the wait for the handover while the store is unavailable.
+const handoverTimeout = 20 * time.Second
 
 func (d *Daemon) stop() {
-	handedOver := make(chan struct{})
-	d.loop.Post(func() { d.node.Drain(func() { close(handedOver) }) })
+	drained := make(chan struct{})
+	d.loop.Post(func() { d.node.Drain(func() { close(drained) }) })
 	time.Sleep(time.Duration(d.settings.Timing.DrainGrace))
 	select {
-	case <-handedOver:
-	case <-time.After(handOverLimit):
+	case <-drained:
+	case <-time.After(handoverTimeout):
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.settings.Limits.MaxWait)+handOverLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.settings.Limits.MaxWait)+handoverTimeout)
 	defer cancel()
-	// Requests that outlast even this are cut off; the limit is beyond any wait.
+	// Requests still in flight after the deadline are aborted. It exceeds the longest wait.
 	_ = d.http.Shutdown(ctx)
 	d.listeners[1].Close()
 	d.peerServer.Shutdown(ctx)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -28,13 +28,13 @@
 	tenantKey   = "tenant-key"
 )
 
-// cluster is a platform stand-in and some daemons on loopback.
+// cluster is a fake platform and daemons on loopback addresses.
 type cluster struct {
-	t         *testing.T
-	platform  *standin.Server
-	addresses []string
-	stops     []chan struct{}
-	ended     []chan error
+	t          *testing.T
+	platform   *standin.Server
+	addresses  []string
+	stops      []chan struct{}
+	exitErrors []chan error
 }
 
 func startCluster(t *testing.T, nodes int) *cluster {
@@ -71,16 +71,16 @@
 	go func() { ended <- d.Run(stop) }()
 	c.addresses = append(c.addresses, "http://"+d.listeners[0].Addr().String())
 	c.stops = append(c.stops, stop)
-	c.ended = append(c.ended, ended)
+	c.exitErrors = append(c.exitErrors, ended)
 	c.t.Cleanup(func() { c.stop(n) })
 }
 
-// stop stops a node the planned way and waits for its end.
+// stop shuts a node down gracefully and waits until it has exited.
 func (c *cluster) stop(n int) {
 	if c.stops[n] != nil {
 		close(c.stops[n])
 		c.stops[n] = nil
-		require.NoError(c.t, <-c.ended[n])
+		require.NoError(c.t, <-c.exitErrors[n])
 	}
 }
 
@@ -98,7 +98,7 @@
 	require.NoError(c.t, err)
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
-	require.NoError(c.t, err, "the answer was cut short")
+	require.NoError(c.t, err, "reading the response body")
 	if raw, ok := out.(*[]byte); ok {
 		*raw = content
 	} else if out != nil && response.StatusCode < 300 {
@@ -107,7 +107,7 @@
 	return response.StatusCode
 }
 
-func (c *cluster) declare() {
+func (c *cluster) applyConfiguration() {
 	declared := map[string]any{"tenant": []map[string]any{{"name": "t", "key_hashes": []string{auth.Hash(tenantKey)}, "quota": map[string]int{}}}}
 	var plan planning.Plan
 	require.Eventually(c.t, func() bool {
@@ -119,11 +119,11 @@
 	require.True(c.t, answer.InForce)
 }
 
-// TestWholePathOverLoopback takes jobs through three daemons, with results of
-// several megabytes, and stops the owner of one that is running.
+// TestWholePathOverLoopback runs jobs with results of several megabytes through three daemons
+// and stops the owner of a running job.
 func TestWholePathOverLoopback(t *testing.T) {
 	c := startCluster(t, 3)
-	c.declare()
+	c.applyConfiguration()
 	submit := func(node int, id string, seconds float64, output int) *job.Record {
 		payload := fmt.Sprintf(`{"run_seconds":%g,"output_bytes":%d}`, seconds, output)
 		record := &job.Record{}
@@ -131,7 +131,7 @@
 		require.Equal(t, http.StatusAccepted, status)
 		return record
 	}
-	finish := func(node int, id string) *job.Record {
+	waitFinished := func(node int, id string) *job.Record {
 		record := &job.Record{}
 		require.Eventually(t, func() bool {
 			return c.call(node, tenantKey, "GET", "/v1/jobs/t/"+id+"?wait=20s", nil, record) == http.StatusOK && record.State.Terminal()
@@ -143,7 +143,7 @@
 	for node := range 3 {
 		id := fmt.Sprintf("job%d", node)
 		submit(node, id, 0.05, size)
-		finish((node+1)%3, id)
+		waitFinished((node+1)%3, id)
 		var content []byte
 		require.Equal(t, http.StatusOK, c.call((node+2)%3, tenantKey, "GET", "/v1/jobs/t/"+id+"/result", nil, &content))
 		want := append(standin.Output(id, 1, 0, size), standin.Output(id, 1, 1, size)...)
@@ -163,10 +163,10 @@
 		}
 	}
 	c.stop(owner)
-	record := finish((owner+1)%3, "long")
+	record := waitFinished((owner+1)%3, "long")
 	require.Equal(t, 1, record.Attempt)
 
 	var metrics []byte
 	require.Equal(t, http.StatusOK, c.call((owner+1)%3, "", "GET", "/metrics", nil, &metrics))
-	require.True(t, strings.Contains(string(metrics), "wheatroad_requests_total{endpoint=\"GET /v1/jobs/{tenant}/{id}\""), "counters are on /metrics")
+	require.True(t, strings.Contains(string(metrics), "wheatroad_requests_total{endpoint=\"GET /v1/jobs/{tenant}/{id}\""), "/metrics must serve the request counter")
 }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon assembles a node: settings, adapters, the control loop, the peer
-// and HTTP servers, and the order in which they start and stop.
+// Package daemon builds a node from its settings, adapters, control loop, and peer and HTTP
+// servers, and starts and stops them in order.
 package daemon
--- a/internal/daemon/ports.go
+++ b/internal/daemon/ports.go
@@ -12,8 +12,8 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// ports turns blocking calls into control.Ports: each runs on a goroutine of its
-// own, of which there is a bounded number, and its answer comes back on the loop.
+// ports implements control.Ports with blocking clients. Each call runs on its own goroutine
+// and posts its result to the loop.
 type ports struct {
 	context context.Context
 	loop    loop.Loop
@@ -22,27 +22,27 @@
 	fleet   worker.Fleet
 	peers   *peer.Client
 	timeout time.Duration
-	// tableSlots and orderSlots bound the calls under way.
+	// tableSlots and orderSlots are semaphores that limit concurrent calls.
 	tableSlots chan struct{}
 	orderSlots chan struct{}
 }
 
 const (
-	tableCalls = 32
-	orderCalls = 128
-	// reportTimeout leaves the report feed time to wait for news.
+	maxTableCalls = 32
+	maxOrderCalls = 128
+	// reportTimeout exceeds the long-poll time of the report feed.
 	reportTimeout = 15 * time.Second
 )
 
 func newPorts(ctx context.Context, l loop.Loop, timeout time.Duration) *ports {
 	return &ports{
 		context: ctx, loop: l, timeout: timeout,
-		tableSlots: make(chan struct{}, tableCalls),
-		orderSlots: make(chan struct{}, orderCalls),
+		tableSlots: make(chan struct{}, maxTableCalls),
+		orderSlots: make(chan struct{}, maxOrderCalls),
 	}
 }
 
-// call runs a blocking function within a time limit and posts its answer.
+// call runs a blocking function with a timeout and posts its result to the loop.
 func call[T any](p *ports, slots chan struct{}, timeout time.Duration, fn func(context.Context) (T, error), done func(T, error)) {
 	go func() {
 		if slots != nil {
@@ -98,8 +98,8 @@
 	}, done)
 }
 
-// Announce asks another node to read the table now. It does not matter whether
-// that succeeds: the node reads it before long anyway.
+// Announce asks another node to read the table now. Errors are ignored, because the node
+// also polls the table.
 func (p *ports) Announce(address string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(p.context, p.timeout)
