--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -27,16 +27,16 @@
 // RequestIDHeader carries the caller's identifier of a request; answers repeat it.
 const RequestIDHeader = "Wheatroad-Request-Id"
 
-const maxRequestID = 128
+const maxRequestIDBytes = 128
 
-func (s *Server) fail(w http.ResponseWriter, r *http.Request, err error) {
-	listed := fault.From(err)
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
+	known := fault.From(err)
 	if errors.Is(err, r.Context().Err()) && r.Context().Err() != nil {
-		listed = fault.New(fault.DeadlineExceeded, "the deadline passed")
+		known = fault.New(fault.DeadlineExceeded, "the deadline passed")
 	}
-	s.counter.Count("refusals", string(listed.Kind))
-	answer := fault.AnswerFor(listed.Kind)
-	body := ErrorAnswer{Error: listed.Kind, Field: listed.Field, Detail: listed.Detail, Outcome: listed.OutcomeOf(), RequestID: requestID(r)}
+	s.counter.Count("refusals", string(known.Kind))
+	answer := fault.AnswerFor(known.Kind)
+	body := ErrorAnswer{Error: known.Kind, Field: known.Field, Detail: known.Detail, Outcome: known.OutcomeOf(), RequestID: requestID(r)}
 	if answer.RetryAfter > 0 {
 		body.RetryAfterSeconds = int(answer.RetryAfter.Seconds())
 		w.Header().Set("Retry-After", strconv.Itoa(body.RetryAfterSeconds))
@@ -46,7 +46,7 @@
 
 func requestID(r *http.Request) string {
 	id := r.Header.Get(RequestIDHeader)
-	return id[:min(len(id), maxRequestID)]
+	return id[:min(len(id), maxRequestIDBytes)]
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -66,15 +66,15 @@
 	case errors.As(err, &tooLarge):
 		return fault.New(fault.TooLarge, "the body is larger than %d bytes", tooLarge.Limit)
 	case err != nil:
-		return fault.NewField(fault.InvalidRequest, fieldOf(err), "%s", err.Error())
+		return fault.NewField(fault.InvalidRequest, fieldName(err), "%s", err.Error())
 	case decoder.More():
 		return fault.NewField(fault.InvalidRequest, "body", "more than one JSON value")
 	}
 	return nil
 }
 
-// fieldOf names the field that a JSON error is about, or "body".
-func fieldOf(err error) string {
+// fieldName names the field that a JSON error is about, or "body".
+func fieldName(err error) string {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) || mismatch.Field == "" {
 		return "body"
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -31,19 +31,19 @@
 	operator = "key-of-the-operator"
 )
 
-// backendDouble is a backend with one finished job of tenant a.
-type backendDouble struct {
+// fakeBackend is a backend with one finished job of tenant a.
+type fakeBackend struct {
 	view    *blackboard.View
 	outputs [][]byte
 	// submitErrors are returned one after the other before a submission succeeds.
 	submitErrors []error
 	submitted    []job.Spec
-	touched      int
+	calls        int
 }
 
-func newBackend(now time.Time) *backendDouble {
+func newBackend(now time.Time) *fakeBackend {
 	machine := machines.Machine{Name: "r/z/k/w", Region: "r", Zone: "z", Rack: "k", Status: machines.Live, Accelerators: 8, CPUs: 64, MemoryGB: 256, Slots: 8}
-	return &backendDouble{
+	return &fakeBackend{
 		view: &blackboard.View{
 			Node: "node1", WatchedAt: now, Synced: true,
 			Domains: map[string][]machines.Machine{"r/z": {machine}},
@@ -55,7 +55,7 @@
 	}
 }
 
-func (b *backendDouble) record() *job.Record {
+func (b *fakeBackend) record() *job.Record {
 	record := &job.Record{Spec: job.Spec{ID: "one", Tenant: "a"}, State: job.Finished, Outcome: fault.Ran, Attempt: 1}
 	for _, output := range b.outputs {
 		record.Results = append(record.Results, job.MemberResult{Size: int64(len(output)), Digest: xxhash.Sum64(output)})
@@ -63,8 +63,8 @@
 	return record
 }
 
-func (b *backendDouble) View() *blackboard.View { return b.view }
-func (b *backendDouble) Submit(_ context.Context, _ string, spec job.Spec) (*job.Record, error) {
+func (b *fakeBackend) View() *blackboard.View { return b.view }
+func (b *fakeBackend) Submit(_ context.Context, _ string, spec job.Spec) (*job.Record, error) {
 	b.submitted = append(b.submitted, spec)
 	if len(b.submitErrors) > 0 {
 		err := b.submitErrors[0]
@@ -73,41 +73,41 @@
 	}
 	return &job.Record{Spec: spec, State: job.Queued, Outcome: fault.NotRun}, nil
 }
-func (b *backendDouble) Lookup(context.Context, string, job.Key, time.Duration) (*job.Record, error) {
-	b.touched++
+func (b *fakeBackend) Lookup(context.Context, string, job.Key, time.Duration) (*job.Record, error) {
+	b.calls++
 	return b.record(), nil
 }
-func (b *backendDouble) Cancel(context.Context, string, job.Key) (*job.Record, error) {
-	b.touched++
+func (b *fakeBackend) Cancel(context.Context, string, job.Key) (*job.Record, error) {
+	b.calls++
 	return b.record(), nil
 }
-func (b *backendDouble) List(_ context.Context, _, tenant string) ([]*job.Record, error) {
+func (b *fakeBackend) List(_ context.Context, _, tenant string) ([]*job.Record, error) {
 	if tenant != "" && tenant != "a" {
 		return nil, nil
 	}
 	return []*job.Record{b.record()}, nil
 }
-func (b *backendDouble) Explain(context.Context, string, job.Key) (schedule.Explanation, error) {
-	b.touched++
+func (b *fakeBackend) Explain(context.Context, string, job.Key) (schedule.Explanation, error) {
+	b.calls++
 	return schedule.Explanation{}, nil
 }
-func (b *backendDouble) FindDomain(_ context.Context, key job.Key) (string, error) {
+func (b *fakeBackend) FindDomain(_ context.Context, key job.Key) (string, error) {
 	if key.ID != "one" {
 		return "", fault.New(fault.NotFound, "no such job")
 	}
 	return "r/z", nil
 }
-func (b *backendDouble) Output(_ context.Context, _ *job.Record, member int) ([]byte, error) {
+func (b *fakeBackend) Output(_ context.Context, _ *job.Record, member int) ([]byte, error) {
 	return b.outputs[member], nil
 }
-func (b *backendDouble) SavePlan(context.Context, *planning.Plan) error { return nil }
-func (b *backendDouble) LoadPlan(context.Context, string) (*planning.Plan, error) {
+func (b *fakeBackend) SavePlan(context.Context, *planning.Plan) error { return nil }
+func (b *fakeBackend) LoadPlan(context.Context, string) (*planning.Plan, error) {
 	return &planning.Plan{Base: 3}, nil
 }
-func (b *backendDouble) Impact(context.Context, string, *planning.Plan) ([]planning.Effect, error) {
+func (b *fakeBackend) Impact(context.Context, string, *planning.Plan) ([]planning.Effect, error) {
 	return []planning.Effect{{Kind: "job_waits", Subject: "job a/one"}}, nil
 }
-func (b *backendDouble) Confirm(context.Context, *planning.Plan) (int64, error) { return 4, nil }
+func (b *fakeBackend) Confirm(context.Context, *planning.Plan) (int64, error) { return 4, nil }
 
 type noCounter struct{}
 
@@ -183,7 +183,7 @@
 			backend := newBackend(time.Now())
 			path := strings.NewReplacer("{tenant}", "a", "{id}", "one", "{digest}", "d").Replace(route.Path)
 			recorder := send(newServer(backend, time.Now), keyB, route.Method, path, `{"tenant":"a"}`)
-			require.Zero(t, backend.touched)
+			require.Zero(t, backend.calls)
 			require.Empty(t, backend.submitted)
 			if route.Path == "/v1/jobs" && route.Method == "GET" {
 				require.JSONEq(t, `{"jobs":null}`, recorder.Body.String())
@@ -207,17 +207,17 @@
 	backend.outputs = [][]byte{backend.outputs[0][:10], backend.outputs[1]}
 	record := backend.record()
 	record.Results[0].Digest++
-	recorder = send(newServer(&damaged{backendDouble: backend, kept: record}, time.Now), keyA, "GET", "/v1/jobs/a/one/result", "")
+	recorder = send(newServer(&corruptBackend{fakeBackend: backend, kept: record}, time.Now), keyA, "GET", "/v1/jobs/a/one/result", "")
 	require.Equal(t, fault.ResultUnavailable, decodeError(t, recorder).Error)
 }
 
-// damaged has a record whose digests do not match the outputs.
-type damaged struct {
-	*backendDouble
+// corruptBackend has a record whose digests do not match the outputs.
+type corruptBackend struct {
+	*fakeBackend
 	kept *job.Record
 }
 
-func (d *damaged) Lookup(context.Context, string, job.Key, time.Duration) (*job.Record, error) {
+func (d *corruptBackend) Lookup(context.Context, string, job.Key, time.Duration) (*job.Record, error) {
 	return d.kept, nil
 }
 
@@ -282,9 +282,9 @@
 func TestDomainsWithoutAnOwnerAreTriedLastForAWhile(t *testing.T) {
 	now := time.Unix(0, 0)
 	unowned := newUnownedDomains()
-	unowned.note("a", now)
-	require.Equal(t, []string{"b", "c", "a"}, unowned.putLast([]string{"a", "b", "c"}, now))
-	require.Equal(t, []string{"a", "b", "c"}, unowned.putLast([]string{"a", "b", "c"}, now.Add(unownedMemory)))
+	unowned.add("a", now)
+	require.Equal(t, []string{"b", "c", "a"}, unowned.sortLast([]string{"a", "b", "c"}, now))
+	require.Equal(t, []string{"a", "b", "c"}, unowned.sortLast([]string{"a", "b", "c"}, now.Add(unownedTTL)))
 }
 
 func FuzzSubmit(f *testing.F) {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -46,10 +46,10 @@
 	if err := spec.Validate(); err != nil {
 		return err
 	}
-	if err := s.limiter.admit(spec.Tenant); err != nil {
+	if err := s.limiter.allowSubmit(spec.Tenant); err != nil {
 		return err
 	}
-	record, err := s.place(r.Context(), spec)
+	record, err := s.submitToDomain(r.Context(), spec)
 	if err != nil {
 		return err
 	}
@@ -66,10 +66,10 @@
 	return "job-" + hex.EncodeToString(random)
 }
 
-// place submits a job to the best domain that has an owner and does not refuse it as
+// submitToDomain submits a job to the best domain that has an owner and does not refuse it as
 // never fitting. A job that was accepted before, maybe elsewhere, is found by its
 // name.
-func (s *Server) place(ctx context.Context, spec job.Spec) (*job.Record, error) {
+func (s *Server) submitToDomain(ctx context.Context, spec job.Spec) (*job.Record, error) {
 	return s.retry(ctx, func() (*job.Record, error) {
 		domains, err := routing.Rank(s.backend.View(), &spec)
 		if err != nil {
@@ -82,61 +82,61 @@
 // tryDomains submits to one domain after the other. Both answers that make it go on
 // are definite: nothing was done with the job.
 func (s *Server) tryDomains(ctx context.Context, domains []string, spec job.Spec) (*job.Record, error) {
-	var unowned, last error
-	for _, domain := range s.unowned.putLast(domains, s.now()) {
+	var noOwnerErr, lastErr error
+	for _, domain := range s.unowned.sortLast(domains, s.now()) {
 		record, err := s.backend.Submit(ctx, domain, spec)
 		switch {
 		case fault.IsKind(err, fault.NoOwner):
-			s.unowned.note(domain, s.now())
+			s.unowned.add(domain, s.now())
 			s.counter.Count("retries", "other_domain")
-			unowned = err
+			noOwnerErr = err
 		case fault.IsKind(err, fault.NeverFits):
-			last = err
+			lastErr = err
 		default:
 			return record, err
 		}
 	}
-	if unowned != nil {
-		return nil, unowned
+	if noOwnerErr != nil {
+		return nil, noOwnerErr
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // The pause before a request is given to a domain's next owner doubles from the
 // first to the last.
 const (
-	firstRetryPause = 250 * time.Millisecond
-	lastRetryPause  = 2 * time.Second
+	initialRetryDelay = 250 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
 // retry repeats a request while its domain has no owner, until the deadline. It is
 // the only layer that repeats: submissions carry an identifier that is accepted
 // once, and the rest change nothing when repeated.
 func (s *Server) retry(ctx context.Context, try func() (*job.Record, error)) (*job.Record, error) {
-	for pause := firstRetryPause; ; pause = min(2*pause, lastRetryPause) {
+	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		record, err := try()
 		if err == nil || !fault.IsKind(err, fault.NoOwner) {
 			return record, err
 		}
 		deadline, _ := ctx.Deadline()
-		if deadline.Sub(s.now()) < 2*pause {
+		if deadline.Sub(s.now()) < 2*delay {
 			return nil, err
 		}
 		s.counter.Count("retries", string(fault.NoOwner))
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-func keyOf(r *http.Request) job.Key {
+func jobKey(r *http.Request) job.Key {
 	return job.Key{Tenant: r.PathValue("tenant"), ID: r.PathValue("id")}
 }
 
 func (s *Server) find(r *http.Request) (job.Key, string, error) {
-	key := keyOf(r)
+	key := jobKey(r)
 	if !job.ValidName(key.Tenant) || !job.ValidName(key.ID) {
 		return key, "", fault.NewField(fault.InvalidRequest, "id", "is malformed")
 	}
@@ -144,11 +144,11 @@
 	return key, domain, err
 }
 
-// waitStep bounds one wait at an owner, so that a wait follows a domain that moves.
-const waitStep = 5 * time.Second
+// maxLookupWait bounds one wait at an owner, so that a wait follows a domain that moves.
+const maxLookupWait = 5 * time.Second
 
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
-	wait, err := s.waitOf(r)
+	wait, err := s.parseWait(r)
 	if err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	record, err := s.await(r.Context(), domain, key, wait)
+	record, err := s.waitForEnd(r.Context(), domain, key, wait)
 	if err != nil {
 		return err
 	}
@@ -164,10 +164,10 @@
 	return nil
 }
 
-func (s *Server) await(ctx context.Context, domain string, key job.Key, wait time.Duration) (*job.Record, error) {
+func (s *Server) waitForEnd(ctx context.Context, domain string, key job.Key, wait time.Duration) (*job.Record, error) {
 	until := s.now().Add(wait)
 	for {
-		step := min(waitStep, until.Sub(s.now()))
+		step := min(maxLookupWait, until.Sub(s.now()))
 		record, err := s.retry(ctx, func() (*job.Record, error) {
 			return s.backend.Lookup(ctx, domain, key, step)
 		})
@@ -177,7 +177,7 @@
 	}
 }
 
-func (s *Server) waitOf(r *http.Request) (time.Duration, error) {
+func (s *Server) parseWait(r *http.Request) (time.Duration, error) {
 	text := r.FormValue("wait")
 	if text == "" {
 		return 0, nil
@@ -244,14 +244,14 @@
 	if err != nil {
 		return err
 	}
-	record, err := s.await(r.Context(), domain, key, 0)
+	record, err := s.waitForEnd(r.Context(), domain, key, 0)
 	if err != nil {
 		return err
 	}
 	if record.State != job.Finished {
 		return &fault.Error{Kind: fault.ResultUnavailable, Detail: "the job is " + string(record.State), Outcome: record.Outcome}
 	}
-	members, err := membersOf(r, record)
+	members, err := parseMembers(r, record)
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 			err = fault.New(fault.ResultUnavailable, "member %d's output differs from what the worker reported", member)
 		}
 		if err != nil {
-			return s.cutShort(w, index, err)
+			return s.abortResult(w, index, err)
 		}
 		if _, err := w.Write(content); err != nil {
 			return nil
@@ -276,9 +276,9 @@
 	return nil
 }
 
-// cutShort answers with the error if nothing was sent yet; otherwise it breaks the
+// abortResult answers with the error if nothing was sent yet; otherwise it breaks the
 // connection, so that the caller sees fewer bytes than announced.
-func (s *Server) cutShort(w http.ResponseWriter, sent int, err error) error {
+func (s *Server) abortResult(w http.ResponseWriter, sent int, err error) error {
 	if sent > 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -286,7 +286,7 @@
 	return err
 }
 
-func membersOf(r *http.Request, record *job.Record) ([]int, error) {
+func parseMembers(r *http.Request, record *job.Record) ([]int, error) {
 	text := r.FormValue("member")
 	if text == "" {
 		members := make([]int, len(record.Results))
--- a/internal/api/limiter.go
+++ b/internal/api/limiter.go
@@ -19,29 +19,29 @@
 
 // tenantLoad is one tenant's share on this node.
 type tenantLoad struct {
-	inFlight int
-	tokens   float64
-	filled   time.Time
+	inFlight   int
+	tokens     float64
+	refilledAt time.Time
 }
 
 func newLimiter(options *Options, now func() time.Time) *limiter {
 	return &limiter{options: options, now: now, tenants: map[string]*tenantLoad{}}
 }
 
-func (l *limiter) load(tenant string) *tenantLoad {
+func (l *limiter) tenantLoad(tenant string) *tenantLoad {
 	load, ok := l.tenants[tenant]
 	if !ok {
-		load = &tenantLoad{tokens: float64(l.options.SubmitBurst), filled: l.now()}
+		load = &tenantLoad{tokens: float64(l.options.SubmitBurst), refilledAt: l.now()}
 		l.tenants[tenant] = load
 	}
 	return load
 }
 
-// enter takes a place for a request. The returned function gives it back.
-func (l *limiter) enter(tenant string) (release func(), err error) {
+// acquire takes a place for a request. The returned function gives it back.
+func (l *limiter) acquire(tenant string) (release func(), err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	load := l.load(tenant)
+	load := l.tenantLoad(tenant)
 	if load.inFlight >= l.options.InFlightPerTenant {
 		return nil, fault.New(fault.TenantLimit, "the tenant has %d requests under way here", load.inFlight)
 	}
@@ -58,15 +58,15 @@
 	}, nil
 }
 
-// admit takes one submission from the tenant's allowance.
-func (l *limiter) admit(tenant string) error {
+// allowSubmit takes one submission from the tenant's allowance.
+func (l *limiter) allowSubmit(tenant string) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	load := l.load(tenant)
+	load := l.tenantLoad(tenant)
 	now := l.now()
-	load.tokens += now.Sub(load.filled).Seconds() * l.options.SubmitsPerSecond
+	load.tokens += now.Sub(load.refilledAt).Seconds() * l.options.SubmitsPerSecond
 	load.tokens = min(load.tokens, float64(l.options.SubmitBurst))
-	load.filled = now
+	load.refilledAt = now
 	if load.tokens < 1 {
 		return fault.New(fault.TenantLimit, "the tenant submits more than %g jobs a second here", l.options.SubmitsPerSecond)
 	}
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -101,12 +101,12 @@
 	InForce bool `json:"in_force"`
 }
 
-// pollPause is the pause between two looks at the members' versions.
-const pollPause = 50 * time.Millisecond
+// pollInterval is the pause between two looks at the members' versions.
+const pollInterval = 50 * time.Millisecond
 
 // configuration waits until a version is in force everywhere when asked to.
 func (s *Server) configuration(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
-	wait, err := s.waitOf(r)
+	wait, err := s.parseWait(r)
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		case <-r.Context().Done():
 			return fault.New(fault.DeadlineExceeded, "version %d is not in force everywhere yet", version)
 		}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -69,9 +69,9 @@
 	s.handle("POST", "/v1/plans/{digest}/confirm", operatorsOnly, s.confirm)
 	s.handle("GET", "/v1/configuration", operatorsOnly, s.configuration)
 	s.handle("GET", "/v1/domains", operatorsOnly, s.domains)
-	s.open("GET", "/healthz", s.healthz)
-	s.open("GET", "/readyz", s.readyz)
-	s.open("GET", "/metrics", metrics.ServeHTTP)
+	s.handlePublic("GET", "/healthz", s.healthz)
+	s.handlePublic("GET", "/readyz", s.readyz)
+	s.handlePublic("GET", "/metrics", metrics.ServeHTTP)
 	return s
 }
 
@@ -81,32 +81,32 @@
 // Routes lists all endpoints.
 func (s *Server) Routes() []Route { return s.routes }
 
-func (s *Server) open(method, path string, handle http.HandlerFunc) {
+func (s *Server) handlePublic(method, path string, handle http.HandlerFunc) {
 	s.routes = append(s.routes, Route{method, path})
 	s.mux.HandleFunc(method+" "+path, handle)
 }
 
 func (s *Server) handle(method, path string, allowed access, handle handler) {
-	s.open(method, path, func(w http.ResponseWriter, r *http.Request) {
+	s.handlePublic(method, path, func(w http.ResponseWriter, r *http.Request) {
 		s.counter.Count("requests", method+" "+path)
 		if err := s.serve(w, r, allowed, handle); err != nil {
-			s.fail(w, r, err)
+			s.writeError(w, r, err)
 		}
 	})
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, allowed access, handle handler) error {
-	who, err := s.identify(r)
+	principal, err := s.identify(r)
 	if err != nil {
 		return err
 	}
-	if allowed == operatorsOnly && !who.Operator {
+	if allowed == operatorsOnly && !principal.Operator {
 		return fault.New(fault.Forbidden, "only operators may do this")
 	}
-	if tenant := r.PathValue("tenant"); tenant != "" && !who.May(tenant) {
+	if tenant := r.PathValue("tenant"); tenant != "" && !principal.May(tenant) {
 		return fault.New(fault.NotFound, "no such job")
 	}
-	release, err := s.limiter.enter(who.Tenant)
+	release, err := s.limiter.acquire(principal.Tenant)
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), deadline)
 	defer cancel()
 	r.Body = http.MaxBytesReader(w, r.Body, s.options.BodyBytes)
-	return handle(w, r.WithContext(ctx), who)
+	return handle(w, r.WithContext(ctx), principal)
 }
 
 // identify refuses to judge tenants' keys by a configuration that may have been
@@ -126,17 +126,17 @@
 // newest first.
 func (s *Server) identify(r *http.Request) (auth.Principal, error) {
 	view := s.backend.View()
-	who, ok := auth.Identify(r, s.options.OperatorKeyHashes, &view.Configuration.Declaration)
-	if ok && who.Operator {
-		return who, nil
+	principal, ok := auth.Identify(r, s.options.OperatorKeyHashes, &view.Configuration.Declaration)
+	if ok && principal.Operator {
+		return principal, nil
 	}
 	if !view.Synced || s.now().Sub(view.WatchedAt) > s.options.ConfigurationAge {
-		return who, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now")
+		return principal, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now")
 	}
 	if !ok {
-		return who, fault.New(fault.Unauthenticated, "the request carries no valid key")
+		return principal, fault.New(fault.Unauthenticated, "the request carries no valid key")
 	}
-	return who, nil
+	return principal, nil
 }
 
 // DeadlineHeader states how long the caller waits, for instance "10s".
--- a/internal/api/unowned.go
+++ b/internal/api/unowned.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// unownedMemory is how long a domain that was found without an owner is tried last.
+// unownedTTL is how long a domain that was found without an owner is tried last.
 // It is shorter than a takeover, so that a new owner is found soon.
-const unownedMemory = time.Second
+const unownedTTL = time.Second
 
 // unownedDomains remembers which domains had no owner a moment ago, so that not
 // every request finds out by itself.
 type unownedDomains struct {
-	mutex sync.Mutex
-	until map[string]time.Time
+	mutex     sync.Mutex
+	expiresAt map[string]time.Time
 }
 
 func newUnownedDomains() *unownedDomains {
-	return &unownedDomains{until: map[string]time.Time{}}
+	return &unownedDomains{expiresAt: map[string]time.Time{}}
 }
 
-func (u *unownedDomains) note(domain string, now time.Time) {
+func (u *unownedDomains) add(domain string, now time.Time) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	u.until[domain] = now.Add(unownedMemory)
+	u.expiresAt[domain] = now.Add(unownedTTL)
 }
 
-// putLast returns the domains with those that had no owner lately at the end. Others
+// sortLast returns the domains with those that had no owner lately at the end. Others
 // keep their order.
-func (u *unownedDomains) putLast(domains []string, now time.Time) []string {
+func (u *unownedDomains) sortLast(domains []string, now time.Time) []string {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	ordered := slices.Clone(domains)
@@ -40,7 +40,7 @@
 }
 
 func (u *unownedDomains) rank(domain string, now time.Time) int {
-	if now.Before(u.until[domain]) {
+	if now.Before(u.expiresAt[domain]) {
 		return 1
 	}
 	return 0
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -43,17 +43,17 @@
 	if !ok || key == "" {
 		return Principal{}, false
 	}
-	hash := []byte(Hash(key))
+	keyHash := []byte(Hash(key))
 	var found Principal
 	matched := false
 	for _, operator := range operators {
-		if subtle.ConstantTimeCompare(hash, []byte(operator)) == 1 {
+		if subtle.ConstantTimeCompare(keyHash, []byte(operator)) == 1 {
 			found, matched = Principal{Operator: true}, true
 		}
 	}
 	for i := range declared.Tenant {
 		for _, known := range declared.Tenant[i].KeyHashes {
-			if subtle.ConstantTimeCompare(hash, []byte(known)) == 1 && !matched {
+			if subtle.ConstantTimeCompare(keyHash, []byte(known)) == 1 && !matched {
 				found, matched = Principal{Tenant: declared.Tenant[i].Name}, true
 			}
 		}
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// ownerAddress returns the peer address of a domain's ownerAddress, empty for this node.
+// ownerAddress returns the peer address of a domain's owner, or an empty string if this node
+// owns it.
 func (b *backend) ownerAddress(domain string) (string, error) {
 	view := b.node.View()
 	if view.Owned[domain] {
--- a/internal/daemon/ports.go
+++ b/internal/daemon/ports.go
@@ -30,7 +30,7 @@
 const (
 	maxTableCalls = 32
 	maxOrderCalls = 128
-	// reportTimeout exceeds the long-poll time of the report feed.
+	// reportTimeout allows for the long poll of the report feed.
 	reportTimeout = 15 * time.Second
 )
 
--- a/internal/fault/error.go
+++ b/internal/fault/error.go
@@ -37,17 +37,17 @@
 
 // From returns err as an Error. An error of no listed kind becomes Internal.
 func From(err error) *Error {
-	var listed *Error
-	if errors.As(err, &listed) {
-		return listed
+	var known *Error
+	if errors.As(err, &known) {
+		return known
 	}
 	return &Error{Kind: Internal, Detail: err.Error()}
 }
 
 // IsKind reports whether err carries the given kind.
 func IsKind(err error, kind Kind) bool {
-	var listed *Error
-	return errors.As(err, &listed) && listed.Kind == kind
+	var known *Error
+	return errors.As(err, &known) && known.Kind == kind
 }
 
 // OutcomeOf returns the error's own outcome or the table's for its kind.
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -53,11 +53,11 @@
 }
 
 const (
-	soon  = time.Second
-	later = 5 * time.Second
+	shortRetryDelay = time.Second
+	longRetryDelay  = 5 * time.Second
 )
 
-var answers = map[Kind]Answer{
+var answersByKind = map[Kind]Answer{
 	InvalidRequest:    {Status: 400, Outcome: NotRun},
 	TooLarge:          {Status: 413, Outcome: NotRun},
 	Unauthenticated:   {Status: 401, Outcome: NotRun},
@@ -66,35 +66,35 @@
 	UnknownJob:        {Status: 410, Outcome: NotRun},
 	DuplicateID:       {Status: 409, Outcome: NotRun},
 	NeverFits:         {Status: 422, Outcome: NotRun},
-	TenantLimit:       {Status: 429, Outcome: NotRun, RetryAfter: later},
-	Overloaded:        {Status: 503, Outcome: NotRun, RetryAfter: later},
-	StoreUnavailable:  {Status: 503, Outcome: NotRun, RetryAfter: later},
-	NoOwner:           {Status: 503, Outcome: NotRun, RetryAfter: soon},
-	ConfigurationOld:  {Status: 503, Outcome: NotRun, RetryAfter: soon},
+	TenantLimit:       {Status: 429, Outcome: NotRun, RetryAfter: longRetryDelay},
+	Overloaded:        {Status: 503, Outcome: NotRun, RetryAfter: longRetryDelay},
+	StoreUnavailable:  {Status: 503, Outcome: NotRun, RetryAfter: longRetryDelay},
+	NoOwner:           {Status: 503, Outcome: NotRun, RetryAfter: shortRetryDelay},
+	ConfigurationOld:  {Status: 503, Outcome: NotRun, RetryAfter: shortRetryDelay},
 	PlanStale:         {Status: 409, Outcome: NotRun},
 	PlanNoWitness:     {Status: 422, Outcome: NotRun},
-	DeadlineExceeded:  {Status: 504, Outcome: MayHaveRun, RetryAfter: soon},
+	DeadlineExceeded:  {Status: 504, Outcome: MayHaveRun, RetryAfter: shortRetryDelay},
 	Cancelled:         {Status: 409, Outcome: NotRun},
 	AttemptLost:       {Status: 500, Outcome: MayHaveRun},
 	TaskFailed:        {Status: 500, Outcome: Ran},
-	OutcomeUnknown:    {Status: 502, Outcome: MayHaveRun, RetryAfter: later},
-	ResultUnavailable: {Status: 503, Outcome: Ran, RetryAfter: later},
+	OutcomeUnknown:    {Status: 502, Outcome: MayHaveRun, RetryAfter: longRetryDelay},
+	ResultUnavailable: {Status: 503, Outcome: Ran, RetryAfter: longRetryDelay},
 	Internal:          {Status: 500, Outcome: MayHaveRun},
 }
 
 // AnswerFor returns the table's row for kind. A kind outside the list is
 // answered as Internal.
 func AnswerFor(kind Kind) Answer {
-	if answer, ok := answers[kind]; ok {
+	if answer, ok := answersByKind[kind]; ok {
 		return answer
 	}
-	return answers[Internal]
+	return answersByKind[Internal]
 }
 
 // Kinds returns every kind of the closed list, in no particular order.
 func Kinds() []Kind {
-	kinds := make([]Kind, 0, len(answers))
-	for kind := range answers {
+	kinds := make([]Kind, 0, len(answersByKind))
+	for kind := range answersByKind {
 		kinds = append(kinds, kind)
 	}
 	return kinds
