--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -12,19 +12,19 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// ErrorAnswer is the body of every answer that is not a success.
+// ErrorAnswer is the body of error responses.
 type ErrorAnswer struct {
 	Error  fault.Kind `json:"error"`
 	Field  string     `json:"field,omitempty"`
 	Detail string     `json:"detail"`
-	// Outcome says whether the request's work ran.
+	// Outcome states whether the requested work ran.
 	Outcome fault.Outcome `json:"outcome"`
-	// RetryAfterSeconds is when to come back; absent means that this is final.
+	// RetryAfterSeconds is the delay before a retry; if absent, the caller should not retry.
 	RetryAfterSeconds int    `json:"retry_after_seconds,omitempty"`
 	RequestID         string `json:"request_id,omitempty"`
 }
 
-// RequestIDHeader carries the caller's identifier of a request; answers repeat it.
+// RequestIDHeader carries the caller's request identifier, which error responses echo.
 const RequestIDHeader = "Wheatroad-Request-Id"
 
 const maxRequestIDBytes = 128
@@ -52,11 +52,11 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that went away needs no answer.
+	// Write errors are ignored: the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readJSON decodes a body strictly: unknown fields and trailing data are refused.
+// readJSON decodes a body strictly: it rejects unknown fields and trailing data.
 func readJSON(r *http.Request, into any) error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -79,7 +79,7 @@
 	if !errors.As(err, &mismatch) || mismatch.Field == "" {
 		return "body"
 	}
-	// Embedded structs show by their Go names, which callers do not know.
+	// The names of embedded structs are not part of the API.
 	parts := strings.Split(mismatch.Field, ".")
 	return strings.Join(slices.DeleteFunc(parts, startsUpper), ".")
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -31,11 +31,11 @@
 	operator = "key-of-the-operator"
 )
 
-// fakeBackend is a backend with one finished job of tenant a.
+// fakeBackend is a Backend with one finished job of tenant a.
 type fakeBackend struct {
 	view    *blackboard.View
 	outputs [][]byte
-	// submitErrors are returned one after the other before a submission succeeds.
+	// submitErrors are returned in order before a submission succeeds.
 	submitErrors []error
 	submitted    []job.Spec
 	calls        int
@@ -211,7 +211,7 @@
 	require.Equal(t, fault.ResultUnavailable, decodeError(t, recorder).Error)
 }
 
-// corruptBackend has a record whose digests do not match the outputs.
+// corruptBackend returns a record whose digests do not match the outputs.
 type corruptBackend struct {
 	*fakeBackend
 	kept *job.Record
@@ -256,9 +256,9 @@
 		kind   fault.Kind
 	}{
 		"owner found in time":     {[]error{noOwner}, 2, ""},
-		"no owner to the end":     {[]error{noOwner, noOwner, noOwner, noOwner, noOwner}, 2, fault.NoOwner},
+		"no owner until the deadline":     {[]error{noOwner, noOwner, noOwner, noOwner, noOwner}, 2, fault.NoOwner},
 		"outcome unknown":         {[]error{fault.New(fault.OutcomeUnknown, "lost")}, 1, fault.OutcomeUnknown},
-		"store away":              {[]error{fault.New(fault.StoreUnavailable, "down")}, 1, fault.StoreUnavailable},
+		"store unavailable":              {[]error{fault.New(fault.StoreUnavailable, "down")}, 1, fault.StoreUnavailable},
 		"never fits anywhere":     {[]error{fault.New(fault.NeverFits, "no")}, 1, fault.NeverFits},
 		"over the tenant's limit": {[]error{fault.New(fault.TenantLimit, "full")}, 1, fault.TenantLimit},
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -19,10 +19,10 @@
 	"github.com/wheatroad/wheatroad/internal/routing"
 )
 
-// JobRequest is the body of a submission: a job with what a caller may leave out.
+// JobRequest is the body of a submission. Fields with defaults may be omitted.
 type JobRequest struct {
 	job.Spec
-	// Repeatable replaces the job's own field, so that leaving it out means true.
+	// Repeatable shadows the field of Spec, so that it defaults to true.
 	Repeatable *bool `json:"repeatable,omitempty"`
 }
 
@@ -61,14 +61,13 @@
 
 func newID() string {
 	random := make([]byte, idBytes)
-	// Reading from the system's random source does not fail.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(random)
 	return "job-" + hex.EncodeToString(random)
 }
 
-// submitToDomain submits a job to the best domain that has an owner and does not refuse it as
-// never fitting. A job that was accepted before, maybe elsewhere, is found by its
-// name.
+// submitToDomain submits a job to the best-ranked domain that has an owner and can fit the
+// job. A job accepted earlier, in any domain, is found by its identifier.
 func (s *Server) submitToDomain(ctx context.Context, spec job.Spec) (*job.Record, error) {
 	return s.retry(ctx, func() (*job.Record, error) {
 		domains, err := routing.Rank(s.backend.View(), &spec)
@@ -79,8 +78,8 @@
 	})
 }
 
-// tryDomains submits to one domain after the other. Both answers that make it go on
-// are definite: nothing was done with the job.
+// tryDomains submits to the domains in turn. It continues only after errors that guarantee
+// that the job was not accepted.
 func (s *Server) tryDomains(ctx context.Context, domains []string, spec job.Spec) (*job.Record, error) {
 	var noOwnerErr, lastErr error
 	for _, domain := range s.unowned.sortLast(domains, s.now()) {
@@ -102,16 +101,14 @@
 	return nil, lastErr
 }
 
-// The pause before a request is given to a domain's next owner doubles from the
-// first to the last.
+// Bounds of the exponential backoff between retries while a domain has no owner.
 const (
 	initialRetryDelay = 250 * time.Millisecond
 	maxRetryDelay     = 2 * time.Second
 )
 
-// retry repeats a request while its domain has no owner, until the deadline. It is
-// the only layer that repeats: submissions carry an identifier that is accepted
-// once, and the rest change nothing when repeated.
+// retry retries a request while its domain has no owner, until the deadline. It is the only
+// layer that retries. Requests are idempotent: submissions are deduplicated by identifier.
 func (s *Server) retry(ctx context.Context, try func() (*job.Record, error)) (*job.Record, error) {
 	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		record, err := try()
@@ -144,7 +141,8 @@
 	return key, domain, err
 }
 
-// maxLookupWait bounds one wait at an owner, so that a wait follows a domain that moves.
+// maxLookupWait limits one wait at an owner, so that longer waits follow a domain that moves to
+// another owner.
 const maxLookupWait = 5 * time.Second
 
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
@@ -236,9 +234,9 @@
 	return nil
 }
 
-// result sends the members' outputs one after the other, or one member's. Each is
-// checked against the digest in the job's record before any of it is sent, and the
-// length is stated first, so that a caller never takes a part for the whole.
+// result sends the outputs of all members in order, or that of one member. It verifies each
+// output against the digest in the job's record before sending it, and sends the total length
+// first, so that callers detect truncated responses.
 func (s *Server) result(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
 	key, domain, err := s.find(r)
 	if err != nil {
@@ -276,8 +274,8 @@
 	return nil
 }
 
-// abortResult answers with the error if nothing was sent yet; otherwise it breaks the
-// connection, so that the caller sees fewer bytes than announced.
+// abortResult returns the error if nothing was sent yet. Otherwise it aborts the connection,
+// so that the caller detects the truncated response.
 func (s *Server) abortResult(w http.ResponseWriter, sent int, err error) error {
 	if sent > 0 {
 		panic(http.ErrAbortHandler)
--- a/internal/api/limiter.go
+++ b/internal/api/limiter.go
@@ -7,8 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// limiter bounds the requests under way, in all and by tenant, and the rate of
-// submissions by tenant. One tenant's burst is refused without costing the others.
+// limiter limits concurrent requests, in total and per tenant, and each tenant's rate of
+// submissions, so that one tenant's burst does not affect the others.
 type limiter struct {
 	options *Options
 	now     func() time.Time
@@ -17,7 +17,7 @@
 	tenants map[string]*tenantLoad
 }
 
-// tenantLoad is one tenant's share on this node.
+// tenantLoad holds one tenant's concurrent requests and token bucket on this node.
 type tenantLoad struct {
 	inFlight   int
 	tokens     float64
@@ -37,7 +37,7 @@
 	return load
 }
 
-// acquire takes a place for a request. The returned function gives it back.
+// acquire reserves a slot for a request. The returned function releases it.
 func (l *limiter) acquire(tenant string) (release func(), err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -58,7 +58,7 @@
 	}, nil
 }
 
-// allowSubmit takes one submission from the tenant's allowance.
+// allowSubmit takes one token from the tenant's bucket.
 func (l *limiter) allowSubmit(tenant string) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/planning"
 )
 
-// plan answers a declaration with what confirming it would change.
+// plan creates a plan of the changes that a declaration would make.
 func (s *Server) plan(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
 	var declared declaration.Declaration
 	if err := readJSON(r, &declared); err != nil {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// impact asks each domain's owner what the plan would do to its jobs. A domain
-// without an owner has nobody to ask and is named as such.
+// impact collects the plan's effects on jobs from each domain's owner. A domain without an
+// owner is reported as unknown.
 func (s *Server) impact(ctx context.Context, plan *planning.Plan, view *blackboard.View) ([]planning.Effect, error) {
 	var effects []planning.Effect
 	if len(plan.Changes) == 0 {
@@ -64,11 +64,11 @@
 
 // Confirmation is the body of a confirm request.
 type Confirmation struct {
-	// Base is the version that the operator saw the plan start from.
+	// Base is the base version of the plan that the operator reviewed.
 	Base int64 `json:"base"`
 }
 
-// Confirmed is the answer to a confirm request.
+// Confirmed is the response to a confirm request.
 type Confirmed struct {
 	Version int64 `json:"version"`
 }
@@ -93,18 +93,19 @@
 	return nil
 }
 
-// ConfigurationAnswer tells which configuration is in force, and where.
+// ConfigurationAnswer reports the current configuration and each member's version.
 type ConfigurationAnswer struct {
 	declaration.Configuration
 	Members []blackboard.Member `json:"members"`
-	// InForce is true when every live member has at least the version asked for.
+	// InForce is true when every live member has at least the requested version.
 	InForce bool `json:"in_force"`
 }
 
-// pollInterval is the pause between two looks at the members' versions.
+// pollInterval is the interval between checks of the members' versions.
 const pollInterval = 50 * time.Millisecond
 
-// configuration waits until a version is in force everywhere when asked to.
+// configuration returns the configuration. On request, it first waits until all members have
+// a version.
 func (s *Server) configuration(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
 	wait, err := s.parseWait(r)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return view.Configuration.Version >= version
 }
 
-// DomainAnswer describes one scheduling domain.
+// DomainAnswer describes a scheduling domain.
 type DomainAnswer struct {
 	Name     string           `json:"name"`
 	Machines int              `json:"machines"`
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -9,7 +9,7 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// Options bound what callers can ask.
+// Options holds the server's keys and limits.
 type Options struct {
 	OperatorKeyHashes []string
 	BodyBytes         int64
@@ -19,12 +19,12 @@
 	SubmitBurst       int
 	MaxWait           time.Duration
 	DefaultDeadline   time.Duration
-	// ConfigurationAge is how old the configuration may be before tenants are no
-	// longer answered.
+	// ConfigurationAge is the maximum age of the configuration; with an older one, requests
+	// of tenants are rejected.
 	ConfigurationAge time.Duration
 }
 
-// Server is the HTTP side of a node.
+// Server is the HTTP API server of a node.
 type Server struct {
 	options Options
 	backend Backend
@@ -42,11 +42,10 @@
 	Path   string
 }
 
-// handler answers an identified request. Errors become answers by the table of
-// package fault.
+// handler handles an authenticated request. Package fault maps its errors to responses.
 type handler func(w http.ResponseWriter, r *http.Request, who auth.Principal) error
 
-// access says who may use an endpoint.
+// access states who may call an endpoint.
 type access int
 
 const (
@@ -54,7 +53,7 @@
 	operatorsOnly
 )
 
-// New returns the server. Metrics serves /metrics.
+// New returns a server. The metrics handler serves /metrics.
 func New(options Options, backend Backend, counter Counter, metrics http.Handler, now func() time.Time) *Server {
 	s := &Server{options: options, backend: backend, counter: counter, mux: http.NewServeMux(), now: now}
 	s.limiter = newLimiter(&options, now)
@@ -75,7 +74,7 @@
 	return s
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 // Routes lists all endpoints.
@@ -121,9 +120,8 @@
 	return handle(w, r.WithContext(ctx), principal)
 }
 
-// identify refuses to judge tenants' keys by a configuration that may have been
-// replaced since: a node that was cut off, frozen or just started must read the
-// newest first.
+// identify authenticates a request. It rejects tenants while the configuration may be stale,
+// as after a network partition, a suspension or a start, because keys may have been revoked.
 func (s *Server) identify(r *http.Request) (auth.Principal, error) {
 	view := s.backend.View()
 	principal, ok := auth.Identify(r, s.options.OperatorKeyHashes, &view.Configuration.Declaration)
@@ -139,7 +137,7 @@
 	return principal, nil
 }
 
-// DeadlineHeader states how long the caller waits, for instance "10s".
+// DeadlineHeader carries the caller's timeout, for instance "10s".
 const DeadlineHeader = "Wheatroad-Deadline"
 
 const maxDeadline = 10 * time.Minute
@@ -162,7 +160,7 @@
 	}{"ok"})
 }
 
-// readyz tells the balancer whether to send requests here.
+// readyz tells the load balancer whether the node accepts requests.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	view := s.backend.View()
 	status, code := "ready", http.StatusOK
--- a/internal/api/unowned.go
+++ b/internal/api/unowned.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// unownedTTL is how long a domain that was found without an owner is tried last.
-// It is shorter than a takeover, so that a new owner is found soon.
+// unownedTTL is how long a domain is tried last after it was found without an owner. It is
+// shorter than a takeover, so that a new owner is found quickly.
 const unownedTTL = time.Second
 
-// unownedDomains remembers which domains had no owner a moment ago, so that not
-// every request finds out by itself.
+// unownedDomains caches which domains recently had no owner, so that requests avoid them.
 type unownedDomains struct {
 	mutex     sync.Mutex
 	expiresAt map[string]time.Time
@@ -27,8 +26,8 @@
 	u.expiresAt[domain] = now.Add(unownedTTL)
 }
 
-// sortLast returns the domains with those that had no owner lately at the end. Others
-// keep their order.
+// sortLast moves domains that recently had no owner to the end. The order is otherwise
+// unchanged.
 func (u *unownedDomains) sortLast(domains []string, now time.Time) []string {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,5 +1,5 @@
-// Package auth tells who a request is from by its access key. Keys are kept only
-// as SHA-256 hashes; they are long random strings, so a plain hash suffices.
+// Package auth authenticates requests by access key. Keys are stored only as SHA-256 hashes.
+// An unsalted fast hash suffices because keys are long random strings.
 package auth
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/wheatroad/wheatroad/internal/declaration"
 )
 
-// Principal is who a request is from.
+// Principal is the authenticated sender of a request.
 type Principal struct {
 	// Tenant is empty for an operator.
 	Tenant   string
@@ -31,13 +31,13 @@
 // NewKey returns a random key.
 func NewKey() string {
 	random := make([]byte, keyBytes)
-	// Reading from the system's random source does not fail.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(random)
 	return hex.EncodeToString(random)
 }
 
-// Identify returns who holds the request's bearer key. Every known hash is
-// compared, in constant time each, whichever matches.
+// Identify returns the principal of the request's bearer key. It compares all known hashes in
+// constant time, even after a match, to prevent timing attacks.
 func Identify(r *http.Request, operators []string, declared *declaration.Declaration) (Principal, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -61,5 +61,5 @@
 	return found, matched
 }
 
-// May reports whether the principal may touch a tenant's jobs.
+// May reports whether the principal may access a tenant's jobs.
 func (p Principal) May(tenant string) bool { return p.Operator || p.Tenant == tenant }
--- a/internal/fault/doc.go
+++ b/internal/fault/doc.go
@@ -1,4 +1,3 @@
-// Package fault holds the closed list of error kinds and the one table that
-// turns a kind into an answer: HTTP status, outcome of the request, and whether
-// and when the caller should come back. No other package chooses a status.
+// Package fault defines the API's error kinds and the table that maps each kind to its HTTP
+// status, request outcome and retry delay. No other package chooses a status.
 package fault
--- a/internal/fault/error.go
+++ b/internal/fault/error.go
@@ -6,18 +6,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is a refusal or failure of a listed kind.
+// Error is an API error of a defined kind.
 type Error struct {
 	Kind Kind
-	// Field is the request or settings field at fault, empty when none is.
+	// Field is the invalid request or settings field, if any.
 	Field string
-	// Detail is shown to the caller and holds nothing secret.
+	// Detail is shown to the caller and must not contain secrets.
 	Detail string
-	// Outcome replaces the table's outcome when it is not empty.
+	// Outcome overrides the kind's default outcome unless it is empty.
 	Outcome Outcome
 }
 
-// Error renders kind, field and detail on one line.
+// Error formats kind, field and detail on one line.
 func (e *Error) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%s: %s", e.Kind, e.Detail)
@@ -30,12 +30,12 @@
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// NewField returns an error of kind that names the field at fault.
+// NewField returns an error of kind about an invalid field.
 func NewField(kind Kind, field, format string, args ...any) *Error {
 	return &Error{Kind: kind, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// From returns err as an Error. An error of no listed kind becomes Internal.
+// From returns err as an Error. Other errors become Internal.
 func From(err error) *Error {
 	var known *Error
 	if errors.As(err, &known) {
@@ -44,13 +44,13 @@
 	return &Error{Kind: Internal, Detail: err.Error()}
 }
 
-// IsKind reports whether err carries the given kind.
+// IsKind reports whether err is or wraps an Error of the given kind.
 func IsKind(err error, kind Kind) bool {
 	var known *Error
 	return errors.As(err, &known) && known.Kind == kind
 }
 
-// OutcomeOf returns the error's own outcome or the table's for its kind.
+// OutcomeOf returns the error's outcome, which defaults to that of its kind.
 func (e *Error) OutcomeOf() Outcome {
 	if e.Outcome != "" {
 		return e.Outcome
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -14,7 +14,7 @@
 		require.GreaterOrEqual(t, answer.Status, 400, kind)
 		require.Less(t, answer.Status, 600, kind)
 		overloaded := answer.Status == 429 || answer.Status == 503
-		require.Equal(t, overloaded, overloaded && answer.RetryAfter > 0, "%s asks to come back but not when", kind)
+		require.Equal(t, overloaded, overloaded && answer.RetryAfter > 0, "%s must have a retry delay", kind)
 	}
 }
 
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Kind names why a request was refused or a job ended without success.
-// The list is closed: every kind has a row in the answer table.
+// Kind is the reason why a request was rejected or a job did not succeed. Every kind has an
+// entry in the answer table.
 type Kind string
 
-// The kinds, in the order in which a request can meet them.
+// Error kinds, in the order in which a request can encounter them.
 const (
 	InvalidRequest    Kind = "invalid_request"
 	TooLarge          Kind = "too_large"
@@ -32,23 +32,23 @@
 	Internal          Kind = "internal"
 )
 
-// Outcome says what is known about whether a request's work ran.
+// Outcome states whether the requested work ran.
 type Outcome string
 
-// The three outcomes an answer can carry.
+// Outcomes of a request.
 const (
 	NotRun     Outcome = "not_run"
 	MayHaveRun Outcome = "may_have_run"
 	Ran        Outcome = "ran"
 )
 
-// Answer is what a caller is told for a kind.
+// Answer is the response to a caller for an error kind.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
-	// Outcome holds unless the error states a different one.
+	// Outcome is the default; an error can override it.
 	Outcome Outcome
-	// RetryAfter is when the caller may come back; zero means the answer is final.
+	// RetryAfter is the delay before a retry; zero means that the caller should not retry.
 	RetryAfter time.Duration
 }
 
@@ -82,8 +82,7 @@
 	Internal:          {Status: 500, Outcome: MayHaveRun},
 }
 
-// AnswerFor returns the table's row for kind. A kind outside the list is
-// answered as Internal.
+// AnswerFor returns the answer for kind. Unknown kinds are answered as Internal.
 func AnswerFor(kind Kind) Answer {
 	if answer, ok := answersByKind[kind]; ok {
 		return answer
@@ -91,7 +90,7 @@
 	return answersByKind[Internal]
 }
 
-// Kinds returns every kind of the closed list, in no particular order.
+// Kinds returns all kinds, in no particular order.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(answersByKind))
 	for kind := range answersByKind {
