--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -255,12 +255,12 @@
 		calls  int
 		kind   fault.Kind
 	}{
-		"owner found in time":     {[]error{noOwner}, 2, ""},
-		"no owner until the deadline":     {[]error{noOwner, noOwner, noOwner, noOwner, noOwner}, 2, fault.NoOwner},
-		"outcome unknown":         {[]error{fault.New(fault.OutcomeUnknown, "lost")}, 1, fault.OutcomeUnknown},
-		"store unavailable":              {[]error{fault.New(fault.StoreUnavailable, "down")}, 1, fault.StoreUnavailable},
-		"never fits anywhere":     {[]error{fault.New(fault.NeverFits, "no")}, 1, fault.NeverFits},
-		"over the tenant's limit": {[]error{fault.New(fault.TenantLimit, "full")}, 1, fault.TenantLimit},
+		"owner found in time":         {[]error{noOwner}, 2, ""},
+		"no owner until the deadline": {[]error{noOwner, noOwner, noOwner, noOwner, noOwner}, 2, fault.NoOwner},
+		"outcome unknown":             {[]error{fault.New(fault.OutcomeUnknown, "lost")}, 1, fault.OutcomeUnknown},
+		"store unavailable":           {[]error{fault.New(fault.StoreUnavailable, "down")}, 1, fault.StoreUnavailable},
+		"never fits anywhere":         {[]error{fault.New(fault.NeverFits, "no")}, 1, fault.NeverFits},
+		"over the tenant's limit":     {[]error{fault.New(fault.TenantLimit, "full")}, 1, fault.TenantLimit},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
