--- a/cmd/wheatroad-bench/overload_results.go
+++ b/cmd/wheatroad-bench/overload_results.go
@@ -52,10 +52,10 @@
 			break
 		}
 	}
-	t.record(tenant, id, attempts, err)
+	t.recordResponse(tenant, id, attempts, err)
 }
 
-func (t *phaseRecorder) record(tenant, id string, attempts int, err error) {
+func (t *phaseRecorder) recordResponse(tenant, id string, attempts int, err error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.phase.Submitted++
--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,4 +1,4 @@
-// Package api answers callers and operators over HTTP with JSON. It identifies
-// them, bounds what they can ask, and hands each request to the owner of the
-// scheduling domain that it is about, on this node or on another.
+// Package api implements the HTTP API for callers and operators. It authenticates requests,
+// enforces limits and passes each request to the owner of its scheduling domain, on this
+// node or another one.
 package api
--- a/internal/api/limiter.go
+++ b/internal/api/limiter.go
@@ -28,7 +28,7 @@
 	return &limiter{options: options, now: now, tenants: map[string]*tenantLoad{}}
 }
 
-func (l *limiter) tenantLoad(tenant string) *tenantLoad {
+func (l *limiter) loadFor(tenant string) *tenantLoad {
 	load, ok := l.tenants[tenant]
 	if !ok {
 		load = &tenantLoad{tokens: float64(l.options.SubmitBurst), refilledAt: l.now()}
@@ -41,7 +41,7 @@
 func (l *limiter) acquire(tenant string) (release func(), err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	load := l.tenantLoad(tenant)
+	load := l.loadFor(tenant)
 	if load.inFlight >= l.options.InFlightPerTenant {
 		return nil, fault.New(fault.TenantLimit, "the tenant has %d requests under way here", load.inFlight)
 	}
@@ -62,7 +62,7 @@
 func (l *limiter) allowSubmit(tenant string) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	load := l.tenantLoad(tenant)
+	load := l.loadFor(tenant)
 	now := l.now()
 	load.tokens += now.Sub(load.refilledAt).Seconds() * l.options.SubmitsPerSecond
 	load.tokens = min(load.tokens, float64(l.options.SubmitBurst))
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -227,7 +227,7 @@
 	}
 }
 
-// show prints an answer as JSON, or as a table with printTable.
+// show prints a response as JSON, or as a table with printTable.
 func (a *app) show(command *cobra.Command, answer any, printTable func(*tabwriter.Writer)) error {
 	if a.output == "json" {
 		encoder := json.NewEncoder(command.OutOrStdout())
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -101,20 +101,20 @@
 const rolloutTimeout = 20 * time.Second
 
 func (a *app) confirm(command *cobra.Command, digest string, base int64) error {
-	var confirmation api.Confirmed
-	if err := a.client.call(command.Context(), http.MethodPost, "/v1/plans/"+digest+"/confirm", api.Confirmation{Base: base}, &confirmation); err != nil {
+	var response api.Confirmed
+	if err := a.client.call(command.Context(), http.MethodPost, "/v1/plans/"+digest+"/confirm", api.Confirmation{Base: base}, &response); err != nil {
 		return err
 	}
 	var answer api.ConfigurationAnswer
-	path := fmt.Sprintf("/v1/configuration?version=%d&wait=%s", confirmation.Version, rolloutTimeout)
+	path := fmt.Sprintf("/v1/configuration?version=%d&wait=%s", response.Version, rolloutTimeout)
 	if err := a.client.call(command.Context(), http.MethodGet, path, nil, &answer); err != nil {
 		return err
 	}
 	if !answer.InForce {
-		return fmt.Errorf("version %d is confirmed, but not in force on all %d nodes yet", confirmation.Version, len(answer.Members))
+		return fmt.Errorf("version %d is confirmed, but not in force on all %d nodes yet", response.Version, len(answer.Members))
 	}
-	return a.show(command, confirmation, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "version %d is in force on all %d nodes\n", confirmation.Version, len(answer.Members))
+	return a.show(command, response, func(w *tabwriter.Writer) {
+		fmt.Fprintf(w, "version %d is in force on all %d nodes\n", response.Version, len(answer.Members))
 	})
 }
 
--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -90,7 +90,8 @@
 	return longestCause(causes)
 }
 
-// storeOutageEnd returns the end of the store outage in progress at a time, or that time if there is none.
+// storeOutageEnd returns the end of the store outage in progress at a time, or that time
+// if there is none.
 func (l *Log) storeOutageEnd(at time.Time) time.Time {
 	for _, outage := range l.storeOutages {
 		if !outage.from.After(at) && outage.to.After(at) {
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -16,10 +16,10 @@
 
 // causeCount counts the jobs of one queue that share a dominant cause.
 type causeCount struct {
-	cause Cause
-	queue string
-	jobs  int
-	total time.Duration
+	cause    Cause
+	queue    string
+	jobs     int
+	timeLost time.Duration
 }
 
 // Summary counts late and rejected jobs, by queue and by cause, and wasted work.
@@ -79,11 +79,11 @@
 	for i := range s.causeCounts {
 		if s.causeCounts[i].cause == cause && s.causeCounts[i].queue == j.queue {
 			s.causeCounts[i].jobs++
-			s.causeCounts[i].total += took
+			s.causeCounts[i].timeLost += took
 			return
 		}
 	}
-	s.causeCounts = append(s.causeCounts, causeCount{cause: cause, queue: j.queue, jobs: 1, total: took})
+	s.causeCounts = append(s.causeCounts, causeCount{cause: cause, queue: j.queue, jobs: 1, timeLost: took})
 }
 
 // Print writes the tables. With jobs set, it also lists each late or rejected job.
@@ -96,7 +96,7 @@
 	}
 	fmt.Fprintln(table, "\ncause\tqueue\tjobs\tseconds")
 	for _, c := range s.causeCounts {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\n", c.cause, c.queue, c.jobs, c.total.Seconds())
+		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\n", c.cause, c.queue, c.jobs, c.timeLost.Seconds())
 	}
 	fmt.Fprintln(table, "\nwork thrown away\tcore-seconds")
 	for _, cause := range sortedKeys(s.wastedCoreSeconds) {
