--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -142,7 +142,7 @@
 // ExitStatus returns the exit status for an error of a command.
 func ExitStatus(err error) int {
 	var answer *ResponseError
-	var listed *fault.Error
+	var known *fault.Error
 	var ended *JobFailedError
 	switch {
 	case err == nil:
@@ -151,7 +151,7 @@
 		return ExitJobFailed
 	case errors.As(err, &answer):
 		return responseExitStatus(answer)
-	case errors.As(err, &listed):
+	case errors.As(err, &known):
 		return ExitUsage
 	default:
 		return ExitFailure
