--- a/internal/simulation/capacity.go
+++ b/internal/simulation/capacity.go
@@ -6,27 +6,27 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// heartbeat is the period in which workers write their rows.
-const heartbeat = 1500 * time.Millisecond
+// heartbeatPeriod is the interval at which workers write their rows.
+const heartbeatPeriod = 1500 * time.Millisecond
 
-// capacityGrace is how long after a worker's capacity has shrunk starts may still go by the
-// former one: what machines in touch need to hear of it, and a heartbeat.
-const capacityGrace = 3*time.Second + heartbeat
+// capacityGrace is how long after a capacity reduction starts may still use the previous capacity:
+// the time for a connected owner to learn of it, plus one heartbeat.
+const capacityGrace = 3*time.Second + heartbeatPeriod
 
-// capacitySince is a capacity that holds from a time on.
-type capacitySince struct {
+// capacityChange is a capacity and the time from which it applies.
+type capacityChange struct {
 	at       time.Time
 	capacity taskgraph.Amount
 }
 
-func (w *Worker) noteCapacity() {
-	w.capacities = append(w.capacities, capacitySince{at: w.clock.Now(), capacity: w.Capacity})
+func (w *Worker) recordCapacity() {
+	w.capacities = append(w.capacities, capacityChange{at: w.clock.Now(), capacity: w.Capacity})
 }
 
-// SetCapacity changes the worker's capacity while it runs; its row shows it a while later.
+// SetCapacity changes the capacity of a running worker and updates its row after rowAfter.
 func (w *Worker) SetCapacity(capacity taskgraph.Amount, rowAfter time.Duration) {
 	w.Capacity = capacity
-	w.noteCapacity()
+	w.recordCapacity()
 	w.clock.After(rowAfter, func() {
 		if !w.Dead {
 			w.world.PutWorkerRow(w)
@@ -34,9 +34,9 @@
 	})
 }
 
-// allowance is what may run on the worker after a start: in each kind of capacity the most
-// that it had within the grace.
-func (w *Worker) allowance() taskgraph.Amount {
+// allowedUsage returns, for each resource, the highest capacity that the worker had within
+// capacityGrace.
+func (w *Worker) allowedUsage() taskgraph.Amount {
 	most := w.Capacity
 	for i, since := range w.capacities {
 		ended := i+1 < len(w.capacities) && w.clock.Now().Sub(w.capacities[i+1].at) > capacityGrace
@@ -47,5 +47,5 @@
 	return most
 }
 
-// taken is what all runs take, those that are being stopped among them.
-func (w *Worker) taken() taskgraph.Amount { return w.Capacity.Minus(w.free()) }
+// usage returns the resources of all runs, including those that are stopping.
+func (w *Worker) usage() taskgraph.Amount { return w.Capacity.Minus(w.free()) }
--- a/internal/simulation/checkpoint.go
+++ b/internal/simulation/checkpoint.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// saved is the work that a checkpoint holds. Checkpoints tell it in milliseconds.
-func saved(checkpoint string) time.Duration {
+// savedWork decodes a checkpoint: the completed work in milliseconds.
+func savedWork(checkpoint string) time.Duration {
 	millis, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil {
-		// The empty checkpoint holds nothing.
+		// An empty checkpoint contains no work.
 		return 0
 	}
 	return time.Duration(millis) * time.Millisecond
 }
 
-// worked is how much of a run's work is done, that of earlier runs which its checkpoint holds
-// included.
-func (w *Worker) worked(r *run) time.Duration {
-	done := saved(r.checkpoint)
+// completedWork returns the completed work of a run, including the work of earlier runs that its
+// checkpoint contains.
+func (w *Worker) completedWork(r *run) time.Duration {
+	done := savedWork(r.checkpoint)
 	if r.working && !w.Standing {
 		done += time.Duration(float64(w.clock.Now().Sub(r.workingSince)) / w.slowness())
 	}
 	return min(done, w.world.Work(r.name))
 }
 
-// newCheckpoint is what a stop of a run saves: all its work if its step checkpoints, else nothing.
+// newCheckpoint returns the checkpoint that a stopped run saves; it is empty if the step does not
+// support checkpoints.
 func (w *Worker) newCheckpoint(r *run) string {
 	if !w.world.step(r.name).Checkpoints {
 		return ""
 	}
-	return strconv.FormatInt(w.worked(r).Milliseconds(), 10)
+	return strconv.FormatInt(w.completedWork(r).Milliseconds(), 10)
 }
--- a/internal/simulation/crash.go
+++ b/internal/simulation/crash.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// CrashPoint says from when on the time to a task's crash counts.
+// CrashPoint is the event from which the delay of a crash counts.
 type CrashPoint int
 
 const (
-	// AtStart counts from the start, AtWork from when all members of a gang are present.
+	// AtStart is the start of the run; AtWork is when all members of a gang are present.
 	AtStart CrashPoint = iota
 	AtWork
 )
 
-// Crash describes a task that takes down each worker that starts it.
+// Crash describes a task that crashes each worker that starts it.
 type Crash struct {
 	From  CrashPoint
 	After time.Duration
 }
 
-// Times of a worker whose process crashes: its row lapses after three heartbeats, and a new
-// instance is up at the same address a little later.
+// Times after the crash of a worker process: when its row expires, and when a new instance listens
+// at the same address.
 const (
-	rowLapse    = 3 * time.Second
-	restartTime = 3300 * time.Millisecond
+	rowExpiry    = 3 * time.Second
+	restartDelay = 3300 * time.Millisecond
 )
 
-// crashUnder lets the worker crash if the run is of a task that crashes workers.
-func (w *Worker) crashUnder(r *run, point CrashPoint) {
+// scheduleCrash schedules a crash of the worker if the task of the run is configured to crash
+// workers.
+func (w *Worker) scheduleCrash(r *run, point CrashPoint) {
 	crash, guilty := w.world.Crashing[r.name]
 	if !guilty || crash.From != point {
 		return
@@ -37,19 +38,19 @@
 		switch {
 		case r.over || w.Dead:
 		case w.world.RestartsInPlace:
-			w.Restart(restartTime, 0)
+			w.Restart(restartDelay, 0)
 		default:
 			w.CrashAndRestart()
 		}
 	})
 }
 
-// CrashAndRestart ends the worker's process: connections are reset and new ones refused
-// until another instance, with nothing running, is up at its address.
+// CrashAndRestart ends the worker process: connections are reset and new ones refused until a new
+// instance without runs listens at the same address.
 func (w *Worker) CrashAndRestart() {
-	w.crashVisibly()
-	w.clock.After(rowLapse, func() { w.world.RemoveWorkerRow(w) })
-	w.clock.After(restartTime, func() {
+	w.crashAndResetConnections()
+	w.clock.After(rowExpiry, func() { w.world.RemoveWorkerRow(w) })
+	w.clock.After(restartDelay, func() {
 		w.Unreachable, w.Replaced = false, true
 		w.world.restarts++
 		id := fmt.Sprintf("%s+%d", w.Address, w.world.restarts)
@@ -60,8 +61,9 @@
 	})
 }
 
-// crashVisibly ends the worker's process: open connections are reset and new ones refused.
-func (w *Worker) crashVisibly() {
+// crashAndResetConnections ends the worker process: open connections are reset and new ones
+// refused.
+func (w *Worker) crashAndResetConnections() {
 	w.Crash()
 	w.Unreachable = true
 	for _, reset := range w.resets {
--- a/internal/simulation/evacuation.go
+++ b/internal/simulation/evacuation.go
@@ -6,17 +6,17 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// evacuationPrefix comes before the zone in the name of a row that evacuates it.
+// evacuationPrefix is the prefix of the row names that mark evacuated zones.
 const evacuationPrefix = "evacuate/"
 
-// EvacuationBound is the time after the acknowledgement of a zone's evacuation from which nothing
-// may start there, unless a world says otherwise.
+// EvacuationBound is the default time after the acknowledgement of an evacuation from which no run
+// may start in the zone.
 const EvacuationBound = 5 * time.Second
 
-// zoneOf names the zone of a rack: each rack is a zone of its own.
+// zoneOf returns the zone of a rack; each rack is its own zone.
 func zoneOf(rack string) string { return "zone-" + rack }
 
-// Zones lists the zones of the workers, each once.
+// Zones returns the distinct zones of the workers.
 func (w *World) Zones() []string {
 	var zones []string
 	known := map[string]bool{}
@@ -33,7 +33,7 @@
 	return rows.Key{Table: w.OperatorTable, Name: evacuationPrefix + zone}
 }
 
-// Evacuate asks that nothing new starts in a zone; the store acknowledges it at once.
+// Evacuate marks a zone as evacuated; the store acknowledges the write immediately.
 func (w *World) Evacuate(zone string) {
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: w.evacuationKey(zone), Value: []byte("{}")}}})
 	if _, already := w.evacuatedAt[zone]; !already {
@@ -53,7 +53,7 @@
 	return evacuated
 }
 
-// evacuatedFor returns how long a zone has been evacuated; 0 if it is not.
+// evacuatedFor returns the time since a zone was evacuated, or 0 if it is not.
 func (w *World) evacuatedFor(zone string) time.Duration {
 	since, evacuated := w.evacuatedAt[zone]
 	if !evacuated {
--- a/internal/simulation/foreignrows.go
+++ b/internal/simulation/foreignrows.go
@@ -8,32 +8,32 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// PutForeignRow writes a worker's row as another writer would leave it.
+// PutForeignRow writes a row to the worker table that did not come from a worker.
 func (w *World) PutForeignRow(name string, value []byte) {
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: w.WorkerTable, Name: name}, Value: value}}})
 }
 
-// PutForeignRowOver is PutForeignRow under a worker's name, until its next heartbeat replaces the row.
+// PutForeignRowOver overwrites a worker's row until the worker's next heartbeat.
 func (w *World) PutForeignRowOver(struck *Worker, value []byte) {
 	w.PutForeignRow(struck.ID, value)
-	w.Clock.After(heartbeat, func() {
+	w.Clock.After(heartbeatPeriod, func() {
 		if !struck.Dead {
 			w.PutWorkerRow(struck)
 		}
 	})
 }
 
-// Nobody is a name that no worker has.
+// Nobody is a worker identifier that no worker has.
 const Nobody = "nobody"
 
-// foreignValues are rows that name no worker to use.
+// foreignValues are row values that do not decode to a usable worker.
 var foreignValues = [][]byte{
 	nil, []byte("null"), []byte("{}"), []byte("[]"), []byte("{"), {0xff, 0x00, 0xfe}, []byte(`"ready"`),
 	[]byte(`{"ID":7}`), []byte(`{"Pool":"workers","Address":["w-0-0"],"Capacity":{"GPUs":"8"}}`),
 }
 
-// ForeignRowsSome lets another writer leave a row now and then, under the name of a worker or of
-// none. It changes nothing that is drawn elsewhere.
+// ForeignRowsSome occasionally writes an invalid row, under the identifier of a worker or of none.
+// It draws only from random.
 func (w *World) ForeignRowsSome(random *rand.Rand) {
 	value := foreignValues[random.IntN(len(foreignValues))]
 	living := w.Living()
@@ -48,7 +48,7 @@
 	}
 }
 
-// decodeWorker reads what encodeWorker wrote, and refuses what another writer left.
+// decodeWorker decodes a row written by encodeWorker and rejects invalid rows.
 func decodeWorker(value []byte) (*fleet.Worker, error) {
 	var decoded fleet.Worker
 	if err := json.Unmarshal(value, &decoded); err != nil {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -6,7 +6,7 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// gangRun names one run of a gang.
+// gangRun identifies one run of a gang.
 type gangRun struct {
 	job                string
 	time, step, number int
@@ -16,14 +16,14 @@
 	return gangRun{job: r.name.Job, time: r.name.Time, step: r.name.Step, number: r.number}
 }
 
-// gang lists the members of a gang's run that are present, in the order of their starts.
+// gang returns the present members of a gang run, in start order.
 func (w *World) gang(r *run) []*run { return slices.Clone(w.gangs[r.gangRun()]) }
 
-func (w *World) enterGang(r *run) {
+func (w *World) addToGang(r *run) {
 	w.gangs[r.gangRun()] = append(w.gangs[r.gangRun()], r)
 }
 
-func (w *World) leaveGang(r *run) {
+func (w *World) removeFromGang(r *run) {
 	members := slices.DeleteFunc(w.gangs[r.gangRun()], func(other *run) bool { return other == r })
 	if len(members) == 0 {
 		delete(w.gangs, r.gangRun())
@@ -32,8 +32,9 @@
 	w.gangs[r.gangRun()] = members
 }
 
-// assemble starts the work of a run, or of a gang once all of it is there.
-func (w *World) assemble(r *run) {
+// startWhenGangComplete starts the work of a run, or of all gang members once the gang is
+// complete.
+func (w *World) startWhenGangComplete(r *run) {
 	if !w.step(r.name).Gang {
 		r.worker.work(r)
 		return
@@ -52,9 +53,9 @@
 	}
 }
 
-// distance is how many times longer a run takes because its data, or others of its gang that
-// want one rack, are on another rack.
-func (w *World) distance(r *run) float64 {
+// remoteFactor returns the slowdown of a run whose data is on another rack, or whose same-rack
+// gang spans racks.
+func (w *World) remoteFactor(r *run) float64 {
 	step := w.step(r.name)
 	far := step.PreferredRack != "" && step.PreferredRack != r.worker.Rack()
 	if step.SameRack && step.Gang {
@@ -68,7 +69,7 @@
 	return 1
 }
 
-// finish ends a run as done, the members of a gang once the last of them has finished.
+// finish completes a run. The members of a gang complete together, once the last one has finished.
 func (w *World) finish(r *run) {
 	r.finished = true
 	if !w.step(r.name).Gang {
@@ -86,8 +87,8 @@
 	}
 }
 
-// memberEnded breaks the rest of a gang.
-func (w *World) memberEnded(r *run, how fleet.How) {
+// breakGang ends the other members of a gang as broken unless the run completed.
+func (w *World) breakGang(r *run, how fleet.How) {
 	if how == fleet.Done || !w.step(r.name).Gang || !r.working {
 		return
 	}
--- a/internal/simulation/judge.go
+++ b/internal/simulation/judge.go
@@ -9,49 +9,50 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Judge watches all runs and notes every broken promise. It also counts what the
-// owners record.
+// Judge checks invariants over all runs and records violations. As the pool.Recorder of the owners
+// it also collects their decisions and counters.
 type Judge struct {
 	world *World
-	// Broken lists what went wrong, in the order in which it was seen.
+	// Broken lists the violations in the order of detection.
 	Broken []string
-	// Trace has the owners' decisions, unless Quiet.
+	// Trace contains the owners' decisions, unless Quiet is set.
 	Trace []string
 	Quiet bool
-	// Decisions counts the owners' decisions by name, ThrownAway adds up the work, in
-	// core-seconds, that ended runs lose, and preempted counts the stops of each unit.
-	Decisions  map[string]int
-	ThrownAway float64
-	preempted  map[string]int
-	Counts     map[string]int
-	jobs       map[string]*judgedJob
-	tasks      map[taskgraph.TaskName]*judgedTask
+	// Decisions counts the owners' decisions by name, ThrownAway is the unsaved work of ended runs
+	// in core-seconds, and preemptions counts the preemptions of each unit.
+	Decisions   map[string]int
+	ThrownAway  float64
+	preemptions map[string]int
+	Counts      map[string]int
+	jobs        map[string]*jobRecord
+	tasks       map[taskgraph.TaskName]*taskRecord
 }
 
-type judgedJob struct {
+type jobRecord struct {
 	spec        *taskgraph.Spec
 	queue       catalog.Queue
 	cancelledAt time.Time
 }
 
-type judgedTask struct {
+type taskRecord struct {
 	running map[*run]bool
 	done    bool
-	// doneRuns has runs that ended as done, noted those whose end is taken note of.
-	doneRuns map[int]bool
-	noted    bool
-	// repeated is the latest run that started after one had ended as done; 0 if none did.
-	repeated int
-	failures int
-	starts   int
-	// crashes counts the workers that crashed while they ran the task, and startsAfter
-	// the starts since the crash number crashAllowance.
-	crashes     int
-	startsAfter int
+	// doneRuns contains the runs that completed. acknowledged is set once an owner has
+	// acknowledged a completion.
+	doneRuns     map[int]bool
+	acknowledged bool
+	// repeatedRun is the latest run that started after another had completed; 0 if none did.
+	repeatedRun int
+	failures    int
+	starts      int
+	// crashes counts the workers that crashed while running the task, and startsAfterCrashes the
+	// starts after crash number crashAllowance.
+	crashes            int
+	startsAfterCrashes int
 }
 
-func newJudge(w *World) *Judge {
-	return &Judge{world: w, Counts: map[string]int{}, Decisions: map[string]int{}, preempted: map[string]int{}, jobs: map[string]*judgedJob{}, tasks: map[taskgraph.TaskName]*judgedTask{}}
+func newChecker(w *World) *Judge {
+	return &Judge{world: w, Counts: map[string]int{}, Decisions: map[string]int{}, preemptions: map[string]int{}, jobs: map[string]*jobRecord{}, tasks: map[taskgraph.TaskName]*taskRecord{}}
 }
 
 // Count implements pool.Recorder.
@@ -68,7 +69,7 @@
 	j.Decisions[decision]++
 	switch decision {
 	case "stopped":
-		j.noteStop(fieldsOf(keysAndValues))
+		j.countPreemption(fieldsOf(keysAndValues))
 	case "run ended":
 		lost, _ := fieldsOf(keysAndValues)["unsaved_core_s"].(float64)
 		j.ThrownAway += lost
@@ -80,7 +81,7 @@
 	j.Trace = append(j.Trace, fmt.Sprintf("%v %s %v", at, decision, keysAndValues))
 }
 
-// fieldsOf turns a line's fields into a map.
+// fieldsOf converts key-value pairs to a map.
 func fieldsOf(keysAndValues []any) map[string]any {
 	fields := map[string]any{}
 	for i := 0; i+1 < len(keysAndValues); i += 2 {
@@ -91,34 +92,34 @@
 	return fields
 }
 
-func (j *Judge) noteStop(fields map[string]any) {
+func (j *Judge) countPreemption(fields map[string]any) {
 	if fields["reason"] == "preempted" {
-		j.preempted[fmt.Sprint(fields["job"], " ", fields["step"], " ", fields["unit"])]++
+		j.preemptions[fmt.Sprint(fields["job"], " ", fields["step"], " ", fields["unit"])]++
 	}
 }
 
-// MostStops returns how often one unit was stopped for others, at most.
+// MostStops returns the highest number of preemptions of a single unit.
 func (j *Judge) MostStops() int {
 	most := 0
-	for _, stops := range j.preempted {
+	for _, stops := range j.preemptions {
 		most = max(most, stops)
 	}
 	return most
 }
 
-func (j *Judge) broken(format string, args ...any) {
+func (j *Judge) violated(format string, args ...any) {
 	at := j.world.Clock.Now().Sub(j.world.epoch)
 	j.Broken = append(j.Broken, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
 func (j *Judge) accepted(spec *taskgraph.Spec, queue catalog.Queue) {
-	j.jobs[spec.ID] = &judgedJob{spec: spec, queue: queue}
+	j.jobs[spec.ID] = &jobRecord{spec: spec, queue: queue}
 }
 
-// Cancelled notes that a job's cancellation was acknowledged.
+// Cancelled records that the cancellation of a job was acknowledged.
 func (j *Judge) Cancelled(id string) { j.cancelled(id) }
 
-// JobStarts returns how many runs of a job were started.
+// JobStarts returns the number of started runs of a job.
 func (j *Judge) JobStarts(id string) int {
 	starts := 0
 	for name, t := range j.tasks {
@@ -129,7 +130,7 @@
 	return starts
 }
 
-// JobDone reports whether every task of a job has a run that ended as done.
+// JobDone reports whether every task of a job has completed.
 func (j *Judge) JobDone(id string) bool {
 	spec := j.jobs[id].spec
 	for step := range spec.Steps {
@@ -144,43 +145,43 @@
 
 func (j *Judge) cancelled(id string) { j.jobs[id].cancelledAt = j.world.Clock.Now() }
 
-func (j *Judge) task(name taskgraph.TaskName) *judgedTask {
+func (j *Judge) task(name taskgraph.TaskName) *taskRecord {
 	known := j.tasks[name]
 	if known == nil {
-		known = &judgedTask{running: map[*run]bool{}, doneRuns: map[int]bool{}}
+		known = &taskRecord{running: map[*run]bool{}, doneRuns: map[int]bool{}}
 		j.tasks[name] = known
 	}
 	return known
 }
 
-// A task that crashes the workers that start it may be started startAllowance times more, at
-// most, once crashAllowance workers have crashed under it.
+// After crashAllowance workers have crashed while running a task, at most startAllowance further
+// starts of it are allowed.
 const (
 	crashAllowance = 3
 	startAllowance = 2
 )
 
-// crashed notes that a worker crashed while it ran a task.
+// crashed records that a worker crashed while running a task.
 func (j *Judge) crashed(r *run) {
 	t := j.task(r.name)
 	t.crashes++
 }
 
-// checkCrashes notes a start too many of a task that crashes workers.
-func (j *Judge) checkCrashes(r *run, t *judgedTask) {
+// checkCrashes reports a violation if a task that crashes workers starts too often.
+func (j *Judge) checkCrashes(r *run, t *taskRecord) {
 	if _, guilty := j.world.Crashing[r.name]; !guilty || t.crashes < crashAllowance {
 		return
 	}
-	if t.startsAfter++; t.startsAfter > startAllowance {
-		j.broken("%v run %d starts on %s though %d workers have crashed under it", r.name, r.number, r.worker.ID, t.crashes)
+	if t.startsAfterCrashes++; t.startsAfterCrashes > startAllowance {
+		j.violated("%v run %d starts on %s though %d workers have crashed under it", r.name, r.number, r.worker.ID, t.crashes)
 	}
 }
 
-// Crashes returns how many workers have crashed while they ran a task.
+// Crashes returns the number of workers that crashed while running a task.
 func (j *Judge) Crashes(name taskgraph.TaskName) int { return j.task(name).crashes }
 
-// cancelLimit is the time after a cancellation from which a start is wrong.
-const cancelLimit = 3 * time.Second
+// cancelBound is the time after a cancellation from which no run may start.
+const cancelBound = 3 * time.Second
 
 func (j *Judge) started(r *run, order fleet.Start) {
 	job := j.jobs[r.name.Job]
@@ -188,59 +189,59 @@
 	t.starts++
 	switch {
 	case len(t.running) > 0:
-		j.broken("%v run %d starts on %s beside another run", r.name, r.number, r.worker.ID)
-	case t.noted && !j.world.step(r.name).LongRunning:
-		j.broken("%v run %d starts after an end that was taken note of", r.name, r.number)
+		j.violated("%v run %d starts on %s beside another run", r.name, r.number, r.worker.ID)
+	case t.acknowledged && !j.world.step(r.name).LongRunning:
+		j.violated("%v run %d starts after an end that was taken note of", r.name, r.number)
 	case t.failures >= job.queue.MaxAttempts && !j.world.step(r.name).LongRunning:
-		j.broken("%v run %d starts after all its attempts", r.name, r.number)
-	case !job.cancelledAt.IsZero() && j.world.Clock.Now().Sub(job.cancelledAt) > cancelLimit && j.inTouch(order.Token):
-		j.broken("%v run %d starts long after the cancellation", r.name, r.number)
+		j.violated("%v run %d starts after all its attempts", r.name, r.number)
+	case !job.cancelledAt.IsZero() && j.world.Clock.Now().Sub(job.cancelledAt) > cancelBound && j.recentlyFaultFree(order.Token):
+		j.violated("%v run %d starts long after the cancellation", r.name, r.number)
 	}
 	if order.Payload != job.spec.Payload {
-		j.broken("%v run %d starts with another payload", r.name, r.number)
+		j.violated("%v run %d starts with another payload", r.name, r.number)
 	}
 	j.checkZone(r)
-	j.checkOrder(r, job)
+	j.checkDependencies(r, job)
 	j.checkCrashes(r, t)
-	if taken, allowed := r.worker.taken(), r.worker.allowance(); !taken.Within(allowed) {
-		j.broken("%v run %d brings %s to %+v, over %+v", r.name, r.number, r.worker.ID, taken, allowed)
+	if taken, allowed := r.worker.usage(), r.worker.allowedUsage(); !taken.Within(allowed) {
+		j.violated("%v run %d brings %s to %+v, over %+v", r.name, r.number, r.worker.ID, taken, allowed)
 	}
 	if t.done && !j.world.step(r.name).LongRunning {
-		t.repeated = max(t.repeated, r.number)
+		t.repeatedRun = max(t.repeatedRun, r.number)
 	}
 	t.running[r] = true
 	j.Decided("begun", "task", r.name.String(), "run", r.number, "worker", r.worker.ID)
 }
 
-// checkZone notes a start in a zone that was evacuated longer ago than the bound. Nothing
-// excuses it: owners that do not know start nothing, and orders that are late are refused.
+// checkZone reports a violation if a run starts in a zone after the evacuation bound. Faults are
+// no exception: owners that cannot read the rows start nothing, and workers refuse late orders.
 func (j *Judge) checkZone(r *run) {
 	if evacuatedFor := j.world.evacuatedFor(r.worker.Zone); evacuatedFor > j.world.Bounds.Evacuation {
-		j.broken("%v run %d starts on %s, whose zone was evacuated %v before", r.name, r.number, r.worker.ID, evacuatedFor)
+		j.violated("%v run %d starts on %s, whose zone was evacuated %v before", r.name, r.number, r.worker.ID, evacuatedFor)
 	}
 }
 
-// contactTime is how long an owner and the store must have been without trouble for promises
-// that have a time bound.
-const contactTime = 3 * time.Second
+// faultFreeTime is how long an owner and the store must have been free of faults before time
+// bounds apply.
+const faultFreeTime = 3 * time.Second
 
-// inTouch reports whether neither the store nor the owner that sent an order was in trouble
-// lately: right after it, an owner may know its placements written and not yet the
-// cancellations that were written meanwhile.
-func (j *Judge) inTouch(token int64) bool {
+// recentlyFaultFree reports whether neither the store nor the owner that sent an order had a
+// recent fault. Right after a fault an owner may know that its placements were written but not yet
+// which cancellations were written meanwhile.
+func (j *Judge) recentlyFaultFree(token int64) bool {
 	now := j.world.Clock.Now()
 	owner := j.world.ownerOf[token]
-	paused := owner != nil && now.Sub(owner.Process.PausedUntil()) < contactTime
-	return !paused && now.Sub(j.world.Store.troubledAt) >= contactTime
+	paused := owner != nil && now.Sub(owner.Process.PausedUntil()) < faultFreeTime
+	return !paused && now.Sub(j.world.Store.lastFaultAt) >= faultFreeTime
 }
 
-func (j *Judge) checkOrder(r *run, job *judgedJob) {
+func (j *Judge) checkDependencies(r *run, job *jobRecord) {
 	for _, earlier := range job.spec.Steps[r.name.Step].After {
 		step := &job.spec.Steps[earlier]
 		for index := range step.Count {
 			name := taskgraph.TaskName{Job: r.name.Job, Time: r.name.Time, Step: earlier, Index: index}
 			if !j.task(name).done {
-				j.broken("%v starts before %v has ended", r.name, name)
+				j.violated("%v starts before %v has ended", r.name, name)
 				return
 			}
 		}
@@ -256,15 +257,15 @@
 		t.done = true
 		t.doneRuns[r.number] = true
 		if j.world.step(r.name).Gang {
-			j.gangDone(r)
+			j.markGangDone(r)
 		}
 	case fleet.Failed:
 		t.failures++
 	}
 }
 
-// gangDone counts one member's end for all.
-func (j *Judge) gangDone(r *run) {
+// markGangDone marks all tasks of a gang as done when one member completes.
+func (j *Judge) markGangDone(r *run) {
 	for index := range j.world.step(r.name).Count {
 		name := r.name
 		name.Index = index
@@ -272,18 +273,18 @@
 	}
 }
 
-// noted notes that an end was acknowledged, which counts unless the worker's lease
-// ran out in between.
-func (j *Judge) noted(w *Worker, entry fleet.Ended) {
-	if entry.How != fleet.Done || w.endedAt[entry.Number] != w.lapses {
+// endAcknowledged records that an owner acknowledged a completion. It ignores the completion if
+// the worker's lease expired in between.
+func (j *Judge) endAcknowledged(w *Worker, entry fleet.Ended) {
+	if entry.How != fleet.Done || w.endedAt[entry.Number] != w.leaseExpirations {
 		return
 	}
 	t := j.task(entry.Task)
-	t.noted = true
-	if t.repeated > entry.Run {
-		j.broken("%v run %d was started after run %d had ended as done, which is taken note of only now", entry.Task, t.repeated, entry.Run)
+	t.acknowledged = true
+	if t.repeatedRun > entry.Run {
+		j.violated("%v run %d was started after run %d had ended as done, which is taken note of only now", entry.Task, t.repeatedRun, entry.Run)
 	}
 }
 
-// Starts returns how often a task was started.
+// Starts returns the number of started runs of a task.
 func (j *Judge) Starts(name taskgraph.TaskName) int { return j.task(name).starts }
--- a/internal/simulation/judge_test.go
+++ b/internal/simulation/judge_test.go
@@ -13,21 +13,21 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-const judgedJobID = "00000000000000aa"
+const testJobID = "00000000000000aa"
 
-func judgedWorld() *World {
+func newTestWorld() *World {
 	w := NewWorld(1, 2)
-	spec := taskgraph.Spec{ID: judgedJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Amount: taskgraph.Amount{CPU: 2000}}, {Count: 1, After: []int{0}}}}
+	spec := taskgraph.Spec{ID: testJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Amount: taskgraph.Amount{CPU: 2000}}, {Count: 1, After: []int{0}}}}
 	w.Submit(spec, catalog.Queue{Name: "q", MaxAttempts: 2})
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Second }
 	return w
 }
 
 func startOrder(step, number int) fleet.Start {
-	return fleet.Start{Task: taskgraph.TaskName{Job: judgedJobID, Step: step}, Run: number, Payload: "p", DeadlineMillis: 5000}
+	return fleet.Start{Task: taskgraph.TaskName{Job: testJobID, Step: step}, Run: number, Payload: "p", DeadlineMillis: 5000}
 }
 
-// TestJudgeCatchesBrokenHistories breaks each promise that the judge holds.
+// TestJudgeCatchesBrokenHistories violates each invariant that the judge checks.
 func TestJudgeCatchesBrokenHistories(t *testing.T) {
 	cases := map[string]struct {
 		history func(*World)
@@ -37,13 +37,13 @@
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 		}, "beside another run"},
-		"after a noted end": {func(w *World) {
+		"after an acknowledged end": {func(w *World) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			w.Workers[0].hold(fleet.Hold{LastSeen: 1}, func(fleet.Reply, error) {})
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 		}, "taken note of"},
-		"after an end that is noted later": {func(w *World) {
+		"after an end that is acknowledged later": {func(w *World) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			_, _ = w.Workers[1].start(startOrder(0, 2))
@@ -60,7 +60,7 @@
 			}
 		}, "all its attempts"},
 		"long after a cancellation": {func(w *World) {
-			w.Cancel(judgedJobID)
+			w.Cancel(testJobID)
 			w.Run(4 * time.Second)
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 		}, "cancellation"},
@@ -96,14 +96,14 @@
 		}, "payload"},
 	}
 	for name, c := range cases {
-		w := judgedWorld()
+		w := newTestWorld()
 		c.history(w)
 		require.Contains(t, strings.Join(w.Judge.Broken, "\n"), c.want, name)
 	}
 }
 
 func TestWorkersFenceAndBar(t *testing.T) {
-	w := judgedWorld()
+	w := newTestWorld()
 	first := w.Workers[0]
 	order := startOrder(0, 1)
 	order.Token = 5
@@ -120,20 +120,20 @@
 	require.Empty(t, w.Judge.Broken)
 }
 
-// TestCapacityGrace: a capacity that has shrunk counts once owners have had time to hear of
-// it, and a run that is being stopped counts still.
+// TestCapacityGrace guards against reporting a violation before owners can know of a smaller
+// capacity, and against leaving stopping runs out of the usage.
 func TestCapacityGrace(t *testing.T) {
-	w := judgedWorld()
+	w := newTestWorld()
 	w.Unguarded = true
 	first := w.Workers[0]
 	first.SetCapacity(taskgraph.Amount{CPU: 2000}, 0)
 	w.Run(capacityGrace - time.Millisecond)
-	_, err := first.start(fleet.Start{Task: taskgraph.TaskName{Job: judgedJobID}, Run: 1, Payload: "p", DeadlineMillis: 60000})
+	_, err := first.start(fleet.Start{Task: taskgraph.TaskName{Job: testJobID}, Run: 1, Payload: "p", DeadlineMillis: 60000})
 	require.NoError(t, err)
 	require.Empty(t, w.Judge.Broken)
 	w.Run(2 * time.Millisecond)
-	_, err = first.stop(fleet.Stop{Task: taskgraph.TaskName{Job: judgedJobID}, Run: 1})
+	_, err = first.stop(fleet.Stop{Task: taskgraph.TaskName{Job: testJobID}, Run: 1})
 	require.NoError(t, err)
 	_, _ = first.start(startOrder(1, 1))
-	require.Equal(t, 2000, first.taken().CPU)
+	require.Equal(t, 2000, first.usage().CPU)
 }
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -14,16 +14,16 @@
 type Owner struct {
 	*pool.Pool
 	Process *emulator.Process
-	// Ended says why the owner gave up, if it did.
+	// Ended is the reason why the owner gave up the pool; empty while it owns it.
 	Ended string
-	// CutFromStore owners get no answer of the store, CutFrom names workers that they cannot
-	// reach.
+	// CutFromStore partitions the owner from the store; CutFrom contains the workers that it
+	// cannot reach.
 	CutFromStore bool
 	CutFrom      map[string]bool
 	world        *World
 }
 
-// Own takes the pool as a new process.
+// Own starts a new process that acquires the pool.
 func (w *World) Own() *Owner {
 	w.owners++
 	name := fmt.Sprintf("node-%d", w.owners)
@@ -38,23 +38,23 @@
 	w.ownerOf[result.Version] = owner
 	owner.Pool = pool.New(options, owner.Process, &ports{world: w, owner: owner, process: owner.Process}, w.Judge, result.Version)
 	owner.Process.Post(owner.Pool.Start)
-	w.Clock.After(peerPeriod, func() { w.peersTell(owner) })
+	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
 	return owner
 }
 
-// peerPeriod is how often other nodes ask an owner how it is.
-const peerPeriod = 250 * time.Millisecond
+// peerCheckPeriod is the interval at which other nodes query an owner.
+const peerCheckPeriod = 250 * time.Millisecond
 
-// peersTell lets the other nodes, while they reach the store no more than the owner does, tell
-// it that they know of no other owner.
-func (w *World) peersTell(owner *Owner) {
+// confirmOwnership periodically confirms, while the whole store is unavailable, that the other
+// nodes know of no other owner.
+func (w *World) confirmOwnership(owner *Owner) {
 	if owner.Ended != "" {
 		return
 	}
 	if w.Store.AwayAll && !owner.CutFromStore && w.leaseVersion() == owner.Token() {
 		owner.Process.Post(func() { owner.Confirm(w.Clock.Now()) })
 	}
-	w.Clock.After(peerPeriod, func() { w.peersTell(owner) })
+	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
 }
 
 func (w *World) leaseVersion() int64 {
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -9,59 +9,60 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// ports connect an owner to the world.
+// ports implements pool.Ports for an owner in a World.
 type ports struct {
 	world   *World
 	owner   *Owner
 	process *emulator.Process
 }
 
-// answered brings an answer to the process.
-func answered[T any](p *ports, done func(T, error)) func(T, error) {
+// postAnswer returns a callback that runs done in the owner process.
+func postAnswer[T any](p *ports, done func(T, error)) func(T, error) {
 	return func(result T, err error) { p.process.Post(func() { done(result, err) }) }
 }
 
-// unreached answers a call of an owner that is cut off from the store.
-func unreached[T any](p *ports, done func(T, error)) bool {
+// failIfPartitioned fails a call after a timeout if the owner is partitioned from the store, and
+// reports whether it is.
+func failIfPartitioned[T any](p *ports, done func(T, error)) bool {
 	if p.owner.CutFromStore {
 		var nothing T
-		p.world.Clock.After(silence, func() { answered(p, done)(nothing, rows.ErrNoAnswer) })
+		p.world.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrNoAnswer) })
 	}
 	return p.owner.CutFromStore
 }
 
 // Commit implements pool.Ports.
 func (p *ports) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
-	if !unreached(p, done) {
-		p.world.Store.Commit(transaction, answered(p, done))
+	if !failIfPartitioned(p, done) {
+		p.world.Store.Commit(transaction, postAnswer(p, done))
 	}
 }
 
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
-	if !unreached(p, done) {
-		p.world.Store.Scan(table, part, prefix, answered(p, done))
+	if !failIfPartitioned(p, done) {
+		p.world.Store.Scan(table, part, prefix, postAnswer(p, done))
 	}
 }
 
-// feedWait is how long an owner's feed waits for a change.
-const feedWait = time.Second
+// feedTimeout is how long a feed call waits for a change.
+const feedTimeout = time.Second
 
 // Feed implements pool.Ports.
 func (p *ports) Feed(table string, after int64, done func(rows.Listing, error)) {
-	if !unreached(p, done) {
-		p.world.Store.Feed(table, after, feedWait, answered(p, done))
+	if !failIfPartitioned(p, done) {
+		p.world.Store.Feed(table, after, feedTimeout, postAnswer(p, done))
 	}
 }
 
 // Start implements pool.Ports.
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
-	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.start(order) }, answered(p, done))
+	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.start(order) }, postAnswer(p, done))
 }
 
 // Stop implements pool.Ports.
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
-	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.stop(order) }, answered(p, done))
+	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.stop(order) }, postAnswer(p, done))
 }
 
 func (p *ports) order(to *fleet.Worker, carryOut func(*Worker) (fleet.Reply, error), done func(fleet.Reply, error)) {
@@ -74,7 +75,7 @@
 	clock.After(orderLatency/2, func() {
 		w := p.world.worker(id)
 		if w == nil {
-			// Nobody listens at the address that a row told.
+			// No worker listens at the row's address.
 			clock.After(orderLatency/2, func() { done(fleet.Reply{}, fleet.ErrUnreachable) })
 			return
 		}
@@ -111,14 +112,14 @@
 				}
 			})
 		}
-		clock.After(orderSilence, func() { done(fleet.Reply{}, fleet.ErrNoAnswer) })
+		clock.After(orderTimeout, func() { done(fleet.Reply{}, fleet.ErrNoAnswer) })
 	})
 }
 
 // Hold implements pool.Ports.
 func (p *ports) Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error)) {
 	clock := p.world.Clock
-	answer := answered(p, done)
+	answer := postAnswer(p, done)
 	over := false
 	once := func(reply fleet.Reply, err error) {
 		if !over {
@@ -126,7 +127,7 @@
 			answer(reply, err)
 		}
 	}
-	clock.After(order.Wait+orderSilence, func() { once(fleet.Reply{}, fleet.ErrNoAnswer) })
+	clock.After(order.Wait+orderTimeout, func() { once(fleet.Reply{}, fleet.ErrNoAnswer) })
 	clock.After(orderLatency/2, func() {
 		w := p.world.worker(to.ID)
 		if w == nil {
--- a/internal/simulation/restart.go
+++ b/internal/simulation/restart.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Restart ends the worker's process and starts it again after some time, under its identifier and
-// at its address. The next life's clock stands at clockMillis at its start.
+// Restart ends the worker process and starts a new one after a delay, with the same identifier and
+// address. The new instance's clock starts at clockMillis.
 func (w *Worker) Restart(after time.Duration, clockMillis int64) {
-	w.crashVisibly()
-	w.world.startAgain(w, after, clockMillis)
+	w.crashAndResetConnections()
+	w.world.scheduleRestart(w, after, clockMillis)
 }
 
-// RestartUnseen is Restart behind a cut: open connections are not reset but stay silent.
+// RestartUnseen is Restart during a network partition: open connections stay silent instead of
+// being reset.
 func (w *Worker) RestartUnseen(after time.Duration, clockMillis int64) {
 	w.Crash()
 	w.resets = nil
-	w.world.startAgain(w, after, clockMillis)
+	w.world.scheduleRestart(w, after, clockMillis)
 }
 
-// ReplaceUnseen is CrashAndRestart behind a cut: open connections are not reset but stay silent.
+// ReplaceUnseen is CrashAndRestart during a network partition: open connections stay silent
+// instead of being reset.
 func (w *Worker) ReplaceUnseen() {
 	w.resets = nil
 	w.CrashAndRestart()
 }
 
-// startAgain starts the next life of a worker that has crashed.
-func (w *World) startAgain(former *Worker, after time.Duration, clockMillis int64) {
-	if after > rowLapse {
-		w.Clock.After(rowLapse, func() { w.RemoveWorkerRow(former) })
+// scheduleRestart starts a new instance of a crashed worker after a delay.
+func (w *World) scheduleRestart(former *Worker, after time.Duration, clockMillis int64) {
+	if after > rowExpiry {
+		w.Clock.After(rowExpiry, func() { w.RemoveWorkerRow(former) })
 	}
 	w.Clock.After(after, func() {
 		next := w.AddWorker(former.ID, former.Rack())
@@ -40,17 +42,18 @@
 }
 
 const (
-	// A restart takes leastRestart to mostRestart; longer ones let the worker's row lapse.
-	leastRestart = 50 * time.Millisecond
-	mostRestart  = 4 * time.Second
-	// restartSeries is one in how many workers starts again in a series.
-	restartSeries = 3
-	// mostClock is how far the clock of a next life may be ahead, in milliseconds.
-	mostClock = 8_000_000
+	// A restart takes minRestartDelay to maxRestartDelay; the longer ones let the worker's row
+	// expire.
+	minRestartDelay = 50 * time.Millisecond
+	maxRestartDelay = 4 * time.Second
+	// massRestartOneIn is the reciprocal of the share of workers that a mass restart affects.
+	massRestartOneIn = 3
+	// maxInitialClockMillis bounds the initial clock of a new instance.
+	maxInitialClockMillis = 8_000_000
 )
 
-// RestartSome lets a worker start again under its identifier, now and then: alone, twice in a row,
-// behind a cut, or with a third of the others. It changes nothing that is drawn elsewhere.
+// RestartSome occasionally restarts a worker: alone, twice in a row, during a partition, or with a
+// third of the others. It draws only from random.
 func (w *World) RestartSome(random *rand.Rand) {
 	living := w.Living()
 	if len(living) == 0 {
@@ -59,27 +62,27 @@
 	chosen := living[random.IntN(len(living))]
 	switch random.IntN(16) {
 	case 0, 1:
-		chosen.restartAnyhow(random)
+		chosen.restartAfterRandomDelay(random)
 	case 2:
-		chosen.Restart(leastRestart, nextClock(random))
-		w.Clock.After(leastRestart+time.Duration(random.Int64N(int64(time.Second))), func() {
+		chosen.Restart(minRestartDelay, randomInitialClock(random))
+		w.Clock.After(minRestartDelay+time.Duration(random.Int64N(int64(time.Second))), func() {
 			if again := w.worker(chosen.ID); !again.Dead {
-				again.restartAnyhow(random)
+				again.restartAfterRandomDelay(random)
 			}
 		})
 	case 3:
 		chosen.Cut = true
-		chosen.RestartUnseen(time.Duration(random.Int64N(int64(mostRestart))), nextClock(random))
+		chosen.RestartUnseen(time.Duration(random.Int64N(int64(maxRestartDelay))), randomInitialClock(random))
 	case 4:
 		for _, worker := range living {
-			if random.IntN(restartSeries) == 0 {
-				worker.restartAnyhow(random)
+			if random.IntN(massRestartOneIn) == 0 {
+				worker.restartAfterRandomDelay(random)
 			}
 		}
 	}
 }
 
-// Living lists the workers that have not crashed.
+// Living returns the workers that have not crashed.
 func (w *World) Living() []*Worker {
 	var living []*Worker
 	for _, worker := range w.Workers {
@@ -90,14 +93,14 @@
 	return living
 }
 
-func (w *Worker) restartAnyhow(random *rand.Rand) {
-	w.Restart(leastRestart+time.Duration(random.Int64N(int64(mostRestart-leastRestart))), nextClock(random))
+func (w *Worker) restartAfterRandomDelay(random *rand.Rand) {
+	w.Restart(minRestartDelay+time.Duration(random.Int64N(int64(maxRestartDelay-minRestartDelay))), randomInitialClock(random))
 }
 
-// nextClock draws where the clock of a next life begins: at 0, or anywhere.
-func nextClock(random *rand.Rand) int64 {
+// randomInitialClock returns 0 or a random initial clock value.
+func randomInitialClock(random *rand.Rand) int64 {
 	if random.IntN(2) == 0 {
 		return 0
 	}
-	return random.Int64N(mostClock)
+	return random.Int64N(maxInitialClockMillis)
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,6 +1,5 @@
-// Package simulation has stand-ins for the platform's store and workers in virtual
-// time, with faults, and a judge that watches every run. Tests drive the owner of a
-// pool against them.
+// Package simulation simulates the platform's store and workers in virtual time, with fault
+// injection, and checks invariants over all runs. Tests run pool owners against it.
 package simulation
 
 import (
@@ -12,66 +11,66 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Store is the table service: rows, conditional transactions and feeds.
+// Store simulates the table service: rows, conditional transactions and change feeds.
 type Store struct {
 	clock   *emulator.Clock
 	rows    map[rows.Key]rows.Row
 	changes []rows.Row
 	version int64
-	// Away lists parts that are not served; All stands for every part.
+	// Away contains the parts that refuse calls.
 	Away map[string]bool
-	// Silent lists parts that leave transactions undone and unanswered.
+	// Silent contains the parts that drop transactions without an answer.
 	Silent map[string]bool
-	// AwayAll is true while nothing is served.
+	// AwayAll makes the store refuse all calls.
 	AwayAll bool
-	// Lose decides the fate of each write.
+	// Lose chooses the outcome of each write; nil means Answered.
 	Lose func() Fate
-	// FeedsSilent holds the answers of feeds back.
+	// FeedsSilent withholds the answers of feeds.
 	FeedsSilent bool
-	// ScansSilent leaves scans without an answer.
+	// ScansSilent lets scans time out.
 	ScansSilent bool
-	// Latency is the time of a call's way to the store and back.
+	// Latency is the round-trip time of a call.
 	Latency time.Duration
 	waiters []func()
-	// Feeds counts the feeds that were asked for, by table.
+	// Feeds counts the feed calls by table.
 	Feeds map[string]int
-	// troubledAt is when a call was last refused or left without an answer.
-	troubledAt time.Time
+	// lastFaultAt is when a call was last refused or left unanswered.
+	lastFaultAt time.Time
 }
 
-// Fate is what becomes of a write.
+// Fate is the outcome of a write or an order.
 type Fate int
 
-// The fates of writes.
+// Outcomes of writes and orders.
 const (
-	// Answered writes are done and answered.
+	// Answered means applied and acknowledged.
 	Answered Fate = iota
-	// AnswerLost writes are done and not answered.
+	// AnswerLost means applied, with the answer lost.
 	AnswerLost
-	// DoneLate writes are not answered and done seconds later.
+	// DoneLate means applied after a delay and never acknowledged.
 	DoneLate
-	// NeverDone writes are neither answered nor done.
+	// NeverDone means neither applied nor acknowledged.
 	NeverDone
 )
 
-// lateBy is how much later a write of the fate DoneLate is done.
-const lateBy = 3 * time.Second
+// lateWriteDelay is the delay of a write whose outcome is DoneLate.
+const lateWriteDelay = 3 * time.Second
 
-// silence is how long a caller waits for an answer that does not come.
-const silence = 1500 * time.Millisecond
+// answerTimeout is how long a caller waits for an answer of the store.
+const answerTimeout = 1500 * time.Millisecond
 
 // NewStore returns an empty store.
 func NewStore(clock *emulator.Clock) *Store {
 	return &Store{clock: clock, rows: map[rows.Key]rows.Row{}, Away: map[string]bool{}, Silent: map[string]bool{}, Feeds: map[string]int{}, Latency: 5 * time.Millisecond}
 }
 
-func (s *Store) away(part string) bool { return s.AwayAll || s.Away[part] }
+func (s *Store) unavailable(part string) bool { return s.AwayAll || s.Away[part] }
 
-// Commit applies a transaction and answers through done.
+// Commit applies a transaction and passes the result to done.
 func (s *Store) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	s.clock.After(s.Latency/2, func() {
-		if s.away(partOf(transaction)) {
-			s.troubledAt = s.clock.Now()
+		if s.unavailable(partOf(transaction)) {
+			s.lastFaultAt = s.clock.Now()
 			s.clock.After(s.Latency/2, func() { done(rows.Result{}, rows.ErrRefused) })
 			return
 		}
@@ -83,7 +82,7 @@
 			fate = NeverDone
 		}
 		if fate != Answered {
-			s.troubledAt = s.clock.Now()
+			s.lastFaultAt = s.clock.Now()
 		}
 		switch fate {
 		case Answered:
@@ -93,9 +92,9 @@
 		case AnswerLost:
 			s.Apply(transaction)
 		case DoneLate:
-			s.clock.After(lateBy, func() { s.Apply(transaction) })
+			s.clock.After(lateWriteDelay, func() { s.Apply(transaction) })
 		}
-		s.clock.After(silence, func() { done(rows.Result{}, rows.ErrNoAnswer) })
+		s.clock.After(answerTimeout, func() { done(rows.Result{}, rows.ErrNoAnswer) })
 	})
 }
 
@@ -111,7 +110,7 @@
 	return ""
 }
 
-// Apply applies a transaction at once.
+// Apply applies a transaction immediately, regardless of faults.
 func (s *Store) Apply(transaction rows.Transaction) rows.Result {
 	holds := true
 	var current []rows.Row
@@ -145,24 +144,24 @@
 	return rows.Result{Committed: true, Version: s.version}
 }
 
-// Scan answers with the rows of a part.
+// Scan passes the rows of a part to done.
 func (s *Store) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	s.clock.After(s.Latency, func() {
-		if s.away(part) {
-			s.troubledAt = s.clock.Now()
+		if s.unavailable(part) {
+			s.lastFaultAt = s.clock.Now()
 			done(rows.Listing{}, rows.ErrRefused)
 			return
 		}
 		if s.ScansSilent {
-			s.troubledAt = s.clock.Now()
-			s.clock.After(silence, func() { done(rows.Listing{}, rows.ErrNoAnswer) })
+			s.lastFaultAt = s.clock.Now()
+			s.clock.After(answerTimeout, func() { done(rows.Listing{}, rows.ErrNoAnswer) })
 			return
 		}
 		done(s.List(table, part, prefix), nil)
 	})
 }
 
-// List returns the rows of a part.
+// List returns the rows of a part, regardless of faults.
 func (s *Store) List(table, part, prefix string) rows.Listing {
 	listing := rows.Listing{Version: s.version}
 	for key, row := range s.rows {
@@ -174,8 +173,8 @@
 	return listing
 }
 
-// Feed answers with the changes of a table as soon as there are any, or without any
-// after a wait.
+// Feed passes the changes of a table to done as soon as there are any, or an empty listing after
+// wait.
 func (s *Store) Feed(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
 	s.Feeds[table]++
 	deadline := s.clock.Now().Add(wait)
@@ -184,13 +183,13 @@
 
 func (s *Store) poll(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
 	if s.AwayAll {
-		s.troubledAt = s.clock.Now()
+		s.lastFaultAt = s.clock.Now()
 		done(rows.Listing{}, rows.ErrRefused)
 		return
 	}
 	if s.FeedsSilent {
-		s.troubledAt = s.clock.Now()
-		s.pollLater(table, after, deadline, done)
+		s.lastFaultAt = s.clock.Now()
+		s.pollOnChange(table, after, deadline, done)
 		return
 	}
 	listing := rows.Listing{Version: s.version}
@@ -208,22 +207,23 @@
 		done(listing, nil)
 		return
 	}
-	s.pollLater(table, after, deadline, done)
+	s.pollOnChange(table, after, deadline, done)
 }
 
-// feedLimit bounds the rows of one answer of a feed, those of one transaction together.
+// feedLimit is the number of rows after which a feed answer ends; the rows of one transaction are
+// never split.
 const feedLimit = 500
 
-// firstAfter returns the place of the first change after a version.
+// firstAfter returns the index of the first change after a version.
 func (s *Store) firstAfter(version int64) int {
 	return sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > version })
 }
 
-// pollLater looks again at the next change, and at the deadline at the latest. A silent
-// feed is looked at again soon.
-func (s *Store) pollLater(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
+// pollOnChange polls again at the next change or at the deadline. While feeds are silent it polls
+// periodically.
+func (s *Store) pollOnChange(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
 	if s.FeedsSilent {
-		s.clock.After(silentFeedPause, func() { s.poll(table, after, deadline, done) })
+		s.clock.After(silentFeedPollPeriod, func() { s.poll(table, after, deadline, done) })
 		return
 	}
 	answered := false
@@ -237,5 +237,5 @@
 	s.clock.At(deadline, again)
 }
 
-// silentFeedPause is the pause between two looks whether feeds are silent still.
-const silentFeedPause = 50 * time.Millisecond
+// silentFeedPollPeriod is the interval at which a feed checks whether feeds are still silent.
+const silentFeedPollPeriod = 50 * time.Millisecond
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -9,75 +9,74 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Worker is one life of a worker.
+// Worker is one instance of a worker: a restart under the same identifier creates another Worker.
 type Worker struct {
 	fleet.Worker
 	world *World
 	clock *emulator.Clock
-	// clockEpoch is when the worker's own clock stood at 0.
+	// clockEpoch is when the worker's own clock was 0.
 	clockEpoch time.Time
 	token      int64
-	// leaseEnd is when all that runs is killed.
-	leaseEnd time.Time
-	runs     map[taskgraph.TaskName]*run
-	barred   map[taskgraph.TaskName]int
-	ended    []fleet.Ended
-	number   int64
-	// lapses counts how often the lease ran out; endedAt has the count at each end.
-	lapses  int
-	endedAt map[int64]int
-	waiters []func()
-	// resets end the holds under way when the worker's process dies.
+	// leaseEnd is when the lease expires and all runs are killed.
+	leaseEnd       time.Time
+	runs           map[taskgraph.TaskName]*run
+	supersededRuns map[taskgraph.TaskName]int
+	ended          []fleet.Ended
+	lastEndNumber  int64
+	// leaseExpirations counts expired leases; endedAt contains the count at each ended run.
+	leaseExpirations int
+	endedAt          map[int64]int
+	waiters          []func()
+	// resets fail the pending holds when the worker process crashes.
 	resets []func()
-	// Dead workers run nothing and answer nothing.
+	// Dead is set once the process has crashed.
 	Dead bool
-	// Cut workers run on and answer nothing.
+	// Cut partitions the worker from all owners; its runs continue.
 	Cut bool
-	// Replaced workers are gone; another instance answers at their address.
+	// Replaced is set once another instance listens at the worker's address.
 	Replaced bool
-	// LoseOrder decides the fate of each order; holds are always answered.
+	// LoseOrder chooses the outcome of each order except holds; nil means Answered.
 	LoseOrder func() Fate
-	// LoseAnswer decides whether the answer to a hold is lost.
+	// LoseAnswer reports whether the reply to a hold is lost.
 	LoseAnswer func() bool
 	// Unreachable workers refuse connections.
 	Unreachable bool
-	// Unwell workers refuse starts.
+	// Unwell workers refuse starts as unhealthy.
 	Unwell bool
-	// Failing workers fail all that they start; on Standing ones nothing makes progress
-	// and nothing finishes.
+	// Failing workers fail all runs that they start. On Standing workers runs make no progress and
+	// do not finish.
 	Failing  bool
 	Standing bool
-	// Slowness is how many times longer work takes, less than 1 on fast workers; 0 means 1.
+	// Slowness is the factor on the duration of work, less than 1 for fast workers; 0 means 1.
 	Slowness float64
-	// capacities has the worker's capacity from a time on, in the order of the changes.
-	capacities []capacitySince
+	// capacities contains the capacity changes in order.
+	capacities []capacityChange
 }
 
 // run is one run of a task.
 type run struct {
-	name    taskgraph.TaskName
-	number  int
-	worker  *Worker
-	begunAt time.Time
-	working bool
-	// workingSince is when its work began.
+	name         taskgraph.TaskName
+	number       int
+	worker       *Worker
+	startedAt    time.Time
+	working      bool
 	workingSince time.Time
 	checkpoint   string
 	stopping     bool
 	over         bool
-	// finished runs have done their work; those of a gang then wait for the others.
+	// finished is set once the work is complete; members of a gang then wait for the others.
 	finished bool
-	// percent is the progress that was last listed.
+	// percent is the last reported progress.
 	percent int
 }
 
-// StopTime is how long a stop takes, unless a world says otherwise.
+// StopTime is the default duration of a stop.
 const StopTime = 300 * time.Millisecond
 
-// clockMillis is the worker's clock.
+// clockMillis returns the time of the worker's own clock.
 func (w *Worker) clockMillis() int64 { return w.clock.Now().Sub(w.clockEpoch).Milliseconds() }
 
-func (w *Worker) extend(deadline int64) {
+func (w *Worker) extendLease(deadline int64) {
 	if deadline == 0 {
 		return
 	}
@@ -87,15 +86,15 @@
 	}
 	if end.After(w.leaseEnd) {
 		w.leaseEnd = end
-		w.clock.At(end, w.lapse)
+		w.clock.At(end, w.expireLease)
 	}
 }
 
-func (w *Worker) lapse() {
+func (w *Worker) expireLease() {
 	if w.Dead || w.clock.Now().Before(w.leaseEnd) {
 		return
 	}
-	w.lapses++
+	w.leaseExpirations++
 	for _, r := range w.sortedRuns() {
 		w.end(r, fleet.Lapsed, "")
 	}
@@ -113,14 +112,14 @@
 	if present := w.runs[order.Task]; present != nil && present.number == order.Run {
 		return reply, nil
 	}
-	if order.Run <= w.barred[order.Task] {
-		w.extend(order.DeadlineMillis)
+	if order.Run <= w.supersededRuns[order.Task] {
+		w.extendLease(order.DeadlineMillis)
 		return reply, fleet.ErrSuperseded
 	}
 	if order.DeadlineMillis < reply.ClockMillis {
 		return reply, fleet.ErrLate
 	}
-	w.extend(order.DeadlineMillis)
+	w.extendLease(order.DeadlineMillis)
 	step := w.world.step(order.Task)
 	if !w.world.Unguarded && !step.Room().Within(w.free()) {
 		return reply, fleet.ErrNoRoom
@@ -138,34 +137,34 @@
 }
 
 func (w *Worker) begin(order fleet.Start) {
-	r := &run{name: order.Task, number: order.Run, worker: w, begunAt: w.clock.Now(), checkpoint: order.Checkpoint}
+	r := &run{name: order.Task, number: order.Run, worker: w, startedAt: w.clock.Now(), checkpoint: order.Checkpoint}
 	w.runs[order.Task] = r
-	w.world.enterGang(r)
+	w.world.addToGang(r)
 	w.world.Judge.started(r, order)
 	if w.Failing {
-		w.clock.After(failAfter, func() { w.end(r, fleet.Failed, "") })
+		w.clock.After(failureDelay, func() { w.end(r, fleet.Failed, "") })
 		return
 	}
-	w.crashUnder(r, AtStart)
-	w.world.assemble(r)
+	w.scheduleCrash(r, AtStart)
+	w.world.startWhenGangComplete(r)
 }
 
-const failAfter = 40 * time.Millisecond
+const failureDelay = 40 * time.Millisecond
 
-// work runs a task to its end.
+// work runs the task until it is complete.
 func (w *Worker) work(r *run) {
 	if r.working || r.over {
 		return
 	}
 	r.working = true
 	r.workingSince = w.clock.Now()
-	w.crashUnder(r, AtWork)
-	duration := time.Duration(float64(w.world.Work(r.name)-saved(r.checkpoint)) * w.world.distance(r))
+	w.scheduleCrash(r, AtWork)
+	duration := time.Duration(float64(w.world.Work(r.name)-savedWork(r.checkpoint)) * w.world.remoteFactor(r))
 	duration = time.Duration(float64(duration) * w.slowness())
 	w.clock.After(duration, func() { w.finish(r) })
 }
 
-// slowness is how many times longer work takes than on an ordinary worker.
+// slowness returns the factor on the duration of work.
 func (w *Worker) slowness() float64 {
 	if w.Slowness == 0 {
 		return 1
@@ -173,33 +172,33 @@
 	return w.Slowness
 }
 
-// standingPause is the pause between two tries of a run to finish on a standing worker.
-const standingPause = 100 * time.Millisecond
+// stalledRetryPeriod is the interval at which a run on a standing worker tries to finish.
+const stalledRetryPeriod = 100 * time.Millisecond
 
 func (w *Worker) finish(r *run) {
 	switch {
 	case r.over || r.stopping || w.Dead:
 	case w.Standing:
-		w.clock.After(standingPause, func() { w.finish(r) })
+		w.clock.After(stalledRetryPeriod, func() { w.finish(r) })
 	default:
 		w.world.finish(r)
 	}
 }
 
-// end lists a run as ended.
+// end removes a run and adds it to the ended runs that the worker reports.
 func (w *Worker) end(r *run, how fleet.How, checkpoint string) {
 	if r.over || w.Dead {
 		return
 	}
 	r.over = true
 	delete(w.runs, r.name)
-	w.world.leaveGang(r)
-	w.barred[r.name] = max(w.barred[r.name], r.number)
-	w.number++
-	w.endedAt[w.number] = w.lapses
-	w.ended = append(w.ended, fleet.Ended{Number: w.number, Task: r.name, Run: r.number, How: how, Checkpoint: checkpoint})
+	w.world.removeFromGang(r)
+	w.supersededRuns[r.name] = max(w.supersededRuns[r.name], r.number)
+	w.lastEndNumber++
+	w.endedAt[w.lastEndNumber] = w.leaseExpirations
+	w.ended = append(w.ended, fleet.Ended{Number: w.lastEndNumber, Task: r.name, Run: r.number, How: how, Checkpoint: checkpoint})
 	w.world.Judge.ended(r, how)
-	w.world.memberEnded(r, how)
+	w.world.breakGang(r, how)
 	waiters := w.waiters
 	w.waiters = nil
 	for _, wake := range waiters {
@@ -213,7 +212,7 @@
 		return reply, fleet.ErrFenced
 	}
 	w.token = order.Token
-	w.barred[order.Task] = max(w.barred[order.Task], order.Run)
+	w.supersededRuns[order.Task] = max(w.supersededRuns[order.Task], order.Run)
 	if r := w.runs[order.Task]; r != nil && r.number <= order.Run && !r.stopping {
 		r.stopping = true
 		w.clock.After(w.world.StopTime, func() { w.end(r, fleet.Stopped, w.newCheckpoint(r)) })
@@ -221,32 +220,33 @@
 	return reply, nil
 }
 
-// hold answers at once, or when a run ends, through done.
+// hold passes the reply to done: immediately if there is something to report, otherwise when a run
+// ends or the wait is over.
 func (w *Worker) hold(order fleet.Hold, done func(fleet.Reply, error)) {
 	if order.Token < w.token {
 		done(fleet.Reply{ClockMillis: w.clockMillis()}, fleet.ErrFenced)
 		return
 	}
 	w.token = order.Token
-	w.extend(order.DeadlineMillis)
+	w.extendLease(order.DeadlineMillis)
 	kept := w.ended[:0]
 	for _, entry := range w.ended {
 		if entry.Number > order.LastSeen {
 			kept = append(kept, entry)
 		} else {
-			w.world.Judge.noted(w, entry)
+			w.world.Judge.endAcknowledged(w, entry)
 		}
 	}
 	w.ended = kept
 	if order.Wait == 0 || len(w.ended) > 0 {
-		done(w.account(), nil)
+		done(w.status(), nil)
 		return
 	}
 	answered := false
 	answer := func() {
 		if !answered && !w.Dead && !w.Cut {
 			answered = true
-			done(w.account(), nil)
+			done(w.status(), nil)
 		}
 	}
 	w.waiters = append(w.waiters, answer)
@@ -259,7 +259,7 @@
 	w.clock.After(order.Wait, answer)
 }
 
-func (w *Worker) account() fleet.Reply {
+func (w *Worker) status() fleet.Reply {
 	reply := fleet.Reply{Born: w.Born, ClockMillis: w.clockMillis(), Ended: append([]fleet.Ended(nil), w.ended...)}
 	for _, r := range w.sortedRuns() {
 		if !r.stopping {
@@ -271,30 +271,30 @@
 
 func (w *Worker) percent(r *run) int {
 	if r.working && !w.Standing {
-		done := float64(saved(r.checkpoint)) + float64(w.clock.Now().Sub(r.begunAt))/w.slowness()
+		done := float64(savedWork(r.checkpoint)) + float64(w.clock.Now().Sub(r.startedAt))/w.slowness()
 		share := done / float64(w.world.Work(r.name))
 		r.percent = min(99, int(100*share))
 	}
 	return r.percent
 }
 
-// Crash ends the worker's life.
+// Crash ends the worker process; its runs are lost.
 func (w *Worker) Crash() {
 	w.Dead = true
 	for _, r := range w.sortedRuns() {
 		r.over = true
 		w.world.Judge.crashed(r)
-		w.world.leaveGang(r)
+		w.world.removeFromGang(r)
 		w.world.Judge.ended(r, fleet.Lapsed)
-		w.world.memberEnded(r, fleet.Lapsed)
+		w.world.breakGang(r, fleet.Lapsed)
 	}
 	w.runs = map[taskgraph.TaskName]*run{}
 }
 
-// Runs returns how many runs the worker has.
+// Runs returns the number of runs on the worker.
 func (w *Worker) Runs() int { return len(w.runs) }
 
-// RunsOf returns how many runs of a job the worker has.
+// RunsOf returns the number of runs of a job on the worker.
 func (w *Worker) RunsOf(job string) int {
 	count := 0
 	for name := range w.runs {
@@ -308,7 +308,7 @@
 // RunsOfTask reports whether the worker has a run of a task.
 func (w *Worker) RunsOfTask(name taskgraph.TaskName) bool { return w.runs[name] != nil }
 
-// sortedRuns lists the worker's runs in the order of their names.
+// sortedRuns returns the runs sorted by task name.
 func (w *Worker) sortedRuns() []*run {
 	sorted := make([]*run, 0, len(w.runs))
 	for _, r := range w.runs {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -15,61 +15,63 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// PoolName names the pool of a world.
+// PoolName is the name of the simulated pool.
 const PoolName = "workers"
 
-// World is a store and workers in virtual time.
+// World is a simulated cluster, a store and workers, in virtual time.
 type World struct {
 	Clock   *emulator.Clock
 	Store   *Store
 	Judge   *Judge
 	Bounds  pool.Bounds
 	Catalog *catalog.Catalog
-	// Without is handed to every owner.
+	// Without is passed to every owner.
 	Without pool.Without
-	// Work is how long a task takes.
+	// Work returns the duration of a task.
 	Work    func(taskgraph.TaskName) time.Duration
 	Workers []*Worker
-	// Unguarded workers start whatever they are told.
+	// Unguarded workers accept starts beyond their capacity.
 	Unguarded bool
-	// SteadyTime lets owners live by a clock that stands still while they are suspended.
+	// SteadyTime stops the clock of an owner while it is suspended.
 	SteadyTime bool
-	// Crashing has the tasks that crash each worker that starts them.
+	// Crashing contains the tasks that crash each worker that starts them.
 	Crashing map[taskgraph.TaskName]Crash
-	// RestartsInPlace lets workers that tasks crash start again under their identifiers.
+	// RestartsInPlace restarts workers that were crashed by a task under the same identifier.
 	RestartsInPlace bool
-	// OrderDelay is how much later an order of the fate DoneLate is carried out.
+	// OrderDelay is the delay of an order whose outcome is DoneLate.
 	OrderDelay time.Duration
-	// LateOrdersOutliveWorkers lets such an order be carried out by the worker's next life.
+	// LateOrdersOutliveWorkers delivers delayed orders to the current instance of a restarted
+	// worker.
 	LateOrdersOutliveWorkers bool
-	// StopTime is how long a stop takes.
+	// StopTime is the duration of a stop.
 	StopTime time.Duration
-	// Off is handed to every owner.
+	// Off is passed to every owner.
 	Off mechanism.Off
-	// WorkerTable holds the workers' rows, which EncodeWorker renders.
+	// WorkerTable is the table of the workers' rows, which EncodeWorker encodes.
 	WorkerTable  string
 	EncodeWorker func(*fleet.Worker) []byte
 	epoch        time.Time
 	jobs         map[string]*taskgraph.Spec
-	// gangs has the present members of each gang's run.
+	// gangs contains the present members of each gang run.
 	gangs  map[gangRun][]*run
 	owners int
-	// ownerOf has the owners by their tokens.
+	// ownerOf contains the owners by fencing token.
 	ownerOf map[int64]*Owner
-	// OperatorTable holds the operators' rows; evacuatedAt is when each evacuated zone was.
+	// OperatorTable is the table of the operators' rows; evacuatedAt contains the time of each
+	// zone's evacuation.
 	OperatorTable string
 	evacuatedAt   map[string]time.Time
-	// restarts counts the workers that came back as another instance.
+	// restarts counts the workers that were replaced by a new instance.
 	restarts int
 }
 
-// orderLatency is the way of an order to a worker and back.
+// orderLatency is the round-trip time of an order.
 const orderLatency = 2 * time.Millisecond
 
-// orderSilence is how long the owner waits for an answer to an order.
-const orderSilence = 700 * time.Millisecond
+// orderTimeout is how long the owner waits for the reply to an order.
+const orderTimeout = 700 * time.Millisecond
 
-// NewWorld returns a world with racks of equal workers of eight accelerators each.
+// NewWorld returns a cluster with racks of equal workers.
 func NewWorld(racks, perRack int) *World {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	clock := emulator.NewClock(start)
@@ -83,12 +85,12 @@
 			Evacuation: EvacuationBound,
 		},
 		Catalog:     &catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: PoolName, EnforcesCapacity: true}}},
-		OrderDelay:  lateBy,
+		OrderDelay:  lateWriteDelay,
 		StopTime:    StopTime,
 		WorkerTable: "workers", EncodeWorker: encodeWorker,
 		Work: func(taskgraph.TaskName) time.Duration { return time.Second },
 	}
-	w.Judge = newJudge(w)
+	w.Judge = newChecker(w)
 	for rack := range racks {
 		for i := range perRack {
 			w.AddWorker(fmt.Sprintf("w-%d-%d", rack, i), fmt.Sprintf("r-%d", rack))
@@ -97,10 +99,10 @@
 	return w
 }
 
-// WorkerCapacity is the room of each worker.
+// WorkerCapacity is the default capacity of a worker.
 var WorkerCapacity = taskgraph.Amount{CPU: 64000, MemoryMB: 262144, GPUs: 8}
 
-// AddWorker adds a worker and its row.
+// AddWorker adds a worker and writes its row.
 func (w *World) AddWorker(id, rack string) *Worker {
 	added := &Worker{
 		Worker: fleet.Worker{
@@ -108,15 +110,15 @@
 			Pool: PoolName, Address: id, Zone: zoneOf(rack), Labels: []string{"a", rack}, Capacity: WorkerCapacity,
 		},
 		world: w, clock: w.Clock, clockEpoch: w.epoch,
-		runs: map[taskgraph.TaskName]*run{}, barred: map[taskgraph.TaskName]int{}, endedAt: map[int64]int{},
+		runs: map[taskgraph.TaskName]*run{}, supersededRuns: map[taskgraph.TaskName]int{}, endedAt: map[int64]int{},
 	}
-	added.noteCapacity()
+	added.recordCapacity()
 	w.Workers = append(w.Workers, added)
 	w.PutWorkerRow(added)
 	return added
 }
 
-// PutWorkerRow writes a worker's row as the worker stands.
+// PutWorkerRow writes a worker's row with its current state.
 func (w *World) PutWorkerRow(worker *Worker) {
 	key := rows.Key{Table: w.WorkerTable, Name: worker.ID}
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: w.EncodeWorker(&worker.Worker)}}})
@@ -130,13 +132,13 @@
 	return value
 }
 
-// RemoveWorkerRow drops a worker's row.
+// RemoveWorkerRow removes a worker's row.
 func (w *World) RemoveWorkerRow(worker *Worker) {
 	w.Store.Apply(rows.Transaction{Removes: []rows.Key{{Table: w.WorkerTable, Name: worker.ID}}})
 }
 
-// Order carries out an order on a worker and answers through done. Unanswered orders
-// never call it.
+// Order executes an order on a worker and passes the reply to done, which is not called for
+// unanswered orders.
 func (w *World) Order(id string, order any, done func(fleet.Reply, error)) {
 	worker := w.worker(id)
 	switch {
@@ -161,7 +163,7 @@
 	}
 }
 
-// carryOut does an order by its fate.
+// carryOut executes an order according to its outcome.
 func (w *World) carryOut(worker *Worker, work func() (fleet.Reply, error), done func(fleet.Reply, error)) {
 	fate := Answered
 	if worker.LoseOrder != nil {
@@ -181,7 +183,7 @@
 	}
 }
 
-// worker returns the latest life of a worker, or nil.
+// worker returns the latest instance of a worker, or nil.
 func (w *World) worker(id string) *Worker {
 	for _, candidate := range slices.Backward(w.Workers) {
 		if candidate.ID == id {
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// Submit accepts a job at once.
+// Submit writes an accepted job to the store.
 func (w *World) Submit(spec taskgraph.Spec, queue catalog.Queue) {
 	queue.Pool = PoolName
 	w.Expect(spec, queue)
@@ -200,7 +202,7 @@
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: pool.Encode(accepted)}}})
 }
 
-// Expect tells the workers and the judge of a job that will be accepted.
+// Expect registers a job with the workers and the judge before it is accepted.
 func (w *World) Expect(spec taskgraph.Spec, queue catalog.Queue) {
 	if err := spec.Validate(); err != nil {
 		panic(err)
@@ -209,14 +211,14 @@
 	w.Judge.accepted(&spec, queue)
 }
 
-// Cancel cancels a job at once.
+// Cancel writes the cancellation of a job to the store.
 func (w *World) Cancel(id string) {
 	key := pool.CancelledKey(pool.JobParts(PoolName, id)[0], id)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: []byte("{}")}}})
 	w.Judge.cancelled(id)
 }
 
-// StoredState returns what the store says of a job.
+// StoredState returns the state of a job in the store.
 func (w *World) StoredState(id string) taskgraph.State {
 	var newest pool.Progress
 	for _, part := range pool.ProgressParts(PoolName) {
@@ -240,5 +242,5 @@
 	return &w.jobs[name.Job].Steps[name.Step]
 }
 
-// Run lets virtual time pass.
+// Run advances virtual time by d.
 func (w *World) Run(d time.Duration) { w.Clock.Run(w.Clock.Now().Add(d)) }
