--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// callLimit is how long a caller waits for an answer.
-	callLimit = 3 * time.Second
-	// finalLimit is the time in which a daemon without trouble refuses.
-	finalLimit = 2500 * time.Millisecond
-	// lossSlack is how soon a connection may break at a planned stop without an answer:
+	// callTimeout is how long a caller waits for an answer.
+	callTimeout = 3 * time.Second
+	// maxRefusalTime is the time in which a daemon without trouble refuses.
+	maxRefusalTime = 2500 * time.Millisecond
+	// idleCloseSlack is how soon a connection may break at a planned stop without an answer:
 	// a request that crosses the closing of an idle connection.
-	lossSlack     = 200 * time.Millisecond
-	submitTries   = 4
-	submitPause   = 200 * time.Millisecond
-	cancelShare   = 0.1
-	callerPause   = 250 * time.Millisecond
-	maxAttempts   = 40
-	shortestWork  = 200 * time.Millisecond
-	longestWork   = 1500 * time.Millisecond
-	longestWide   = 6
-	gangShare     = 0.3
-	secondStep    = 0.3
-	conditionSpan = 4 * time.Second
+	idleCloseSlack  = 200 * time.Millisecond
+	submitAttempts  = 4
+	submitPause     = 200 * time.Millisecond
+	cancelShare     = 0.1
+	callerPause     = 250 * time.Millisecond
+	maxAttempts     = 40
+	minTaskDuration = 200 * time.Millisecond
+	maxTaskDuration = 1500 * time.Millisecond
+	maxTaskCount    = 6
+	gangShare       = 0.3
+	secondStepShare = 0.3
+	faultLookback   = 4 * time.Second
 )
 
 // submission is what a caller knows of its job.
@@ -48,21 +48,21 @@
 	state  taskgraph.State
 }
 
-// ledger collects what callers see.
-type ledger struct {
+// observations collects what callers see.
+type observations struct {
 	mutex       sync.Mutex
 	submissions []*submission
-	broken      []string
+	violations  []string
 	answers     map[string]int
 }
 
-func (l *ledger) fail(format string, args ...any) {
+func (l *observations) addViolation(format string, args ...any) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.broken = append(l.broken, fmt.Sprintf(format, args...))
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) count(what string) {
+func (l *observations) count(what string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.answers[what]++
@@ -71,12 +71,12 @@
 // callerLoop submits jobs, one at a time, until the run closes.
 func (r *run) callerLoop(number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+number)))
-	caller := standin.NewCaller(callLimit)
+	caller := standin.NewCaller(callTimeout)
 	for serial := 0; !r.closing(); serial++ {
-		s := &submission{spec: r.drawSpec(random, number, serial), refused: true}
-		r.ledger.mutex.Lock()
-		r.ledger.submissions = append(r.ledger.submissions, s)
-		r.ledger.mutex.Unlock()
+		s := &submission{spec: r.randomSpec(random, number, serial), refused: true}
+		r.observations.mutex.Lock()
+		r.observations.submissions = append(r.observations.submissions, s)
+		r.observations.mutex.Unlock()
 		r.platform.Locked(func() {
 			r.platform.World.Expect(*s.spec, catalog.Queue{Name: standin.QueueName, MaxAttempts: maxAttempts})
 			if s.poison = r.workers.poisons(number, serial, s.spec); s.poison {
@@ -87,17 +87,17 @@
 		if s.accepted && random.Float64() < cancelShare {
 			r.cancel(caller, random, s)
 		}
-		r.look(caller, random, s)
+		r.checkState(caller, random, s)
 		time.Sleep(callerPause)
 	}
 }
 
-// drawSpec draws a job of one or two steps.
-func (r *run) drawSpec(random *rand.Rand, caller, serial int) *taskgraph.Spec {
+// randomSpec draws a job of one or two steps.
+func (r *run) randomSpec(random *rand.Rand, caller, serial int) *taskgraph.Spec {
 	draw := func() taskgraph.Step {
-		work := shortestWork + time.Duration(random.Int64N(int64(longestWork-shortestWork)))
+		work := minTaskDuration + time.Duration(random.Int64N(int64(maxTaskDuration-minTaskDuration)))
 		return taskgraph.Step{
-			Count:          1 + random.IntN(longestWide),
+			Count:          1 + random.IntN(maxTaskCount),
 			Amount:         taskgraph.Amount{CPU: 2000, MemoryMB: 4000, GPUs: 1 << random.IntN(3)},
 			EstimateMillis: work.Milliseconds(), Gang: random.Float64() < gangShare,
 		}
@@ -106,7 +106,7 @@
 		ID:      fmt.Sprintf("%08x%04x%04x", uint32(r.options.Seed), caller, serial),
 		Payload: fmt.Sprintf("job %d of caller %d", serial, caller), Steps: []taskgraph.Step{draw()},
 	}
-	if random.Float64() < secondStep {
+	if random.Float64() < secondStepShare {
 		second := draw()
 		second.After = []int{0}
 		spec.Steps = append(spec.Steps, second)
@@ -114,30 +114,30 @@
 	return spec
 }
 
-// daemonFor picks a daemon, ready or not: clients keep using open connections.
-func (r *run) daemonFor(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
+// randomDaemon picks a daemon, ready or not: clients keep using open connections.
+func (r *run) randomDaemon(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
 
-// timed makes a call and judges what can be said of it by itself.
-func (r *run) timed(d *daemon, what string, call func() (standin.Answer, error)) (standin.Answer, error) {
+// checkedCall makes a call and judges what can be said of it by itself.
+func (r *run) checkedCall(d *daemon, what string, call func() (standin.Answer, error)) (standin.Answer, error) {
 	began := time.Now()
 	answer, err := call()
 	took := time.Since(began)
-	around := d.since(began.Add(-conditionSpan))
+	around := d.conditionSince(began.Add(-faultLookback))
 	switch {
 	case err != nil:
-		r.ledger.count(what + " no answer")
-		if around.planned && !around.troubled && took > lossSlack {
-			r.ledger.fail("%s at node-%d lost its answer after %v around a planned stop: %v", what, d.number, took, err)
+		r.observations.count(what + " no answer")
+		if around.plannedStop && !around.faulty && took > idleCloseSlack {
+			r.observations.addViolation("%s at node-%d lost its answer after %v around a planned stop: %v", what, d.number, took, err)
 		}
 	case !answer.Whole:
-		r.ledger.fail("%s at node-%d: status %d without a whole body", what, d.number, answer.Status)
+		r.observations.addViolation("%s at node-%d: status %d without a whole body", what, d.number, answer.Status)
 	default:
-		r.ledger.count(fmt.Sprintf("%s %d", what, answer.Status))
-		if answer.Status == http.StatusServiceUnavailable && took > finalLimit && !around.troubled {
-			r.ledger.fail("%s at node-%d was refused after %v", what, d.number, took)
+		r.observations.count(fmt.Sprintf("%s %d", what, answer.Status))
+		if answer.Status == http.StatusServiceUnavailable && took > maxRefusalTime && !around.faulty {
+			r.observations.addViolation("%s at node-%d was refused after %v", what, d.number, took)
 		}
-		if answer.Status == http.StatusUnauthorized && !around.troubled {
-			r.ledger.fail("%s at node-%d: a key in force was refused", what, d.number)
+		if answer.Status == http.StatusUnauthorized && !around.faulty {
+			r.observations.addViolation("%s at node-%d: a key in force was refused", what, d.number)
 		}
 	}
 	return answer, err
@@ -146,9 +146,9 @@
 // submit hands a job in as PROTOCOL lets clients do: again after no answer, not after
 // a refusal.
 func (r *run) submit(caller *standin.Caller, random *rand.Rand, s *submission) {
-	for range submitTries {
-		d := r.daemonFor(random)
-		answer, err := r.timed(d, "submit", func() (standin.Answer, error) { return caller.Submit(d.callers, r.key(), s.spec) })
+	for range submitAttempts {
+		d := r.randomDaemon(random)
+		answer, err := r.checkedCall(d, "submit", func() (standin.Answer, error) { return caller.Submit(d.callers, r.key(), s.spec) })
 		switch {
 		case err == nil && answer.Status == http.StatusOK:
 			s.accepted, s.refused = true, false
@@ -162,9 +162,9 @@
 }
 
 func (r *run) cancel(caller *standin.Caller, random *rand.Rand, s *submission) {
-	d := r.daemonFor(random)
+	d := r.randomDaemon(random)
 	s.cancelTried = true
-	answer, err := r.timed(d, "cancel", func() (standin.Answer, error) { return caller.Cancel(d.callers, r.key(), s.spec.ID) })
+	answer, err := r.checkedCall(d, "cancel", func() (standin.Answer, error) { return caller.Cancel(d.callers, r.key(), s.spec.ID) })
 	if err != nil {
 		return
 	}
@@ -173,14 +173,14 @@
 		s.cancelled = true
 		r.platform.Locked(func() { r.platform.World.Judge.Cancelled(s.spec.ID) })
 	case http.StatusGone:
-		r.ledger.fail("cancel of accepted job %s at node-%d: 410", s.spec.ID, d.number)
+		r.observations.addViolation("cancel of accepted job %s at node-%d: 410", s.spec.ID, d.number)
 	}
 }
 
-// look asks for a job's state once and notes what the answer claims.
-func (r *run) look(caller *standin.Caller, random *rand.Rand, s *submission) {
-	d := r.daemonFor(random)
-	answer, err := r.timed(d, "look", func() (standin.Answer, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
+// checkState asks for a job's state once and notes what the answer claims.
+func (r *run) checkState(caller *standin.Caller, random *rand.Rand, s *submission) {
+	d := r.randomDaemon(random)
+	answer, err := r.checkedCall(d, "look", func() (standin.Answer, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
 	if err != nil {
 		return
 	}
@@ -188,9 +188,9 @@
 	case answer.Status == http.StatusOK:
 		s.state = answer.State
 		if s.refused {
-			r.ledger.fail("job %s was refused and is shown as %s", s.spec.ID, answer.State)
+			r.observations.addViolation("job %s was refused and is shown as %s", s.spec.ID, answer.State)
 		}
 	case answer.Status == http.StatusGone && s.accepted:
-		r.ledger.fail("accepted job %s at node-%d: 410", s.spec.ID, d.number)
+		r.observations.addViolation("accepted job %s at node-%d: 410", s.spec.ID, d.number)
 	}
 }
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -52,12 +52,12 @@
 	zones := world.Zones()
 	for _, evacuation := range evacuations {
 		zone := zones[evacuation.Target%len(zones)]
-		r.at(began.Add(evacuation.At), ends, func() { world.Evacuate(zone) })
+		r.scheduleLocked(began.Add(evacuation.At), ends, func() { world.Evacuate(zone) })
 		if until := evacuation.At + evacuation.Length; until < r.options.Length {
-			r.at(began.Add(until), ends, func() { world.TakeBack(zone) })
+			r.scheduleLocked(began.Add(until), ends, func() { world.TakeBack(zone) })
 		}
 	}
-	r.at(began.Add(r.options.Length), ends, func() {
+	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
 		for _, zone := range zones {
 			world.TakeBack(zone)
 		}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -132,8 +132,8 @@
 // TestVersionsRiseAndKeepWhatGrew: a configuration with other keys keeps the extra queues,
 // a grown one keeps the keys, and each has a higher version than the one before.
 func TestVersionsRiseAndKeepWhatGrew(t *testing.T) {
-	r, _ := judging(t)
-	r.putFirst()
+	r, _ := newTestRun(t)
+	r.putInitialConfiguration()
 	first := r.configuration
 	r.putConfiguration(func(c *standin.Configuration) { c.ExtraQueues += 7 })
 	grown := r.configuration
@@ -145,12 +145,12 @@
 	require.Greater(t, r.configuration.Version, grown.Version)
 }
 
-// judging returns a run without daemons, and a job that its stand-in expects.
-func judging(t *testing.T) (*run, *submission) {
+// newTestRun returns a run without daemons, and a job that its stand-in expects.
+func newTestRun(t *testing.T) (*run, *submission) {
 	platform, err := standin.Start(simulation.NewWorld(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
-	r := &run{platform: platform, ledger: ledger{answers: map[string]int{}}}
+	r := &run{platform: platform, observations: observations{answers: map[string]int{}}}
 	s := &submission{spec: &taskgraph.Spec{ID: "00000000000000aa", Steps: []taskgraph.Step{{Count: 1, EstimateMillis: 1}}}}
 	platform.Locked(func() { platform.World.Expect(*s.spec, catalog.Queue{MaxAttempts: 1}) })
 	return r, s
@@ -180,19 +180,19 @@
 		"poison never ended":   {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "at the end"},
 	}
 	for name, c := range cases {
-		r, s := judging(t)
+		r, s := newTestRun(t)
 		c.submission.spec = s.spec
 		if c.starts {
 			r.startTask(s)
 		}
-		r.judgeJob(&c.submission)
-		require.Len(t, r.ledger.broken, 1, name)
-		require.Contains(t, r.ledger.broken[0], c.want, name)
+		r.checkJob(&c.submission)
+		require.Len(t, r.observations.violations, 1, name)
+		require.Contains(t, r.observations.violations[0], c.want, name)
 	}
-	r, s := judging(t)
+	r, s := newTestRun(t)
 	s.refused = true
-	r.judgeJob(s)
-	require.Empty(t, r.ledger.broken, "refused and did not run")
+	r.checkJob(s)
+	require.Empty(t, r.observations.violations, "refused and did not run")
 }
 
 // TestJudgeOfAnswers: what single answers break, by what went on at the daemon.
@@ -209,29 +209,29 @@
 		"not whole":                 {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
 		"key refused":               {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
 		"key refused amid trouble":  {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, troubled: true},
-		"cut off by a planned stop": {err: lost, takes: lossSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
+		"cut off by a planned stop": {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
 		"crossed the closing":       {err: lost, planned: true},
-		"cut off by a kill":         {err: lost, takes: lossSlack + 20*time.Millisecond, planned: true, troubled: true},
+		"cut off by a kill":         {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, troubled: true},
 	}
 	for name, c := range cases {
-		r, _ := judging(t)
+		r, _ := newTestRun(t)
 		d := &daemon{}
 		if c.troubled {
-			d.troubledUntil = time.Now().Add(time.Minute)
+			d.faultUntil = time.Now().Add(time.Minute)
 		}
 		if c.planned {
-			d.plannedUntil = time.Now().Add(time.Minute)
+			d.plannedStopUntil = time.Now().Add(time.Minute)
 		}
-		_, _ = r.timed(d, "look", func() (standin.Answer, error) {
+		_, _ = r.checkedCall(d, "look", func() (standin.Answer, error) {
 			time.Sleep(c.takes)
 			return c.answer, c.err
 		})
 		if c.want == "" {
-			require.Empty(t, r.ledger.broken, name)
+			require.Empty(t, r.observations.violations, name)
 			continue
 		}
-		require.Len(t, r.ledger.broken, 1, name)
-		require.Contains(t, r.ledger.broken[0], c.want, name)
+		require.Len(t, r.observations.violations, 1, name)
+		require.Contains(t, r.observations.violations[0], c.want, name)
 	}
 }
 
@@ -243,8 +243,8 @@
 	return program
 }
 
-// playShort plays one seed with real daemons.
-func playShort(t *testing.T, seed uint64) *Report {
+// runShortSoak plays one seed with real daemons.
+func runShortSoak(t *testing.T, seed uint64) *Report {
 	report, err := Run(Options{Program: buildDaemon(t), Seed: seed, Length: 6 * time.Second, Daemons: 3, Callers: 2, Folder: t.TempDir()})
 	require.NoError(t, err)
 	require.Empty(t, report.Broken)
@@ -252,12 +252,12 @@
 	return report
 }
 
-func TestShortSoak(t *testing.T) { playShort(t, 1) }
+func TestShortSoak(t *testing.T) { runShortSoak(t, 1) }
 
 // TestShortSoakOfWorkerTroubles plays a seed whose workers crash under some tasks and by
 // chance, shrink and grow.
 func TestShortSoakOfWorkerTroubles(t *testing.T) {
-	report := playShort(t, 10001)
+	report := runShortSoak(t, 10001)
 	require.Positive(t, report.Workers.PoisonEvery)
 	require.Positive(t, report.States[taskgraph.Failed])
 }
@@ -265,7 +265,7 @@
 // TestShortSoakOfLives plays a seed whose workers start again under their identifiers and whose
 // rows are another writer's for a while.
 func TestShortSoakOfLives(t *testing.T) {
-	report := playShort(t, 20063)
+	report := runShortSoak(t, 20063)
 	require.NotEmpty(t, report.Lives.Restarts)
 	require.NotEmpty(t, report.Lives.ForeignRows)
 }
@@ -274,8 +274,8 @@
 	const seeds = 200
 	drawn, series, foreign := 0, 0, 0
 	for seed := range uint64(seeds) {
-		lives := NewLives(seed, time.Minute, false)
-		require.Equal(t, lives, NewLives(seed, time.Minute, false))
+		lives := NewInstanceFaults(seed, time.Minute, false)
+		require.Equal(t, lives, NewInstanceFaults(seed, time.Minute, false))
 		if len(lives.Restarts) > 0 {
 			drawn++
 		}
@@ -286,12 +286,12 @@
 		}
 		foreign += len(lives.ForeignRows)
 	}
-	require.InDelta(t, seeds/livesEvery, drawn, seeds/10)
+	require.InDelta(t, seeds/instanceFaultsEvery, drawn, seeds/10)
 	require.Positive(t, series)
 	require.Positive(t, foreign)
 	for _, kept := range []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019} {
-		require.Empty(t, NewLives(kept, time.Minute, false), "seeds played before stay as they are")
-		require.NotEmpty(t, NewLives(kept, time.Minute, true))
+		require.Empty(t, NewInstanceFaults(kept, time.Minute, false), "seeds played before stay as they are")
+		require.NotEmpty(t, NewInstanceFaults(kept, time.Minute, true))
 	}
 }
 
@@ -300,8 +300,8 @@
 	drawn, poison, unguarded, changes := 0, 0, 0, 0
 	long := &taskgraph.Spec{Steps: []taskgraph.Step{{EstimateMillis: 1000}}}
 	for seed := range uint64(seeds) {
-		troubles := NewWorkerTroubles(seed, time.Minute)
-		require.Equal(t, troubles, NewWorkerTroubles(seed, time.Minute))
+		troubles := NewWorkerFaults(seed, time.Minute)
+		require.Equal(t, troubles, NewWorkerFaults(seed, time.Minute))
 		if troubles.PoisonEvery == 0 {
 			require.Empty(t, troubles)
 			continue
@@ -317,9 +317,9 @@
 			}
 		}
 	}
-	require.InDelta(t, seeds/workerTroublesEvery, drawn, seeds/10)
+	require.InDelta(t, seeds/workerFaultsEvery, drawn, seeds/10)
 	require.InDelta(t, drawn/2, unguarded, seeds/10)
 	require.Positive(t, poison)
 	require.Positive(t, changes)
-	require.Empty(t, NewWorkerTroubles(619, 13*time.Second), "a kept seed draws nothing new")
+	require.Empty(t, NewWorkerFaults(619, 13*time.Second), "a kept seed draws nothing new")
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// troubleMargin is how long after a disruption its effects still count.
-const troubleMargin = 3 * time.Second
+// faultMargin is how long after a disruption its effects still count.
+const faultMargin = 3 * time.Second
 
 // inject begins a fault and returns what ends it, or nil.
 func (r *run) inject(fault Fault) func() {
@@ -31,16 +31,16 @@
 
 func (r *run) injectSignal(fault Fault, d *daemon) func() {
 	if fault.Kind != PlannedStop && fault.Kind != Reload {
-		d.trouble(fault.Length + troubleMargin)
+		d.recordFault(fault.Length + faultMargin)
 	}
 	switch fault.Kind {
 	case Kill:
 		d.kill()
-		return func() { r.begin(d) }
+		return func() { r.startDaemon(d) }
 	case PlannedStop:
 		go func() {
 			d.stop()
-			r.begin(d)
+			r.startDaemon(d)
 		}()
 	case Pause:
 		d.signal(syscall.SIGSTOP)
@@ -49,12 +49,12 @@
 		d.signal(syscall.SIGHUP)
 	case KillAll:
 		for _, other := range r.daemons {
-			other.trouble(fault.Length + troubleMargin)
+			other.recordFault(fault.Length + faultMargin)
 			other.kill()
 		}
 		return func() {
 			for _, other := range r.daemons {
-				r.begin(other)
+				r.startDaemon(other)
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 }
 
 func (r *run) injectLink(fault Fault, d *daemon) func() {
-	d.trouble(fault.Length + troubleMargin)
+	d.recordFault(fault.Length + faultMargin)
 	modes := map[Kind]faultproxy.Mode{
 		DelayLink: faultproxy.Delay, SilenceLink: faultproxy.Silence,
 		CutAnswerLink: faultproxy.CutAnswers, CutOrderLink: faultproxy.CutRequests,
@@ -78,21 +78,21 @@
 // injectPlatform strikes the platform, which touches every daemon.
 func (r *run) injectPlatform(fault Fault) func() {
 	for _, d := range r.daemons {
-		d.trouble(fault.Length + troubleMargin)
+		d.recordFault(fault.Length + faultMargin)
 	}
 	world := r.platform.World
 	var begin, end func()
 	switch fault.Kind {
-	case StoreAway:
+	case StoreUnavailable:
 		begin, end = func() { world.Store.AwayAll = true }, func() { world.Store.AwayAll = false }
-	case StoreSilent:
+	case StoreUnresponsive:
 		begin, end = func() { r.platform.Silent = true }, func() { r.platform.Silent = false }
 	case StoreSlow:
-		begin = func() { world.Store.Latency = storeSlow }
+		begin = func() { world.Store.Latency = slowStoreLatency }
 		end = func() { world.Store.Latency = storeLatency }
 	case StoreLossy:
-		begin, end = func() { world.Store.Lose = r.losses(writeLoss) }, func() { world.Store.Lose = nil }
-	case PartAway:
+		begin, end = func() { world.Store.Lose = r.randomOutcomes(writeLoss) }, func() { world.Store.Lose = nil }
+	case PartUnavailable:
 		parts := append(pool.ProgressParts(simulation.PoolName), pool.JobParts(simulation.PoolName, strconv.Itoa(fault.Target))...)
 		part := parts[fault.Target%len(parts)]
 		begin, end = func() { world.Store.Away[part] = true }, func() { delete(world.Store.Away, part) }
@@ -104,14 +104,14 @@
 }
 
 const (
-	storeLatency = 5 * time.Millisecond
-	storeSlow    = 300 * time.Millisecond
-	writeLoss    = 0.3
-	orderLoss    = 0.4
+	storeLatency     = 5 * time.Millisecond
+	slowStoreLatency = 300 * time.Millisecond
+	writeLoss        = 0.3
+	orderLoss        = 0.4
 )
 
-// losses draws fates of which a share are not answered.
-func (r *run) losses(share float64) func() simulation.Fate {
+// randomOutcomes draws fates of which a share are not answered.
+func (r *run) randomOutcomes(share float64) func() simulation.Fate {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	return func() simulation.Fate {
 		if random.Float64() < share {
@@ -128,7 +128,7 @@
 	switch fault.Kind {
 	case WorkerCrash:
 		return func() { r.replaceWorker(worker) }, func() {}
-	case WorkerCut:
+	case WorkerPartitioned:
 		return func() { worker.Cut = true }, func() { worker.Cut = false }
 	case WorkerFailing:
 		return func() { worker.Failing = true }, func() { worker.Failing = false }
@@ -143,7 +143,7 @@
 				r.replaceWorker(worker)
 			}
 	default:
-		return func() { worker.LoseOrder = r.losses(orderLoss) }, func() { worker.LoseOrder = nil }
+		return func() { worker.LoseOrder = r.randomOutcomes(orderLoss) }, func() { worker.LoseOrder = nil }
 	}
 }
 
--- a/internal/soak/links.go
+++ b/internal/soak/links.go
@@ -59,7 +59,7 @@
 		})
 	}
 	slices.SortStableFunc(links.Growths, func(a, b Growth) int { return cmp.Compare(a.At, b.At) })
-	slowest := max(slowestLink, links.rateInTime())
+	slowest := max(slowestLink, links.minRate())
 	for range daemons {
 		rate := slowest + random.IntN(fastestLink-slowest+1)
 		if random.IntN(unlimitedEvery) == 0 {
@@ -70,8 +70,8 @@
 	return links
 }
 
-// rateInTime returns the rate at which the whole growth takes the longest transfer.
-func (l Links) rateInTime() int {
+// minRate returns the rate at which the whole growth takes the longest transfer.
+func (l Links) minRate() int {
 	queues := 0
 	for _, growth := range l.Growths {
 		queues += growth.Queues
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -24,18 +24,18 @@
 	ResetLink     Kind = "reset_link"
 	KillAll       Kind = "kill_all"
 
-	StoreAway   Kind = "store_away"
-	StoreSilent Kind = "store_silent"
-	StoreSlow   Kind = "store_slow"
-	StoreLossy  Kind = "store_lossy"
-	PartAway    Kind = "store_part_away"
+	StoreUnavailable  Kind = "store_away"
+	StoreUnresponsive Kind = "store_silent"
+	StoreSlow         Kind = "store_slow"
+	StoreLossy        Kind = "store_lossy"
+	PartUnavailable   Kind = "store_part_away"
 
-	WorkerCrash   Kind = "worker_crash"
-	WorkerCut     Kind = "worker_cut"
-	WorkerFailing Kind = "worker_failing"
-	WorkerSlow    Kind = "worker_slow"
-	WorkerDrain   Kind = "worker_drain"
-	LateOrders    Kind = "late_orders"
+	WorkerCrash       Kind = "worker_crash"
+	WorkerPartitioned Kind = "worker_cut"
+	WorkerFailing     Kind = "worker_failing"
+	WorkerSlow        Kind = "worker_slow"
+	WorkerDrain       Kind = "worker_drain"
+	LateOrders        Kind = "late_orders"
 
 	NewKey Kind = "new_key"
 )
@@ -47,8 +47,8 @@
 }{
 	{Kill, 4}, {PlannedStop, 4}, {Pause, 3}, {Reload, 1},
 	{DelayLink, 2}, {SilenceLink, 2}, {CutAnswerLink, 2}, {CutOrderLink, 2}, {ResetLink, 2}, {KillAll, 1},
-	{StoreAway, 1}, {StoreSilent, 1}, {StoreSlow, 1}, {StoreLossy, 2}, {PartAway, 1},
-	{WorkerCrash, 2}, {WorkerCut, 2}, {WorkerFailing, 1}, {WorkerSlow, 1}, {WorkerDrain, 1}, {LateOrders, 2},
+	{StoreUnavailable, 1}, {StoreUnresponsive, 1}, {StoreSlow, 1}, {StoreLossy, 2}, {PartUnavailable, 1},
+	{WorkerCrash, 2}, {WorkerPartitioned, 2}, {WorkerFailing, 1}, {WorkerSlow, 1}, {WorkerDrain, 1}, {LateOrders, 2},
 	{NewKey, 2},
 }
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -31,18 +31,18 @@
 	exited chan struct{}
 	// stopping is true while a planned stop is under way.
 	stopping bool
-	// troubledUntil is when the last unplanned disruption of this daemon is over.
-	troubledUntil time.Time
-	// plannedUntil is when the last planned stop is over.
-	plannedUntil time.Time
-	log          *os.File
-	// died lists ends of the process that nobody asked for.
-	died []string
+	// faultUntil is when the last unplanned disruption of this daemon is over.
+	faultUntil time.Time
+	// plannedStopUntil is when the last planned stop is over.
+	plannedStopUntil time.Time
+	log              *os.File
+	// unexpectedExits lists ends of the process that nobody asked for.
+	unexpectedExits []string
 }
 
-// grace is how long a planned stop may take before the process is killed, as the
+// stopGracePeriod is how long a planned stop may take before the process is killed, as the
 // platform does it.
-const grace = 6 * time.Second
+const stopGracePeriod = 6 * time.Second
 
 func newDaemon(number int, program, folder, platform string) (*daemon, error) {
 	proxy, err := faultproxy.New(platform)
@@ -76,14 +76,14 @@
 	portSpread = 611
 )
 
-// portsGiven counts the ports that were tried.
-var portsGiven atomic.Int64
+// portCounter counts the ports that were tried.
+var portCounter atomic.Int64
 
 // freeAddress returns a loopback address that nobody listens on, another one each time.
 func freeAddress() (string, error) {
 	var failure error
 	for range portCount {
-		port := firstPort + (int64(os.Getpid())*portSpread+portsGiven.Add(1))%portCount
+		port := firstPort + (int64(os.Getpid())*portSpread+portCounter.Add(1))%portCount
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			failure = err
@@ -95,8 +95,8 @@
 	return "", failure
 }
 
-// begin starts the process, unless one runs.
-func (d *daemon) begin() error {
+// start starts the process, unless one runs.
+func (d *daemon) start() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.command != nil {
@@ -121,7 +121,7 @@
 	defer d.mutex.Unlock()
 	signalled := command.ProcessState.Sys().(syscall.WaitStatus).Signaled()
 	if !signalled && !(d.stopping && err == nil) {
-		d.died = append(d.died, fmt.Sprintf("node-%d ended by itself: %v", d.number, err))
+		d.unexpectedExits = append(d.unexpectedExits, fmt.Sprintf("node-%d ended by itself: %v", d.number, err))
 	}
 	d.command = nil
 	close(exited)
@@ -137,32 +137,32 @@
 	}
 	if signal == syscall.SIGTERM {
 		d.stopping = true
-		d.plannedUntil = time.Now().Add(grace + time.Second)
+		d.plannedStopUntil = time.Now().Add(stopGracePeriod + time.Second)
 	}
 	_ = d.command.Process.Signal(signal)
 	return d.exited
 }
 
-// trouble notes an unplanned disruption that lasts for a while.
-func (d *daemon) trouble(length time.Duration) {
+// recordFault notes an unplanned disruption that lasts for a while.
+func (d *daemon) recordFault(length time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if until := time.Now().Add(length); until.After(d.troubledUntil) {
-		d.troubledUntil = until
+	if until := time.Now().Add(length); until.After(d.faultUntil) {
+		d.faultUntil = until
 	}
 }
 
 // condition is what was going on at a daemon.
 type condition struct {
-	troubled bool
-	planned  bool
+	faulty      bool
+	plannedStop bool
 }
 
-// since tells what went on at the daemon at any time since from.
-func (d *daemon) since(from time.Time) condition {
+// conditionSince tells what went on at the daemon at any time conditionSince from.
+func (d *daemon) conditionSince(from time.Time) condition {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return condition{troubled: d.troubledUntil.After(from), planned: d.plannedUntil.After(from)}
+	return condition{faulty: d.faultUntil.After(from), plannedStop: d.plannedStopUntil.After(from)}
 }
 
 // kill ends the process at once and waits until it is gone.
@@ -180,7 +180,7 @@
 	}
 	select {
 	case <-exited:
-	case <-time.After(grace):
+	case <-time.After(stopGracePeriod):
 		d.kill()
 	}
 }
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -16,11 +16,11 @@
 	// workers start again.
 	Target int  `json:"target"`
 	Series bool `json:"series,omitempty"`
-	// Away is how long the worker is gone, Unseen whether open connections stay silent instead of
+	// Downtime is how long the worker is gone, Unseen whether open connections stay silent instead of
 	// being reset, and ClockMillis where the next life's clock begins.
-	Away        time.Duration `json:"away"`
-	Unseen      bool          `json:"unseen,omitempty"`
-	ClockMillis int64         `json:"clock_ms"`
+	Downtime     time.Duration `json:"away"`
+	WithoutReset bool          `json:"unseen,omitempty"`
+	ClockMillis  int64         `json:"clock_ms"`
 }
 
 // ForeignRow is a row that another writer leaves under the name of a worker for a while, or for
@@ -33,24 +33,24 @@
 	Value  []byte `json:"value"`
 }
 
-// Lives is what befalls workers' lives and rows in a run beside its other troubles.
-type Lives struct {
+// InstanceFaults is what befalls workers' lives and rows in a run beside its other troubles.
+type InstanceFaults struct {
 	Restarts    []Restart    `json:"restarts,omitempty"`
 	ForeignRows []ForeignRow `json:"foreign_rows,omitempty"`
 }
 
 const (
-	// livesEvery is one in how many seeds has them, and livesDrawn the draw that gives a seed some,
+	// instanceFaultsEvery is one in how many seeds has them, and livesDrawn the draw that gives a seed some,
 	// from the stream livesStream.
-	livesEvery  = 2
-	livesDrawn  = 1
-	livesStream = 106
+	instanceFaultsEvery  = 2
+	instanceFaultsDrawn  = 1
+	instanceFaultsStream = 106
 	// A run has up to mostRestarts, of which one in seriesEvery strikes a third of the workers.
 	mostRestarts    = 6
 	seriesEvery     = 6
 	seriesShare     = 3
-	longestAway     = 4 * time.Second
-	shortestAway    = 20 * time.Millisecond
+	maxDowntime     = 4 * time.Second
+	minDowntime     = 20 * time.Millisecond
 	mostClockMillis = 8_000_000
 	mostForeignRows = 6
 )
@@ -61,18 +61,18 @@
 	[]byte(`{"service":["workers"],"address":"127.0.0.1:1","zone":"z","state":"ready"}`),
 }
 
-// seedsWithoutLives were kept or played by tests before there were any. They stay as they are.
-var seedsWithoutLives = []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019}
+// seedsWithoutInstanceFaults were kept or played by tests before there were any. They stay as they are.
+var seedsWithoutInstanceFaults = []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019}
 
-// NewLives draws them: the same for the same seed and length, from numbers of their own. Always gives
+// NewInstanceFaults draws them: the same for the same seed and length, from numbers of their own. Always gives
 // them to seeds that have none.
-func NewLives(seed uint64, length time.Duration, always bool) Lives {
-	random := rand.New(rand.NewPCG(seed, livesStream))
-	drawsSome := random.IntN(livesEvery) == livesDrawn && !slices.Contains(seedsWithoutLives, seed)
+func NewInstanceFaults(seed uint64, length time.Duration, always bool) InstanceFaults {
+	random := rand.New(rand.NewPCG(seed, instanceFaultsStream))
+	drawsSome := random.IntN(instanceFaultsEvery) == instanceFaultsDrawn && !slices.Contains(seedsWithoutInstanceFaults, seed)
 	if !drawsSome && !always {
-		return Lives{}
+		return InstanceFaults{}
 	}
-	var drawn Lives
+	var drawn InstanceFaults
 	for range 1 + random.IntN(mostRestarts) {
 		drawn.Restarts = append(drawn.Restarts, drawRestart(random, length))
 	}
@@ -85,8 +85,8 @@
 func drawRestart(random *rand.Rand, length time.Duration) Restart {
 	drawn := Restart{
 		At: time.Duration(random.Int64N(int64(length))), Target: random.IntN(1 << 16),
-		Series: random.IntN(seriesEvery) == 0, Unseen: random.IntN(3) == 0,
-		Away: shortestAway + time.Duration(random.Int64N(int64(longestAway-shortestAway))),
+		Series: random.IntN(seriesEvery) == 0, WithoutReset: random.IntN(3) == 0,
+		Downtime: minDowntime + time.Duration(random.Int64N(int64(maxDowntime-minDowntime))),
 	}
 	if random.IntN(2) == 0 {
 		drawn.ClockMillis = random.Int64N(mostClockMillis)
@@ -101,13 +101,13 @@
 	}
 }
 
-// applyLives lets them happen in time.
-func (r *run) applyLives(lives Lives, began time.Time, ends *sync.WaitGroup) {
+// applyInstanceFaults lets them happen in time.
+func (r *run) applyInstanceFaults(lives InstanceFaults, began time.Time, ends *sync.WaitGroup) {
 	for _, restart := range lives.Restarts {
-		r.at(began.Add(restart.At), ends, func() { restartWorkers(r.platform.World, restart) })
+		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.World, restart) })
 	}
 	for _, foreign := range lives.ForeignRows {
-		r.at(began.Add(foreign.At), ends, func() { putForeignRow(r.platform.World, foreign) })
+		r.scheduleLocked(began.Add(foreign.At), ends, func() { putForeignRow(r.platform.World, foreign) })
 	}
 }
 
@@ -121,10 +121,10 @@
 		struck = living[:max(1, len(living)/seriesShare)]
 	}
 	for _, worker := range struck {
-		if restart.Unseen {
-			worker.RestartUnseen(restart.Away, restart.ClockMillis)
+		if restart.WithoutReset {
+			worker.RestartUnseen(restart.Downtime, restart.ClockMillis)
 		} else {
-			worker.Restart(restart.Away, restart.ClockMillis)
+			worker.Restart(restart.Downtime, restart.ClockMillis)
 		}
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -47,9 +47,9 @@
 	// Evacuations are the zones that were emptied.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 	// Workers is what befalls workers beside the plan's faults.
-	Workers WorkerTroubles `json:"workers"`
+	Workers WorkerFaults `json:"workers"`
 	// Lives is what befalls workers' lives and rows.
-	Lives Lives `json:"lives"`
+	Lives InstanceFaults `json:"lives"`
 	// Answers counts what callers got, by call and status.
 	Answers map[string]int `json:"answers"`
 	// States counts accepted jobs by their state at the end.
@@ -59,17 +59,17 @@
 
 // run is a system under faults.
 type run struct {
-	options  Options
-	platform *standin.Server
-	daemons  []*daemon
-	ledger   ledger
-	closed   chan struct{}
-	replaced int
+	options      Options
+	platform     *standin.Server
+	daemons      []*daemon
+	observations observations
+	closed       chan struct{}
+	replaced     int
 
 	keyMutex   sync.Mutex
 	keyVersion int
 
-	workers WorkerTroubles
+	workers WorkerFaults
 
 	// configurationMutex is held while a version is put, so that versions only rise.
 	configurationMutex sync.Mutex
@@ -80,10 +80,10 @@
 const (
 	racks          = 3
 	workersPerRack = 4
-	readyLimit     = 30 * time.Second
-	// settleLimit is how long all accepted jobs may take to end once nothing is wrong.
-	settleLimit = 60 * time.Second
-	settlePause = 250 * time.Millisecond
+	readyTimeout   = 30 * time.Second
+	// settleTimeout is how long all accepted jobs may take to end once nothing is wrong.
+	settleTimeout = 60 * time.Second
+	pollPeriod    = 250 * time.Millisecond
 	// keyOverlap is how long an old key stays beside the new one.
 	keyOverlap = 6 * time.Second
 )
@@ -92,23 +92,23 @@
 func Run(options Options) (*Report, error) {
 	world := simulation.NewWorld(racks, workersPerRack)
 	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
-	troubles := NewWorkerTroubles(options.Seed, options.Length)
+	troubles := NewWorkerFaults(options.Seed, options.Length)
 	world.Unguarded = troubles.Unguarded
 	platform, err := standin.Start(world)
 	if err != nil {
 		return nil, err
 	}
 	defer platform.Close()
-	r := &run{options: options, workers: troubles, platform: platform, closed: make(chan struct{}), ledger: ledger{answers: map[string]int{}}}
-	r.putFirst()
-	defer r.end()
+	r := &run{options: options, workers: troubles, platform: platform, closed: make(chan struct{}), observations: observations{answers: map[string]int{}}}
+	r.putInitialConfiguration()
+	defer r.closeDaemons()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
 	report := &Report{Seed: options.Seed, Broken: []string{}, Faults: map[Kind]int{}, Logs: options.Folder, States: map[taskgraph.State]int{}}
-	r.play(report)
-	r.settle(report)
-	r.judge(report)
+	r.injectFaults(report)
+	r.waitForJobs(report)
+	r.collectViolations(report)
 	return report, nil
 }
 
@@ -119,26 +119,26 @@
 			return err
 		}
 		r.daemons = append(r.daemons, d)
-		if err := d.begin(); err != nil {
+		if err := d.start(); err != nil {
 			return err
 		}
 	}
-	caller := standin.NewCaller(callLimit)
-	deadline := time.Now().Add(readyLimit)
+	caller := standin.NewCaller(callTimeout)
+	deadline := time.Now().Add(readyTimeout)
 	for _, d := range r.daemons {
 		for !caller.Ready(d.ready) {
 			if time.Now().After(deadline) {
 				return errors.Newf("node-%d does not become ready, see %s", d.number, r.options.Folder)
 			}
-			time.Sleep(settlePause)
+			time.Sleep(pollPeriod)
 		}
 	}
 	return nil
 }
 
-func (r *run) begin(d *daemon) {
-	if err := d.begin(); err != nil {
-		r.ledger.fail("node-%d does not start: %v", d.number, err)
+func (r *run) startDaemon(d *daemon) {
+	if err := d.start(); err != nil {
+		r.observations.addViolation("node-%d does not start: %v", d.number, err)
 	}
 }
 
@@ -151,8 +151,8 @@
 	}
 }
 
-// play lets callers work while the faults of the plan come and go.
-func (r *run) play(report *Report) {
+// injectFaults lets callers work while the faults of the plan come and go.
+func (r *run) injectFaults(report *Report) {
 	var callers, ends sync.WaitGroup
 	for number := range r.options.Callers {
 		callers.Go(func() { r.callerLoop(number) })
@@ -165,9 +165,9 @@
 	report.Evacuations = NewEvacuations(r.options.Seed, r.options.Length)
 	r.applyEvacuations(report.Evacuations, began, &ends)
 	report.Workers = r.workers
-	r.applyWorkerTroubles(began, &ends)
-	report.Lives = NewLives(r.options.Seed, r.options.Length, r.options.Lives)
-	r.applyLives(report.Lives, began, &ends)
+	r.applyWorkerFaults(began, &ends)
+	report.Lives = NewInstanceFaults(r.options.Seed, r.options.Length, r.options.Lives)
+	r.applyInstanceFaults(report.Lives, began, &ends)
 	for _, fault := range NewPlan(r.options.Seed, r.options.Length) {
 		time.Sleep(time.Until(began.Add(fault.At)))
 		report.Faults[fault.Kind]++
@@ -204,17 +204,17 @@
 		d := r.daemons[silence.Target%len(r.daemons)]
 		ends.Go(func() {
 			time.Sleep(time.Until(began.Add(silence.At)))
-			d.trouble(silenceEffect + troubleMargin)
+			d.recordFault(silenceEffect + faultMargin)
 			d.proxy.SilenceOpen()
 		})
 	}
 }
 
-// settle waits until every accepted job has ended.
-func (r *run) settle(report *Report) {
-	caller := standin.NewCaller(callLimit)
-	deadline := time.Now().Add(settleLimit)
-	for _, s := range r.ledger.submissions {
+// waitForJobs waits until every accepted job has ended.
+func (r *run) waitForJobs(report *Report) {
+	caller := standin.NewCaller(callTimeout)
+	deadline := time.Now().Add(settleTimeout)
+	for _, s := range r.observations.submissions {
 		if !s.accepted {
 			continue
 		}
@@ -225,47 +225,47 @@
 				s.state = answer.State
 			}
 			if !s.state.Final() {
-				time.Sleep(settlePause)
+				time.Sleep(pollPeriod)
 			}
 		}
 		report.States[s.state]++
 	}
 }
 
-// judge collects what was broken, by callers, by workers and by the processes.
-func (r *run) judge(report *Report) {
-	for _, s := range r.ledger.submissions {
-		r.judgeJob(s)
+// collectViolations collects what was broken, by callers, by workers and by the processes.
+func (r *run) collectViolations(report *Report) {
+	for _, s := range r.observations.submissions {
+		r.checkJob(s)
 	}
-	report.Broken = append(report.Broken, r.ledger.broken...)
+	report.Broken = append(report.Broken, r.observations.violations...)
 	r.platform.Locked(func() { report.Broken = append(report.Broken, r.platform.World.Judge.Broken...) })
 	for _, d := range r.daemons {
 		d.mutex.Lock()
-		report.Broken = append(report.Broken, d.died...)
+		report.Broken = append(report.Broken, d.unexpectedExits...)
 		d.mutex.Unlock()
 	}
-	report.Answers = r.ledger.answers
+	report.Answers = r.observations.answers
 }
 
-// judgeJob holds a job's end against what its caller was told.
-func (r *run) judgeJob(s *submission) {
+// checkJob holds a job's end against what its caller was told.
+func (r *run) checkJob(s *submission) {
 	starts := 0
 	r.platform.Locked(func() { starts = r.platform.World.Judge.JobStarts(s.spec.ID) })
 	switch {
 	case s.refused && starts > 0:
-		r.ledger.fail("job %s was refused and ran", s.spec.ID)
+		r.observations.addViolation("job %s was refused and ran", s.spec.ID)
 	case !s.accepted:
 	case !s.state.Final():
-		r.ledger.fail("accepted job %s is %q at the end", s.spec.ID, s.state)
+		r.observations.addViolation("accepted job %s is %q at the end", s.spec.ID, s.state)
 	case s.poison && s.state == taskgraph.Failed:
 	case s.poison && s.state == taskgraph.Completed:
-		r.ledger.fail("job %s is shown as completed and one of its tasks crashes workers", s.spec.ID)
+		r.observations.addViolation("job %s is shown as completed and one of its tasks crashes workers", s.spec.ID)
 	case s.state == taskgraph.Failed:
-		r.ledger.fail("job %s is shown as failed and could be done", s.spec.ID)
+		r.observations.addViolation("job %s is shown as failed and could be done", s.spec.ID)
 	case s.state == taskgraph.Cancelled && !s.cancelTried:
-		r.ledger.fail("job %s is shown as cancelled and nobody asked for it", s.spec.ID)
+		r.observations.addViolation("job %s is shown as cancelled and nobody asked for it", s.spec.ID)
 	case s.state == taskgraph.Completed && !r.allDone(s):
-		r.ledger.fail("job %s is shown as completed and is not", s.spec.ID)
+		r.observations.addViolation("job %s is shown as completed and is not", s.spec.ID)
 	}
 }
 
@@ -275,7 +275,7 @@
 	return done
 }
 
-func (r *run) end() {
+func (r *run) closeDaemons() {
 	for _, d := range r.daemons {
 		d.close()
 	}
@@ -304,8 +304,8 @@
 	})
 }
 
-// putFirst puts the first configuration.
-func (r *run) putFirst() {
+// putInitialConfiguration puts the first configuration.
+func (r *run) putInitialConfiguration() {
 	r.keyVersion = 1
 	r.configuration = standin.Configuration{MaxAttempts: maxAttempts, Priority: 1, Unguarded: r.workers.Unguarded}
 	r.putKeys(keyName(r.keyVersion))
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -57,10 +57,10 @@
 	t.Cleanup(platform.Close)
 	r := &run{
 		options:  Options{Program: buildDaemon(t), Daemons: 3, Folder: t.TempDir()},
-		platform: platform, ledger: ledger{answers: map[string]int{}},
+		platform: platform, observations: observations{answers: map[string]int{}},
 	}
-	r.putFirst()
-	t.Cleanup(r.end)
+	r.putInitialConfiguration()
+	t.Cleanup(r.closeDaemons)
 	require.NoError(t, r.start())
 	for _, d := range r.daemons {
 		d.proxy.SetRate(slowLink)
@@ -74,16 +74,16 @@
 		status := d.statusUntil(keyName(2), http.StatusGone, deadline)
 		assert.Equal(t, http.StatusGone, status, "node-%d does not know the new key after %v", d.number, grownLimit)
 	}
-	caller := standin.NewCaller(callLimit)
+	caller := standin.NewCaller(callTimeout)
 	for _, d := range r.daemons {
-		require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), settlePause, "node-%d is not ready", d.number)
+		require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod, "node-%d is not ready", d.number)
 	}
 }
 
 // statusUntil asks a daemon for an unknown job until it answers with the wanted status or
 // the deadline is over, and returns the last status; zero is no answer.
 func (d *daemon) statusUntil(key string, wanted int, deadline time.Time) int {
-	caller := standin.NewCaller(callLimit)
+	caller := standin.NewCaller(callTimeout)
 	for {
 		status := 0
 		if answer, err := caller.State(d.callers, key, unknownID); err == nil {
@@ -92,7 +92,7 @@
 		if status == wanted || time.Now().After(deadline) {
 			return status
 		}
-		time.Sleep(settlePause)
+		time.Sleep(pollPeriod)
 	}
 }
 
@@ -113,29 +113,29 @@
 	platform.Locked(func() { putEndedJobs(platform.World, oldJobs) })
 	r := &run{
 		options:  Options{Program: buildDaemon(t), Daemons: 1, Folder: t.TempDir()},
-		platform: platform, ledger: ledger{answers: map[string]int{}},
+		platform: platform, observations: observations{answers: map[string]int{}},
 	}
-	r.putFirst()
-	t.Cleanup(r.end)
+	r.putInitialConfiguration()
+	t.Cleanup(r.closeDaemons)
 	d, err := newDaemon(0, r.options.Program, r.options.Folder, platform.Address())
 	require.NoError(t, err)
 	r.daemons = []*daemon{d}
 	d.proxy.SetRate(slowLink)
-	require.NoError(t, d.begin())
+	require.NoError(t, d.start())
 	deadline := time.Now().Add(grownLimit)
-	caller := standin.NewCaller(callLimit)
-	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), settlePause)
+	caller := standin.NewCaller(callTimeout)
+	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
 
 	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Amount: taskgraph.Amount{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
 	platform.Locked(func() { platform.World.Expect(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
 		answer, err := caller.Submit(d.callers, keyName(1), spec)
 		return err == nil && answer.Status == http.StatusOK
-	}, time.Until(deadline), settlePause)
+	}, time.Until(deadline), pollPeriod)
 	require.Eventually(t, func() bool {
 		answer, err := caller.State(d.callers, keyName(1), spec.ID)
 		return err == nil && answer.State == taskgraph.Completed
-	}, time.Until(deadline), settlePause, "the owner starts a new job")
+	}, time.Until(deadline), pollPeriod, "the owner starts a new job")
 }
 
 // putEndedJobs writes the rows of jobs that have ended.
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -9,10 +9,10 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// WorkerTroubles is what befalls workers in a run beside the faults of its plan: tasks that
+// WorkerFaults is what befalls workers in a run beside the faults of its plan: tasks that
 // crash them, crashes by chance after which another instance comes back at the same address,
 // and capacities that change.
-type WorkerTroubles struct {
+type WorkerFaults struct {
 	// PoisonEvery is one in how many jobs of a caller has a task that crashes workers; 0 is
 	// none. Crash is how it does so.
 	PoisonEvery int              `json:"poison_every,omitempty"`
@@ -40,10 +40,10 @@
 }
 
 const (
-	// workerTroublesEvery is one in how many seeds has them, and workerTroublesDrawn the draw
+	// workerFaultsEvery is one in how many seeds has them, and workerTroublesDrawn the draw
 	// that gives a seed some: one that leaves the seeds of soak/regressions.txt without.
-	workerTroublesEvery = 2
-	workerTroublesDrawn = 1
+	workerFaultsEvery = 2
+	workerFaultsDrawn = 1
 	// A caller hands in some four jobs a second; at most one in mostPoison crashes workers.
 	leastPoison    = 6
 	mostPoison     = 16
@@ -54,14 +54,14 @@
 	latestRow = 1500 * time.Millisecond
 )
 
-// NewWorkerTroubles draws them: the same for the same seed and length, from numbers of their
+// NewWorkerFaults draws them: the same for the same seed and length, from numbers of their
 // own, so that they overlap with the plan's faults.
-func NewWorkerTroubles(seed uint64, length time.Duration) WorkerTroubles {
+func NewWorkerFaults(seed uint64, length time.Duration) WorkerFaults {
 	random := rand.New(rand.NewPCG(seed, 5))
-	if random.IntN(workerTroublesEvery) != workerTroublesDrawn {
-		return WorkerTroubles{}
+	if random.IntN(workerFaultsEvery) != workerFaultsDrawn {
+		return WorkerFaults{}
 	}
-	drawn := WorkerTroubles{
+	drawn := WorkerFaults{
 		PoisonEvery: leastPoison + random.IntN(mostPoison-leastPoison),
 		Crash:       simulation.Crash{From: simulation.CrashPoint(random.IntN(2)), After: 10 * time.Millisecond},
 		Unguarded:   random.IntN(2) == 0,
@@ -85,38 +85,38 @@
 
 // poisons reports whether a caller's job has a task that crashes workers. One that ends before
 // it would crash its worker is none.
-func (t *WorkerTroubles) poisons(caller, serial int, spec *taskgraph.Spec) bool {
+func (t *WorkerFaults) poisons(caller, serial int, spec *taskgraph.Spec) bool {
 	return t.PoisonEvery > 0 && (serial+caller)%t.PoisonEvery == t.PoisonEvery-1 && t.Crash.After < spec.Steps[0].Estimate()
 }
 
-// applyWorkerTroubles lets them happen in time. Capacities are whole again at the end of the
+// applyWorkerFaults lets them happen in time. Capacities are whole again at the end of the
 // run, so that all jobs can be done.
-func (r *run) applyWorkerTroubles(began time.Time, ends *sync.WaitGroup) {
+func (r *run) applyWorkerFaults(began time.Time, ends *sync.WaitGroup) {
 	world := r.platform.World
 	for _, crash := range r.workers.Crashes {
-		r.at(began.Add(crash.At), ends, func() {
+		r.scheduleLocked(began.Add(crash.At), ends, func() {
 			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Dead {
 				worker.CrashAndRestart()
 			}
 		})
 	}
 	for _, change := range r.workers.Capacities {
-		r.at(began.Add(change.At), ends, func() {
+		r.scheduleLocked(began.Add(change.At), ends, func() {
 			worker := world.Workers[change.Target%len(world.Workers)]
 			capacity := simulation.WorkerCapacity
 			capacity.GPUs = change.GPUs
 			worker.SetCapacity(capacity, change.RowAfter)
 		})
 	}
-	r.at(began.Add(r.options.Length), ends, func() {
+	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
 		for _, worker := range world.Workers {
 			worker.SetCapacity(simulation.WorkerCapacity, 0)
 		}
 	})
 }
 
-// at runs fn at a time while nothing else happens on the platform.
-func (r *run) at(when time.Time, ends *sync.WaitGroup, fn func()) {
+// scheduleLocked runs fn scheduleLocked a time while nothing else happens on the platform.
+func (r *run) scheduleLocked(when time.Time, ends *sync.WaitGroup, fn func()) {
 	ends.Go(func() {
 		time.Sleep(time.Until(when))
 		r.platform.Locked(fn)
