--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -15,10 +15,11 @@
 const (
 	// callTimeout is how long a caller waits for an answer.
 	callTimeout = 3 * time.Second
-	// maxRefusalTime is the time in which a daemon without trouble refuses.
+	// maxRefusalTime is the time within which a daemon without an injected fault must refuse a
+	// call.
 	maxRefusalTime = 2500 * time.Millisecond
-	// idleCloseSlack is how soon a connection may break at a planned stop without an answer:
-	// a request that crosses the closing of an idle connection.
+	// idleCloseSlack is the time within which a request may fail during a planned stop because it
+	// was sent while the daemon closed an idle connection.
 	idleCloseSlack  = 200 * time.Millisecond
 	submitAttempts  = 4
 	submitPause     = 200 * time.Millisecond
@@ -33,22 +34,22 @@
 	faultLookback   = 4 * time.Second
 )
 
-// submission is what a caller knows of its job.
+// submission is a job and what its caller was told about it.
 type submission struct {
 	spec *taskgraph.Spec
-	// accepted is true once an answer said so, and refused while every answer said that
-	// the job was not taken.
+	// accepted is set once an answer confirmed the job. refused is true while every answer
+	// rejected it.
 	accepted  bool
 	refused   bool
 	cancelled bool
-	// cancelTried is true once a cancellation was sent, answered or not.
+	// cancelTried is set once a cancellation was sent, answered or not.
 	cancelTried bool
-	// poison is true if one of the job's tasks crashes the workers that start it.
+	// poison is set if one of the tasks crashes the workers that start it.
 	poison bool
 	state  taskgraph.State
 }
 
-// observations collects what callers see.
+// observations collects the answers to callers and the violations that they show.
 type observations struct {
 	mutex       sync.Mutex
 	submissions []*submission
@@ -68,7 +69,7 @@
 	l.answers[what]++
 }
 
-// callerLoop submits jobs, one at a time, until the run closes.
+// callerLoop submits jobs one at a time until the run ends.
 func (r *run) callerLoop(number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+number)))
 	caller := standin.NewCaller(callTimeout)
@@ -92,7 +93,7 @@
 	}
 }
 
-// randomSpec draws a job of one or two steps.
+// randomSpec returns a random job of one or two steps.
 func (r *run) randomSpec(random *rand.Rand, caller, serial int) *taskgraph.Spec {
 	draw := func() taskgraph.Step {
 		work := minTaskDuration + time.Duration(random.Int64N(int64(maxTaskDuration-minTaskDuration)))
@@ -114,10 +115,10 @@
 	return spec
 }
 
-// randomDaemon picks a daemon, ready or not: clients keep using open connections.
+// randomDaemon returns a random daemon, ready or not: clients keep using open connections.
 func (r *run) randomDaemon(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
 
-// checkedCall makes a call and judges what can be said of it by itself.
+// checkedCall makes a call and checks the invariants that concern this call alone.
 func (r *run) checkedCall(d *daemon, what string, call func() (standin.Answer, error)) (standin.Answer, error) {
 	began := time.Now()
 	answer, err := call()
@@ -143,8 +144,8 @@
 	return answer, err
 }
 
-// submit hands a job in as PROTOCOL lets clients do: again after no answer, not after
-// a refusal.
+// submit submits a job by the rules of PROTOCOL: it retries after a missing answer but not after a
+// refusal.
 func (r *run) submit(caller *standin.Caller, random *rand.Rand, s *submission) {
 	for range submitAttempts {
 		d := r.randomDaemon(random)
@@ -177,7 +178,7 @@
 	}
 }
 
-// checkState asks for a job's state once and notes what the answer claims.
+// checkState queries the state of a job once and checks the answer.
 func (r *run) checkState(caller *standin.Caller, random *rand.Rand, s *submission) {
 	d := r.randomDaemon(random)
 	answer, err := r.checkedCall(d, "look", func() (standin.Answer, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Evacuation is a zone to which nothing new may be sent for a while.
+// Evacuation is a period in which no run may start in a zone.
 type Evacuation struct {
 	At     time.Duration `json:"at"`
 	Length time.Duration `json:"length"`
-	// Target numbers a zone; it is taken modulo their count.
+	// Target is the index of a zone, modulo the number of zones.
 	Target int `json:"target"`
 }
 
 const (
-	// evacuationsEvery is one in how many seeds has evacuations, and evacuationsDrawn the draw
-	// that gives a seed some. The seeds that were kept before there were evacuations have none.
+	// One in evacuationsEvery seeds has evacuations: those that draw evacuationsDrawn. The seeds
+	// of soak/regressions.txt draw another number.
 	evacuationsEvery = 2
 	evacuationsDrawn = 1
-	// evacuationsStream tells the numbers drawn here from those of other troubles.
+	// evacuationsStream separates the random stream from those of other faults.
 	evacuationsStream = 32
-	// A series has up to mostEvacuations, which overlap: all zones at once are among them.
+	// A run has up to mostEvacuations, which may overlap and cover all zones at once.
 	mostEvacuations    = 5
 	shortestEvacuation = time.Second
 	longestEvacuation  = 10 * time.Second
 )
 
-// NewEvacuations draws the evacuations of a run: the same for the same seed and length, from
-// numbers of their own.
+// NewEvacuations returns the evacuations of a run. They depend only on the seed and length and use
+// a separate random stream.
 func NewEvacuations(seed uint64, length time.Duration) []Evacuation {
 	random := rand.New(rand.NewPCG(seed, evacuationsStream))
 	if random.IntN(evacuationsEvery) != evacuationsDrawn {
@@ -45,8 +45,8 @@
 	return drawn
 }
 
-// applyEvacuations evacuates zones in time and takes all back at the end of the run, so that
-// all jobs can be done.
+// applyEvacuations schedules the evacuations and cancels all of them at the end of the run, so
+// that all jobs can complete.
 func (r *run) applyEvacuations(evacuations []Evacuation, began time.Time, ends *sync.WaitGroup) {
 	world := r.platform.World
 	zones := world.Zones()
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -27,7 +27,7 @@
 			drawn[fault.Kind] = true
 		}
 	}
-	require.Len(t, drawn, len(Kinds()), "every kind comes")
+	require.Len(t, drawn, len(Kinds()), "every kind is drawn")
 }
 
 func TestEvacuationsAreTheSameForASeed(t *testing.T) {
@@ -50,7 +50,7 @@
 	require.Greater(t, drawn, seeds/4)
 	require.Positive(t, overlapping)
 	for _, kept := range []uint64{619, 10113, 12000, 60601} {
-		require.Empty(t, NewEvacuations(kept, time.Minute), "seeds kept before stay as they are")
+		require.Empty(t, NewEvacuations(kept, time.Minute), "faults of kept seeds must not change")
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	require.InDelta(t, seeds/linksEvery, drawn, seeds/10)
 	require.Positive(t, unlimited)
-	require.Less(t, unlimited, drawn*daemons, "some links are slow")
+	require.Less(t, unlimited, drawn*daemons, "some links must be limited")
 }
 
 func TestSilencesAreTheSameForASeed(t *testing.T) {
@@ -105,11 +105,11 @@
 		}
 	}
 	require.InDelta(t, seeds/silencesEvery, drawn, seeds/10)
-	require.Greater(t, series, drawn/2, "most come in series")
+	require.Greater(t, series, drawn/2, "most silences must come in series")
 }
 
-// TestKeptSeedReplaysItsFaults: a seed of soak/regressions.txt draws the faults that it was
-// kept for, no slow links and no silences.
+// TestKeptSeedReplaysItsFaults guards against changes to the faults of a seed in
+// soak/regressions.txt, and against slow links or silences added to it.
 func TestKeptSeedReplaysItsFaults(t *testing.T) {
 	const (
 		seed    = 619
@@ -129,8 +129,8 @@
 	require.Equal(t, Fault{At: 11899188807, Kind: ResetLink, Target: 1654, Length: 3864325320}, plan[11])
 }
 
-// TestVersionsRiseAndKeepWhatGrew: a configuration with other keys keeps the extra queues,
-// a grown one keeps the keys, and each has a higher version than the one before.
+// TestVersionsRiseAndKeepWhatGrew guards against a key rotation that drops extra queues, a growth
+// that drops keys, and a version that does not increase.
 func TestVersionsRiseAndKeepWhatGrew(t *testing.T) {
 	r, _ := newTestRun(t)
 	r.putInitialConfiguration()
@@ -145,7 +145,7 @@
 	require.Greater(t, r.configuration.Version, grown.Version)
 }
 
-// newTestRun returns a run without daemons, and a job that its stand-in expects.
+// newTestRun returns a run without daemons, and a job that is registered with its platform.
 func newTestRun(t *testing.T) (*run, *submission) {
 	platform, err := standin.Start(simulation.NewWorld(1, 1))
 	require.NoError(t, err)
@@ -156,7 +156,7 @@
 	return r, s
 }
 
-// startTask lets the stand-in's worker begin the job's task.
+// startTask starts the task of the job on the simulated worker.
 func (r *run) startTask(s *submission) {
 	r.platform.Locked(func() {
 		order := fleet.Start{Task: taskgraph.TaskName{Job: s.spec.ID}, Run: 1, DeadlineMillis: 3000}
@@ -164,20 +164,20 @@
 	})
 }
 
-// TestJudgeCatchesBrokenHistories: each history breaks one promise.
+// TestJudgeCatchesBrokenHistories violates one invariant per history.
 func TestJudgeCatchesBrokenHistories(t *testing.T) {
 	cases := map[string]struct {
 		submission submission
 		starts     bool
 		want       string
 	}{
-		"refused and ran":      {submission{refused: true}, true, "was refused and ran"},
-		"never ended":          {submission{accepted: true, state: taskgraph.Queued}, false, "at the end"},
-		"failed without cause": {submission{accepted: true, state: taskgraph.Failed}, false, "could be done"},
-		"cancelled unasked":    {submission{accepted: true, state: taskgraph.Cancelled}, false, "nobody asked"},
-		"completed, not done":  {submission{accepted: true, state: taskgraph.Completed}, false, "is not"},
-		"completed, poison":    {submission{accepted: true, poison: true, state: taskgraph.Completed}, false, "crashes workers"},
-		"poison never ended":   {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "at the end"},
+		"refused but started":             {submission{refused: true}, true, "was refused and ran"},
+		"no final state":                  {submission{accepted: true, state: taskgraph.Queued}, false, "at the end"},
+		"failed without a fault":          {submission{accepted: true, state: taskgraph.Failed}, false, "could be done"},
+		"cancelled without a request":     {submission{accepted: true, state: taskgraph.Cancelled}, false, "nobody asked"},
+		"completed with unfinished tasks": {submission{accepted: true, state: taskgraph.Completed}, false, "is not"},
+		"completed with a poison task":    {submission{accepted: true, poison: true, state: taskgraph.Completed}, false, "crashes workers"},
+		"poison without a final state":    {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "at the end"},
 	}
 	for name, c := range cases {
 		r, s := newTestRun(t)
@@ -192,10 +192,11 @@
 	r, s := newTestRun(t)
 	s.refused = true
 	r.checkJob(s)
-	require.Empty(t, r.observations.violations, "refused and did not run")
+	require.Empty(t, r.observations.violations, "a refused job without starts is no violation")
 }
 
-// TestJudgeOfAnswers: what single answers break, by what went on at the daemon.
+// TestJudgeOfAnswers checks which single answers are violations, depending on the faults at the
+// daemon.
 func TestJudgeOfAnswers(t *testing.T) {
 	lost := errors.New("connection reset")
 	cases := map[string]struct {
@@ -205,13 +206,13 @@
 		troubled, planned bool
 		want              string
 	}{
-		"whole":                     {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
-		"not whole":                 {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
-		"key refused":               {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
-		"key refused amid trouble":  {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, troubled: true},
-		"cut off by a planned stop": {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
-		"crossed the closing":       {err: lost, planned: true},
-		"cut off by a kill":         {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, troubled: true},
+		"complete":                             {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
+		"truncated body":                       {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
+		"key refused":                          {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
+		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, troubled: true},
+		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
+		"sent while an idle connection closes": {err: lost, planned: true},
+		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, troubled: true},
 	}
 	for name, c := range cases {
 		r, _ := newTestRun(t)
@@ -235,7 +236,7 @@
 	}
 }
 
-// buildDaemon returns the path of a freshly built daemon.
+// buildDaemon builds the daemon and returns its path.
 func buildDaemon(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "wheatroadd")
 	output, err := exec.Command("go", "build", "-o", program, "../../cmd/wheatroadd").CombinedOutput()
@@ -243,7 +244,7 @@
 	return program
 }
 
-// runShortSoak plays one seed with real daemons.
+// runShortSoak runs one seed with daemon processes.
 func runShortSoak(t *testing.T, seed uint64) *Report {
 	report, err := Run(Options{Program: buildDaemon(t), Seed: seed, Length: 6 * time.Second, Daemons: 3, Callers: 2, Folder: t.TempDir()})
 	require.NoError(t, err)
@@ -254,16 +255,16 @@
 
 func TestShortSoak(t *testing.T) { runShortSoak(t, 1) }
 
-// TestShortSoakOfWorkerTroubles plays a seed whose workers crash under some tasks and by
-// chance, shrink and grow.
+// TestShortSoakOfWorkerTroubles runs a seed whose workers crash under some tasks and at random,
+// and change their capacity.
 func TestShortSoakOfWorkerTroubles(t *testing.T) {
 	report := runShortSoak(t, 10001)
 	require.Positive(t, report.Workers.PoisonEvery)
 	require.Positive(t, report.States[taskgraph.Failed])
 }
 
-// TestShortSoakOfLives plays a seed whose workers start again under their identifiers and whose
-// rows are another writer's for a while.
+// TestShortSoakOfLives runs a seed whose workers restart under the same identifier and whose rows
+// are overwritten for a while.
 func TestShortSoakOfLives(t *testing.T) {
 	report := runShortSoak(t, 20063)
 	require.NotEmpty(t, report.Lives.Restarts)
@@ -290,7 +291,7 @@
 	require.Positive(t, series)
 	require.Positive(t, foreign)
 	for _, kept := range []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019} {
-		require.Empty(t, NewInstanceFaults(kept, time.Minute, false), "seeds played before stay as they are")
+		require.Empty(t, NewInstanceFaults(kept, time.Minute, false), "faults of kept seeds must not change")
 		require.NotEmpty(t, NewInstanceFaults(kept, time.Minute, true))
 	}
 }
@@ -321,5 +322,5 @@
 	require.InDelta(t, drawn/2, unguarded, seeds/10)
 	require.Positive(t, poison)
 	require.Positive(t, changes)
-	require.Empty(t, NewWorkerFaults(619, 13*time.Second), "a kept seed draws nothing new")
+	require.Empty(t, NewWorkerFaults(619, 13*time.Second), "faults of kept seeds must not change")
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -11,10 +11,10 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// faultMargin is how long after a disruption its effects still count.
+// faultMargin is how long the effects of a fault may last after its end.
 const faultMargin = 3 * time.Second
 
-// inject begins a fault and returns what ends it, or nil.
+// inject starts a fault and returns the function that ends it, or nil.
 func (r *run) inject(fault Fault) func() {
 	d := r.daemons[fault.Target%len(r.daemons)]
 	switch fault.Kind {
@@ -75,7 +75,7 @@
 	return func() { d.proxy.SetMode(faultproxy.Pass) }
 }
 
-// injectPlatform strikes the platform, which touches every daemon.
+// injectPlatform injects a fault of the platform, which affects every daemon.
 func (r *run) injectPlatform(fault Fault) func() {
 	for _, d := range r.daemons {
 		d.recordFault(fault.Length + faultMargin)
@@ -110,7 +110,7 @@
 	orderLoss        = 0.4
 )
 
-// randomOutcomes draws fates of which a share are not answered.
+// randomOutcomes returns a function that draws outcomes, of which a share are not answered.
 func (r *run) randomOutcomes(share float64) func() simulation.Fate {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	return func() simulation.Fate {
@@ -121,7 +121,8 @@
 	}
 }
 
-// workerFault strikes one worker. Both functions run locked.
+// workerFault returns the functions that start and end the fault of one worker. Both must be
+// called with the platform locked.
 func (r *run) workerFault(fault Fault) (begin, end func()) {
 	world := r.platform.World
 	worker := world.Workers[fault.Target%len(world.Workers)]
@@ -147,7 +148,7 @@
 	}
 }
 
-// replaceWorker ends a worker's life and begins another on the same rack.
+// replaceWorker crashes a worker and adds a new one on the same rack.
 func (r *run) replaceWorker(worker *simulation.Worker) {
 	if worker.Dead {
 		return
--- a/internal/soak/links.go
+++ b/internal/soak/links.go
@@ -7,45 +7,44 @@
 	"time"
 )
 
-// Links is what a run draws beside its faults: slow links between daemons and the
-// platform, and growth of the configuration that crosses them. It is empty for most seeds.
+// Links are the slow links between daemons and the platform, and the growth of the configuration
+// that is sent over them. It is empty for most seeds.
 type Links struct {
-	// Rates are bytes per second, one for each daemon; zero is no limit.
+	// Rates are the bytes per second of each daemon; zero means unlimited.
 	Rates []int `json:"rates,omitempty"`
-	// Growths are in the order of their time.
+	// Growths are sorted by time.
 	Growths []Growth `json:"growths,omitempty"`
 }
 
-// Growth adds queues to the configuration; all later versions keep them.
+// Growth adds queues to the configuration; all later versions contain them.
 type Growth struct {
 	At     time.Duration `json:"at"`
 	Queues int           `json:"queues"`
 }
 
 const (
-	// linksEvery is one in how many seeds has slow links.
+	// One in linksEvery seeds has slow links.
 	linksEvery = 3
-	// linksDrawn is the draw that gives a seed slow links: one that leaves the seeds of
-	// soak/regressions.txt without.
+	// linksDrawn is the drawn number that selects a seed. The seeds of soak/regressions.txt draw
+	// another number.
 	linksDrawn = 2
-	// unlimitedEvery is one in how many daemons of such a seed has no limit.
+	// One in unlimitedEvery daemons of such a seed has no limit.
 	unlimitedEvery = 3
 	slowestLink    = 300_000
 	fastestLink    = 1_500_000
 	mostGrowths    = 2
 	smallestGrowth = 500
 	largestGrowth  = 3000
-	// queueBytes is what an extra queue takes of a row on the wire: 189 bytes as JSON,
-	// which base64 turns into 252.
+	// queueBytes is the size of an extra queue on the wire: 189 bytes of JSON, 252 in base64.
 	queueBytes = 252
-	// longestTransfer is how long the grown configuration may take over the slowest link.
-	// It is shorter than the age at which callers begin to use a new key, so that a key
-	// refused by a daemon without trouble stays a broken promise.
+	// longestTransfer bounds the transfer of the grown configuration over the slowest link. It is
+	// shorter than the delay before callers use a new key, so that a daemon without faults knows
+	// the key by then.
 	longestTransfer = 2 * time.Second
 )
 
-// NewLinks draws the links of a run: the same for the same seed, length and number of
-// daemons. It takes nothing from the numbers that NewPlan draws.
+// NewLinks returns the links of a run. They depend only on the seed, length and number of daemons
+// and use a separate random stream.
 func NewLinks(seed uint64, length time.Duration, daemons int) Links {
 	random := rand.New(rand.NewPCG(seed, 3))
 	if random.IntN(linksEvery) != linksDrawn {
@@ -70,7 +69,7 @@
 	return links
 }
 
-// minRate returns the rate at which the whole growth takes the longest transfer.
+// minRate returns the rate at which the grown configuration takes longestTransfer.
 func (l Links) minRate() int {
 	queues := 0
 	for _, growth := range l.Growths {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Kind names a fault.
+// Kind is the name of a kind of fault.
 type Kind string
 
-// The kinds of faults. Those of the first group strike a daemon, of the second the
-// platform's store, of the third a worker, of the fourth the configuration.
+// Kinds of faults, in groups: faults of a daemon, of the store, of a worker, and of the
+// configuration.
 const (
 	Kill          Kind = "kill"
 	PlannedStop   Kind = "planned_stop"
@@ -40,7 +40,7 @@
 	NewKey Kind = "new_key"
 )
 
-// kinds lists all kinds with how often each is drawn.
+// kinds contains all kinds with their weights.
 var kinds = []struct {
 	kind   Kind
 	weight int
@@ -52,7 +52,7 @@
 	{NewKey, 2},
 }
 
-// Kinds returns the names of all faults.
+// Kinds returns all kinds of faults.
 func Kinds() []Kind {
 	names := make([]Kind, len(kinds))
 	for i := range kinds {
@@ -61,24 +61,25 @@
 	return names
 }
 
-// Fault is one disruption of a run.
+// Fault is one fault of a run.
 type Fault struct {
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// Target numbers a daemon or a worker; it is taken modulo their count.
+	// Target is the index of a daemon or worker, modulo their number.
 	Target int `json:"target"`
-	// Length is how long it lasts, where that means something.
+	// Length is the duration of the fault; some kinds ignore it.
 	Length time.Duration `json:"length"`
 }
 
 const (
 	shortestFault = 300 * time.Millisecond
 	longestFault  = 4 * time.Second
-	// faultGap is the mean time between two faults; a third come right after another.
+	// faultGap is the mean time between faults; a third of them start together with the previous
+	// one.
 	faultGap = 900 * time.Millisecond
 )
 
-// NewPlan draws the faults of a run: the same for the same seed and length.
+// NewPlan returns the faults of a run. They depend only on the seed and length.
 func NewPlan(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 1))
 	total := 0
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreeAddressesAreTheDaemonsOwn: two soaks at once gave the same port to a daemon each,
-// since the system had offered it to both; one of the daemons did not start.
+// TestFreeAddressesAreTheDaemonsOwn guards against ports of the ephemeral range, which the system
+// may assign to another process before the daemon listens.
 func TestFreeAddressesAreTheDaemonsOwn(t *testing.T) {
 	const most = 32768
 	given := map[string]bool{}
@@ -19,6 +19,6 @@
 		given[address] = true
 		resolved, err := net.ResolveTCPAddr("tcp", address)
 		require.NoError(t, err)
-		require.Less(t, resolved.Port, most, "the system gives such a port to others")
+		require.Less(t, resolved.Port, most, "port is in the ephemeral range")
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// daemon is one real process of wheatroadd and what was done to it.
+// daemon is a wheatroadd process and the faults injected into it.
 type daemon struct {
 	number   int
 	program  string
@@ -27,21 +27,20 @@
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	// exited is closed once the present process has ended.
+	// exited is closed when the current process has exited.
 	exited chan struct{}
-	// stopping is true while a planned stop is under way.
+	// stopping is set during a planned stop.
 	stopping bool
-	// faultUntil is when the last unplanned disruption of this daemon is over.
+	// faultUntil is the end of the last injected fault.
 	faultUntil time.Time
-	// plannedStopUntil is when the last planned stop is over.
+	// plannedStopUntil is the end of the last planned stop.
 	plannedStopUntil time.Time
 	log              *os.File
-	// unexpectedExits lists ends of the process that nobody asked for.
+	// unexpectedExits lists exits that were not requested.
 	unexpectedExits []string
 }
 
-// stopGracePeriod is how long a planned stop may take before the process is killed, as the
-// platform does it.
+// stopGracePeriod is the time between SIGTERM and SIGKILL, as on the platform.
 const stopGracePeriod = 6 * time.Second
 
 func newDaemon(number int, program, folder, platform string) (*daemon, error) {
@@ -66,20 +65,19 @@
 	return d, err
 }
 
-// Daemons listen on ports below those that the system gives out by itself, 32768 and up on
-// Linux: of those it may give one to another process as soon as its listener is closed, as it
-// did to two soaks that ran at once.
+// Daemons listen on ports below the ephemeral range (32768 and up on Linux): the system may assign
+// a port of that range to another process once its listener is closed.
 const (
 	firstPort = 10000
 	portCount = 22000
-	// portSpread lies between the ports that processes with successive identifiers begin at.
+	// portSpread is the distance between the first ports of processes with successive process IDs.
 	portSpread = 611
 )
 
-// portCounter counts the ports that were tried.
+// portCounter counts the ports tried.
 var portCounter atomic.Int64
 
-// freeAddress returns a loopback address that nobody listens on, another one each time.
+// freeAddress returns an unused loopback address, a different one on each call.
 func freeAddress() (string, error) {
 	var failure error
 	for range portCount {
@@ -95,7 +93,7 @@
 	return "", failure
 }
 
-// start starts the process, unless one runs.
+// start starts the process unless it is running.
 func (d *daemon) start() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -104,7 +102,7 @@
 	}
 	command := exec.Command(d.program, "serve", d.settings)
 	command.Stdout, command.Stderr = d.log, d.log
-	// The process ends with this one, however this one ends.
+	// Kills the daemon if this process exits for any reason.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
@@ -127,8 +125,8 @@
 	close(exited)
 }
 
-// signal sends a signal to the process, if one runs. It returns a channel that is
-// closed once that process has ended, or nil.
+// signal sends a signal to the process and returns a channel that is closed when it exits, or nil
+// if no process is running.
 func (d *daemon) signal(signal syscall.Signal) chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -143,7 +141,7 @@
 	return d.exited
 }
 
-// recordFault notes an unplanned disruption that lasts for a while.
+// recordFault records that an injected fault affects the daemon for the given time.
 func (d *daemon) recordFault(length time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -152,27 +150,27 @@
 	}
 }
 
-// condition is what was going on at a daemon.
+// condition describes the faults and planned stops of a daemon in a period.
 type condition struct {
 	faulty      bool
 	plannedStop bool
 }
 
-// conditionSince tells what went on at the daemon at any time conditionSince from.
+// conditionSince returns the condition of the daemon since a time.
 func (d *daemon) conditionSince(from time.Time) condition {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return condition{faulty: d.faultUntil.After(from), plannedStop: d.plannedStopUntil.After(from)}
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (d *daemon) kill() {
 	if exited := d.signal(syscall.SIGKILL); exited != nil {
 		<-exited
 	}
 }
 
-// stop ends the process the planned way.
+// stop sends SIGTERM, and SIGKILL after the grace period.
 func (d *daemon) stop() {
 	exited := d.signal(syscall.SIGTERM)
 	if exited == nil {
@@ -185,7 +183,7 @@
 	}
 }
 
-// close ends the process and all that belongs to it.
+// close kills the process and closes its proxy and log.
 func (d *daemon) close() {
 	d.signal(syscall.SIGCONT)
 	d.kill()
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -9,43 +9,43 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// Restart lets a worker start again under its identifier.
+// Restart restarts a worker under the same identifier.
 type Restart struct {
 	At time.Duration `json:"at"`
-	// Target numbers a living worker; it is taken modulo their count. With Series a third of all
-	// workers start again.
+	// Target is the index of a running worker, modulo their number. With Series a third of all
+	// workers restart.
 	Target int  `json:"target"`
 	Series bool `json:"series,omitempty"`
-	// Downtime is how long the worker is gone, Unseen whether open connections stay silent instead of
-	// being reset, and ClockMillis where the next life's clock begins.
+	// Downtime is the time until the new instance starts. WithoutReset leaves open connections
+	// silent instead of resetting them. ClockMillis is the new instance's initial clock.
 	Downtime     time.Duration `json:"away"`
 	WithoutReset bool          `json:"unseen,omitempty"`
 	ClockMillis  int64         `json:"clock_ms"`
 }
 
-// ForeignRow is a row that another writer leaves under the name of a worker for a while, or for
-// good under a name that no worker has.
+// ForeignRow is a row that overwrites a worker's row until its next heartbeat, or stays under an
+// identifier that no worker has.
 type ForeignRow struct {
 	At     time.Duration `json:"at"`
 	Target int           `json:"target"`
-	// Nobody rows stand under a name that no worker has.
+	// Nobody writes the row under an identifier that no worker has.
 	Nobody bool   `json:"nobody,omitempty"`
 	Value  []byte `json:"value"`
 }
 
-// InstanceFaults is what befalls workers' lives and rows in a run beside its other troubles.
+// InstanceFaults are the restarts of workers and the foreign rows of a run.
 type InstanceFaults struct {
 	Restarts    []Restart    `json:"restarts,omitempty"`
 	ForeignRows []ForeignRow `json:"foreign_rows,omitempty"`
 }
 
 const (
-	// instanceFaultsEvery is one in how many seeds has them, and livesDrawn the draw that gives a seed some,
-	// from the stream livesStream.
+	// One in instanceFaultsEvery seeds has them: those that draw instanceFaultsDrawn from the
+	// random stream instanceFaultsStream.
 	instanceFaultsEvery  = 2
 	instanceFaultsDrawn  = 1
 	instanceFaultsStream = 106
-	// A run has up to mostRestarts, of which one in seriesEvery strikes a third of the workers.
+	// A run has up to mostRestarts, of which one in seriesEvery affects a third of the workers.
 	mostRestarts    = 6
 	seriesEvery     = 6
 	seriesShare     = 3
@@ -55,17 +55,17 @@
 	mostForeignRows = 6
 )
 
-// foreignContents are what another writer leaves.
+// foreignContents are row values that no worker writes.
 var foreignContents = [][]byte{
 	[]byte("null"), []byte("{"), {0xff, 0xfe}, []byte(`{"service":"workers","state":"resting"}`),
 	[]byte(`{"service":["workers"],"address":"127.0.0.1:1","zone":"z","state":"ready"}`),
 }
 
-// seedsWithoutInstanceFaults were kept or played by tests before there were any. They stay as they are.
+// seedsWithoutInstanceFaults are seeds of regressions and tests whose faults must not change.
 var seedsWithoutInstanceFaults = []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019}
 
-// NewInstanceFaults draws them: the same for the same seed and length, from numbers of their own. Always gives
-// them to seeds that have none.
+// NewInstanceFaults returns the instance faults of a run. They depend only on the seed and length
+// and use a separate random stream. With always set every seed has some.
 func NewInstanceFaults(seed uint64, length time.Duration, always bool) InstanceFaults {
 	random := rand.New(rand.NewPCG(seed, instanceFaultsStream))
 	drawsSome := random.IntN(instanceFaultsEvery) == instanceFaultsDrawn && !slices.Contains(seedsWithoutInstanceFaults, seed)
@@ -101,7 +101,7 @@
 	}
 }
 
-// applyInstanceFaults lets them happen in time.
+// applyInstanceFaults schedules the faults.
 func (r *run) applyInstanceFaults(lives InstanceFaults, began time.Time, ends *sync.WaitGroup) {
 	for _, restart := range lives.Restarts {
 		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.World, restart) })
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,6 +1,5 @@
-// Package soak runs real daemons as processes of their own against the project's
-// stand-in for the platform, injects faults from outside them, and checks the promises
-// by what callers, workers and the store see.
+// Package soak runs daemon processes against the simulated platform, injects faults from outside,
+// and checks invariants from the observations of callers, workers and the store.
 package soak
 
 import (
@@ -19,45 +18,44 @@
 
 // Options of a run.
 type Options struct {
-	// Program is the path of wheatroadd.
+	// Program is the path of the wheatroadd binary.
 	Program string
 	Seed    uint64
-	// Length is how long faults come.
+	// Length is how long faults are injected.
 	Length  time.Duration
 	Daemons int
 	Callers int
-	// Lives restarts workers under their identifiers, and leaves rows of another writer, also with
-	// seeds that draw none.
+	// Lives adds restarts of workers and foreign rows also to seeds that draw none.
 	Lives bool
-	// Folder keeps settings and logs.
+	// Folder contains settings and logs.
 	Folder string
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Broken lists every broken promise.
+	// Broken lists the violated invariants.
 	Broken []string `json:"broken"`
-	// Faults counts what was injected, by kind.
+	// Faults counts the injected faults by kind.
 	Faults map[Kind]int `json:"faults"`
 	// Links are the rates of the daemons' links and the growth of the configuration.
 	Links Links `json:"links"`
-	// Silences are when open connections went silent.
+	// Silences are the times at which open connections become silent.
 	Silences []Silence `json:"silences,omitempty"`
-	// Evacuations are the zones that were emptied.
+	// Evacuations are the evacuated zones.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
-	// Workers is what befalls workers beside the plan's faults.
+	// Workers are the worker faults that are not part of the plan.
 	Workers WorkerFaults `json:"workers"`
-	// Lives is what befalls workers' lives and rows.
+	// Lives are the restarts of workers and the foreign rows.
 	Lives InstanceFaults `json:"lives"`
-	// Answers counts what callers got, by call and status.
+	// Answers counts the answers to callers by call and status.
 	Answers map[string]int `json:"answers"`
-	// States counts accepted jobs by their state at the end.
+	// States counts accepted jobs by final state.
 	States map[taskgraph.State]int `json:"states"`
 	Logs   string                  `json:"logs"`
 }
 
-// run is a system under faults.
+// run is the state of one soak run.
 type run struct {
 	options      Options
 	platform     *standin.Server
@@ -71,9 +69,9 @@
 
 	workers WorkerFaults
 
-	// configurationMutex is held while a version is put, so that versions only rise.
+	// configurationMutex serializes writes of the configuration, so that versions only increase.
 	configurationMutex sync.Mutex
-	// configuration is the newest version.
+	// configuration is the latest version.
 	configuration standin.Configuration
 }
 
@@ -81,14 +79,14 @@
 	racks          = 3
 	workersPerRack = 4
 	readyTimeout   = 30 * time.Second
-	// settleTimeout is how long all accepted jobs may take to end once nothing is wrong.
+	// settleTimeout is how long accepted jobs may take to end after the last fault.
 	settleTimeout = 60 * time.Second
 	pollPeriod    = 250 * time.Millisecond
-	// keyOverlap is how long an old key stays beside the new one.
+	// keyOverlap is twice the time after which callers use a new key.
 	keyOverlap = 6 * time.Second
 )
 
-// Run plays one seed.
+// Run runs one seed.
 func Run(options Options) (*Report, error) {
 	world := simulation.NewWorld(racks, workersPerRack)
 	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
@@ -151,7 +149,7 @@
 	}
 }
 
-// injectFaults lets callers work while the faults of the plan come and go.
+// injectFaults runs the callers and injects the faults of the seed until the run is over.
 func (r *run) injectFaults(report *Report) {
 	var callers, ends sync.WaitGroup
 	for number := range r.options.Callers {
@@ -184,8 +182,7 @@
 	callers.Wait()
 }
 
-// applyLinks limits the daemons' links, for the rest of the run, and lets the
-// configuration grow in time.
+// applyLinks limits the rates of the daemons' links and schedules the growth of the configuration.
 func (r *run) applyLinks(links Links, began time.Time, ends *sync.WaitGroup) {
 	for number, rate := range links.Rates {
 		r.daemons[number].proxy.SetRate(rate)
@@ -198,7 +195,7 @@
 	}
 }
 
-// applySilences lets open connections go silent in time.
+// applySilences schedules the silences.
 func (r *run) applySilences(silences []Silence, began time.Time, ends *sync.WaitGroup) {
 	for _, silence := range silences {
 		d := r.daemons[silence.Target%len(r.daemons)]
@@ -210,7 +207,7 @@
 	}
 }
 
-// waitForJobs waits until every accepted job has ended.
+// waitForJobs waits until every accepted job has ended or the timeout is over.
 func (r *run) waitForJobs(report *Report) {
 	caller := standin.NewCaller(callTimeout)
 	deadline := time.Now().Add(settleTimeout)
@@ -232,7 +229,8 @@
 	}
 }
 
-// collectViolations collects what was broken, by callers, by workers and by the processes.
+// collectViolations adds the violations seen by callers, workers and daemon processes to the
+// report.
 func (r *run) collectViolations(report *Report) {
 	for _, s := range r.observations.submissions {
 		r.checkJob(s)
@@ -247,7 +245,7 @@
 	report.Answers = r.observations.answers
 }
 
-// checkJob holds a job's end against what its caller was told.
+// checkJob compares the final state of a job with what its caller was told.
 func (r *run) checkJob(s *submission) {
 	starts := 0
 	r.platform.Locked(func() { starts = r.platform.World.Judge.JobStarts(s.spec.ID) })
@@ -281,7 +279,7 @@
 	}
 }
 
-// key returns the newest key.
+// key returns the newest key that callers use.
 func (r *run) key() string {
 	r.keyMutex.Lock()
 	defer r.keyMutex.Unlock()
@@ -290,8 +288,8 @@
 
 func keyName(version int) string { return fmt.Sprintf("key-%d", version) }
 
-// replaceKey confirms a configuration with a further key, and a while later one
-// without the old key.
+// replaceKey publishes a configuration with an additional key; callers use it after half of
+// keyOverlap.
 func (r *run) replaceKey() {
 	r.keyMutex.Lock()
 	version := r.keyVersion + 1
@@ -304,7 +302,7 @@
 	})
 }
 
-// putInitialConfiguration puts the first configuration.
+// putInitialConfiguration publishes the first configuration.
 func (r *run) putInitialConfiguration() {
 	r.keyVersion = 1
 	r.configuration = standin.Configuration{MaxAttempts: maxAttempts, Priority: 1, Unguarded: r.workers.Unguarded}
@@ -315,7 +313,7 @@
 	r.putConfiguration(func(c *standin.Configuration) { c.Keys = keys })
 }
 
-// putConfiguration puts the next version: the newest one with a change.
+// putConfiguration publishes a new version: the latest one with a change.
 func (r *run) putConfiguration(change func(*standin.Configuration)) {
 	r.configurationMutex.Lock()
 	defer r.configurationMutex.Unlock()
@@ -324,7 +322,7 @@
 	r.platform.PutConfiguration(r.configuration)
 }
 
-// NewFolder makes a folder for a run's settings and logs.
+// NewFolder creates the directory for the settings and logs of a seed.
 func NewFolder(parent string, seed uint64) (string, error) {
 	folder := filepath.Join(parent, fmt.Sprintf("seed-%d", seed))
 	return folder, os.MkdirAll(folder, 0o755)
--- a/internal/soak/silences.go
+++ b/internal/soak/silences.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// Silence makes the open connections between one daemon and the platform silent for good,
-// while new ones work.
+// Silence makes the open connections between a daemon and the platform silent for good; new
+// connections work.
 type Silence struct {
 	At time.Duration `json:"at"`
-	// Target numbers a daemon; it is taken modulo their count.
+	// Target is the index of a daemon, modulo their number.
 	Target int `json:"target"`
 }
 
 const (
-	// silencesEvery is one in how many seeds has silences, and silencesDrawn the draw that
-	// gives a seed some: one that leaves the seeds of soak/regressions.txt without.
+	// One in silencesEvery seeds has silences: those that draw silencesDrawn. The seeds of
+	// soak/regressions.txt draw another number.
 	silencesEvery = 2
 	silencesDrawn = 1
-	// A series has up to mostSilences, silenceGap apart or less, so that the connections
-	// that replace silent ones go silent too.
+	// A series has up to mostSilences, at most silenceGap apart, so that the replacement
+	// connections also become silent.
 	mostSilences = 4
 	silenceGap   = 1500 * time.Millisecond
-	// silenceEffect is how long a silence touches its daemon: a feed that waits.
+	// silenceEffect is how long a silence affects its daemon: the wait of a feed call.
 	silenceEffect = 5 * time.Second
 )
 
-// NewSilences draws the series of silences of a run: the same for the same seed and
-// length. It takes nothing from the numbers that NewPlan draws, so that the series
-// overlap with its faults.
+// NewSilences returns the silences of a run. They depend only on the seed and length and use a
+// separate random stream, so that they overlap with the faults of the plan.
 func NewSilences(seed uint64, length time.Duration) []Silence {
 	random := rand.New(rand.NewPCG(seed, 4))
 	if random.IntN(silencesEvery) != silencesDrawn {
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -21,36 +21,21 @@
 const (
 	// slowLink is the rate of a daemon's link to the store, in bytes per second.
 	slowLink = 400_000
-	// grownQueues make a configuration that takes six seconds over a slow link: a row of
-	// some 1.8 MB, which base64 turns into 2.4 MB.
+	// grownQueues makes the configuration row 1.8 MB, 2.4 MB in base64: six seconds over a slow
+	// link.
 	grownQueues = 9500
-	// grownLimit is how long a daemon may take until a grown configuration is in force
-	// there: the transfer, several times over.
+	// grownLimit is how long a daemon may take to apply a grown configuration: several times the
+	// transfer.
 	grownLimit = 40 * time.Second
-	// unknownID is the identifier of a job that nobody has handed in.
+	// unknownID is the identifier of a job that was never submitted.
 	unknownID = "00000000000000ff"
-	// newID is the identifier of a job that none of the old ones has.
+	// newID is the identifier of a job that differs from all old ones.
 	newID = "ffffffffffffffff"
 )
 
-// TestGrownConfigurationReachesDaemonsOverSlowLinks: a configuration whose transfer takes
-// longer than any deadline of a single call still comes into force everywhere.
-//
-// What happened: a site's configuration grew by steps. At 390 KB a version, nodes on links
-// of 10 Mbit/s (1,250 KB/s) had it late; at 770 KB up to 23 s late, and they lost the store
-// and the owner by turns meanwhile; at 1,160 KB they never got the newest version. From
-// then on they failed their readiness checks and refused every call, since a configuration
-// that is not confirmed answers nobody. At the end of a day 96 accepted jobs had no answer.
-//
-// The cause: the configuration is one row, sent whole by the feed, by the scan that begins
-// it anew, and through other nodes. Each transfer was given up at a fixed deadline of 0.5
-// to 3.2 s, whatever had arrived was thrown away, and the same transfer was tried again.
-// The tries shared the link with each other and with the small calls that tell whether the
-// store and the owner live, so that above some size none of them ever ended.
-//
-// What settled it: the links of these nodes were full, at 1,160 KB/s each, while their
-// processors were at 0 to 3% and the store answered each call that it got; nodes on
-// large links had every version within a second.
+// TestGrownConfigurationReachesDaemonsOverSlowLinks guards against call deadlines that abort and
+// repeat the transfer of a large configuration, so that daemons on slow links never apply it and
+// refuse every call.
 func TestGrownConfigurationReachesDaemonsOverSlowLinks(t *testing.T) {
 	platform, err := standin.Start(simulation.NewWorld(1, 1))
 	require.NoError(t, err)
@@ -80,8 +65,8 @@
 	}
 }
 
-// statusUntil asks a daemon for an unknown job until it answers with the wanted status or
-// the deadline is over, and returns the last status; zero is no answer.
+// statusUntil polls the state of an unknown job until the daemon answers with the wanted status or
+// the deadline is over, and returns the last status; zero means no answer.
 func (d *daemon) statusUntil(key string, wanted int, deadline time.Time) int {
 	caller := standin.NewCaller(callTimeout)
 	for {
@@ -97,15 +82,14 @@
 }
 
 const (
-	// oldJobs is how many ended jobs the store keeps, each with a payload of the largest
-	// size that callers may hand in: rows of 2.9 MB, which base64 turns into 3.9 MB.
+	// oldJobs is the number of ended jobs in the store, each with a payload of the maximum size:
+	// rows of 2.9 MB, 3.9 MB in base64.
 	oldJobs        = 700
 	largestPayload = 4000
 )
 
-// TestOwnerReadsManyRowsOverASlowLink: a pool's new owner reads all rows of its jobs before
-// it starts anything. The cause of the test above acts here as well: each scan of a part
-// was given up after 1.5 s, and began anew with nothing of what had arrived.
+// TestOwnerReadsManyRowsOverASlowLink guards against scan deadlines that abort and restart the
+// initial read of a large table, so that a new owner never starts a job.
 func TestOwnerReadsManyRowsOverASlowLink(t *testing.T) {
 	platform, err := standin.Start(simulation.NewWorld(1, 1))
 	require.NoError(t, err)
@@ -135,10 +119,10 @@
 	require.Eventually(t, func() bool {
 		answer, err := caller.State(d.callers, keyName(1), spec.ID)
 		return err == nil && answer.State == taskgraph.Completed
-	}, time.Until(deadline), pollPeriod, "the owner starts a new job")
+	}, time.Until(deadline), pollPeriod, "the owner must complete a new job")
 }
 
-// putEndedJobs writes the rows of jobs that have ended.
+// putEndedJobs writes the rows of ended jobs.
 func putEndedJobs(world *simulation.World, count int) {
 	for number := range count {
 		id := fmt.Sprintf("%016x", number+1)
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -9,53 +9,52 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// WorkerFaults is what befalls workers in a run beside the faults of its plan: tasks that
-// crash them, crashes by chance after which another instance comes back at the same address,
-// and capacities that change.
+// WorkerFaults are faults of workers that are not part of the plan: tasks that crash their
+// workers, random crashes followed by a new instance at the same address, and capacity changes.
 type WorkerFaults struct {
-	// PoisonEvery is one in how many jobs of a caller has a task that crashes workers; 0 is
-	// none. Crash is how it does so.
+	// One in PoisonEvery jobs of a caller has a task that crashes its worker as described by
+	// Crash; 0 means none.
 	PoisonEvery int              `json:"poison_every,omitempty"`
 	Crash       simulation.Crash `json:"crash"`
-	// Unguarded workers start whatever they are told.
+	// Unguarded workers accept starts beyond their capacity.
 	Unguarded  bool             `json:"unguarded,omitempty"`
 	Crashes    []WorkerCrashAt  `json:"crashes,omitempty"`
 	Capacities []CapacityChange `json:"capacities,omitempty"`
 }
 
-// WorkerCrashAt is a crash by chance.
+// WorkerCrashAt is a random crash.
 type WorkerCrashAt struct {
 	At time.Duration `json:"at"`
-	// Target numbers a worker; it is taken modulo their count.
+	// Target is the index of a worker, modulo their number.
 	Target int `json:"target"`
 }
 
-// CapacityChange changes a worker's accelerators while it runs.
+// CapacityChange changes the number of accelerators of a running worker.
 type CapacityChange struct {
 	At     time.Duration `json:"at"`
 	Target int           `json:"target"`
 	GPUs   int           `json:"gpus"`
-	// RowAfter is how much later the worker's row tells of it.
+	// RowAfter is the delay until the row of the worker shows the change.
 	RowAfter time.Duration `json:"row_after"`
 }
 
 const (
-	// workerFaultsEvery is one in how many seeds has them, and workerTroublesDrawn the draw
-	// that gives a seed some: one that leaves the seeds of soak/regressions.txt without.
+	// One in workerFaultsEvery seeds has worker faults: those that draw workerFaultsDrawn. The
+	// seeds of soak/regressions.txt draw another number.
 	workerFaultsEvery = 2
 	workerFaultsDrawn = 1
-	// A caller hands in some four jobs a second; at most one in mostPoison crashes workers.
+	// A caller submits about four jobs a second.
 	leastPoison    = 6
 	mostPoison     = 16
 	mostCrashes    = 4
 	mostCapacities = 12
 	longestCrash   = 600 * time.Millisecond
-	// A worker writes its row each heartbeat.
+	// The row is written at each heartbeat.
 	latestRow = 1500 * time.Millisecond
 )
 
-// NewWorkerFaults draws them: the same for the same seed and length, from numbers of their
-// own, so that they overlap with the plan's faults.
+// NewWorkerFaults returns the worker faults of a run. They depend only on the seed and length and
+// use a separate random stream, so that they overlap with the faults of the plan.
 func NewWorkerFaults(seed uint64, length time.Duration) WorkerFaults {
 	random := rand.New(rand.NewPCG(seed, 5))
 	if random.IntN(workerFaultsEvery) != workerFaultsDrawn {
@@ -83,14 +82,14 @@
 	return drawn
 }
 
-// poisons reports whether a caller's job has a task that crashes workers. One that ends before
-// it would crash its worker is none.
+// poisons reports whether a job has a task that crashes its worker. Tasks that complete before the
+// crash do not count.
 func (t *WorkerFaults) poisons(caller, serial int, spec *taskgraph.Spec) bool {
 	return t.PoisonEvery > 0 && (serial+caller)%t.PoisonEvery == t.PoisonEvery-1 && t.Crash.After < spec.Steps[0].Estimate()
 }
 
-// applyWorkerFaults lets them happen in time. Capacities are whole again at the end of the
-// run, so that all jobs can be done.
+// applyWorkerFaults schedules the faults and restores all capacities at the end of the run, so
+// that all jobs can complete.
 func (r *run) applyWorkerFaults(began time.Time, ends *sync.WaitGroup) {
 	world := r.platform.World
 	for _, crash := range r.workers.Crashes {
@@ -115,7 +114,7 @@
 	})
 }
 
-// scheduleLocked runs fn scheduleLocked a time while nothing else happens on the platform.
+// scheduleLocked runs fn at the given time with the platform locked.
 func (r *run) scheduleLocked(when time.Time, ends *sync.WaitGroup, fn func()) {
 	ends.Go(func() {
 		time.Sleep(time.Until(when))
