--- a/internal/loadplay/compare.go
+++ b/internal/loadplay/compare.go
@@ -44,7 +44,7 @@
 			slots <- struct{}{}
 			group.Go(func() {
 				defer func() { <-slots }()
-				compared[k].Results[n] = load.Play(firstSeed+uint64(n), ways[k].Off)
+				compared[k].Results[n] = load.Simulate(firstSeed+uint64(n), ways[k].Off)
 			})
 		}
 	}
@@ -66,7 +66,7 @@
 	c.Worth = over(func(i int) float64 { return c.Results[i].Worth })
 	c.Gain = over(func(i int) float64 { return c.Results[i].Worth - base[i].Worth })
 	c.Served = over(func(i int) float64 { return c.Results[i].Served })
-	c.StopShare = over(func(i int) float64 { return float64(c.Results[i].Stopped) / float64(max(1, c.Results[i].Placed)) })
+	c.StopShare = over(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
 	c.ThrownAway = over(func(i int) float64 { return c.Results[i].ThrownAway })
 	for class := range c.Results[0].Classes {
 		c.Classes = append(c.Classes, over(func(i int) float64 { return c.Results[i].Classes[class].Worth }))
@@ -76,8 +76,8 @@
 	}
 }
 
-// confidence is the quantile of the normal distribution for an interval of 95%.
-const confidence = 1.96
+// zScore95 is the quantile of the normal distribution for an interval of 95%.
+const zScore95 = 1.96
 
 func estimate(values []float64) Estimate {
 	sum := 0.0
@@ -93,5 +93,5 @@
 		return Estimate{Mean: mean, Error: math.Inf(1)}
 	}
 	deviation := math.Sqrt(squares / float64(len(values)-1))
-	return Estimate{Mean: mean, Error: confidence * deviation / math.Sqrt(float64(len(values)))}
+	return Estimate{Mean: mean, Error: zScore95 * deviation / math.Sqrt(float64(len(values)))}
 }
--- a/internal/loadplay/load.go
+++ b/internal/loadplay/load.go
@@ -19,31 +19,31 @@
 	Queue catalog.Queue
 	// Rate is how many jobs come in a second, before bursts.
 	Rate float64
-	// Width is the mean number of tasks, WidthSpread its spread in logarithms, MaxWidth its bound.
-	Width, WidthSpread float64
-	MaxWidth           int
+	// Width is the mean number of tasks, WidthSigma its spread in logarithms, MaxWidth its bound.
+	Width, WidthSigma float64
+	MaxWidth          int
 	// Work is the mean time of a task, WorkSpread its spread in logarithms.
-	Work       time.Duration
-	WorkSpread float64
-	// Tail is the share of jobs whose tasks take TailTimes as long as others.
-	Tail, TailTimes float64
+	Work      time.Duration
+	WorkSigma float64
+	// TailShare is the share of jobs whose tasks take TailFactor as long as others.
+	TailShare, TailFactor float64
 	// EstimateError is the spread of estimates in logarithms.
 	EstimateError float64
 	// GPUs are drawn from for each task, all tasks of a job alike.
 	GPUs []int
-	// Room is a task's without its accelerators.
-	Room taskgraph.Amount
+	// Request is a task's without its accelerators.
+	Request taskgraph.Amount
 	// Gang, SameRack and Checkpoints are the shares of jobs that are so.
 	Gang, SameRack, Checkpoints float64
-	// Worth of a job of mean size that ends in time, and of a late one.
-	Worth, LateWorth float64
+	// Value of a job of mean size that ends in time, and of a late one.
+	Value, LateValue float64
 }
 
 // Burst multiplies the rate of a class, or of all if its name is empty, for a while.
 type Burst struct {
 	Class       string
 	From, Until time.Duration
-	Times       float64
+	Factor      float64
 }
 
 // Load is what comes.
@@ -69,14 +69,14 @@
 // arrivalStep is the grid on which arrivals are drawn.
 const arrivalStep = 10 * time.Millisecond
 
-// draw returns the arrivals of a load: the same for the same seed.
-func (l *Load) draw(seed uint64) []arrival {
+// generateArrivals returns the arrivals of a load: the same for the same seed.
+func (l *Load) generateArrivals(seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 11))
 	var arrivals []arrival
 	for at := time.Duration(0); at < l.Length; at += arrivalStep {
 		for class := range l.Classes {
 			if random.Float64() < l.rateAt(class, at)*arrivalStep.Seconds() {
-				arrivals = append(arrivals, l.drawJob(random, class, at, len(arrivals)))
+				arrivals = append(arrivals, l.randomArrival(random, class, at, len(arrivals)))
 			}
 		}
 	}
@@ -88,35 +88,35 @@
 	for i := range l.Bursts {
 		burst := &l.Bursts[i]
 		if at >= burst.From && at < burst.Until && (burst.Class == "" || burst.Class == l.Classes[class].Queue.Name) {
-			rate *= burst.Times
+			rate *= burst.Factor
 		}
 	}
 	return rate
 }
 
-func (l *Load) drawJob(random *rand.Rand, class int, at time.Duration, number int) arrival {
+func (l *Load) randomArrival(random *rand.Rand, class int, at time.Duration, number int) arrival {
 	c := &l.Classes[class]
-	work := time.Duration(float64(c.Work) * spread(random, c.WorkSpread))
-	if c.Tail > 0 && random.Float64() < c.Tail {
-		work = time.Duration(c.TailTimes * float64(work))
+	work := time.Duration(float64(c.Work) * logNormalFactor(random, c.WorkSigma))
+	if c.TailShare > 0 && random.Float64() < c.TailShare {
+		work = time.Duration(c.TailFactor * float64(work))
 	}
 	step := taskgraph.Step{
-		Count:          min(c.MaxWidth, max(1, int(math.Round(c.Width*spread(random, c.WidthSpread))))),
-		Amount:         c.Room,
+		Count:          min(c.MaxWidth, max(1, int(math.Round(c.Width*logNormalFactor(random, c.WidthSigma))))),
+		Amount:         c.Request,
 		EstimateMillis: int64(float64(work.Milliseconds()) * math.Exp((2*random.Float64()-1)*c.EstimateError)),
 		Gang:           random.Float64() < c.Gang,
 		Checkpoints:    random.Float64() < c.Checkpoints,
 	}
 	step.GPUs = c.GPUs[random.IntN(len(c.GPUs))]
 	wantsRack := step.Gang && random.Float64() < c.SameRack
-	step.SameRack = wantsRack && l.rackHolds(&step)
+	step.SameRack = wantsRack && l.fitsOnRack(&step)
 	return arrival{at: at, class: class, work: work, spec: taskgraph.Spec{
 		ID: fmt.Sprintf("%016x", number+1), Payload: "load", Steps: []taskgraph.Step{step},
 	}}
 }
 
-// drawSlowness returns how many times longer work takes on each worker.
-func (l *Load) drawSlowness(seed uint64) []float64 {
+// randomSlowdowns returns how many times longer work takes on each worker.
+func (l *Load) randomSlowdowns(seed uint64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 13))
 	slowness := make([]float64, l.Racks*l.PerRack)
 	for i := range slowness {
@@ -139,8 +139,8 @@
 	return &small
 }
 
-// rackHolds reports whether all tasks of a step fit on one rack at once.
-func (l *Load) rackHolds(step *taskgraph.Step) bool {
+// fitsOnRack reports whether all tasks of a step fit on one rack at once.
+func (l *Load) fitsOnRack(step *taskgraph.Step) bool {
 	perWorker := workerCapacity.GPUs / max(1, step.GPUs)
 	perWorker = min(perWorker, workerCapacity.CPU/max(1, step.CPU), workerCapacity.MemoryMB/max(1, step.MemoryMB))
 	return step.Count <= perWorker*l.PerRack
@@ -149,7 +149,7 @@
 // workerCapacity is the room of each worker.
 var workerCapacity = taskgraph.Amount{CPU: 128000, MemoryMB: 524288, GPUs: 8}
 
-// spread draws a factor of mean 1 whose logarithm has a spread.
-func spread(random *rand.Rand, deviation float64) float64 {
+// logNormalFactor draws a factor of mean 1 whose logarithm has a logNormalFactor.
+func logNormalFactor(random *rand.Rand, deviation float64) float64 {
 	return math.Exp(random.NormFloat64()*deviation - deviation*deviation/2)
 }
--- a/internal/loadplay/loadplay_test.go
+++ b/internal/loadplay/loadplay_test.go
@@ -14,11 +14,11 @@
 func TestPlaysAreTheSameBySeed(t *testing.T) {
 	load := Loads()[0]
 	load.Length /= 6
-	first, second := load.Play(3, nil), load.Play(3, nil)
+	first, second := load.Simulate(3, nil), load.Simulate(3, nil)
 	require.Equal(t, first, second)
 	require.Empty(t, first.Broken)
 	require.Greater(t, first.Worth, 0.5)
-	require.NotEqual(t, first, load.Play(4, nil))
+	require.NotEqual(t, first, load.Simulate(4, nil))
 }
 
 // TestWhatGainsAtWorstLoad replays three overlapping bursts: units that can still end in time go
@@ -55,7 +55,7 @@
 }
 
 func TestEstimatesOfConfidence(t *testing.T) {
-	require.Equal(t, Estimate{Mean: 2, Error: confidence / math.Sqrt(3)}, estimate([]float64{1, 2, 3}))
+	require.Equal(t, Estimate{Mean: 2, Error: zScore95 / math.Sqrt(3)}, estimate([]float64{1, 2, 3}))
 	require.True(t, math.IsInf(estimate([]float64{1}).Error, 1))
 }
 
--- a/internal/loadplay/loads.go
+++ b/internal/loadplay/loads.go
@@ -23,18 +23,18 @@
 	return []Class{
 		{
 			Queue: catalog.Queue{Name: urgentClass, Priority: 0, MaxAttempts: 3, Stretch: 1.5, TargetMillis: 300},
-			Rate:  3.6, Width: 5.4, WidthSpread: 0.8, MaxWidth: 32, Work: 2500 * time.Millisecond, WorkSpread: 0.5, EstimateError: 0.9,
-			GPUs: accelerators, Room: taskgraph.Amount{CPU: 15000, MemoryMB: 44000}, Gang: 1, SameRack: 0.8, Worth: 4, LateWorth: 0.8,
+			Rate:  3.6, Width: 5.4, WidthSigma: 0.8, MaxWidth: 32, Work: 2500 * time.Millisecond, WorkSigma: 0.5, EstimateError: 0.9,
+			GPUs: accelerators, Request: taskgraph.Amount{CPU: 15000, MemoryMB: 44000}, Gang: 1, SameRack: 0.8, Value: 4, LateValue: 0.8,
 		},
 		{
 			Queue: catalog.Queue{Name: middleClass, Priority: 1, MaxAttempts: 4, Stretch: 3, TargetMillis: 1000},
-			Rate:  0.39, Width: 13, WidthSpread: 0.8, MaxWidth: 64, Work: 8500 * time.Millisecond, WorkSpread: 0.3, EstimateError: 0.2,
-			GPUs: accelerators, Room: taskgraph.Amount{CPU: 52000, MemoryMB: 270000}, Gang: 1, SameRack: 0.4, Checkpoints: 0.45, Worth: 3, LateWorth: 0.9,
+			Rate:  0.39, Width: 13, WidthSigma: 0.8, MaxWidth: 64, Work: 8500 * time.Millisecond, WorkSigma: 0.3, EstimateError: 0.2,
+			GPUs: accelerators, Request: taskgraph.Amount{CPU: 52000, MemoryMB: 270000}, Gang: 1, SameRack: 0.4, Checkpoints: 0.45, Value: 3, LateValue: 0.9,
 		},
 		{
 			Queue: catalog.Queue{Name: wideClass, Priority: 2, MaxAttempts: 2, Stretch: 3, TargetMillis: 3000},
-			Rate:  0.48, Width: 39, WidthSpread: 0.8, MaxWidth: 230, Work: 6100 * time.Millisecond, WorkSpread: 0.3, EstimateError: 0.2,
-			GPUs: []int{1}, Room: taskgraph.Amount{CPU: 11000, MemoryMB: 59000}, Checkpoints: 0.45, Worth: 1, LateWorth: 0.3,
+			Rate:  0.48, Width: 39, WidthSigma: 0.8, MaxWidth: 230, Work: 6100 * time.Millisecond, WorkSigma: 0.3, EstimateError: 0.2,
+			GPUs: []int{1}, Request: taskgraph.Amount{CPU: 11000, MemoryMB: 59000}, Checkpoints: 0.45, Value: 1, LateValue: 0.3,
 		},
 	}
 }
@@ -46,29 +46,29 @@
 	calm.Name = "calm"
 	urgent := base
 	urgent.Name = "urgent-burst"
-	urgent.Bursts = []Burst{{Class: urgentClass, From: 10 * time.Second, Until: 16 * time.Second, Times: 2.6}}
+	urgent.Bursts = []Burst{{Class: urgentClass, From: 10 * time.Second, Until: 16 * time.Second, Factor: 2.6}}
 	three := base
 	three.Name = "three-bursts"
 	three.Bursts = []Burst{
-		{Class: urgentClass, From: 5 * time.Second, Until: 11 * time.Second, Times: 2.6},
-		{Class: wideClass, From: 10 * time.Second, Until: 15 * time.Second, Times: 2.6},
-		{From: 15 * time.Second, Until: 20 * time.Second, Times: 2.8},
-		{From: 0, Until: base.Length, Times: 1.45},
+		{Class: urgentClass, From: 5 * time.Second, Until: 11 * time.Second, Factor: 2.6},
+		{Class: wideClass, From: 10 * time.Second, Until: 15 * time.Second, Factor: 2.6},
+		{From: 15 * time.Second, Until: 20 * time.Second, Factor: 2.8},
+		{From: 0, Until: base.Length, Factor: 1.45},
 	}
 	full := base
 	full.Name = "full"
-	full.Bursts = []Burst{{From: 0, Until: base.Length, Times: 2}}
+	full.Bursts = []Burst{{From: 0, Until: base.Length, Factor: 2}}
 	mixed := base
 	mixed.Name = "mixed-speeds"
 	mixed.Speeds = []float64{0.6, 1, 1.6}
-	mixed.Classes = withTail(classes(), 0.03, 7)
+	mixed.Classes = withLongTail(classes(), 0.03, 7)
 	return []Load{calm, urgent, three, full, mixed}
 }
 
-// withTail returns classes in which a share of jobs takes several times as long.
-func withTail(all []Class, share, times float64) []Class {
+// withLongTail returns classes in which a share of jobs takes several times as long.
+func withLongTail(all []Class, share, times float64) []Class {
 	for i := range all {
-		all[i].Tail, all[i].TailTimes = share, times
+		all[i].TailShare, all[i].TailFactor = share, times
 	}
 	return all
 }
--- a/internal/loadplay/play.go
+++ b/internal/loadplay/play.go
@@ -10,8 +10,8 @@
 
 // ClassResult is what became of the jobs of a class.
 type ClassResult struct {
-	Name                        string
-	Jobs, InTime, Late, Missing int
+	Name                       string
+	Jobs, OnTime, Late, Missed int
 	// Worth is the share of what the jobs could have earned.
 	Worth float64
 }
@@ -23,8 +23,8 @@
 	Worth float64
 	// Served is the share of jobs that ended in time or late.
 	Served float64
-	// Placed and Stopped count runs of tasks and gangs that were placed, and stopped for others.
-	Placed, Stopped int
+	// Placed and Preempted count runs of tasks and gangs that were placed, and stopped for others.
+	Placed, Preempted int
 	// MostStops is how often one task or gang was stopped for others at most.
 	MostStops int
 	// ThrownAway is the work of stopped runs that no checkpoint held, in core-seconds.
@@ -34,16 +34,16 @@
 }
 
 const (
-	// constantShare of a job's worth does not depend on its size; a job earns four times the
+	// fixedValueShare of a job's worth does not depend on its size; a job earns four times the
 	// mean at most.
-	constantShare = 0.3
-	mostWorth     = 4
-	// lateLimit times its objective after its arrival a job earns nothing any more.
-	lateLimit = 3
-	// leastOwed stands for nothing owed, of which all is earned or none.
-	leastOwed = 1e-9
-	// settling is how long after the last arrival jobs are waited for.
-	settling = 40 * time.Second
+	fixedValueShare = 0.3
+	maxSizeFactor   = 4
+	// lateFactor times its objective after its arrival a job earns nothing any more.
+	lateFactor = 3
+	// minAttainable stands for nothing owed, of which all is earned or none.
+	minAttainable = 1e-9
+	// drainTime is how long after the last arrival jobs are waited for.
+	drainTime = 40 * time.Second
 	// pollPeriod is how often ends are looked for.
 	pollPeriod = 50 * time.Millisecond
 	// stopTime and checkpoints are those of large pools of the platform.
@@ -52,13 +52,13 @@
 	reclaimTime        = 2700 * time.Millisecond
 )
 
-// Play plays a load by seed, with some mechanisms switched off.
-func (l *Load) Play(seed uint64, off mechanism.Off) Result {
-	arrivals := l.draw(seed)
+// Simulate plays a load by seed, with some mechanisms switched off.
+func (l *Load) Simulate(seed uint64, off mechanism.Off) Result {
+	arrivals := l.generateArrivals(seed)
 	w := simulation.NewWorld(l.Racks, l.PerRack)
 	w.Off, w.StopTime, w.Judge.Quiet = off, stopTime, true
 	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.Reclaim = stopTime, checkpointInterval, reclaimTime
-	slowness := l.drawSlowness(seed)
+	slowness := l.randomSlowdowns(seed)
 	for i, worker := range w.Workers {
 		worker.SetCapacity(workerCapacity, 0)
 		worker.Slowness = slowness[i]
@@ -75,16 +75,16 @@
 	w.Work = func(name taskgraph.TaskName) time.Duration { return works[name.Job] }
 	w.Own()
 	w.Run(time.Second)
-	ends := l.drive(w, arrivals)
-	return l.judge(w, arrivals, ends)
+	ends := l.runArrivals(w, arrivals)
+	return l.evaluate(w, arrivals, ends)
 }
 
-// drive hands the jobs in and returns how long each took that ended well.
-func (l *Load) drive(w *simulation.World, arrivals []arrival) map[string]time.Duration {
+// runArrivals hands the jobs in and returns how long each took that ended well.
+func (l *Load) runArrivals(w *simulation.World, arrivals []arrival) map[string]time.Duration {
 	ends := map[string]time.Duration{}
 	open := map[string]time.Duration{}
 	next := 0
-	for now := time.Duration(0); now < l.Length+settling && (next < len(arrivals) || len(open) > 0); now += pollPeriod {
+	for now := time.Duration(0); now < l.Length+drainTime && (next < len(arrivals) || len(open) > 0); now += pollPeriod {
 		for ; next < len(arrivals) && arrivals[next].at <= now; next++ {
 			w.Submit(arrivals[next].spec, l.Classes[arrivals[next].class].Queue)
 			open[arrivals[next].spec.ID] = now
@@ -100,56 +100,56 @@
 	return ends
 }
 
-func (l *Load) judge(w *simulation.World, arrivals []arrival, ends map[string]time.Duration) Result {
+func (l *Load) evaluate(w *simulation.World, arrivals []arrival, ends map[string]time.Duration) Result {
 	result := Result{
 		Classes: make([]ClassResult, len(l.Classes)), Broken: w.Judge.Broken,
-		Placed: w.Judge.Decisions["placed"], Stopped: w.Judge.Counts["stops/preempted"],
+		Placed: w.Judge.Decisions["placed"], Preempted: w.Judge.Counts["stops/preempted"],
 		MostStops: w.Judge.MostStops(), ThrownAway: w.Judge.ThrownAway,
 	}
-	owed, earned := make([]float64, len(l.Classes)), make([]float64, len(l.Classes))
+	attainable, earned := make([]float64, len(l.Classes)), make([]float64, len(l.Classes))
 	sizes := l.meanSizes(arrivals)
 	for i := range arrivals {
 		a := &arrivals[i]
-		size := min(mostWorth, constantShare+(1-constantShare)*a.size()/sizes[a.class])
+		size := min(maxSizeFactor, fixedValueShare+(1-fixedValueShare)*a.size()/sizes[a.class])
 		took, ended := ends[a.spec.ID]
-		owed[a.class] += size * l.Classes[a.class].Worth
-		earned[a.class] += size * l.credit(a, took, ended, &result.Classes[a.class])
+		attainable[a.class] += size * l.Classes[a.class].Value
+		earned[a.class] += size * l.jobValue(a, took, ended, &result.Classes[a.class])
 	}
-	result.sum(l, owed, earned)
+	result.addTotals(l, attainable, earned)
 	return result
 }
 
-// credit returns what a job of mean size earns by the time it took, and counts it.
-func (l *Load) credit(a *arrival, took time.Duration, ended bool, counts *ClassResult) float64 {
+// jobValue returns what a job of mean size earns by the time it took, and counts it.
+func (l *Load) jobValue(a *arrival, took time.Duration, ended bool, counts *ClassResult) float64 {
 	class := &l.Classes[a.class]
 	objective := class.Queue.Objective(a.work)
 	counts.Jobs++
 	switch {
 	case ended && took <= objective:
-		counts.InTime++
-		return class.Worth
-	case ended && took <= lateLimit*objective:
+		counts.OnTime++
+		return class.Value
+	case ended && took <= lateFactor*objective:
 		counts.Late++
-		return class.LateWorth
+		return class.LateValue
 	}
-	counts.Missing++
+	counts.Missed++
 	return 0
 }
 
-// sum adds up the classes.
-func (r *Result) sum(l *Load, owed, earned []float64) {
+// addTotals adds up the classes.
+func (r *Result) addTotals(l *Load, owed, earned []float64) {
 	allOwed, allEarned := 0.0, 0.0
 	jobs, served := 0, 0
 	for k := range r.Classes {
 		class := &r.Classes[k]
 		class.Name = l.Classes[k].Queue.Name
-		class.Worth = earned[k] / max(owed[k], leastOwed)
+		class.Worth = earned[k] / max(owed[k], minAttainable)
 		allOwed += owed[k]
 		allEarned += earned[k]
 		jobs += class.Jobs
-		served += class.InTime + class.Late
+		served += class.OnTime + class.Late
 	}
-	r.Worth = allEarned / max(allOwed, leastOwed)
+	r.Worth = allEarned / max(allOwed, minAttainable)
 	r.Served = float64(served) / float64(max(1, jobs))
 }
 
