--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -206,7 +206,7 @@
 		troubled, planned bool
 		want              string
 	}{
-		"complete":                             {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
+		"whole":                                {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
 		"truncated body":                       {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
 		"key refused":                          {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
 		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, troubled: true},
