--- a/internal/loadplay/compare.go
+++ b/internal/loadplay/compare.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Way is one way of deciding, by the mechanisms that are switched off in it.
+// Way is a scheduler configuration, given by the mechanisms that are switched off.
 type Way struct {
 	Name string
 	Off  mechanism.Off
@@ -19,12 +19,12 @@
 	Error float64
 }
 
-// Comparison is what a way came to over all seeds.
+// Comparison is the summary of one configuration over all seeds.
 type Comparison struct {
 	Way     Way
 	Results []Result
 	Worth   Estimate
-	// Gain is the worth above that of the first way, by pairs of the same seed.
+	// Gain is the mean difference of Worth to the first configuration, paired by seed.
 	Gain       Estimate
 	Served     Estimate
 	Classes    []Estimate
@@ -33,7 +33,8 @@
 	ThrownAway Estimate
 }
 
-// Compare plays a load in several ways, all by the same seeds, on so many threads at once.
+// Compare simulates a load under several configurations with the same seeds, on the given number
+// of threads.
 func Compare(load *Load, ways []Way, firstSeed uint64, seeds, threads int) []Comparison {
 	compared := make([]Comparison, len(ways))
 	var group sync.WaitGroup
@@ -76,7 +77,7 @@
 	}
 }
 
-// zScore95 is the quantile of the normal distribution for an interval of 95%.
+// zScore95 is the quantile of the normal distribution for a 95% interval.
 const zScore95 = 1.96
 
 func estimate(values []float64) Estimate {
--- a/internal/loadplay/load.go
+++ b/internal/loadplay/load.go
@@ -1,6 +1,6 @@
-// Package loadplay plays load at its worst against a pool's owner in virtual time: arrivals in
-// bursts, sizes, estimates with errors. The same load is played with several ways of a decision
-// side by side, over many seeds.
+// Package loadplay simulates heavy load on a pool owner in virtual time: bursts of arrivals with
+// random sizes and inaccurate estimates. It compares several scheduler configurations on the same
+// load over many seeds.
 package loadplay
 
 import (
@@ -14,39 +14,40 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Class is one kind of job.
+// Class describes a class of jobs.
 type Class struct {
 	Queue catalog.Queue
-	// Rate is how many jobs come in a second, before bursts.
+	// Rate is the number of arrivals per second, before bursts.
 	Rate float64
-	// Width is the mean number of tasks, WidthSigma its spread in logarithms, MaxWidth its bound.
+	// Width is the mean number of tasks, WidthSigma the standard deviation of its logarithm, and
+	// MaxWidth its maximum.
 	Width, WidthSigma float64
 	MaxWidth          int
-	// Work is the mean time of a task, WorkSpread its spread in logarithms.
+	// Work is the mean duration of a task and WorkSigma the standard deviation of its logarithm.
 	Work      time.Duration
 	WorkSigma float64
-	// TailShare is the share of jobs whose tasks take TailFactor as long as others.
+	// TailShare is the share of jobs whose tasks take TailFactor times as long.
 	TailShare, TailFactor float64
-	// EstimateError is the spread of estimates in logarithms.
+	// EstimateError bounds the logarithm of the ratio of estimate to duration.
 	EstimateError float64
-	// GPUs are drawn from for each task, all tasks of a job alike.
+	// GPUs are the choices for the accelerators of a task, equal for all tasks of a job.
 	GPUs []int
-	// Request is a task's without its accelerators.
+	// Request is the resource request of a task without its accelerators.
 	Request taskgraph.Amount
-	// Gang, SameRack and Checkpoints are the shares of jobs that are so.
+	// Gang, SameRack and Checkpoints are shares of jobs; SameRack is a share of the gangs.
 	Gang, SameRack, Checkpoints float64
-	// Value of a job of mean size that ends in time, and of a late one.
+	// Value and LateValue are the values of a job of mean size that completes in time or late.
 	Value, LateValue float64
 }
 
-// Burst multiplies the rate of a class, or of all if its name is empty, for a while.
+// Burst multiplies the rate of a class, or of all classes if Class is empty, for a period.
 type Burst struct {
 	Class       string
 	From, Until time.Duration
 	Factor      float64
 }
 
-// Load is what comes.
+// Load describes a cluster and the jobs that arrive.
 type Load struct {
 	Name    string
 	Racks   int
@@ -54,11 +55,11 @@
 	Length  time.Duration
 	Classes []Class
 	Bursts  []Burst
-	// Speeds of workers are drawn from these; all are 1 if there are none.
+	// Speeds are the choices for the speed of a worker; empty means that all are 1.
 	Speeds []float64
 }
 
-// arrival is one job of a load.
+// arrival is the arrival of one job.
 type arrival struct {
 	at    time.Duration
 	class int
@@ -66,10 +67,10 @@
 	work  time.Duration
 }
 
-// arrivalStep is the grid on which arrivals are drawn.
+// arrivalStep is the time resolution of arrivals.
 const arrivalStep = 10 * time.Millisecond
 
-// generateArrivals returns the arrivals of a load: the same for the same seed.
+// generateArrivals returns the arrivals of a load; they depend only on the seed.
 func (l *Load) generateArrivals(seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 11))
 	var arrivals []arrival
@@ -115,7 +116,7 @@
 	}}
 }
 
-// randomSlowdowns returns how many times longer work takes on each worker.
+// randomSlowdowns returns the factor on the duration of work for each worker.
 func (l *Load) randomSlowdowns(seed uint64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 13))
 	slowness := make([]float64, l.Racks*l.PerRack)
@@ -128,7 +129,7 @@
 	return slowness
 }
 
-// scaled returns the load for a share of the racks, with as much less to do.
+// scaled returns the load for a share of the racks, with arrival rates reduced in proportion.
 func (l *Load) scaled(share float64) *Load {
 	small := *l
 	small.Racks = max(1, int(math.Round(share*float64(l.Racks))))
@@ -139,17 +140,18 @@
 	return &small
 }
 
-// fitsOnRack reports whether all tasks of a step fit on one rack at once.
+// fitsOnRack reports whether all tasks of a step fit on one rack at the same time.
 func (l *Load) fitsOnRack(step *taskgraph.Step) bool {
 	perWorker := workerCapacity.GPUs / max(1, step.GPUs)
 	perWorker = min(perWorker, workerCapacity.CPU/max(1, step.CPU), workerCapacity.MemoryMB/max(1, step.MemoryMB))
 	return step.Count <= perWorker*l.PerRack
 }
 
-// workerCapacity is the room of each worker.
+// workerCapacity is the capacity of each worker.
 var workerCapacity = taskgraph.Amount{CPU: 128000, MemoryMB: 524288, GPUs: 8}
 
-// logNormalFactor draws a factor of mean 1 whose logarithm has a logNormalFactor.
+// logNormalFactor returns a log-normal random factor of mean 1; deviation is the standard
+// deviation of its logarithm.
 func logNormalFactor(random *rand.Rand, deviation float64) float64 {
 	return math.Exp(random.NormFloat64()*deviation - deviation*deviation/2)
 }
--- a/internal/loadplay/loadplay_test.go
+++ b/internal/loadplay/loadplay_test.go
@@ -10,7 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// TestPlaysAreTheSameBySeed and keep all promises.
+// TestPlaysAreTheSameBySeed checks that the result depends only on the seed and that no invariant
+// is violated.
 func TestPlaysAreTheSameBySeed(t *testing.T) {
 	load := Loads()[0]
 	load.Length /= 6
@@ -21,9 +22,9 @@
 	require.NotEqual(t, first, load.Simulate(4, nil))
 }
 
-// TestWhatGainsAtWorstLoad replays three overlapping bursts: units that can still end in time go
-// before late ones, and work waits for a place near its data or rack. Without the first wide steps
-// lose most, without the second nearly everything.
+// TestWhatGainsAtWorstLoad guards, under overlapping bursts, against placing late units before
+// units that can still meet their objective, and against placing work far from its data or rack
+// instead of waiting.
 func TestWhatGainsAtWorstLoad(t *testing.T) {
 	load := loadNamed(t, "three-bursts").scaled(0.4)
 	load.Length = 24 * time.Second
@@ -34,7 +35,7 @@
 	}
 	compared := Compare(load, ways, 1, 2, 3)
 	require.Less(t, compared[1].Gain.Mean, 0.0)
-	require.Less(t, compared[1].Classes[2].Mean, compared[0].Classes[2].Mean, "wide steps")
+	require.Less(t, compared[1].Classes[2].Mean, compared[0].Classes[2].Mean, "wide steps must lose without TimelyFirst")
 	require.Less(t, compared[2].Gain.Mean, -0.1)
 	for _, way := range compared {
 		for _, result := range way.Results {
@@ -50,7 +51,7 @@
 			return &loads[i]
 		}
 	}
-	require.Fail(t, "no such load")
+	require.Fail(t, "no predefined load with this name")
 	return nil
 }
 
@@ -59,16 +60,15 @@
 	require.True(t, math.IsInf(estimate([]float64{1}).Error, 1))
 }
 
-// TestSpeedsOfWorkersAreWorthKnowing replays jobs of which three in a hundred take seven times as long, on
-// workers whose speeds differ by a factor of 2.7. While gangs were compared with their fastest members and
-// speeds learned from gangs that had ended only, the urgent class earned 0.73 of its worth.
+// TestSpeedsOfWorkersAreWorthKnowing guards against estimates that ignore worker speeds:
+// stragglers and workers of different speed delay urgent jobs.
 func TestSpeedsOfWorkersAreWorthKnowing(t *testing.T) {
 	load := loadNamed(t, "mixed-speeds").scaled(0.5)
 	load.Length = 24 * time.Second
 	ways := []Way{{Name: "all"}, {Name: "speeds not learned", Off: mechanism.Off{mechanism.LearnedSpeeds: true}}}
 	compared := Compare(load, ways, 1, 4, 4)
 	require.Less(t, compared[1].Gain.Mean, -0.1)
-	require.Greater(t, compared[0].Classes[0].Mean, compared[1].Classes[0].Mean+0.1, "urgent jobs")
+	require.Greater(t, compared[0].Classes[0].Mean, compared[1].Classes[0].Mean+0.1, "urgent jobs must gain from learned speeds")
 	for _, way := range compared {
 		for _, result := range way.Results {
 			require.Empty(t, result.Broken)
--- a/internal/loadplay/loads.go
+++ b/internal/loadplay/loads.go
@@ -7,18 +7,18 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Names of the classes of the loads below.
+// Names of the classes.
 const (
 	urgentClass = "urgent"
 	middleClass = "middle"
 	wideClass   = "wide"
 )
 
-// accelerators are drawn for urgent jobs and gangs: half of them take a worker, or half of one.
+// accelerators are the choices for urgent and middle jobs.
 var accelerators = []int{1, 2, 4, 8, 8}
 
-// classes returns urgent short gangs, long gangs and wide steps of small tasks, for a pool of 112
-// workers that they fill by two thirds.
+// classes returns short urgent gangs, long gangs, and wide steps of small tasks, which use two
+// thirds of a pool of 112 workers.
 func classes() []Class {
 	return []Class{
 		{
@@ -39,7 +39,7 @@
 	}
 }
 
-// Loads lists the loads that can be played.
+// Loads returns the predefined loads.
 func Loads() []Load {
 	base := Load{Racks: 14, PerRack: 8, Length: 34 * time.Second, Classes: classes()}
 	calm := base
--- a/internal/loadplay/play.go
+++ b/internal/loadplay/play.go
@@ -8,51 +8,51 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// ClassResult is what became of the jobs of a class.
+// ClassResult is the outcome of the jobs of a class.
 type ClassResult struct {
 	Name                       string
 	Jobs, OnTime, Late, Missed int
-	// Worth is the share of what the jobs could have earned.
+	// Worth is the earned share of the attainable value.
 	Worth float64
 }
 
-// Result is what one play of a load came to.
+// Result is the outcome of one simulation of a load.
 type Result struct {
 	Classes []ClassResult
-	// Worth is the share of all that could be earned.
+	// Worth is the earned share of the attainable value of all classes.
 	Worth float64
-	// Served is the share of jobs that ended in time or late.
+	// Served is the share of jobs that completed in time or late.
 	Served float64
-	// Placed and Preempted count runs of tasks and gangs that were placed, and stopped for others.
+	// Placed and Preempted count the placements and preemptions of tasks and gangs.
 	Placed, Preempted int
-	// MostStops is how often one task or gang was stopped for others at most.
+	// MostStops is the highest number of preemptions of one task or gang.
 	MostStops int
-	// ThrownAway is the work of stopped runs that no checkpoint held, in core-seconds.
+	// ThrownAway is the unsaved work of stopped runs, in core-seconds.
 	ThrownAway float64
-	// Broken are promises that were broken.
+	// Broken lists the violated invariants.
 	Broken []string
 }
 
 const (
-	// fixedValueShare of a job's worth does not depend on its size; a job earns four times the
-	// mean at most.
+	// fixedValueShare of a job's value does not depend on its size; the size factor is at most
+	// maxSizeFactor.
 	fixedValueShare = 0.3
 	maxSizeFactor   = 4
-	// lateFactor times its objective after its arrival a job earns nothing any more.
+	// A job that takes longer than lateFactor times its objective has no value.
 	lateFactor = 3
-	// minAttainable stands for nothing owed, of which all is earned or none.
+	// minAttainable avoids a division by zero if no value is attainable.
 	minAttainable = 1e-9
-	// drainTime is how long after the last arrival jobs are waited for.
+	// drainTime is how long the simulation continues after the last arrival.
 	drainTime = 40 * time.Second
-	// pollPeriod is how often ends are looked for.
+	// pollPeriod is the interval at which completed jobs are detected.
 	pollPeriod = 50 * time.Millisecond
-	// stopTime and checkpoints are those of large pools of the platform.
+	// Timing of large pools on the platform.
 	stopTime           = 200 * time.Millisecond
 	checkpointInterval = 500 * time.Millisecond
 	reclaimTime        = 2700 * time.Millisecond
 )
 
-// Simulate plays a load by seed, with some mechanisms switched off.
+// Simulate runs a load with some mechanisms switched off.
 func (l *Load) Simulate(seed uint64, off mechanism.Off) Result {
 	arrivals := l.generateArrivals(seed)
 	w := simulation.NewWorld(l.Racks, l.PerRack)
@@ -79,7 +79,7 @@
 	return l.evaluate(w, arrivals, ends)
 }
 
-// runArrivals hands the jobs in and returns how long each took that ended well.
+// runArrivals submits the jobs and returns the completion times of those that complete.
 func (l *Load) runArrivals(w *simulation.World, arrivals []arrival) map[string]time.Duration {
 	ends := map[string]time.Duration{}
 	open := map[string]time.Duration{}
@@ -119,7 +119,7 @@
 	return result
 }
 
-// jobValue returns what a job of mean size earns by the time it took, and counts it.
+// jobValue returns the value of a job of mean size by its completion time, and counts the job.
 func (l *Load) jobValue(a *arrival, took time.Duration, ended bool, counts *ClassResult) float64 {
 	class := &l.Classes[a.class]
 	objective := class.Queue.Objective(a.work)
@@ -136,7 +136,7 @@
 	return 0
 }
 
-// addTotals adds up the classes.
+// addTotals computes the shares of each class and of all classes.
 func (r *Result) addTotals(l *Load, owed, earned []float64) {
 	allOwed, allEarned := 0.0, 0.0
 	jobs, served := 0, 0
@@ -153,7 +153,7 @@
 	r.Served = float64(served) / float64(max(1, jobs))
 }
 
-// size is a job's work in core-seconds.
+// size returns the job's work in core-seconds.
 func (a *arrival) size() float64 {
 	step := &a.spec.Steps[0]
 	return step.Amount.Cores() * float64(step.Count) * a.work.Seconds()
