--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -84,18 +84,18 @@
 	}
 	if verdict.AnswerLost && verdict.Delay > 0 {
 		time.AfterFunc(verdict.Delay, func() { s.run(effect) })
-		drop(w)
+		abortConnection(w)
 		return
 	}
 	if verdict.NoEffect {
 		wait(r, frozenWait)
-		drop(w)
+		abortConnection(w)
 		return
 	}
 	wait(r, verdict.Delay)
 	answer := s.run(effect)
 	if verdict.AnswerLost {
-		drop(w)
+		abortConnection(w)
 		return
 	}
 	respond(w, answer)
@@ -122,8 +122,8 @@
 	}
 }
 
-// drop ends the connection without an answer.
-func drop(http.ResponseWriter) {
+// abortConnection ends the connection without an answer.
+func abortConnection(http.ResponseWriter) {
 	panic(http.ErrAbortHandler)
 }
 
@@ -133,7 +133,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	body := http.MaxBytesReader(w, r.Body, maxRequestBytes)
 	if err := json.NewDecoder(body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -144,7 +144,7 @@
 
 func (s *Server) commit(w http.ResponseWriter, r *http.Request) {
 	var transaction store.Transaction
-	if read(w, r, &transaction) {
+	if decodeBody(w, r, &transaction) {
 		s.serve(w, r, "table", func(time.Time) any { return s.site.Table.Commit(transaction) })
 	}
 }
@@ -182,7 +182,7 @@
 	case verdict.Refused:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	case verdict.AnswerLost:
-		drop(w)
+		abortConnection(w)
 	case !ok:
 		http.Error(w, "no such object", http.StatusNotFound)
 	default:
@@ -207,7 +207,7 @@
 
 func (s *Server) setStatus(w http.ResponseWriter, r *http.Request) {
 	var change statusChange
-	if !read(w, r, &change) {
+	if !decodeBody(w, r, &change) {
 		return
 	}
 	s.serve(w, r, "control", func(now time.Time) any {
@@ -223,7 +223,7 @@
 
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	var order worker.Order
-	if !read(w, r, &order) {
+	if !decodeBody(w, r, &order) {
 		return
 	}
 	name := r.FormValue("worker")
@@ -265,7 +265,7 @@
 
 func (s *Server) setFault(w http.ResponseWriter, r *http.Request) {
 	var change faultChange
-	if read(w, r, &change) {
+	if decodeBody(w, r, &change) {
 		s.SetFault(change.Service, change.Fault)
 		respond(w, struct{}{})
 	}
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -60,8 +60,8 @@
 	visibleAt time.Time
 }
 
-// feedKeep bounds how many reports a feed remembers.
-const feedKeep = 100000
+// maxFeedEntries bounds how many reports a feed remembers.
+const maxFeedEntries = 100000
 
 // NewSite returns a site whose workers are all live.
 func NewSite(layouts []Layout, address string, now time.Time) *Site {
@@ -101,10 +101,10 @@
 	}
 	s.workers[machine.Name] = w
 	s.names = append(s.names, machine.Name)
-	s.announce(machine, s.now)
+	s.appendListEntry(machine, s.now)
 }
 
-func (s *Site) announce(machine machines.Machine, visibleAt time.Time) {
+func (s *Site) appendListEntry(machine machines.Machine, visibleAt time.Time) {
 	s.listCursor++
 	s.list = append(s.list, listEntry{machine: machine, cursor: s.listCursor, visibleAt: visibleAt})
 }
@@ -112,8 +112,8 @@
 func (s *Site) report(domain string, report worker.Report) {
 	f := s.feed(domain)
 	f.entries = append(f.entries, feedEntry{report: report, visibleAt: s.now.Add(s.ReportLag)})
-	if len(f.entries) > 2*feedKeep {
-		dropped := len(f.entries) - feedKeep
+	if len(f.entries) > 2*maxFeedEntries {
+		dropped := len(f.entries) - maxFeedEntries
 		f.entries = slices.Clone(f.entries[dropped:])
 		f.first += int64(dropped)
 	}
@@ -169,7 +169,7 @@
 	machine := w.Machine()
 	machine.Status = status
 	w.SetLeaving(status != machines.Live)
-	s.announce(machine, now.Add(s.ListLag))
+	s.appendListEntry(machine, now.Add(s.ListLag))
 	return true
 }
 
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -68,11 +68,11 @@
 	order worker.Order
 	// deadline is when a reservation or lease lapses.
 	deadline time.Time
-	// ends is when running members finish or a checkpoint is complete.
-	ends    time.Time
-	started time.Time
-	saving  bool
-	payload Payload
+	// endsAt is when running members finish or a checkpoint is complete.
+	endsAt        time.Time
+	started       time.Time
+	checkpointing bool
+	payload       Payload
 }
 
 // NewWorker returns an idle worker on the given machine.
@@ -166,7 +166,7 @@
 		deadline: now.Add(seconds(order.ReserveSeconds)),
 	}
 	w.tasks[key] = t
-	w.account(t, 1)
+	w.updateUsage(t, 1)
 	return worker.RefusedNone
 }
 
@@ -178,7 +178,7 @@
 		w.slots+members <= w.machine.Slots
 }
 
-func (w *Worker) account(t *task, sign int) {
+func (w *Worker) updateUsage(t *task, sign int) {
 	members := sign * len(t.Members)
 	w.used.Accelerators += members * t.order.Accelerators
 	w.used.CPUs += members * t.order.CPUs
@@ -202,7 +202,7 @@
 	t.State = worker.TaskRunning
 	t.started = now
 	t.deadline = now.Add(seconds(order.LeaseSeconds))
-	t.ends = now.Add(seconds(max(0, t.payload.RunSeconds-order.ProgressSeconds)))
+	t.endsAt = now.Add(seconds(max(0, t.payload.RunSeconds-order.ProgressSeconds)))
 	w.record(now, t, true)
 	return worker.RefusedNone
 }
@@ -210,7 +210,7 @@
 func (w *Worker) release(key taskKey) {
 	t, ok := w.tasks[key]
 	if ok && t.State == worker.TaskReserved {
-		w.account(t, -1)
+		w.updateUsage(t, -1)
 		delete(w.tasks, key)
 	}
 }
@@ -220,12 +220,12 @@
 	if !ok {
 		return worker.RefusedUnknownTask
 	}
-	if t.State != worker.TaskRunning || t.saving {
+	if t.State != worker.TaskRunning || t.checkpointing {
 		return worker.RefusedNone
 	}
-	t.saving = true
+	t.checkpointing = true
 	t.ProgressSeconds = t.order.ProgressSeconds + now.Sub(t.started).Seconds()
-	t.ends = now.Add(seconds(order.CheckpointSeconds))
+	t.endsAt = now.Add(seconds(order.CheckpointSeconds))
 	return worker.RefusedNone
 }
 
@@ -303,8 +303,8 @@
 	case worker.TaskReserved:
 		return t.deadline, true
 	case worker.TaskRunning:
-		if t.ends.Before(t.deadline) {
-			return t.ends, true
+		if t.endsAt.Before(t.deadline) {
+			return t.endsAt, true
 		}
 		return t.deadline, true
 	default:
@@ -318,7 +318,7 @@
 		return
 	}
 	switch {
-	case t.ends.After(at) || t.saving:
+	case t.endsAt.After(at) || t.checkpointing:
 		w.end(at, t, worker.TaskStopped)
 	case t.payload.Fail:
 		w.end(at, t, worker.TaskFailed)
@@ -337,7 +337,7 @@
 }
 
 func (w *Worker) end(at time.Time, t *task, state worker.TaskState) {
-	w.account(t, -1)
+	w.updateUsage(t, -1)
 	t.State = state
 	w.record(at, t, false)
 	w.Report(t.order.Domain, worker.Report{Worker: w.machine.Name, Task: t.Task})
