--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,4 @@
-// Package standin is the stand-in for the platform: the table service, the
-// object store, the machine list and hollow workers, each with faults that can
-// be switched while it runs. The cores are plain state machines with the time
-// passed in; the HTTP server and the virtual-time emulator both drive them.
+// Package standin simulates the platform: the table service, the object store, the machine list
+// and workers that run no processes, with fault injection. The state machines take the current
+// time as an argument; the HTTP server and the virtual-time emulator both use them.
 package standin
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -5,47 +5,46 @@
 	"time"
 )
 
-// Mode is how a service of the platform behaves.
+// Mode is the failure mode of a service.
 type Mode string
 
-// The modes.
 const (
-	// Healthy services answer.
+	// Healthy services answer normally.
 	Healthy Mode = "ok"
 	// Slow services answer after Delay.
 	Slow Mode = "slow"
-	// Down services refuse at once.
+	// Down services reject all requests.
 	Down Mode = "down"
-	// Lossy services take effect and lose some answers.
+	// Lossy services apply requests but lose some answers.
 	Lossy Mode = "lossy"
-	// Late services lose some answers and take effect after Delay.
+	// Late services lose some answers and apply those requests after Delay.
 	Late Mode = "late"
-	// Frozen services take requests and never answer.
+	// Frozen services accept requests, never apply them and never answer.
 	Frozen Mode = "frozen"
 )
 
-// Fault is the present behaviour of one service.
+// Fault is the current failure mode of a service.
 type Fault struct {
 	Mode Mode `json:"mode"`
 	// DelaySeconds is the delay of Slow and Late.
 	DelaySeconds float64 `json:"delay_seconds,omitempty"`
-	// Share is the share of requests that Lossy and Late hit, 0 to 1.
+	// Share is the share of requests that Lossy and Late affect, 0 to 1.
 	Share float64 `json:"share,omitempty"`
 }
 
-// Verdict is what happens to one request.
+// Verdict is the outcome of one request.
 type Verdict struct {
-	// Refused requests have no effect and are answered so.
+	// Refused requests are answered with an error and have no effect.
 	Refused bool
 	// AnswerLost requests get no answer.
 	AnswerLost bool
-	// NoEffect says that the request never takes effect.
+	// NoEffect requests are never applied.
 	NoEffect bool
-	// Delay passes before the effect.
+	// Delay is the time until the request is applied.
 	Delay time.Duration
 }
 
-// Judge decides what happens to one request.
+// Judge returns the outcome of one request.
 func (f Fault) Judge(random *rand.Rand) Verdict {
 	delay := seconds(f.DelaySeconds)
 	switch f.Mode {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -14,34 +14,33 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// Server offers a Site over HTTP in real time.
+// Server serves a Site over HTTP in real time.
 type Server struct {
 	mutex sync.Mutex
 	site  *Site
-	// faults holds the present fault by service: "table", "objects", "machines",
-	// "reports", or "worker:" and a name.
+	// faults contains the current fault by service: "table", "objects", "machines", "reports", or
+	// "worker:" and a name.
 	faults map[string]Fault
 	random *rand.Rand
 	now    func() time.Time
 	mux    *http.ServeMux
-	// advancedAt is when all workers were last brought up to date; one that gets an
-	// order is brought up to date by it.
+	// advancedAt is when all workers were last advanced. An order also advances its worker.
 	advancedAt time.Time
 }
 
-// advanceStep is how late the end of a task may show.
+// advanceStep bounds the delay with which the end of a task is detected.
 const advanceStep = 50 * time.Millisecond
 
 const (
 	maxRequestBytes = 256 << 20
-	// reportWait is how long the feed waits when there is nothing to tell.
+	// reportWait is the long-poll timeout of the report feed.
 	reportWait = 5 * time.Second
 	reportStep = 20 * time.Millisecond
-	// frozenWait bounds how long a frozen service keeps a connection.
+	// frozenWait bounds how long a frozen service keeps a connection open.
 	frozenWait = 30 * time.Second
 )
 
-// NewServer returns a server for the site. The seed makes lost answers repeatable.
+// NewServer returns a server for the site. The seed determines which answers are lost.
 func NewServer(site *Site, seed uint64, now func() time.Time) *Server {
 	s := &Server{
 		site: site, faults: map[string]Fault{}, now: now,
@@ -62,18 +61,18 @@
 	return s
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFault changes the behaviour of a service.
+// SetFault sets the fault of a service.
 func (s *Server) SetFault(service string, fault Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults[service] = fault
 }
 
-// serve applies the service's present fault around an effect. The effect runs
-// under the lock and returns what to answer.
+// serve applies the current fault of the service to a request. The effect runs under the lock and
+// returns the answer.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, service string, effect func(now time.Time) any) {
 	s.mutex.Lock()
 	verdict := s.faults[service].Judge(s.random)
@@ -122,7 +121,7 @@
 	}
 }
 
-// abortConnection ends the connection without an answer.
+// abortConnection closes the connection without an answer.
 func abortConnection(http.ResponseWriter) {
 	panic(http.ErrAbortHandler)
 }
@@ -201,7 +200,7 @@
 type statusChange struct {
 	Worker string          `json:"worker"`
 	Status machines.Status `json:"status"`
-	// Restart makes the worker forget everything.
+	// Restart discards all state of the worker.
 	Restart bool `json:"restart"`
 }
 
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// Layout describes the machines of a stand-in site.
+// Layout describes the machines of a simulated site.
 type Layout struct {
 	Region         string
 	Zone           string
@@ -22,16 +22,16 @@
 	Slots          int
 }
 
-// Site is a whole platform: table, objects, machine list, workers and the feed of
-// their reports. Time is passed in. It is not safe for concurrent use.
+// Site simulates a platform: table, objects, machine list, workers and the feed of their reports.
+// Callers pass the current time. It is not safe for concurrent use.
 type Site struct {
 	Table *Table
-	// Objects holds the object store's content by name.
+	// Objects contains the content of the object store by name.
 	Objects map[string][]byte
 	workers map[string]*Worker
 	names   []string
-	// ListLag is how long a change takes to show in the machine list, ReportLag how
-	// long a report takes to show in the feed.
+	// ListLag is the delay until a change appears in the machine list, and ReportLag until a
+	// report appears in the feed.
 	ListLag    time.Duration
 	ReportLag  time.Duration
 	list       []listEntry
@@ -39,7 +39,7 @@
 	feeds      map[string]*feed
 	history    []Execution
 	now        time.Time
-	// Keep makes the site remember executions for the checker.
+	// Keep records executions for the checker.
 	Keep bool
 }
 
@@ -49,7 +49,7 @@
 	visibleAt time.Time
 }
 
-// feed holds the reports of one domain. Entries before first were dropped.
+// feed contains the reports of one domain. Entries before first were dropped.
 type feed struct {
 	first   int64
 	entries []feedEntry
@@ -60,7 +60,7 @@
 	visibleAt time.Time
 }
 
-// maxFeedEntries bounds how many reports a feed remembers.
+// maxFeedEntries bounds the number of reports that a feed keeps.
 const maxFeedEntries = 100000
 
 // NewSite returns a site whose workers are all live.
@@ -131,10 +131,10 @@
 // Worker returns a worker by name, or nil.
 func (s *Site) Worker(name string) *Worker { return s.workers[name] }
 
-// Names lists all workers.
+// Names returns the names of all workers.
 func (s *Site) Names() []string { return s.names }
 
-// Advance lets everything end that ends by itself until now.
+// Advance processes all events of all workers up to now.
 func (s *Site) Advance(now time.Time) {
 	s.now = now
 	for _, name := range s.names {
@@ -142,7 +142,7 @@
 	}
 }
 
-// AdvanceWorker lets everything end that ends by itself on one worker.
+// AdvanceWorker processes all events of one worker up to now.
 func (s *Site) AdvanceWorker(now time.Time, name string) {
 	s.now = now
 	s.workers[name].Advance(now)
@@ -158,8 +158,8 @@
 	return w.Handle(now, order), true
 }
 
-// SetStatus changes what the list says of a machine once its lag has passed, and
-// at once what the machine itself does.
+// SetStatus changes the behaviour of a machine immediately and its status in the machine list
+// after ListLag.
 func (s *Site) SetStatus(now time.Time, name string, status machines.Status) bool {
 	s.now = now
 	w, ok := s.workers[name]
@@ -173,8 +173,8 @@
 	return true
 }
 
-// Changes returns the machine list's visible entries after a cursor. Entries show
-// in the order in which they were made.
+// Changes returns the visible entries of the machine list after a cursor, in the order of their
+// creation.
 func (s *Site) Changes(now time.Time, cursor int64) machines.Update {
 	update := machines.Update{Cursor: cursor}
 	start, _ := slices.BinarySearchFunc(s.list, cursor+1, func(e listEntry, c int64) int { return int(e.cursor - c) })
@@ -188,8 +188,8 @@
 	return update
 }
 
-// Reports returns the visible reports of a domain after a cursor; a negative
-// cursor asks only where the feed ends.
+// Reports returns the visible reports of a domain after a cursor. A negative cursor returns only
+// the end of the feed.
 func (s *Site) Reports(now time.Time, domain string, cursor int64) worker.Reports {
 	f := s.feed(domain)
 	end := f.first + int64(len(f.entries))
@@ -211,10 +211,10 @@
 	return reports
 }
 
-// History returns every begin and end of an attempt so far.
+// History returns the starts and ends of all attempts.
 func (s *Site) History() []Execution { return s.history }
 
-// NextEvent returns when something on a worker ends by itself.
+// NextEvent returns the time of the next event of any worker.
 func (s *Site) NextEvent() (time.Time, bool) {
 	var first time.Time
 	found := false
@@ -227,7 +227,7 @@
 	return first, found
 }
 
-// Busy counts running tasks by worker-name prefix.
+// Busy returns the number of occupied slots on the workers whose names have the prefix.
 func (s *Site) Busy(prefix string) int {
 	count := 0
 	for _, name := range s.names {
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -7,12 +7,12 @@
 	"github.com/wheatroad/wheatroad/internal/store"
 )
 
-// Table is the table service's state. It is not safe for concurrent use.
+// Table implements the table service. It is not safe for concurrent use.
 type Table struct {
 	revision int64
 	rows     map[string]store.Row
-	// changes lists keys by the revision that last wrote them, for scans since a
-	// revision. Entries whose row has moved on are skipped.
+	// changes contains keys by the revision that wrote them, for scans since a revision. Entries
+	// of rows that were written again are skipped.
 	changes []tableChange
 	reads   int64
 	writes  int64
@@ -28,7 +28,7 @@
 	return &Table{rows: map[string]store.Row{}}
 }
 
-// Commit applies a transaction whole or not at all.
+// Commit applies a transaction atomically.
 func (t *Table) Commit(transaction store.Transaction) store.CommitResult {
 	t.writes++
 	var failed []string
@@ -95,5 +95,5 @@
 	return rows
 }
 
-// Counts returns how many reads and transactions were served.
+// Counts returns the number of reads and transactions.
 func (t *Table) Counts() (reads, writes int64) { return t.reads, t.writes }
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -13,17 +13,17 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// Payload is the part of a job's payload that hollow workers understand.
+// Payload is the part of a job's payload that simulated workers interpret.
 type Payload struct {
-	// RunSeconds is how long a member runs.
+	// RunSeconds is the run time of a member.
 	RunSeconds float64 `json:"run_seconds"`
 	// OutputBytes is the size of each member's output.
 	OutputBytes int `json:"output_bytes"`
-	// Fail makes the member fail at its end.
+	// Fail makes the member fail at the end of its run time.
 	Fail bool `json:"fail"`
 }
 
-// Execution is one line of a worker's history: an attempt that began or ended.
+// Execution is an entry of the execution history: the start or end of an attempt.
 type Execution struct {
 	At      time.Time        `json:"at"`
 	Worker  string           `json:"worker"`
@@ -36,7 +36,7 @@
 	State   worker.TaskState `json:"state"`
 }
 
-// Worker is one hollow worker. It is not safe for concurrent use.
+// Worker is a simulated worker that runs no processes. It is not safe for concurrent use.
 type Worker struct {
 	machine machines.Machine
 	leaving bool
@@ -44,16 +44,17 @@
 	tasks   map[taskKey]*task
 	used    job.Shape
 	slots   int
-	// Fencing off lets stale owners through, for showing that tests catch it.
+	// Fencing rejects orders with stale epochs. It can be switched off to verify that tests detect
+	// its absence.
 	Fencing bool
-	// RefuseLeaving makes a leaving worker refuse reservations by itself. Workers
-	// that do not only say in their replies and reports that they are leaving.
+	// RefuseLeaving makes a leaving worker refuse reservations. Without it the worker only states
+	// in replies and reports that it is leaving.
 	RefuseLeaving bool
-	// Report receives each change of a task.
+	// Report is called for each change of a task.
 	Report func(domain string, report worker.Report)
-	// Output receives the content of a finished member.
+	// Output is called with the output of a finished member.
 	Output func(name string, content []byte)
-	// Record receives each begin and end of an attempt.
+	// Record is called for each start and end of an attempt.
 	Record func(Execution)
 }
 
@@ -66,7 +67,7 @@
 type task struct {
 	worker.Task
 	order worker.Order
-	// deadline is when a reservation or lease lapses.
+	// deadline is the expiry of the reservation or lease.
 	deadline time.Time
 	// endsAt is when running members finish or a checkpoint is complete.
 	endsAt        time.Time
@@ -88,10 +89,10 @@
 	}
 }
 
-// Machine returns the worker's entry for the machine list.
+// Machine returns the entry of the worker in the machine list.
 func (w *Worker) Machine() machines.Machine { return w.machine }
 
-// SetLeaving makes the worker leave or stay. It tells those that it works for.
+// SetLeaving sets whether the worker is leaving, and reports it to all its domains.
 func (w *Worker) SetLeaving(leaving bool) {
 	if leaving && !w.leaving {
 		for domain := range w.epochs {
@@ -104,7 +105,7 @@
 // Leaving reports whether the worker is leaving.
 func (w *Worker) Leaving() bool { return w.leaving }
 
-// Restart forgets everything, as a machine does that lost its power.
+// Restart discards all state, like a machine after a power loss.
 func (w *Worker) Restart(now time.Time) {
 	for _, t := range w.sortedTasks() {
 		if t.State == worker.TaskRunning {
@@ -118,7 +119,7 @@
 	w.leaving = false
 }
 
-// Handle follows or refuses one order.
+// Handle executes or refuses an order.
 func (w *Worker) Handle(now time.Time, order worker.Order) worker.Reply {
 	w.Advance(now)
 	if w.Fencing && order.Epoch < w.epochs[order.Domain] {
@@ -194,7 +195,7 @@
 	if t.State != worker.TaskReserved {
 		return worker.RefusedNone
 	}
-	// A payload that is not meant for hollow workers runs for no time.
+	// Other payloads have no run time.
 	_ = json.Unmarshal([]byte(order.Payload), &t.payload)
 	t.order.Payload = order.Payload
 	t.order.ProgressSeconds = order.ProgressSeconds
@@ -269,7 +270,7 @@
 	return reply
 }
 
-// Advance ends what has finished or lapsed by now, in order of time.
+// Advance processes all events up to now in time order.
 func (w *Worker) Advance(now time.Time) {
 	for {
 		t, at, ok := w.nextEvent()
@@ -280,7 +281,7 @@
 	}
 }
 
-// NextEvent returns when something ends on the worker by itself.
+// NextEvent returns the time at which a task next finishes or expires.
 func (w *Worker) NextEvent() (time.Time, bool) {
 	_, at, ok := w.nextEvent()
 	return at, ok
@@ -367,8 +368,8 @@
 	return sorted
 }
 
-// Output returns the content that a hollow member produces: a repeated line
-// that names the member, cut to size.
+// Output returns the output of a simulated member: a repeated line with its identity, truncated to
+// size.
 func Output(jobID string, attempt, member, size int) []byte {
 	line, _ := json.Marshal(struct {
 		Job     string `json:"job"`
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// TestWorkerContract plays orders at given seconds and checks each reply.
+// TestWorkerContract sends orders at given times and checks each reply.
 func TestWorkerContract(t *testing.T) {
 	type step struct {
 		at      float64
@@ -98,7 +98,7 @@
 	other.Job = "other"
 	require.Equal(t, worker.RefusedNoCapacity, w.Handle(now, other).Refusal)
 	other.Accelerators = 0
-	require.Equal(t, worker.RefusedNoCapacity, w.Handle(now, other).Refusal, "slots are taken too")
+	require.Equal(t, worker.RefusedNoCapacity, w.Handle(now, other).Refusal, "slots limit reservations")
 	w.SetLeaving(true)
 	require.Equal(t, worker.RefusedLeaving, w.Handle(now.Add(time.Minute), other).Refusal)
 }
