--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -26,9 +26,9 @@
 // proxyDelay is how late Delay hands bytes on.
 const proxyDelay = 150 * time.Millisecond
 
-// pieceBytes is the most that a connection hands on at once, so that small answers on
+// chunkBytes is the most that a connection hands on at once, so that small answers on
 // other connections of a slow link are not held up behind a large one.
-const pieceBytes = 8 << 10
+const chunkBytes = 8 << 10
 
 // Proxy hands on connections between one daemon and the platform on loopback.
 type Proxy struct {
@@ -39,11 +39,11 @@
 	open     map[net.Conn]bool
 	// silent has open connections that hand on nothing any more.
 	silent map[net.Conn]bool
-	// opened counts the connections that were accepted.
-	opened int
+	// accepted counts the connections that were accepted.
+	accepted int
 	// answers and requests pace the two directions, each for all connections together.
-	answers  pace
-	requests pace
+	answers  rateLimiter
+	requests rateLimiter
 }
 
 // New listens on a free loopback port and hands connections on to target.
@@ -61,7 +61,7 @@
 func (p *Proxy) Opened() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.opened
+	return p.accepted
 }
 
 // Address is where the proxy listens.
@@ -111,35 +111,35 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
 func (p *Proxy) serve(near net.Conn) {
-	far, err := net.Dial("tcp", p.target)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
 		_ = near.Close()
 		return
 	}
-	p.keep(near, far)
-	go p.pipe(far, near, CutRequests, &p.requests)
-	p.pipe(near, far, CutAnswers, &p.answers)
+	p.track(near, server)
+	go p.pipe(server, near, CutRequests, &p.requests)
+	p.pipe(near, server, CutAnswers, &p.answers)
 }
 
-func (p *Proxy) keep(connections ...net.Conn) {
+func (p *Proxy) track(connections ...net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.opened++
+	p.accepted++
 	for _, connection := range connections {
 		p.open[connection] = true
 	}
 }
 
-func (p *Proxy) drop(connections ...net.Conn) {
+func (p *Proxy) closeConnections(connections ...net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, connection := range connections {
@@ -152,17 +152,17 @@
 // pipe hands bytes on from one connection to the other, but in the mode that cuts this
 // way, and no faster than its pace. Bytes that a cut took are lost, and so is their
 // connection.
-func (p *Proxy) pipe(to, from net.Conn, cut Mode, pace *pace) {
-	defer p.drop(to, from)
-	buffer := make([]byte, pieceBytes)
+func (p *Proxy) pipe(to, from net.Conn, dropMode Mode, pace *rateLimiter) {
+	defer p.closeConnections(to, from)
+	buffer := make([]byte, chunkBytes)
 	lost := false
 	for {
 		count, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		switch mode := p.current(from); {
-		case mode == Silence || mode == cut:
+		switch mode := p.modeFor(from); {
+		case mode == Silence || mode == dropMode:
 			lost = true
 		case mode == Delay:
 			time.Sleep(proxyDelay)
@@ -177,8 +177,8 @@
 	}
 }
 
-// current returns what becomes of bytes that arrive on a connection now.
-func (p *Proxy) current(from net.Conn) Mode {
+// modeFor returns what becomes of bytes that arrive on a connection now.
+func (p *Proxy) modeFor(from net.Conn) Mode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.silent[from] {
@@ -187,39 +187,39 @@
 	return p.mode
 }
 
-// pace spreads bytes over time.
-type pace struct {
+// rateLimiter spreads bytes over time.
+type rateLimiter struct {
 	mutex sync.Mutex
 	// bytesPerSecond is zero without a limit.
 	bytesPerSecond int
-	// free is when all bytes that were let in so far have passed.
-	free time.Time
+	// busyUntil is when all bytes that were let in so far have passed.
+	busyUntil time.Time
 }
 
-func (p *pace) set(bytesPerSecond int) {
+func (p *rateLimiter) set(bytesPerSecond int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.bytesPerSecond = bytesPerSecond
-	p.free = time.Time{}
+	p.busyUntil = time.Time{}
 }
 
 // wait returns once count further bytes have passed.
-func (p *pace) wait(count int) {
+func (p *rateLimiter) wait(count int) {
 	if passed, limited := p.reserve(count); limited {
 		time.Sleep(time.Until(passed))
 	}
 }
 
 // reserve lets count bytes in behind all others, and returns when they have passed.
-func (p *pace) reserve(count int) (passed time.Time, limited bool) {
+func (p *rateLimiter) reserve(count int) (passed time.Time, limited bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.bytesPerSecond == 0 {
 		return time.Time{}, false
 	}
-	if now := time.Now(); p.free.Before(now) {
-		p.free = now
+	if now := time.Now(); p.busyUntil.Before(now) {
+		p.busyUntil = now
 	}
-	p.free = p.free.Add(time.Duration(count) * time.Second / time.Duration(p.bytesPerSecond))
-	return p.free, true
+	p.busyUntil = p.busyUntil.Add(time.Duration(count) * time.Second / time.Duration(p.bytesPerSecond))
+	return p.busyUntil, true
 }
