--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,4 +1,4 @@
-// Package faultproxy hands on connections on loopback and does to them what links under faults do.
+// Package faultproxy is a TCP proxy on loopback that injects network faults.
 package faultproxy
 
 import (
@@ -7,46 +7,45 @@
 	"time"
 )
 
-// Mode is what a proxy does to the bytes that pass it.
+// Mode is the fault that a proxy injects.
 type Mode int
 
-// The modes of a proxy.
 const (
-	// Pass hands on all bytes.
+	// Pass forwards all bytes.
 	Pass Mode = iota
-	// Delay hands them on late.
+	// Delay forwards them after a delay.
 	Delay
-	// Silence takes them and hands on nothing, either way.
+	// Silence discards the bytes of both directions.
 	Silence
-	// CutAnswers hands on requests and no answers; CutRequests the other way round.
+	// CutAnswers discards the bytes from the target, CutRequests those to it.
 	CutAnswers
 	CutRequests
 )
 
-// proxyDelay is how late Delay hands bytes on.
+// proxyDelay is the delay of the mode Delay.
 const proxyDelay = 150 * time.Millisecond
 
-// chunkBytes is the most that a connection hands on at once, so that small answers on
-// other connections of a slow link are not held up behind a large one.
+// chunkBytes bounds a single write, so that on a slow link small answers are not blocked by a
+// large one on another connection.
 const chunkBytes = 8 << 10
 
-// Proxy hands on connections between one daemon and the platform on loopback.
+// Proxy forwards TCP connections to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
 	mutex    sync.Mutex
 	mode     Mode
 	open     map[net.Conn]bool
-	// silent has open connections that hand on nothing any more.
+	// silent contains the connections that no longer forward anything.
 	silent map[net.Conn]bool
-	// accepted counts the connections that were accepted.
+	// accepted counts the accepted connections.
 	accepted int
-	// answers and requests pace the two directions, each for all connections together.
+	// answers and requests limit the rate of each direction over all connections.
 	answers  rateLimiter
 	requests rateLimiter
 }
 
-// New listens on a free loopback port and hands connections on to target.
+// New returns a proxy that listens on a free loopback port and forwards connections to target.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,32 +56,32 @@
 	return p, nil
 }
 
-// Opened returns how many connections were made through the proxy so far.
+// Opened returns the number of connections accepted so far.
 func (p *Proxy) Opened() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.accepted
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetMode changes what becomes of bytes from now on.
+// SetMode changes the mode for bytes that arrive from now on.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.mode = mode
 }
 
-// SetRate limits the bytes per second of all connections together, in each direction by
-// itself. Zero lifts the limit.
+// SetRate limits the bytes per second of all connections together, separately for each direction.
+// Zero removes the limit.
 func (p *Proxy) SetRate(bytesPerSecond int) {
 	p.answers.set(bytesPerSecond)
 	p.requests.set(bytesPerSecond)
 }
 
-// SilenceOpen makes every open connection hand on nothing any more, either way and for
-// good, without ending it. New connections work.
+// SilenceOpen makes all open connections discard bytes of both directions from now on, without
+// closing them. New connections work.
 func (p *Proxy) SilenceOpen() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -91,7 +90,7 @@
 	}
 }
 
-// Reset breaks every open connection.
+// Reset resets all open connections.
 func (p *Proxy) Reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -103,7 +102,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
@@ -119,15 +118,15 @@
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
+func (p *Proxy) serve(client net.Conn) {
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	p.track(near, server)
-	go p.pipe(server, near, CutRequests, &p.requests)
-	p.pipe(near, server, CutAnswers, &p.answers)
+	p.track(client, server)
+	go p.pipe(server, client, CutRequests, &p.requests)
+	p.pipe(client, server, CutAnswers, &p.answers)
 }
 
 func (p *Proxy) track(connections ...net.Conn) {
@@ -149,9 +148,8 @@
 	}
 }
 
-// pipe hands bytes on from one connection to the other, but in the mode that cuts this
-// way, and no faster than its pace. Bytes that a cut took are lost, and so is their
-// connection.
+// pipe forwards bytes in one direction, within the rate limit. In the mode dropMode it discards
+// them; once bytes are lost the connection never forwards again.
 func (p *Proxy) pipe(to, from net.Conn, dropMode Mode, pace *rateLimiter) {
 	defer p.closeConnections(to, from)
 	buffer := make([]byte, chunkBytes)
@@ -177,7 +175,7 @@
 	}
 }
 
-// modeFor returns what becomes of bytes that arrive on a connection now.
+// modeFor returns the mode for bytes that arrive on a connection.
 func (p *Proxy) modeFor(from net.Conn) Mode {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -187,12 +185,12 @@
 	return p.mode
 }
 
-// rateLimiter spreads bytes over time.
+// rateLimiter limits bytes per second.
 type rateLimiter struct {
 	mutex sync.Mutex
-	// bytesPerSecond is zero without a limit.
+	// bytesPerSecond is zero if there is no limit.
 	bytesPerSecond int
-	// busyUntil is when all bytes that were let in so far have passed.
+	// busyUntil is when all reserved bytes have been sent.
 	busyUntil time.Time
 }
 
@@ -203,14 +201,14 @@
 	p.busyUntil = time.Time{}
 }
 
-// wait returns once count further bytes have passed.
+// wait blocks until the link has sent count further bytes.
 func (p *rateLimiter) wait(count int) {
 	if passed, limited := p.reserve(count); limited {
 		time.Sleep(time.Until(passed))
 	}
 }
 
-// reserve lets count bytes in behind all others, and returns when they have passed.
+// reserve reserves the link for count bytes and returns when they will have been sent.
 func (p *rateLimiter) reserve(count int) (passed time.Time, limited bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each byte with itself.
+// echo starts an echo server and returns its address.
 func echo(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -29,8 +29,8 @@
 	return listener.Addr().String()
 }
 
-// TestProxyModes: a cut connection hands on nothing, also once the cut has healed, since
-// bytes were lost; a new one works; a reset ends it.
+// TestProxyModes guards against a connection that forwards again after bytes were lost, against
+// new connections that stay affected, and against a reset that leaves connections open.
 func TestProxyModes(t *testing.T) {
 	proxy, err := New(echo(t))
 	require.NoError(t, err)
@@ -55,8 +55,8 @@
 	require.Error(t, err)
 }
 
-// TestConnectionsShareTheRateOfALink: two connections together take as long as the rate
-// needs for the bytes of both, in one direction.
+// TestConnectionsShareTheRateOfALink guards against a rate limit that applies to each connection
+// separately.
 func TestConnectionsShareTheRateOfALink(t *testing.T) {
 	const (
 		rate  = 200 << 10
@@ -82,8 +82,8 @@
 	require.GreaterOrEqual(t, time.Since(began), 2*bytes*time.Second/rate)
 }
 
-// TestEachDirectionOfALinkHasItsOwnRate: what goes one way leaves the other way free, and
-// a lifted rate limits nothing.
+// TestEachDirectionOfALinkHasItsOwnRate guards against a limit shared by both directions, and
+// against one that remains after SetRate(0).
 func TestEachDirectionOfALinkHasItsOwnRate(t *testing.T) {
 	proxy := &Proxy{}
 	proxy.SetRate(1)
@@ -108,8 +108,8 @@
 	return answer[0]
 }
 
-// TestSilentConnectionsStaySilentBesideNewOnes: what is open takes bytes and hands on none,
-// without an end, while a new connection works.
+// TestSilentConnectionsStaySilentBesideNewOnes guards against silenced connections that forward or
+// close, and against new connections that are silenced too.
 func TestSilentConnectionsStaySilentBesideNewOnes(t *testing.T) {
 	proxy, err := New(echo(t))
 	require.NoError(t, err)
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -92,7 +92,7 @@
 // Machine returns the entry of the worker in the machine list.
 func (w *Worker) Machine() machines.Machine { return w.machine }
 
-// SetLeaving sets whether the worker is leaving, and reports it to all its domains.
+// SetLeaving sets whether the worker is leaving. It reports the start of leaving to all domains.
 func (w *Worker) SetLeaving(leaving bool) {
 	if leaving && !w.leaving {
 		for domain := range w.epochs {
