--- a/internal/figures/capacity.go
+++ b/internal/figures/capacity.go
@@ -39,7 +39,7 @@
 	accelerators int
 	spread       job.Spread
 	weight       float64
-	room         map[string]int
+	memberSlots  map[string]int
 	// covered is the accelerators that whole copies cover now.
 	covered int
 }
@@ -77,7 +77,7 @@
 		key := shapeKey{line.Members, line.Accelerators, line.Spread}
 		shape, ok := byKey[key]
 		if !ok {
-			shape = &shapeState{members: line.Members, accelerators: line.Accelerators, spread: line.Spread, room: map[string]int{}}
+			shape = &shapeState{members: line.Members, accelerators: line.Accelerators, spread: line.Spread, memberSlots: map[string]int{}}
 			byKey[key] = shape
 			shapes = append(shapes, shape)
 		}
@@ -110,8 +110,8 @@
 		return
 	}
 	group := s.group(w)
-	room := s.room[group]
-	s.room[group] = room + change
+	room := s.memberSlots[group]
+	s.memberSlots[group] = room + change
 	s.covered += ((room+change)/s.members - room/s.members) * s.members * s.accelerators
 }
 
@@ -152,8 +152,8 @@
 	return overfilled
 }
 
-// together reports whether a placement keeps to its spread.
-func (k *capacity) together(placement []trace.Place, spread job.Spread) bool {
+// satisfiesSpread reports whether a placement keeps to its spread.
+func (k *capacity) satisfiesSpread(placement []trace.Place, spread job.Spread) bool {
 	if len(placement) == 0 {
 		return false
 	}
--- a/internal/figures/claims.go
+++ b/internal/figures/claims.go
@@ -8,16 +8,16 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// claims judges, apart from the scheduler, whether guaranteed jobs started in
+// guaranteeChecker judges, apart from the scheduler, whether guaranteed jobs started in
 // time. A waiting job is within its tenant's guarantee from when its members fit
-// into one free copy of a guaranteed shape, beside the jobs that hold claims
+// into one free copy of a guaranteed shape, beside the jobs that hold guaranteeChecker
 // already. From then on it may wait as long as the longest checkpoint.
-type claims struct {
-	copies    map[string][]*shapeCopy
-	waiting   []*claimant
-	byJob     map[string]*claimant
-	allowance float64
-	late      int
+type guaranteeChecker struct {
+	copies               map[string][]*shapeCopy
+	waiting              []*guaranteedJob
+	byJob                map[string]*guaranteedJob
+	maxCheckpointSeconds float64
+	lateStarts           int
 }
 
 type shapeCopy struct {
@@ -25,18 +25,18 @@
 	free  int
 }
 
-type claimant struct {
+type guaranteedJob struct {
 	line *trace.Line
-	// holds is the copy that the job claims, since the time within.
-	holds  *shapeCopy
-	within float64
+	// claimed is the copy that the job claims, since the time within.
+	claimed   *shapeCopy
+	claimedAt float64
 }
 
 // timeTolerance absorbs rounding of times, in seconds.
 const timeTolerance = 1e-3
 
-func newClaims(c *trace.Cluster) *claims {
-	k := &claims{copies: map[string][]*shapeCopy{}, byJob: map[string]*claimant{}}
+func newGuaranteeChecker(c *trace.Cluster) *guaranteeChecker {
+	k := &guaranteeChecker{copies: map[string][]*shapeCopy{}, byJob: map[string]*guaranteedJob{}}
 	for i := range c.Tenant {
 		tenant := &c.Tenant[i]
 		for _, guarantee := range tenant.Guarantee {
@@ -48,30 +48,30 @@
 	return k
 }
 
-func (k *claims) submit(line *trace.Line) {
+func (k *guaranteeChecker) submit(line *trace.Line) {
 	if line.Checkpoint {
-		k.allowance = max(k.allowance, line.CheckpointSeconds)
+		k.maxCheckpointSeconds = max(k.maxCheckpointSeconds, line.CheckpointSeconds)
 	}
 	if !line.Guaranteed {
 		return
 	}
-	waiting := &claimant{line: line}
+	waiting := &guaranteedJob{line: line}
 	k.byJob[line.Job] = waiting
-	k.wait(waiting)
+	k.enqueue(waiting)
 }
 
-// wait enters a job in the order in which a tenant's claims are served: by priority,
+// enqueue enters a job in the order in which a tenant's claims are served: by priority,
 // then by submission.
-func (k *claims) wait(c *claimant) {
-	index, _ := slices.BinarySearchFunc(k.waiting, c, func(a, b *claimant) int {
+func (k *guaranteeChecker) enqueue(c *guaranteedJob) {
+	index, _ := slices.BinarySearchFunc(k.waiting, c, func(a, b *guaranteedJob) int {
 		return cmp.Or(cmp.Compare(b.line.Priority.Rank(), a.line.Priority.Rank()), cmp.Compare(a.line.At, b.line.At), cmp.Compare(a.line.Job, b.line.Job))
 	})
 	k.waiting = slices.Insert(k.waiting, index, c)
 }
 
-// coverFor returns the copy that is claimed most among those that still cover the
+// bestCopy returns the copy that is claimed most among those that still cover the
 // job, or nil.
-func (k *claims) coverFor(c *claimant) *shapeCopy {
+func (k *guaranteeChecker) bestCopy(c *guaranteedJob) *shapeCopy {
 	var best *shapeCopy
 	for _, one := range k.copies[c.line.Tenant] {
 		if c.line.Members <= one.free && c.line.Accelerators <= one.shape.Accelerators && c.line.Spread.Width() >= one.shape.Spread.Width() &&
@@ -82,46 +82,46 @@
 	return best
 }
 
-// settle gives waiting jobs the claims that there is room for. A job holds its claim
+// assignClaims gives waiting jobs the claims that there is room for. A job holds its claim
 // from then on, though others may have to leave before it starts.
-func (k *claims) settle(now float64) {
+func (k *guaranteeChecker) assignClaims(now float64) {
 	for _, c := range k.waiting {
-		k.take(c, now)
+		k.assignClaim(c, now)
 	}
 }
 
-func (k *claims) take(c *claimant, now float64) {
-	if c.holds != nil {
+func (k *guaranteeChecker) assignClaim(c *guaranteedJob, now float64) {
+	if c.claimed != nil {
 		return
 	}
-	c.holds = k.coverFor(c)
-	if c.holds != nil {
-		c.holds.free -= c.line.Members
-		c.within = now
+	c.claimed = k.bestCopy(c)
+	if c.claimed != nil {
+		c.claimed.free -= c.line.Members
+		c.claimedAt = now
 	}
 }
 
-// pushes notes that others give way to a job: its claim was decided before they
+// preempts notes that others give way to a job: its claim was decided before they
 // came to wait themselves.
-func (k *claims) pushes(id string, now float64) {
+func (k *guaranteeChecker) preempts(id string, now float64) {
 	if c, ok := k.byJob[id]; ok {
-		k.take(c, now)
+		k.assignClaim(c, now)
 	}
 }
 
-func (k *claims) start(id string, now float64) {
+func (k *guaranteeChecker) start(id string, now float64) {
 	c, ok := k.byJob[id]
 	if !ok {
 		return
 	}
-	k.settle(now)
-	if c.holds != nil && now > c.within+k.allowance+timeTolerance {
-		k.late++
+	k.assignClaims(now)
+	if c.claimed != nil && now > c.claimedAt+k.maxCheckpointSeconds+timeTolerance {
+		k.lateStarts++
 	}
-	k.stopWaiting(c)
+	k.dequeue(c)
 }
 
-func (k *claims) stopWaiting(c *claimant) {
+func (k *guaranteeChecker) dequeue(c *guaranteedJob) {
 	for i := range k.waiting {
 		if k.waiting[i] == c {
 			k.waiting = append(k.waiting[:i], k.waiting[i+1:]...)
@@ -131,29 +131,29 @@
 }
 
 // end gives the claim of a stopped or finished attempt back.
-func (k *claims) end(id string) {
+func (k *guaranteeChecker) end(id string) {
 	c, ok := k.byJob[id]
 	if !ok {
 		return
 	}
-	if c.holds != nil {
-		c.holds.free += c.line.Members
-		c.holds = nil
+	if c.claimed != nil {
+		c.claimed.free += c.line.Members
+		c.claimed = nil
 	}
 }
 
-// again lets a job that was stopped or pushed out wait once more.
-func (k *claims) again(id string) {
+// requeue lets a job that was stopped or pushed out wait once more.
+func (k *guaranteeChecker) requeue(id string) {
 	if c, ok := k.byJob[id]; ok {
-		k.wait(c)
+		k.enqueue(c)
 	}
 }
 
-// forget drops a job that will not run.
-func (k *claims) forget(id string) {
+// remove drops a job that will not run.
+func (k *guaranteeChecker) remove(id string) {
 	if c, ok := k.byJob[id]; ok {
 		k.end(id)
-		k.stopWaiting(c)
+		k.dequeue(c)
 		delete(k.byJob, id)
 	}
 }
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -57,50 +57,50 @@
 
 // progress is what the events say of one job.
 type progress struct {
-	line       *trace.Line
-	placement  []trace.Place
-	firstStart float64
-	startedAt  float64
-	remaining  float64
-	started    bool
-	running    bool
-	vacating   bool
-	finishedAt float64
-	finished   bool
-	canceled   bool
-	refused    bool
-	attempt    int
+	line          *trace.Line
+	placement     []trace.Place
+	firstStart    float64
+	startedAt     float64
+	remaining     float64
+	started       bool
+	running       bool
+	checkpointing bool
+	finishedAt    float64
+	finished      bool
+	canceled      bool
+	refused       bool
+	attempt       int
 }
 
-type walker struct {
-	cluster  *trace.Cluster
-	capacity *capacity
-	claims   *claims
-	jobs     map[string]*progress
-	order    []string
-	figures  Figures
-	result   Result
-	now      float64
-	busyTime float64
-	upTime   float64
-	fragArea float64
-	fragTime float64
-	useful   float64
+type evaluator struct {
+	cluster               *trace.Cluster
+	capacity              *capacity
+	guarantees            *guaranteeChecker
+	jobs                  map[string]*progress
+	order                 []string
+	figures               Figures
+	result                Result
+	now                   float64
+	busyTime              float64
+	upTime                float64
+	fragmentationIntegral float64
+	fragmentationTime     float64
+	useful                float64
 }
 
 // step is a trace line, an event, or the end of a checkpoint, by time.
 type step struct {
-	at    float64
-	rank  int
-	line  *trace.Line
-	event *trace.Event
-	freed *progress
+	at           float64
+	rank         int
+	line         *trace.Line
+	event        *trace.Event
+	checkpointed *progress
 }
 
 // The order of steps at one instant: endings first, then what the trace says,
 // then decisions.
 const (
-	rankFreed = iota
+	rankCheckpointed = iota
 	rankFinish
 	rankTrace
 	rankDecision
@@ -108,18 +108,18 @@
 
 // Compute walks through trace and events in order of time.
 func Compute(c *trace.Cluster, lines []trace.Line, events []trace.Event) Result {
-	w := &walker{cluster: c, jobs: map[string]*progress{}}
+	w := &evaluator{cluster: c, jobs: map[string]*progress{}}
 	w.capacity = newCapacity(c, lines)
-	w.claims = newClaims(c)
+	w.guarantees = newGuaranteeChecker(c)
 	for _, s := range w.steps(lines, events) {
 		w.advance(s.at)
-		w.take(s)
+		w.apply(s)
 	}
-	w.claims.settle(w.now)
+	w.guarantees.assignClaims(w.now)
 	return w.summarize()
 }
 
-func (w *walker) steps(lines []trace.Line, events []trace.Event) []step {
+func (w *evaluator) steps(lines []trace.Line, events []trace.Event) []step {
 	steps := make([]step, 0, len(lines)+len(events))
 	for i := range lines {
 		line := &lines[i]
@@ -138,7 +138,7 @@
 		steps = append(steps, step{at: event.At, rank: rank, event: event})
 		p := w.jobs[event.Job]
 		if event.Event == trace.Preempt && p != nil && p.line.Checkpoint {
-			steps = append(steps, step{at: event.At + p.line.CheckpointSeconds, rank: rankFreed, freed: p, event: event})
+			steps = append(steps, step{at: event.At + p.line.CheckpointSeconds, rank: rankCheckpointed, checkpointed: p, event: event})
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int {
@@ -148,12 +148,12 @@
 }
 
 // advance integrates what holds until the next step.
-func (w *walker) advance(at float64) {
+func (w *evaluator) advance(at float64) {
 	length := at - w.now
 	if length <= 0 {
 		return
 	}
-	w.claims.settle(w.now)
+	w.guarantees.assignClaims(w.now)
 	up, free := w.capacity.up, w.capacity.freeTotal
 	w.upTime += float64(up) * length
 	w.busyTime += float64(up-free) * length
@@ -163,40 +163,40 @@
 	}
 	if free > 0 {
 		sample.Fragmentation = w.capacity.fragmentation()
-		w.fragArea += sample.Fragmentation * length
-		w.fragTime += length
+		w.fragmentationIntegral += sample.Fragmentation * length
+		w.fragmentationTime += length
 	}
 	w.result.Samples = append(w.result.Samples, sample)
 	w.now = at
 }
 
-func (w *walker) take(s step) {
+func (w *evaluator) apply(s step) {
 	switch {
-	case s.freed != nil:
+	case s.checkpointed != nil:
 		w.endCheckpoint(s)
 	case s.line != nil:
-		w.takeLine(s.line)
+		w.applyLine(s.line)
 	default:
-		w.takeEvent(s.event)
+		w.applyEvent(s.event)
 	}
 }
 
-func (w *walker) endCheckpoint(s step) {
-	if s.freed.vacating && s.freed.attempt == s.event.Attempt {
-		s.freed.vacating = false
-		w.release(s.freed)
-		if !s.freed.canceled {
-			w.claims.again(s.event.Job)
+func (w *evaluator) endCheckpoint(s step) {
+	if s.checkpointed.checkpointing && s.checkpointed.attempt == s.event.Attempt {
+		s.checkpointed.checkpointing = false
+		w.release(s.checkpointed)
+		if !s.checkpointed.canceled {
+			w.guarantees.requeue(s.event.Job)
 		}
 	}
 }
 
-func (w *walker) release(p *progress) {
+func (w *evaluator) release(p *progress) {
 	w.capacity.change(p.placement, -1)
 	p.placement = nil
 }
 
-func (w *walker) takeLine(line *trace.Line) {
+func (w *evaluator) applyLine(line *trace.Line) {
 	switch line.Event {
 	case trace.WorkerDown:
 		w.capacity.setUp(line.Worker, false)
@@ -206,14 +206,14 @@
 		p := w.jobs[line.Job]
 		if !p.finished && !p.refused {
 			p.canceled = true
-			w.claims.forget(line.Job)
+			w.guarantees.remove(line.Job)
 		}
 	case trace.Submit:
-		w.claims.submit(line)
+		w.guarantees.submit(line)
 	}
 }
 
-func (w *walker) takeEvent(event *trace.Event) {
+func (w *evaluator) applyEvent(event *trace.Event) {
 	p := w.jobs[event.Job]
 	switch event.Event {
 	case trace.Start:
@@ -228,15 +228,15 @@
 		p.finishedAt = event.At
 		w.useful += p.line.Duration * float64(p.line.Members*p.line.Accelerators)
 		w.release(p)
-		w.claims.end(event.Job)
+		w.guarantees.end(event.Job)
 	case trace.Refuse:
 		p.refused = true
-		w.claims.forget(event.Job)
+		w.guarantees.remove(event.Job)
 	}
 }
 
-func (w *walker) start(p *progress, event *trace.Event) {
-	if len(event.Placement) != p.line.Members || !w.capacity.together(event.Placement, p.line.Spread) {
+func (w *evaluator) start(p *progress, event *trace.Event) {
+	if len(event.Placement) != p.line.Members || !w.capacity.satisfiesSpread(event.Placement, p.line.Spread) {
 		w.figures.PartialGangs++
 	}
 	if !p.started {
@@ -248,17 +248,17 @@
 	p.attempt = event.Attempt
 	p.placement = event.Placement
 	w.figures.OverCommits += w.capacity.change(p.placement, 1)
-	w.claims.start(event.Job, event.At)
+	w.guarantees.start(event.Job, event.At)
 }
 
-func (w *walker) preempt(p *progress, event *trace.Event) {
+func (w *evaluator) preempt(p *progress, event *trace.Event) {
 	w.figures.Preemptions++
 	if event.For != event.Job {
-		w.claims.pushes(event.For, event.At)
+		w.guarantees.preempts(event.For, event.At)
 	}
 	elapsed := event.At - p.startedAt
 	if p.line.Checkpoint {
-		p.vacating = true
+		p.checkpointing = true
 		p.running = false
 		p.remaining -= elapsed
 		w.figures.LostWorkSeconds += p.line.CheckpointSeconds
@@ -266,30 +266,30 @@
 		p.running = false
 		w.figures.LostWorkSeconds += elapsed
 		w.release(p)
-		w.claims.again(event.Job)
+		w.guarantees.requeue(event.Job)
 	}
-	w.claims.end(event.Job)
+	w.guarantees.end(event.Job)
 }
 
 // checkpointInterval bounds the work that a failure costs a job that checkpoints.
 const checkpointInterval = 300
 
-func (w *walker) stop(p *progress, event *trace.Event) {
+func (w *evaluator) stop(p *progress, event *trace.Event) {
 	elapsed := event.At - p.startedAt
 	lost := elapsed
 	if p.line.Checkpoint {
 		lost = elapsed - math.Floor(elapsed/checkpointInterval)*checkpointInterval
 	}
-	if p.vacating {
+	if p.checkpointing {
 		lost = 0
 	}
 	w.figures.LostWorkSeconds += lost
 	p.running = false
-	p.vacating = false
+	p.checkpointing = false
 	w.release(p)
-	w.claims.end(event.Job)
+	w.guarantees.end(event.Job)
 	if !p.canceled {
-		w.claims.again(event.Job)
+		w.guarantees.requeue(event.Job)
 	}
 }
 
@@ -300,7 +300,7 @@
 	millis          = 1000.0
 )
 
-func (w *walker) summarize() Result {
+func (w *evaluator) summarize() Result {
 	completion := hdrhistogram.New(1, histogramMax, histogramDigits)
 	urgent := hdrhistogram.New(1, histogramMax, histogramDigits)
 	var completionSum, waitSum float64
@@ -338,13 +338,13 @@
 	f.CompletionP95 = float64(completion.ValueAtQuantile(95)) / millis
 	f.CompletionP99 = float64(completion.ValueAtQuantile(99)) / millis
 	f.UrgentStartP99 = float64(urgent.ValueAtQuantile(99)) / millis
-	if w.fragTime > 0 {
-		f.Fragmentation = w.fragArea / w.fragTime
+	if w.fragmentationTime > 0 {
+		f.Fragmentation = w.fragmentationIntegral / w.fragmentationTime
 	}
 	if w.upTime > 0 {
 		f.Utilization = w.useful / w.upTime
 	}
-	f.GuaranteeLate = w.claims.late
+	f.GuaranteeLate = w.guarantees.lateStarts
 	w.result.Figures = w.figures
 	return w.result
 }
