--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -38,8 +38,8 @@
 	open     map[net.Conn]bool
 	// silent contains the connections that no longer forward anything.
 	silent map[net.Conn]bool
-	// accepted counts the accepted connections.
-	accepted int
+	// established counts the connections that were opened to the target.
+	established int
 	// answers and requests limit the rate of each direction over all connections.
 	answers  rateLimiter
 	requests rateLimiter
@@ -56,11 +56,11 @@
 	return p, nil
 }
 
-// Opened returns the number of connections accepted so far.
+// Opened returns the number of connections established through the proxy so far.
 func (p *Proxy) Opened() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.accepted
+	return p.established
 }
 
 // Address returns the address that the proxy listens on.
@@ -132,7 +132,7 @@
 func (p *Proxy) track(connections ...net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.accepted++
+	p.established++
 	for _, connection := range connections {
 		p.open[connection] = true
 	}
