--- a/internal/figures/capacity.go
+++ b/internal/figures/capacity.go
@@ -7,8 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// capacity follows the free accelerators of every worker and what whole copies
-// of each shape in the trace could cover of them.
+// capacity tracks the free accelerators of every worker, and how many of them whole gangs of each
+// submitted shape could use.
 type capacity struct {
 	workers   map[string]*workerState
 	up        int
@@ -32,15 +32,15 @@
 	return max(0, s.total-s.used)
 }
 
-// shapeState counts, per group of workers that a gang must lie within, how many
-// members fit.
+// shapeState counts the members that fit in each placement group (rack, zone or region, by the
+// spread of the shape).
 type shapeState struct {
 	members      int
 	accelerators int
 	spread       job.Spread
 	weight       float64
 	memberSlots  map[string]int
-	// covered is the accelerators that whole copies cover now.
+	// covered is the number of free accelerators that whole gangs of the shape can use.
 	covered int
 }
 
@@ -115,7 +115,7 @@
 	s.covered += ((room+change)/s.members - room/s.members) * s.members * s.accelerators
 }
 
-// update applies a change of one worker to all sums.
+// update applies a change of one worker and updates all totals.
 func (k *capacity) update(w *workerState, change func()) {
 	before := w.free()
 	change()
@@ -139,7 +139,7 @@
 	}
 }
 
-// change adds or removes a placement and returns how many workers it overfills.
+// change adds or removes a placement and returns the number of workers that it overcommits.
 func (k *capacity) change(placement []trace.Place, sign int) int {
 	overfilled := 0
 	for _, place := range placement {
@@ -152,7 +152,7 @@
 	return overfilled
 }
 
-// satisfiesSpread reports whether a placement keeps to its spread.
+// satisfiesSpread reports whether a placement satisfies its spread constraint.
 func (k *capacity) satisfiesSpread(placement []trace.Place, spread job.Spread) bool {
 	if len(placement) == 0 {
 		return false
@@ -167,8 +167,8 @@
 	return true
 }
 
-// fragmentation is one less the weighted share of free accelerators that whole
-// copies of the shapes in demand can cover.
+// fragmentation returns 1 minus the weighted share of free accelerators that whole gangs of the
+// submitted shapes can use.
 func (k *capacity) fragmentation() float64 {
 	covered := 0.0
 	for _, shape := range k.shapes {
--- a/internal/figures/claims.go
+++ b/internal/figures/claims.go
@@ -8,10 +8,10 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// guaranteeChecker judges, apart from the scheduler, whether guaranteed jobs started in
-// time. A waiting job is within its tenant's guarantee from when its members fit
-// into one free copy of a guaranteed shape, beside the jobs that hold guaranteeChecker
-// already. From then on it may wait as long as the longest checkpoint.
+// guaranteeChecker checks, independently of the scheduler, whether guaranteed jobs start in time.
+// A waiting job is within the guarantee of its tenant once its members fit into a free copy of a
+// guaranteed shape, beside the jobs that already hold claims. From then on it may wait as long as
+// the longest checkpoint.
 type guaranteeChecker struct {
 	copies               map[string][]*shapeCopy
 	waiting              []*guaranteedJob
@@ -27,12 +27,12 @@
 
 type guaranteedJob struct {
 	line *trace.Line
-	// claimed is the copy that the job claims, since the time within.
+	// claimed is the copy that the job has claimed since claimedAt, or nil.
 	claimed   *shapeCopy
 	claimedAt float64
 }
 
-// timeTolerance absorbs rounding of times, in seconds.
+// timeTolerance allows for rounding of times, in seconds.
 const timeTolerance = 1e-3
 
 func newGuaranteeChecker(c *trace.Cluster) *guaranteeChecker {
@@ -60,8 +60,7 @@
 	k.enqueue(waiting)
 }
 
-// enqueue enters a job in the order in which a tenant's claims are served: by priority,
-// then by submission.
+// enqueue adds a job in the order in which claims are assigned: by priority, then by submission.
 func (k *guaranteeChecker) enqueue(c *guaranteedJob) {
 	index, _ := slices.BinarySearchFunc(k.waiting, c, func(a, b *guaranteedJob) int {
 		return cmp.Or(cmp.Compare(b.line.Priority.Rank(), a.line.Priority.Rank()), cmp.Compare(a.line.At, b.line.At), cmp.Compare(a.line.Job, b.line.Job))
@@ -69,8 +68,7 @@
 	k.waiting = slices.Insert(k.waiting, index, c)
 }
 
-// bestCopy returns the copy that is claimed most among those that still cover the
-// job, or nil.
+// bestCopy returns the copy with the least free capacity that still holds the job, or nil.
 func (k *guaranteeChecker) bestCopy(c *guaranteedJob) *shapeCopy {
 	var best *shapeCopy
 	for _, one := range k.copies[c.line.Tenant] {
@@ -82,8 +80,8 @@
 	return best
 }
 
-// assignClaims gives waiting jobs the claims that there is room for. A job holds its claim
-// from then on, though others may have to leave before it starts.
+// assignClaims assigns claims to waiting jobs where capacity is free. A job keeps its claim even
+// if others must be preempted before it starts.
 func (k *guaranteeChecker) assignClaims(now float64) {
 	for _, c := range k.waiting {
 		k.assignClaim(c, now)
@@ -101,8 +99,8 @@
 	}
 }
 
-// preempts notes that others give way to a job: its claim was decided before they
-// came to wait themselves.
+// preempts assigns the claim of a job for which others are preempted: its claim was decided before
+// those jobs wait again.
 func (k *guaranteeChecker) preempts(id string, now float64) {
 	if c, ok := k.byJob[id]; ok {
 		k.assignClaim(c, now)
@@ -130,7 +128,7 @@
 	}
 }
 
-// end gives the claim of a stopped or finished attempt back.
+// end releases the claim of a stopped or finished attempt.
 func (k *guaranteeChecker) end(id string) {
 	c, ok := k.byJob[id]
 	if !ok {
@@ -142,14 +140,14 @@
 	}
 }
 
-// requeue lets a job that was stopped or pushed out wait once more.
+// requeue adds a stopped or preempted job to the waiting jobs.
 func (k *guaranteeChecker) requeue(id string) {
 	if c, ok := k.byJob[id]; ok {
 		k.enqueue(c)
 	}
 }
 
-// remove drops a job that will not run.
+// remove removes a job that will not run.
 func (k *guaranteeChecker) remove(id string) {
 	if c, ok := k.byJob[id]; ok {
 		k.end(id)
--- a/internal/figures/doc.go
+++ b/internal/figures/doc.go
@@ -1,3 +1,3 @@
-// Package figures computes the figures of a replay from its trace, its cluster
-// and the events it wrote, and from nothing else, so that anyone can check them.
+// Package figures computes the metrics of a replay from its trace, its cluster and its events
+// only, so that they can be verified independently of the scheduler.
 package figures
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -11,7 +11,7 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// Figures are the results of one replay. Times are in seconds.
+// Figures are the metrics of one replay. Times are in seconds.
 type Figures struct {
 	Policy          string  `json:"policy,omitempty"`
 	Jobs            int     `json:"jobs"`
@@ -34,7 +34,7 @@
 	DecisionSeconds float64 `json:"decision_seconds,omitempty"`
 }
 
-// Sample is the state of the cluster over one stretch of time, for plots.
+// Sample is the state of the cluster from a time until the next sample, for plots.
 type Sample struct {
 	At            float64
 	Utilization   float64
@@ -48,14 +48,14 @@
 	Size       int
 }
 
-// Result holds the figures and the series behind them.
+// Result contains the metrics and the time series behind them.
 type Result struct {
 	Figures Figures
 	Samples []Sample
 	Jobs    []JobResult
 }
 
-// progress is what the events say of one job.
+// progress is the state of one job according to the events.
 type progress struct {
 	line          *trace.Line
 	placement     []trace.Place
@@ -88,7 +88,7 @@
 	useful                float64
 }
 
-// step is a trace line, an event, or the end of a checkpoint, by time.
+// step is a trace line, an event, or the end of a checkpoint.
 type step struct {
 	at           float64
 	rank         int
@@ -97,8 +97,7 @@
 	checkpointed *progress
 }
 
-// The order of steps at one instant: endings first, then what the trace says,
-// then decisions.
+// Order of steps at the same time: ends first, then trace lines, then decisions.
 const (
 	rankCheckpointed = iota
 	rankFinish
@@ -106,7 +105,7 @@
 	rankDecision
 )
 
-// Compute walks through trace and events in order of time.
+// Compute processes the trace and the events in time order.
 func Compute(c *trace.Cluster, lines []trace.Line, events []trace.Event) Result {
 	w := &evaluator{cluster: c, jobs: map[string]*progress{}}
 	w.capacity = newCapacity(c, lines)
@@ -147,7 +146,7 @@
 	return steps
 }
 
-// advance integrates what holds until the next step.
+// advance integrates the current state until the next step.
 func (w *evaluator) advance(at float64) {
 	length := at - w.now
 	if length <= 0 {
@@ -271,7 +270,8 @@
 	w.guarantees.end(event.Job)
 }
 
-// checkpointInterval bounds the work that a failure costs a job that checkpoints.
+// checkpointInterval is the maximum work in seconds that a job with checkpoints loses in a
+// failure.
 const checkpointInterval = 300
 
 func (w *evaluator) stop(p *progress, event *trace.Event) {
@@ -293,7 +293,7 @@
 	}
 }
 
-// histogram precision: milliseconds up to ten years, three digits.
+// Histograms count milliseconds up to ten years with three significant digits.
 const (
 	histogramMax    = int64(10 * 365 * 24 * 3600 * 1000)
 	histogramDigits = 3
@@ -350,6 +350,6 @@
 }
 
 func record(h *hdrhistogram.Histogram, seconds float64) {
-	// Values outside the range cannot occur in a validated trace.
+	// A validated trace has no values outside the range.
 	_ = h.RecordValue(max(1, int64(math.Round(seconds*millis))))
 }
