--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -25,37 +25,37 @@
 
 // Replay is one run of a trace.
 type Replay struct {
-	scheduler *schedule.Scheduler
-	emit      func(trace.Event)
-	now       float64
-	jobs      map[string]*runningJob
-	timers    timerHeap
-	sequence  int64
-	down      map[string]bool
-	cost      Cost
-	clock     func() time.Time
-	widest    map[job.Shape]bool
+	scheduler     *schedule.Scheduler
+	emit          func(trace.Event)
+	now           float64
+	jobs          map[string]*runningJob
+	timers        timerHeap
+	sequence      int64
+	down          map[string]bool
+	cost          Cost
+	clock         func() time.Time
+	fitsIdleCache map[job.Shape]bool
 }
 
 // runningJob is the progress of one job.
 type runningJob struct {
-	spec       job.Spec
-	attempt    int
-	submitted  float64
-	remaining  float64
-	startedAt  float64
-	running    bool
-	vacating   bool
-	ended      bool
-	generation int64
+	spec          job.Spec
+	attempt       int
+	submitted     float64
+	remaining     float64
+	startedAt     float64
+	running       bool
+	checkpointing bool
+	ended         bool
+	generation    int64
 }
 
 type timer struct {
-	at         float64
-	sequence   int64
-	job        string
-	generation int64
-	vacate     bool
+	at           float64
+	sequence     int64
+	job          string
+	generation   int64
+	checkpointed bool
 }
 
 type timerHeap []timer
@@ -82,7 +82,7 @@
 	scheduler, _ := c.Scheduler(policy)
 	r := &Replay{
 		scheduler: scheduler, emit: emit, clock: clock,
-		jobs: map[string]*runningJob{}, down: map[string]bool{}, widest: map[job.Shape]bool{},
+		jobs: map[string]*runningJob{}, down: map[string]bool{}, fitsIdleCache: map[job.Shape]bool{},
 	}
 	for next := 0; ; {
 		at := math.Inf(1)
@@ -112,8 +112,8 @@
 		if running.ended || running.generation != due.generation {
 			continue
 		}
-		if due.vacate {
-			r.vacated(running)
+		if due.checkpointed {
+			r.requeuePreempted(running)
 		} else {
 			r.finish(running)
 		}
@@ -123,7 +123,7 @@
 func (r *Replay) setTimer(running *runningJob, delay float64, vacate bool) {
 	r.sequence++
 	running.generation = r.sequence
-	heap.Push(&r.timers, timer{at: r.now + delay, sequence: r.sequence, job: running.spec.ID, generation: r.sequence, vacate: vacate})
+	heap.Push(&r.timers, timer{at: r.now + delay, sequence: r.sequence, job: running.spec.ID, generation: r.sequence, checkpointed: vacate})
 }
 
 func (r *Replay) finish(running *runningJob) {
@@ -133,9 +133,9 @@
 	r.scheduler.Ended(trace.Time(r.now), keyOf(running))
 }
 
-func (r *Replay) vacated(running *runningJob) {
+func (r *Replay) requeuePreempted(running *runningJob) {
 	running.running = false
-	running.vacating = false
+	running.checkpointing = false
 	running.generation = 0
 	r.scheduler.Requeue(trace.Time(r.now), keyOf(running), seconds(running.remaining))
 }
@@ -172,10 +172,10 @@
 }
 
 func (r *Replay) fitsIdle(shape job.Shape) bool {
-	fits, known := r.widest[shape]
+	fits, known := r.fitsIdleCache[shape]
 	if !known {
 		fits = schedule.FitsIdle(r.scheduler.Cluster(), shape, "")
-		r.widest[shape] = fits
+		r.fitsIdleCache[shape] = fits
 	}
 	return fits
 }
@@ -210,18 +210,18 @@
 	if !running.running {
 		return
 	}
-	if !running.vacating {
-		running.remaining -= keptWork(running, r.now)
+	if !running.checkpointing {
+		running.remaining -= checkpointedWork(running, r.now)
 	}
 	running.running = false
-	running.vacating = false
+	running.checkpointing = false
 	running.generation = 0
 	r.emit(trace.Event{At: r.now, Event: trace.Stop, Job: running.spec.ID, Attempt: running.attempt, Reason: "worker_down"})
 	r.scheduler.Requeue(trace.Time(r.now), keyOf(running), seconds(running.remaining))
 }
 
-// keptWork returns the seconds of work that the last periodic checkpoint saved.
-func keptWork(running *runningJob, now float64) float64 {
+// checkpointedWork returns the seconds of work that the last periodic checkpoint saved.
+func checkpointedWork(running *runningJob, now float64) float64 {
 	if !running.spec.Checkpoint {
 		return 0
 	}
@@ -246,7 +246,7 @@
 		r.cost.Decisions += int64(len(decisions))
 		again := false
 		for _, decision := range decisions {
-			again = r.follow(decision) || again
+			again = r.execute(decision) || again
 		}
 		if !again {
 			return
@@ -254,8 +254,8 @@
 	}
 }
 
-// follow carries out one decision and reports whether capacity came free at once.
-func (r *Replay) follow(decision schedule.Decision) bool {
+// execute carries out one decision and reports whether capacity came free at once.
+func (r *Replay) execute(decision schedule.Decision) bool {
 	running := r.jobs[decision.Job.ID]
 	if decision.Start {
 		r.start(running, decision.Placement)
@@ -263,11 +263,11 @@
 	}
 	r.emit(trace.Event{At: r.now, Event: trace.Preempt, Job: running.spec.ID, Attempt: running.attempt, For: decision.For.ID})
 	if !running.spec.Checkpoint {
-		r.vacated(running)
+		r.requeuePreempted(running)
 		return true
 	}
 	running.remaining -= r.now - running.startedAt
-	running.vacating = true
+	running.checkpointing = true
 	r.setTimer(running, running.spec.CheckpointSeconds, true)
 	return false
 }
