--- a/internal/replay/doc.go
+++ b/internal/replay/doc.go
@@ -1,3 +1,3 @@
-// Package replay runs a recorded trace through the scheduler in virtual time and
-// writes what happened as events. The same trace gives the same events each run.
+// Package replay runs a recorded trace through the scheduler in virtual time and emits the
+// resulting events. It is deterministic.
 package replay
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -11,15 +11,14 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// checkpointInterval is how often running work is saved, in seconds: a failure
-// loses less than this much of a job that checkpoints.
+// checkpointInterval is the interval of periodic checkpoints, in seconds.
 const checkpointInterval = 300
 
-// Cost is what the decisions of a replay took.
+// Cost is the cost of the decisions of a replay.
 type Cost struct {
-	// Decisions counts starts and preemptions.
+	// Decisions is the number of starts and preemptions.
 	Decisions int64
-	// Seconds is the processor time spent in scheduling cycles.
+	// Seconds is the time spent in scheduling cycles.
 	Seconds float64
 }
 
@@ -37,7 +36,7 @@
 	fitsIdleCache map[job.Shape]bool
 }
 
-// runningJob is the progress of one job.
+// runningJob is the state of one job.
 type runningJob struct {
 	spec          job.Spec
 	attempt       int
@@ -76,8 +75,8 @@
 	return last
 }
 
-// Run replays the lines on the cluster under the policy. Emit receives each
-// event in order. Clock measures the cost of decisions and nothing else.
+// Run replays a trace on the cluster with the policy and passes the events to emit in order. The
+// clock only measures the cost of decisions.
 func Run(c *trace.Cluster, lines []trace.Line, policy schedule.Policy, clock func() time.Time, emit func(trace.Event)) Cost {
 	scheduler, _ := c.Scheduler(policy)
 	r := &Replay{
@@ -201,12 +200,12 @@
 	id, _ := r.scheduler.Cluster().Lookup(name)
 	r.scheduler.SetSchedulable(trace.Time(r.now), id, false)
 	for _, key := range r.scheduler.JobsOn(id) {
-		r.lose(r.jobs[key.ID])
+		r.stopAndRequeue(r.jobs[key.ID])
 	}
 }
 
-// lose stops a job whose worker went down and queues what is left of it.
-func (r *Replay) lose(running *runningJob) {
+// stopAndRequeue stops a job whose worker went down and requeues its remaining work.
+func (r *Replay) stopAndRequeue(running *runningJob) {
 	if !running.running {
 		return
 	}
@@ -220,7 +219,7 @@
 	r.scheduler.Requeue(trace.Time(r.now), keyOf(running), seconds(running.remaining))
 }
 
-// checkpointedWork returns the seconds of work that the last periodic checkpoint saved.
+// checkpointedWork returns the work, in seconds, that the last periodic checkpoint saved.
 func checkpointedWork(running *runningJob, now float64) float64 {
 	if !running.spec.Checkpoint {
 		return 0
@@ -237,7 +236,7 @@
 	r.scheduler.SetSchedulable(trace.Time(r.now), id, true)
 }
 
-// cycle decides until nothing changes any more at this instant.
+// cycle runs the scheduler at the current time until no decision frees capacity immediately.
 func (r *Replay) cycle() {
 	for {
 		began := r.clock()
@@ -254,7 +253,7 @@
 	}
 }
 
-// execute carries out one decision and reports whether capacity came free at once.
+// execute executes a decision and reports whether it freed capacity immediately.
 func (r *Replay) execute(decision schedule.Decision) bool {
 	running := r.jobs[decision.Job.ID]
 	if decision.Start {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -37,7 +37,7 @@
 	return fmt.Sprintf(`{"at":%g,"event":"submit","job":%q,"tenant":"b","priority":"normal","spread":"rack",%s}`, at, id, rest)
 }
 
-// TestRecordedTraces replays traces against stated outcomes.
+// TestRecordedTraces compares the events of traces with the expected ones.
 func TestRecordedTraces(t *testing.T) {
 	cases := map[string]struct{ trace, want []string }{
 		"a gang waits for all its members": {
@@ -54,14 +54,14 @@
 			},
 			[]string{"0 start j1 1", "10 preempt j1 1", "15 start g 1", "35 finish g 1", "35 start j1 2", "125 finish j1 2"},
 		},
-		"work that cannot checkpoint starts anew": {
+		"work that cannot checkpoint restarts from the beginning": {
 			[]string{
 				submit(0, "j1", `"members":2,"accelerators":4,"duration":100`),
 				strings.Replace(submit(10, "g", `"members":1,"accelerators":4,"duration":20,"guaranteed":true`), `"tenant":"b"`, `"tenant":"a"`, 1),
 			},
 			[]string{"0 start j1 1", "10 preempt j1 1", "10 start g 1", "30 finish g 1", "30 start j1 2", "130 finish j1 2"},
 		},
-		"an urgent job pushes out a low one": {
+		"an urgent job preempts a low one": {
 			[]string{
 				strings.Replace(submit(0, "low", `"members":2,"accelerators":4,"duration":100`), "normal", "low", 1),
 				strings.Replace(submit(5, "now", `"members":1,"accelerators":1,"duration":10`), "normal", "urgent", 1),
@@ -76,7 +76,7 @@
 			},
 			[]string{"0 start j1 1", "700 stop j1 1", "800 start j1 2", "1200 finish j1 2"},
 		},
-		"cancelled and impossible jobs": {
+		"cancelled jobs and jobs that can never fit": {
 			[]string{
 				submit(0, "j1", `"members":3,"accelerators":4,"duration":10`),
 				submit(1, "j2", `"members":2,"accelerators":4,"duration":100`),
@@ -118,8 +118,8 @@
 	f := figures.Compute(cluster, lines, events).Figures
 	require.InDelta(t, (10.0+14.0)/2, f.CompletionMean, 1e-9)
 	require.InDelta(t, 4.5, f.WaitMean, 1e-9)
-	// From 0 to 10 s 4 of 8 accelerators are free: whole copies of 1x4, which is half
-	// of all accelerator-seconds asked for, cover them, and of 2x4 none.
+	// From 0 to 10 s, 4 of 8 accelerators are free. Whole gangs of shape 1x4, half of the
+	// requested accelerator-seconds, can use them; gangs of shape 2x4 cannot.
 	require.InDelta(t, 0.5, f.Fragmentation, 1e-9)
 	require.InDelta(t, (40.0+40.0)/(8*15), f.Utilization, 1e-9)
 	require.Zero(t, f.OverCommits+f.PartialGangs+f.Unfinished+f.GuaranteeLate)
@@ -151,9 +151,8 @@
 	}
 }
 
-// TestAGangIsNotStarved keeps a cluster full with a stream of small jobs. A gang
-// that needs all of it is due a stated time after its submission, and starts at the
-// latest when the work that ran at that time has ended.
+// TestAGangIsNotStarved guards against a stream of small jobs that delays a gang of the size of
+// the cluster beyond its due time plus the run time of the jobs running then.
 func TestAGangIsNotStarved(t *testing.T) {
 	const gangAt, gangRun, smallRun = 50.0, 50.0, 100.0
 	for _, weight := range []float64{0, 0.5, 1} {
