--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -114,7 +114,7 @@
 
 // checker validates lines against the cluster and the lines before them.
 type checker struct {
-	last    float64
+	lastAt    float64
 	jobs    map[string]bool
 	workers map[string]bool
 	tenants map[string]bool
@@ -135,10 +135,10 @@
 	if math.IsNaN(line.At) || line.At < 0 || line.At > job.MaxDuration*100 {
 		return fmt.Errorf("at: must not be negative or absurdly large")
 	}
-	if line.At < k.last {
-		return fmt.Errorf("at: time goes back from %g to %g", k.last, line.At)
+	if line.At < k.lastAt {
+		return fmt.Errorf("at: time goes back from %g to %g", k.lastAt, line.At)
 	}
-	k.last = line.At
+	k.lastAt = line.At
 	switch line.Event {
 	case Submit:
 		return k.checkSubmit(line)
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -22,22 +22,22 @@
 func (g *generator) failures() {
 	machines := g.cluster.Machines()
 	days := g.options.Hours / hoursPerDay
-	for range g.count(machineFailuresPerDay * days * float64(len(machines))) {
+	for range g.poisson(machineFailuresPerDay * days * float64(len(machines))) {
 		machine := machines[g.random.IntN(len(machines))]
-		g.fail(machine.Name, meanRepairHours, machines)
+		g.addFailure(machine.Name, meanRepairHours, machines)
 	}
-	for range g.count(rackFailuresPerDay * days) {
+	for range g.poisson(rackFailuresPerDay * days) {
 		machine := machines[g.random.IntN(len(machines))]
-		g.fail(machine.At.Region+"/"+machine.At.Zone+"/"+machine.At.Rack+"/", rackRepairHours, machines)
+		g.addFailure(machine.At.Region+"/"+machine.At.Zone+"/"+machine.At.Rack+"/", rackRepairHours, machines)
 	}
-	for range g.count(zoneFailuresPerDay * days) {
+	for range g.poisson(zoneFailuresPerDay * days) {
 		machine := machines[g.random.IntN(len(machines))]
-		g.fail(machine.At.Region+"/"+machine.At.Zone+"/", zoneRepairHours, machines)
+		g.addFailure(machine.At.Region+"/"+machine.At.Zone+"/", zoneRepairHours, machines)
 	}
 }
 
-// count draws a Poisson number.
-func (g *generator) count(mean float64) int {
+// poisson draws a Poisson number.
+func (g *generator) poisson(mean float64) int {
 	limit := math.Exp(-mean)
 	product := g.random.Float64()
 	count := 0
@@ -48,8 +48,8 @@
 	return count
 }
 
-// fail takes the machines whose name begins with prefix down for a while.
-func (g *generator) fail(prefix string, repairHours float64, machines []trace.Machine) {
+// addFailure takes the machines whose name begins with prefix down for a while.
+func (g *generator) addFailure(prefix string, repairHours float64, machines []trace.Machine) {
 	at := g.random.Float64() * g.options.Hours * secondsPerHour
 	repaired := at + (0.25+g.random.ExpFloat64())*repairHours*secondsPerHour
 	for _, machine := range machines {
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -180,7 +180,7 @@
 func (g *generator) smallShape() job.Shape {
 	sizes := []int{1, 1, 1, 1, 2, 2, 4, 4, 3, 8}
 	size := min(sizes[g.random.IntN(len(sizes))], g.pool.Accelerators)
-	return g.complete(job.Shape{Members: 1, Accelerators: size, Spread: job.SpreadZone})
+	return g.withCPUsAndMemory(job.Shape{Members: 1, Accelerators: size, Spread: job.SpreadZone})
 }
 
 // largeShape is a gang of whole workers, mostly within one rack.
@@ -203,11 +203,11 @@
 			shape.Members, shape.Accelerators = job.MaxMembers, 1
 		}
 	}
-	return g.complete(shape)
+	return g.withCPUsAndMemory(shape)
 }
 
-// complete gives each member its fair share of processors and memory.
-func (g *generator) complete(shape job.Shape) job.Shape {
+// withCPUsAndMemory gives each member its fair share of processors and memory.
+func (g *generator) withCPUsAndMemory(shape job.Shape) job.Shape {
 	shape.CPUs = g.pool.CPUs * shape.Accelerators / (2 * max(1, g.pool.Accelerators))
 	shape.MemoryGB = g.pool.MemoryGB * shape.Accelerators / (2 * max(1, g.pool.Accelerators))
 	return shape
