--- a/internal/trace/cluster.go
+++ b/internal/trace/cluster.go
@@ -36,8 +36,7 @@
 	Capacity cluster.Amount
 }
 
-// unlimitedSlots is the number of members a worker takes when the file does not
-// limit it.
+// unlimitedSlots is the slot count of a worker whose file sets no limit.
 const unlimitedSlots = 1 << 20
 
 // ReadCluster reads and validates a cluster file.
@@ -49,7 +48,7 @@
 	return ParseCluster(string(text))
 }
 
-// ParseCluster reads a cluster from its TOML text.
+// ParseCluster parses and validates the TOML text of a cluster file.
 func ParseCluster(text string) (*Cluster, error) {
 	parsed := &Cluster{}
 	meta, err := toml.Decode(text, parsed)
@@ -88,7 +87,7 @@
 	return nil
 }
 
-// Machines lists every worker by name. Pools of one zone number their racks on.
+// Machines returns all workers. Racks of pools in the same zone are numbered consecutively.
 func (c *Cluster) Machines() []Machine {
 	var list []Machine
 	racksBefore := map[string]int{}
@@ -111,7 +110,7 @@
 	return list
 }
 
-// Accelerators returns the accelerators of the whole cluster.
+// Accelerators returns the total number of accelerators.
 func (c *Cluster) Accelerators() int {
 	total := 0
 	for _, pool := range c.Pool {
@@ -120,8 +119,8 @@
 	return total
 }
 
-// Scheduler returns a scheduler over the idle cluster, and how many guaranteed
-// members have no place on it.
+// Scheduler returns a scheduler for the idle cluster, and the number of guaranteed members that do
+// not fit.
 func (c *Cluster) Scheduler(policy schedule.Policy) (scheduler *schedule.Scheduler, missing int) {
 	scheduler = schedule.New(policy, cluster.NewState())
 	start := Time(0)
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -17,13 +17,12 @@
 	return time.Unix(0, int64(math.Round(seconds*float64(time.Second)))).UTC()
 }
 
-// Seconds converts a time back to seconds of a trace.
+// Seconds converts a time to seconds since the start of the trace.
 func Seconds(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Second) }
 
-// Kind is what a trace line tells.
+// Kind is the kind of a trace line.
 type Kind string
 
-// The kinds of trace lines.
 const (
 	Submit     Kind = "submit"
 	WorkerDown Kind = "worker_down"
@@ -60,13 +59,13 @@
 	}
 }
 
-// LineError names the line of a file at fault.
+// LineError is an error in a line of a file.
 type LineError struct {
 	Line   int
 	Reason string
 }
 
-// Error renders line and reason.
+// Error implements the error interface.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Reason) }
 
 const maxLineBytes = 1 << 20
@@ -114,7 +113,7 @@
 
 // checker validates lines against the cluster and the lines before them.
 type checker struct {
-	lastAt    float64
+	lastAt  float64
 	jobs    map[string]bool
 	workers map[string]bool
 	tenants map[string]bool
@@ -171,10 +170,9 @@
 	return nil
 }
 
-// Action is what an event of a replay tells.
+// Action is the kind of a replay event.
 type Action string
 
-// The actions of replay events.
 const (
 	Start   Action = "start"
 	Preempt Action = "preempt"
@@ -189,15 +187,15 @@
 	Accelerators int
 }
 
-// MarshalJSON writes ["worker", accelerators].
+// MarshalJSON encodes the place as ["worker", accelerators].
 func (p Place) MarshalJSON() ([]byte, error) { return json.Marshal([]any{p.Worker, p.Accelerators}) }
 
-// UnmarshalJSON reads ["worker", accelerators].
+// UnmarshalJSON decodes ["worker", accelerators].
 func (p *Place) UnmarshalJSON(text []byte) error {
 	return json.Unmarshal(text, &[]any{&p.Worker, &p.Accelerators})
 }
 
-// Event is one line that a replay writes.
+// Event is one event of a replay.
 type Event struct {
 	At        float64 `json:"at"`
 	Event     Action  `json:"event"`
@@ -208,7 +206,7 @@
 	Reason    string  `json:"reason,omitempty"`
 }
 
-// ReadEvents reads what a replay wrote.
+// ReadEvents reads the events of a replay.
 func ReadEvents(r io.Reader) ([]Event, error) {
 	decoder := json.NewDecoder(r)
 	var events []Event
--- a/internal/workload/doc.go
+++ b/internal/workload/doc.go
@@ -1,4 +1,3 @@
-// Package workload generates traces: seeded arrivals with bursts, heavy-tailed
-// run times, gang sizes that are mostly powers of two, and failures of machines,
-// racks and zones.
+// Package workload generates traces from a seed: bursts of arrivals, heavy-tailed run times, gang
+// sizes that are mostly powers of two, and failures of machines, racks and zones.
 package workload
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -7,8 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// Failure rates of the plan: of 13,000 machines 180 fail a day, a rack or switch
-// goes every week, a zone a few times a year.
+// Failure rates: 180 of 13,000 machines a day, one rack or switch a week, and four zones a year.
 const (
 	machineFailuresPerDay = 180.0 / 13000
 	rackFailuresPerDay    = 1.0 / 7
@@ -36,7 +35,7 @@
 	}
 }
 
-// poisson draws a Poisson number.
+// poisson returns a Poisson-distributed random number.
 func (g *generator) poisson(mean float64) int {
 	limit := math.Exp(-mean)
 	product := g.random.Float64()
@@ -48,7 +47,8 @@
 	return count
 }
 
-// addFailure takes the machines whose name begins with prefix down for a while.
+// addFailure adds a failure and the repair of the machine with the given name, or of all machines
+// whose names begin with the prefix if it ends in a slash.
 func (g *generator) addFailure(prefix string, repairHours float64, machines []trace.Machine) {
 	at := g.random.Float64() * g.options.Hours * secondsPerHour
 	repaired := at + (0.25+g.random.ExpFloat64())*repairHours*secondsPerHour
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -11,34 +11,34 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// Bursts says what kind of jobs arrive together.
+// Bursts is the kind of jobs that arrive in bursts.
 type Bursts string
 
-// The kinds of bursts.
 const (
 	SmallBursts Bursts = "small"
 	LargeBursts Bursts = "large"
 	MixedBursts Bursts = "mixed"
 )
 
-// Options describe a trace.
+// Options are the parameters of a generated trace.
 type Options struct {
 	Seed uint64
-	// Load is the accelerator-seconds asked for over those there are.
+	// Load is the ratio of requested to available accelerator-seconds.
 	Load float64
 	// Hours is the length of the trace.
 	Hours  float64
 	Bursts Bursts
-	// Failures adds machine, rack and zone failures at the rates of the plan.
+	// Failures adds machine, rack and zone failures.
 	Failures bool
-	// Jobs a day sets the mean job size; 0 leaves the drawn run times as they are.
+	// JobsPerDay fixes the number of jobs and scales their run times to Load; 0 means that Load
+	// determines the number of jobs.
 	JobsPerDay int
 }
 
 const (
 	secondsPerHour = 3600.0
 	hoursPerDay    = 24.0
-	// medianRun and runSigma shape the log-normal run times, in seconds.
+	// medianRun and runSigma are the parameters of the log-normal run times, in seconds.
 	medianRun = 2400
 	runSigma  = 1.4
 	minRun    = 60
@@ -66,7 +66,7 @@
 	serial  int
 }
 
-// Generate returns a trace for the cluster, by time.
+// Generate returns a trace for the cluster, sorted by time.
 func Generate(c *trace.Cluster, options Options) []trace.Line {
 	g := &generator{
 		options: options, cluster: c, pool: c.Pool[0],
@@ -81,7 +81,8 @@
 	return g.lines
 }
 
-// submissions draws jobs until they ask for the load's accelerator-seconds.
+// submissions adds jobs until they request the accelerator-seconds of the load, or reach the
+// number of jobs.
 func (g *generator) submissions() {
 	horizon := g.options.Hours * secondsPerHour
 	target := g.options.Load * horizon * float64(g.cluster.Accelerators())
@@ -147,7 +148,8 @@
 	return run * float64(shape.TotalAccelerators())
 }
 
-// tenant draws a tenant; each takes about half of what is left by those before.
+// tenant returns a random tenant index; each tenant but the last gets 40% of the jobs not assigned
+// to earlier tenants.
 func (g *generator) tenant() int {
 	last := len(g.cluster.Tenant) - 1
 	index := 0
@@ -176,14 +178,14 @@
 	return g.largeShape()
 }
 
-// smallShape is a job on a part of one worker.
+// smallShape returns a random job that uses part of one worker.
 func (g *generator) smallShape() job.Shape {
 	sizes := []int{1, 1, 1, 1, 2, 2, 4, 4, 3, 8}
 	size := min(sizes[g.random.IntN(len(sizes))], g.pool.Accelerators)
 	return g.withCPUsAndMemory(job.Shape{Members: 1, Accelerators: size, Spread: job.SpreadZone})
 }
 
-// largeShape is a gang of whole workers, mostly within one rack.
+// largeShape returns a random gang, mostly of whole workers within one rack.
 func (g *generator) largeShape() job.Shape {
 	members := []int{2, 2, 2, 4, 4, 4, 6, 8}
 	shape := job.Shape{Members: members[g.random.IntN(len(members))], Accelerators: g.pool.Accelerators, Spread: job.SpreadRack}
@@ -206,15 +208,14 @@
 	return g.withCPUsAndMemory(shape)
 }
 
-// withCPUsAndMemory gives each member its fair share of processors and memory.
+// withCPUsAndMemory sets the CPUs and memory of a member in proportion to its accelerators.
 func (g *generator) withCPUsAndMemory(shape job.Shape) job.Shape {
 	shape.CPUs = g.pool.CPUs * shape.Accelerators / (2 * max(1, g.pool.Accelerators))
 	shape.MemoryGB = g.pool.MemoryGB * shape.Accelerators / (2 * max(1, g.pool.Accelerators))
 	return shape
 }
 
-// scaleRuns stretches the run times so that a fixed number of jobs asks for the
-// load.
+// scaleRuns scales the run times so that a fixed number of jobs requests the load.
 func (g *generator) scaleRuns() {
 	if g.options.JobsPerDay == 0 {
 		return
