--- a/internal/simulation/foreignrows.go
+++ b/internal/simulation/foreignrows.go
@@ -14,11 +14,11 @@
 }
 
 // PutForeignRowOver overwrites a worker's row until the worker's next heartbeat.
-func (w *World) PutForeignRowOver(struck *Worker, value []byte) {
-	w.PutForeignRow(struck.ID, value)
+func (w *World) PutForeignRowOver(worker *Worker, value []byte) {
+	w.PutForeignRow(worker.ID, value)
 	w.Clock.After(heartbeatPeriod, func() {
-		if !struck.Dead {
-			w.PutWorkerRow(struck)
+		if !worker.Dead {
+			w.PutWorkerRow(worker)
 		}
 	})
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -57,13 +57,13 @@
 // gang spans racks.
 func (w *World) remoteFactor(r *run) float64 {
 	step := w.step(r.name)
-	far := step.PreferredRack != "" && step.PreferredRack != r.worker.Rack()
+	remote := step.PreferredRack != "" && step.PreferredRack != r.worker.Rack()
 	if step.SameRack && step.Gang {
 		for _, member := range w.gang(r) {
-			far = far || member.worker.Rack() != r.worker.Rack()
+			remote = remote || member.worker.Rack() != r.worker.Rack()
 		}
 	}
-	if far {
+	if remote {
 		return w.Bounds.RemoteFactor
 	}
 	return 1
--- a/internal/simulation/restart.go
+++ b/internal/simulation/restart.go
@@ -55,11 +55,11 @@
 // RestartSome occasionally restarts a worker: alone, twice in a row, during a partition, or with a
 // third of the others. It draws only from random.
 func (w *World) RestartSome(random *rand.Rand) {
-	living := w.Living()
-	if len(living) == 0 {
+	running := w.Living()
+	if len(running) == 0 {
 		return
 	}
-	chosen := living[random.IntN(len(living))]
+	chosen := running[random.IntN(len(running))]
 	switch random.IntN(16) {
 	case 0, 1:
 		chosen.restartAfterRandomDelay(random)
@@ -74,7 +74,7 @@
 		chosen.Cut = true
 		chosen.RestartUnseen(time.Duration(random.Int64N(int64(maxRestartDelay))), randomInitialClock(random))
 	case 4:
-		for _, worker := range living {
+		for _, worker := range running {
 			if random.IntN(massRestartOneIn) == 0 {
 				worker.restartAfterRandomDelay(random)
 			}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -200,24 +200,24 @@
 func TestJudgeOfAnswers(t *testing.T) {
 	lost := errors.New("connection reset")
 	cases := map[string]struct {
-		answer            standin.Answer
-		err               error
-		takes             time.Duration
-		troubled, planned bool
-		want              string
+		answer          standin.Answer
+		err             error
+		takes           time.Duration
+		faulty, planned bool
+		want            string
 	}{
 		"whole":                                {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
 		"truncated body":                       {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
 		"key refused":                          {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
-		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, troubled: true},
+		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, faulty: true},
 		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
 		"sent while an idle connection closes": {err: lost, planned: true},
-		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, troubled: true},
+		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, faulty: true},
 	}
 	for name, c := range cases {
 		r, _ := newTestRun(t)
 		d := &daemon{}
-		if c.troubled {
+		if c.faulty {
 			d.faultUntil = time.Now().Add(time.Minute)
 		}
 		if c.planned {
@@ -267,25 +267,25 @@
 // are overwritten for a while.
 func TestShortSoakOfLives(t *testing.T) {
 	report := runShortSoak(t, 20063)
-	require.NotEmpty(t, report.Lives.Restarts)
-	require.NotEmpty(t, report.Lives.ForeignRows)
+	require.NotEmpty(t, report.InstanceFaults.Restarts)
+	require.NotEmpty(t, report.InstanceFaults.ForeignRows)
 }
 
 func TestLivesAreTheSameForASeed(t *testing.T) {
 	const seeds = 200
 	drawn, series, foreign := 0, 0, 0
 	for seed := range uint64(seeds) {
-		lives := NewInstanceFaults(seed, time.Minute, false)
-		require.Equal(t, lives, NewInstanceFaults(seed, time.Minute, false))
-		if len(lives.Restarts) > 0 {
+		faults := NewInstanceFaults(seed, time.Minute, false)
+		require.Equal(t, faults, NewInstanceFaults(seed, time.Minute, false))
+		if len(faults.Restarts) > 0 {
 			drawn++
 		}
-		for _, restart := range lives.Restarts {
+		for _, restart := range faults.Restarts {
 			if restart.Series {
 				series++
 			}
 		}
-		foreign += len(lives.ForeignRows)
+		foreign += len(faults.ForeignRows)
 	}
 	require.InDelta(t, seeds/instanceFaultsEvery, drawn, seeds/10)
 	require.Positive(t, series)
@@ -301,19 +301,19 @@
 	drawn, poison, unguarded, changes := 0, 0, 0, 0
 	long := &taskgraph.Spec{Steps: []taskgraph.Step{{EstimateMillis: 1000}}}
 	for seed := range uint64(seeds) {
-		troubles := NewWorkerFaults(seed, time.Minute)
-		require.Equal(t, troubles, NewWorkerFaults(seed, time.Minute))
-		if troubles.PoisonEvery == 0 {
-			require.Empty(t, troubles)
+		faults := NewWorkerFaults(seed, time.Minute)
+		require.Equal(t, faults, NewWorkerFaults(seed, time.Minute))
+		if faults.PoisonEvery == 0 {
+			require.Empty(t, faults)
 			continue
 		}
 		drawn++
-		changes += len(troubles.Capacities)
-		if troubles.Unguarded {
+		changes += len(faults.Capacities)
+		if faults.Unguarded {
 			unguarded++
 		}
 		for serial := range 100 {
-			if troubles.poisons(0, serial, long) {
+			if faults.poisons(0, serial, long) {
 				poison++
 			}
 		}
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -102,11 +102,11 @@
 }
 
 // applyInstanceFaults schedules the faults.
-func (r *run) applyInstanceFaults(lives InstanceFaults, began time.Time, ends *sync.WaitGroup) {
-	for _, restart := range lives.Restarts {
+func (r *run) applyInstanceFaults(faults InstanceFaults, began time.Time, ends *sync.WaitGroup) {
+	for _, restart := range faults.Restarts {
 		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.World, restart) })
 	}
-	for _, foreign := range lives.ForeignRows {
+	for _, foreign := range faults.ForeignRows {
 		r.scheduleLocked(began.Add(foreign.At), ends, func() { putForeignRow(r.platform.World, foreign) })
 	}
 }
@@ -116,11 +116,11 @@
 	if len(living) == 0 {
 		return
 	}
-	struck := []*simulation.Worker{living[restart.Target%len(living)]}
+	affected := []*simulation.Worker{living[restart.Target%len(living)]}
 	if restart.Series {
-		struck = living[:max(1, len(living)/seriesShare)]
+		affected = living[:max(1, len(living)/seriesShare)]
 	}
-	for _, worker := range struck {
+	for _, worker := range affected {
 		if restart.WithoutReset {
 			worker.RestartUnseen(restart.Downtime, restart.ClockMillis)
 		} else {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -46,8 +46,8 @@
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 	// Workers are the worker faults that are not part of the plan.
 	Workers WorkerFaults `json:"workers"`
-	// Lives are the restarts of workers and the foreign rows.
-	Lives InstanceFaults `json:"lives"`
+	// InstanceFaults are the restarts of workers and the foreign rows.
+	InstanceFaults InstanceFaults `json:"lives"`
 	// Answers counts the answers to callers by call and status.
 	Answers map[string]int `json:"answers"`
 	// States counts accepted jobs by final state.
@@ -90,14 +90,14 @@
 func Run(options Options) (*Report, error) {
 	world := simulation.NewWorld(racks, workersPerRack)
 	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
-	troubles := NewWorkerFaults(options.Seed, options.Length)
-	world.Unguarded = troubles.Unguarded
+	workerFaults := NewWorkerFaults(options.Seed, options.Length)
+	world.Unguarded = workerFaults.Unguarded
 	platform, err := standin.Start(world)
 	if err != nil {
 		return nil, err
 	}
 	defer platform.Close()
-	r := &run{options: options, workers: troubles, platform: platform, closed: make(chan struct{}), observations: observations{answers: map[string]int{}}}
+	r := &run{options: options, workers: workerFaults, platform: platform, closed: make(chan struct{}), observations: observations{answers: map[string]int{}}}
 	r.putInitialConfiguration()
 	defer r.closeDaemons()
 	if err := r.start(); err != nil {
@@ -164,8 +164,8 @@
 	r.applyEvacuations(report.Evacuations, began, &ends)
 	report.Workers = r.workers
 	r.applyWorkerFaults(began, &ends)
-	report.Lives = NewInstanceFaults(r.options.Seed, r.options.Length, r.options.Lives)
-	r.applyInstanceFaults(report.Lives, began, &ends)
+	report.InstanceFaults = NewInstanceFaults(r.options.Seed, r.options.Length, r.options.Lives)
+	r.applyInstanceFaults(report.InstanceFaults, began, &ends)
 	for _, fault := range NewPlan(r.options.Seed, r.options.Length) {
 		time.Sleep(time.Until(began.Add(fault.At)))
 		report.Faults[fault.Kind]++
