--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	// One in evacuationsEvery seeds has evacuations: those that draw evacuationsDrawn. The seeds
-	// of soak/regressions.txt draw another number.
+	// One in evacuationsEvery seeds has evacuations: those that draw evacuationsDrawn. Regression
+	// seeds that are older than evacuations draw another number.
 	evacuationsEvery = 2
 	evacuationsDrawn = 1
 	// evacuationsStream separates the random stream from those of other faults.
