--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -19,10 +19,10 @@
 	"github.com/wheatroad/wheatroad/internal/routing"
 )
 
-// JobRequest is the body of a submission: a job with what a caller may leave out.
+// JobRequest is the body of a submission. Fields with defaults may be omitted.
 type JobRequest struct {
 	job.Spec
-	// Repeatable replaces the job's own field, so that leaving it out means true.
+	// Repeatable shadows the field of Spec, so that it defaults to true.
 	Repeatable *bool `json:"repeatable,omitempty"`
 }
 
@@ -46,10 +46,10 @@
 	if err := spec.Validate(); err != nil {
 		return err
 	}
-	if err := s.limiter.admit(spec.Tenant); err != nil {
+	if err := s.limiter.allowSubmit(spec.Tenant); err != nil {
 		return err
 	}
-	record, err := s.place(r.Context(), spec)
+	record, err := s.submitToDomain(r.Context(), spec)
 	if err != nil {
 		return err
 	}
@@ -61,15 +61,14 @@
 
 func newID() string {
 	random := make([]byte, idBytes)
-	// Reading from the system's random source does not fail.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(random)
 	return "job-" + hex.EncodeToString(random)
 }
 
-// place submits a job to the best domain that has an owner and does not refuse it as
-// never fitting. A job that was accepted before, maybe elsewhere, is found by its
-// name.
-func (s *Server) place(ctx context.Context, spec job.Spec) (*job.Record, error) {
+// submitToDomain submits a job to the best-ranked domain that has an owner and can fit the
+// job. A job accepted earlier, in any domain, is found by its identifier.
+func (s *Server) submitToDomain(ctx context.Context, spec job.Spec) (*job.Record, error) {
 	return s.retry(ctx, func() (*job.Record, error) {
 		domains, err := routing.Rank(s.backend.View(), &spec)
 		if err != nil {
@@ -79,64 +78,62 @@
 	})
 }
 
-// tryDomains submits to one domain after the other. Both answers that make it go on
-// are definite: nothing was done with the job.
+// tryDomains submits to the domains in turn. It continues only after errors that guarantee
+// that the job was not accepted.
 func (s *Server) tryDomains(ctx context.Context, domains []string, spec job.Spec) (*job.Record, error) {
-	var unowned, last error
-	for _, domain := range s.unowned.putLast(domains, s.now()) {
+	var noOwnerErr, lastErr error
+	for _, domain := range s.unowned.sortLast(domains, s.now()) {
 		record, err := s.backend.Submit(ctx, domain, spec)
 		switch {
 		case fault.IsKind(err, fault.NoOwner):
-			s.unowned.note(domain, s.now())
+			s.unowned.add(domain, s.now())
 			s.counter.Count("retries", "other_domain")
-			unowned = err
+			noOwnerErr = err
 		case fault.IsKind(err, fault.NeverFits):
-			last = err
+			lastErr = err
 		default:
 			return record, err
 		}
 	}
-	if unowned != nil {
-		return nil, unowned
+	if noOwnerErr != nil {
+		return nil, noOwnerErr
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// The pause before a request is given to a domain's next owner doubles from the
-// first to the last.
+// Bounds of the exponential backoff between retries while a domain has no owner.
 const (
-	firstRetryPause = 250 * time.Millisecond
-	lastRetryPause  = 2 * time.Second
+	initialRetryDelay = 250 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
-// retry repeats a request while its domain has no owner, until the deadline. It is
-// the only layer that repeats: submissions carry an identifier that is accepted
-// once, and the rest change nothing when repeated.
+// retry retries a request while its domain has no owner, until the deadline. It is the only
+// layer that retries. Requests are idempotent: submissions are deduplicated by identifier.
 func (s *Server) retry(ctx context.Context, try func() (*job.Record, error)) (*job.Record, error) {
-	for pause := firstRetryPause; ; pause = min(2*pause, lastRetryPause) {
+	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		record, err := try()
 		if err == nil || !fault.IsKind(err, fault.NoOwner) {
 			return record, err
 		}
 		deadline, _ := ctx.Deadline()
-		if deadline.Sub(s.now()) < 2*pause {
+		if deadline.Sub(s.now()) < 2*delay {
 			return nil, err
 		}
 		s.counter.Count("retries", string(fault.NoOwner))
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-func keyOf(r *http.Request) job.Key {
+func jobKey(r *http.Request) job.Key {
 	return job.Key{Tenant: r.PathValue("tenant"), ID: r.PathValue("id")}
 }
 
 func (s *Server) find(r *http.Request) (job.Key, string, error) {
-	key := keyOf(r)
+	key := jobKey(r)
 	if !job.ValidName(key.Tenant) || !job.ValidName(key.ID) {
 		return key, "", fault.NewField(fault.InvalidRequest, "id", "is malformed")
 	}
@@ -144,11 +141,12 @@
 	return key, domain, err
 }
 
-// waitStep bounds one wait at an owner, so that a wait follows a domain that moves.
-const waitStep = 5 * time.Second
+// maxLookupWait limits one wait at an owner, so that longer waits follow a domain that moves to
+// another owner.
+const maxLookupWait = 5 * time.Second
 
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
-	wait, err := s.waitOf(r)
+	wait, err := s.parseWait(r)
 	if err != nil {
 		return err
 	}
@@ -156,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	record, err := s.await(r.Context(), domain, key, wait)
+	record, err := s.waitForEnd(r.Context(), domain, key, wait)
 	if err != nil {
 		return err
 	}
@@ -164,10 +162,10 @@
 	return nil
 }
 
-func (s *Server) await(ctx context.Context, domain string, key job.Key, wait time.Duration) (*job.Record, error) {
+func (s *Server) waitForEnd(ctx context.Context, domain string, key job.Key, wait time.Duration) (*job.Record, error) {
 	until := s.now().Add(wait)
 	for {
-		step := min(waitStep, until.Sub(s.now()))
+		step := min(maxLookupWait, until.Sub(s.now()))
 		record, err := s.retry(ctx, func() (*job.Record, error) {
 			return s.backend.Lookup(ctx, domain, key, step)
 		})
@@ -177,7 +175,7 @@
 	}
 }
 
-func (s *Server) waitOf(r *http.Request) (time.Duration, error) {
+func (s *Server) parseWait(r *http.Request) (time.Duration, error) {
 	text := r.FormValue("wait")
 	if text == "" {
 		return 0, nil
@@ -236,22 +234,22 @@
 	return nil
 }
 
-// result sends the members' outputs one after the other, or one member's. Each is
-// checked against the digest in the job's record before any of it is sent, and the
-// length is stated first, so that a caller never takes a part for the whole.
+// result sends the outputs of all members in order, or that of one member. It verifies each
+// output against the digest in the job's record before sending it, and sends the total length
+// first, so that callers detect truncated responses.
 func (s *Server) result(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
 	key, domain, err := s.find(r)
 	if err != nil {
 		return err
 	}
-	record, err := s.await(r.Context(), domain, key, 0)
+	record, err := s.waitForEnd(r.Context(), domain, key, 0)
 	if err != nil {
 		return err
 	}
 	if record.State != job.Finished {
 		return &fault.Error{Kind: fault.ResultUnavailable, Detail: "the job is " + string(record.State), Outcome: record.Outcome}
 	}
-	members, err := membersOf(r, record)
+	members, err := parseMembers(r, record)
 	if err != nil {
 		return err
 	}
@@ -267,7 +265,7 @@
 			err = fault.New(fault.ResultUnavailable, "member %d's output differs from what the worker reported", member)
 		}
 		if err != nil {
-			return s.cutShort(w, index, err)
+			return s.abortResult(w, index, err)
 		}
 		if _, err := w.Write(content); err != nil {
 			return nil
@@ -276,9 +274,9 @@
 	return nil
 }
 
-// cutShort answers with the error if nothing was sent yet; otherwise it breaks the
-// connection, so that the caller sees fewer bytes than announced.
-func (s *Server) cutShort(w http.ResponseWriter, sent int, err error) error {
+// abortResult returns the error if nothing was sent yet. Otherwise it aborts the connection,
+// so that the caller detects the truncated response.
+func (s *Server) abortResult(w http.ResponseWriter, sent int, err error) error {
 	if sent > 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -286,7 +284,7 @@
 	return err
 }
 
-func membersOf(r *http.Request, record *job.Record) ([]int, error) {
+func parseMembers(r *http.Request, record *job.Record) ([]int, error) {
 	text := r.FormValue("member")
 	if text == "" {
 		members := make([]int, len(record.Results))
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -16,28 +16,28 @@
 	"github.com/wheatroad/wheatroad/internal/job"
 )
 
-// Exit statuses, for scripts.
+// Exit statuses. Scripts depend on their values.
 const (
 	ExitOK = iota
-	// ExitFailure is for what has no status of its own.
+	// ExitFailure means an error without a more specific status.
 	ExitFailure
-	// ExitUsage is for input at fault.
+	// ExitUsage means invalid input.
 	ExitUsage
-	// ExitRetry means that the daemon said when to come back.
+	// ExitRetry means that the daemon asked the caller to retry later.
 	ExitRetry
-	// ExitJobFailed means that the job ended other than by finishing.
+	// ExitJobFailed means that the job ended without finishing.
 	ExitJobFailed
-	// ExitUnknown means that it is not known whether the request took effect.
+	// ExitUnknown means that the request may have taken effect.
 	ExitUnknown
 )
 
-// Profile is how to reach one cluster.
+// Profile holds the addresses and the access key of one cluster.
 type Profile struct {
 	Addresses []string `toml:"addresses"`
 	Key       string   `toml:"key"`
 }
 
-// app holds what all commands share.
+// app holds the flags and the client that all commands share.
 type app struct {
 	addresses   []string
 	key         string
@@ -54,7 +54,7 @@
 	root := &cobra.Command{
 		Use: "wheatroadctl", Short: "Submit jobs to wheatroad and declare what it guarantees",
 		Version: version, SilenceUsage: true, SilenceErrors: true,
-		PersistentPreRunE: func(*cobra.Command, []string) error { return a.prepare() },
+		PersistentPreRunE: func(*cobra.Command, []string) error { return a.configureClient() },
 	}
 	flags := root.PersistentFlags()
 	flags.StringSliceVar(&a.addresses, "address", nil, "daemon addresses, tried in order (or WHEATROAD_ADDRESS)")
@@ -79,9 +79,9 @@
 	return filepath.Join(folder, "wheatroad", "profiles.toml")
 }
 
-// prepare resolves addresses and key: flags first, then the environment, then the
-// profile.
-func (a *app) prepare() error {
+// configureClient creates the client. Addresses and key come from flags, the environment or
+// the profile, in this order of precedence.
+func (a *app) configureClient() error {
 	if a.output != "json" && a.output != "table" {
 		return fault.NewField(fault.InvalidRequest, "output", "must be json or table")
 	}
@@ -123,42 +123,42 @@
 	return nil
 }
 
-// needServer refuses to go on without an address.
-func (a *app) needServer() error {
+// requireAddress returns an error if no daemon address is configured.
+func (a *app) requireAddress() error {
 	if len(a.addresses) == 0 {
 		return fault.NewField(fault.InvalidRequest, "address", "give --address, WHEATROAD_ADDRESS or --profile")
 	}
 	return nil
 }
 
-// JobEnded reports a job that ended other than by finishing.
-type JobEnded struct{ Record *job.Record }
+// JobFailedError reports a job that ended without finishing.
+type JobFailedError struct{ Record *job.Record }
 
-// Error renders how the job ended.
-func (e *JobEnded) Error() string {
+// Error formats the job's final state.
+func (e *JobFailedError) Error() string {
 	return fmt.Sprintf("job %s is %s (%s, outcome: %s)", e.Record.Spec.ID, e.Record.State, e.Record.Reason, e.Record.Outcome)
 }
 
 // ExitStatus returns the exit status for an error of a command.
 func ExitStatus(err error) int {
-	var answer *AnswerError
-	var listed *fault.Error
-	var ended *JobEnded
+	var answer *ResponseError
+	var known *fault.Error
+	var ended *JobFailedError
 	switch {
 	case err == nil:
 		return ExitOK
 	case errors.As(err, &ended):
 		return ExitJobFailed
 	case errors.As(err, &answer):
-		return answerStatus(answer)
-	case errors.As(err, &listed):
+		return responseExitStatus(answer)
+	case errors.As(err, &known):
 		return ExitUsage
 	default:
 		return ExitFailure
 	}
 }
 
-func answerStatus(answer *AnswerError) int {
+func responseExitStatus(answer *ResponseError) int {
 	switch {
 	case answer.Answer.Outcome == fault.MayHaveRun:
 		return ExitUnknown
--- a/internal/loadplay/compare.go
+++ b/internal/loadplay/compare.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Way is one way of deciding, by the mechanisms that are switched off in it.
+// Way is a scheduler configuration, given by the mechanisms that are switched off.
 type Way struct {
 	Name string
 	Off  mechanism.Off
@@ -19,12 +19,12 @@
 	Error float64
 }
 
-// Comparison is what a way came to over all seeds.
+// Comparison is the summary of one configuration over all seeds.
 type Comparison struct {
 	Way     Way
 	Results []Result
 	Worth   Estimate
-	// Gain is the worth above that of the first way, by pairs of the same seed.
+	// Gain is the mean difference of Worth to the first configuration, paired by seed.
 	Gain       Estimate
 	Served     Estimate
 	Classes    []Estimate
@@ -33,7 +33,8 @@
 	ThrownAway Estimate
 }
 
-// Compare plays a load in several ways, all by the same seeds, on so many threads at once.
+// Compare simulates a load under several configurations with the same seeds, on the given number
+// of threads.
 func Compare(load *Load, ways []Way, firstSeed uint64, seeds, threads int) []Comparison {
 	compared := make([]Comparison, len(ways))
 	var group sync.WaitGroup
@@ -44,7 +45,7 @@
 			slots <- struct{}{}
 			group.Go(func() {
 				defer func() { <-slots }()
-				compared[k].Results[n] = load.Play(firstSeed+uint64(n), ways[k].Off)
+				compared[k].Results[n] = load.Simulate(firstSeed+uint64(n), ways[k].Off)
 			})
 		}
 	}
@@ -66,7 +67,7 @@
 	c.Worth = over(func(i int) float64 { return c.Results[i].Worth })
 	c.Gain = over(func(i int) float64 { return c.Results[i].Worth - base[i].Worth })
 	c.Served = over(func(i int) float64 { return c.Results[i].Served })
-	c.StopShare = over(func(i int) float64 { return float64(c.Results[i].Stopped) / float64(max(1, c.Results[i].Placed)) })
+	c.StopShare = over(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
 	c.ThrownAway = over(func(i int) float64 { return c.Results[i].ThrownAway })
 	for class := range c.Results[0].Classes {
 		c.Classes = append(c.Classes, over(func(i int) float64 { return c.Results[i].Classes[class].Worth }))
@@ -76,8 +77,8 @@
 	}
 }
 
-// confidence is the quantile of the normal distribution for an interval of 95%.
-const confidence = 1.96
+// zScore95 is the quantile of the normal distribution for a 95% interval.
+const zScore95 = 1.96
 
 func estimate(values []float64) Estimate {
 	sum := 0.0
@@ -93,5 +94,5 @@
 		return Estimate{Mean: mean, Error: math.Inf(1)}
 	}
 	deviation := math.Sqrt(squares / float64(len(values)-1))
-	return Estimate{Mean: mean, Error: confidence * deviation / math.Sqrt(float64(len(values)))}
+	return Estimate{Mean: mean, Error: zScore95 * deviation / math.Sqrt(float64(len(values)))}
 }
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -7,21 +7,21 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// acceptedNotice tells a pool's owner of a job that another node has accepted.
+// acceptedNotice informs a pool's owner of a job that another node has accepted.
 type acceptedNotice struct {
 	Pool string   `json:"pool"`
 	Row  rows.Row `json:"row"`
 }
 
-// announce tells a pool's owner of an accepted job, whose row is in the store. Nobody waits
-// for it: the owner's feed brings the row in any case. It may be called anywhere.
+// announce sends the stored row of an accepted job to the pool's owner, without waiting for the
+// reply: the owner's feed delivers the row in any case. It may be called from any goroutine.
 func (n *Node) announce(poolName string, row rows.Row) {
 	if n.options.Off[mechanism.Announcements] {
 		return
 	}
-	v := n.view.Load()
+	v := n.snapshot.Load()
 	if v.owned[poolName] != nil {
-		n.edges.Loop.Post(func() { n.takeAnnounced(poolName, row) })
+		n.edges.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
 		return
 	}
 	lease := v.leases[poolName]
@@ -39,15 +39,15 @@
 	}()
 }
 
-// takeAnnounced hands a row to the pool, if this node owns it.
-func (n *Node) takeAnnounced(poolName string, row rows.Row) {
+// handleAnnouncedJob passes a row to the pool if this node owns it.
+func (n *Node) handleAnnouncedJob(poolName string, row rows.Row) {
 	if p := n.owned[poolName]; p != nil {
 		p.TakeAnnounced(row)
 	}
 }
 
-// serveAccepted takes in another node's notice.
+// serveAccepted handles another node's notice.
 func (n *Node) serveAccepted(notice acceptedNotice) (struct{}, error) {
-	n.edges.Loop.Post(func() { n.takeAnnounced(notice.Pool, notice.Row) })
+	n.edges.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
 	return struct{}{}, nil
 }
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -7,16 +7,15 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// operatorRowsAnswered takes in an answer of the feed of the operators' rows, whose rows are
-// applied: the configuration and the evacuations are known as of it.
-func (n *Node) operatorRowsAnswered(listing rows.Listing, askedAt time.Time) {
+// handleOperatorFeed handles an answer of the feed of the operators' rows after its rows are
+// applied: the configuration and the evacuations are current as of it.
+func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
 	n.confirm(listing.AsOf)
-	n.noteEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
+	n.applyEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 }
 
-// noteEvacuations takes in what is known of evacuated zones, and tells this node's pools of
-// changes at once.
-func (n *Node) noteEvacuations(next evacuation.Set) {
+// applyEvacuations updates the set of evacuated zones and notifies the owned pools of changes.
+func (n *Node) applyEvacuations(next evacuation.Set) {
 	previous := n.evacuated
 	n.evacuated = previous.Newest(next)
 	if n.evacuated.SameZones(previous) {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -23,23 +23,24 @@
 	jobID    = "00000000000000aa"
 )
 
-// fakeStore keeps rows; parts listed in refuse or silent answer with that error.
+// fakeStore keeps rows in memory. Calls about the parts in refuse fail with ErrRefused, those about
+// the parts in unanswered with ErrNoAnswer.
 type fakeStore struct {
-	rows    map[rows.Key]rows.Row
-	refuse  map[string]bool
-	silent  map[string]bool
-	version int64
+	rows       map[rows.Key]rows.Row
+	refuse     map[string]bool
+	unanswered map[string]bool
+	version    int64
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, silent: map[string]bool{}}
+	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, unanswered: map[string]bool{}}
 }
 
 func (f *fakeStore) failure(part string) error {
 	switch {
 	case f.refuse[part]:
 		return rows.ErrRefused
-	case f.silent[part]:
+	case f.unanswered[part]:
 		return rows.ErrNoAnswer
 	}
 	return nil
@@ -91,18 +92,18 @@
 	return rows.Listing{}, rows.ErrRefused
 }
 
-type silentRecorder struct{}
+type discardRecorder struct{}
 
-func (silentRecorder) Count(string, string)   {}
-func (silentRecorder) Decided(string, ...any) {}
+func (discardRecorder) Count(string, string)   {}
+func (discardRecorder) Decided(string, ...any) {}
 
-func (silentRecorder) Set(string, int64)             {}
-func (silentRecorder) Observe(string, time.Duration) {}
+func (discardRecorder) Set(string, int64)             {}
+func (discardRecorder) Observe(string, time.Duration) {}
 
 func newGateway(t *testing.T, store rows.Store) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	edges := Edges{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: silentRecorder{}}
+	edges := Edges{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{}}
 	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, edges)
 	current := &catalog.Catalog{
 		Version: 1,
@@ -132,12 +133,12 @@
 		prepare func(*fakeStore)
 		want    fault.Kind
 	}{
-		"all well":            {func(*fakeStore) {}, ""},
-		"one part refuses":    {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part is silent":  {func(f *fakeStore) { f.silent[parts[0]] = true }, ""},
-		"all parts refuse":    {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"all parts silent":    {func(f *fakeStore) { f.silent = allOf(parts) }, fault.OutcomeUnknown},
-		"silent then refusal": {func(f *fakeStore) { f.silent[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
+		"no failure":               {func(*fakeStore) {}, ""},
+		"one part refuses":         {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
+		"one part does not answer": {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
+		"all parts refuse":         {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
+		"no part answers":          {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
+		"no answer, then refusals": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		store := newFakeStore()
@@ -151,13 +152,13 @@
 	}
 }
 
-// partlyHangingStore gives no answer for one part.
-type partlyHangingStore struct {
+// hangingPartStore never answers transactions in one part.
+type hangingPartStore struct {
 	*fakeStore
 	part string
 }
 
-func (p *partlyHangingStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+func (p *hangingPartStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	if transaction.Puts[0].Part != p.part {
 		return p.fakeStore.Commit(ctx, transaction)
 	}
@@ -165,9 +166,10 @@
 	return rows.Result{}, rows.ErrNoAnswer
 }
 
-// TestPartWithoutAnswerIsPassedOver: a submission spent all its time on the first part.
+// TestPartWithoutAnswerIsPassedOver: one unresponsive part must not use up the time of a
+// submission.
 func TestPartWithoutAnswerIsPassedOver(t *testing.T) {
-	store := &partlyHangingStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
 	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
 }
@@ -217,9 +219,9 @@
 	state, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.NoError(t, err)
 	require.Equal(t, taskgraph.Completed, state)
-	store.silent[parts[1]] = true
+	store.unanswered[parts[1]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
-	require.Error(t, err, "an older row must not be told")
+	require.Error(t, err, "an older progress row must not be returned while a part is unread")
 }
 
 func TestCancelNeedsAJobAndIsIdempotent(t *testing.T) {
@@ -253,7 +255,7 @@
 	old := time.Now().Add(-2 * time.Hour)
 	gateway.node.confirmed.Store(&old)
 	_, _, err = gateway.Resolve("h", "/q/x", "key")
-	require.True(t, fault.IsKind(err, fault.ConfigurationOld), "a key that may be gone is not taken: %v", err)
+	require.True(t, fault.IsKind(err, fault.ConfigurationOld), "a key that may have been revoked must be refused: %v", err)
 	require.False(t, gateway.Ready())
 }
 
@@ -263,28 +265,28 @@
 	n.options.Weight = 0.2
 	n.sample.members["node-2"] = member{Name: "node-2", Weight: 0.8}
 	n.sample.members["node-3"] = member{Name: "node-3", Weight: 0.1}
-	require.Equal(t, 1, n.rank(poolName))
+	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
-// linesRecorder keeps the fields of decisions.
-type linesRecorder struct {
-	silentRecorder
-	lines map[string][]any
+// fieldsRecorder keeps the fields of logged decisions.
+type fieldsRecorder struct {
+	discardRecorder
+	fields map[string][]any
 }
 
-func (l linesRecorder) Decided(decision string, fields ...any) { l.lines[decision] = fields }
+func (l fieldsRecorder) Decided(decision string, fields ...any) { l.fields[decision] = fields }
 
-// TestEarlyRefusalsHaveALine: a request that was refused before its job was read left
-// no line with its identifier.
+// TestEarlyRefusalsHaveALine: a request that is refused before its body is read is logged with the
+// job's identifier.
 func TestEarlyRefusalsHaveALine(t *testing.T) {
 	g := newGateway(t, newFakeStore())
-	recorder := linesRecorder{lines: map[string][]any{}}
+	recorder := fieldsRecorder{fields: map[string][]any{}}
 	g.node.edges.Record = recorder
 	_, _, err := g.Resolve("h", "/q/"+jobID, "unknown key")
 	require.True(t, fault.IsKind(err, fault.Unauthenticated))
-	require.Contains(t, recorder.lines["request refused"], jobID)
-	require.Contains(t, recorder.lines["request refused"], "unauthenticated")
+	require.Contains(t, recorder.fields["request refused"], jobID)
+	require.Contains(t, recorder.fields["request refused"], "unauthenticated")
 	_, _, err = g.Resolve("h", "/none/", "key")
 	require.True(t, fault.IsKind(err, fault.NotFound))
-	require.Contains(t, recorder.lines["request refused"], "not_found")
+	require.Contains(t, recorder.fields["request refused"], "not_found")
 }
--- /dev/null
+++ b/internal/node/indirect_check.go
@@ -0,0 +1,72 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/loop"
+)
+
+// indirectCheckCount is how many other nodes are queried about an owner.
+const indirectCheckCount = 3
+
+// checkOwnerIndirectly queries other nodes whether they reach a pool's owner. Missing replies count
+// as not seen, since this node may be the only one left. A node that is partitioned from all others
+// can at worst acquire a pool that still has an owner, which fencing tokens make safe.
+func (n *Node) checkOwnerIndirectly(w *poolWatcher, done func(seen bool)) {
+	checkers := n.indirectCheckers(w.pool)
+	if len(checkers) == 0 {
+		done(false)
+		return
+	}
+	pending, seen := len(checkers), false
+	for _, other := range checkers {
+		n.callPeer(other.Address, methodSeen, pingRequest{Pool: w.pool}, func(document []byte, err error) {
+			pending--
+			var reply seenReply
+			if err == nil && json.Unmarshal(document, &reply) == nil {
+				seen = seen || reply.Seen
+			}
+			if pending == 0 {
+				done(seen)
+			}
+		})
+	}
+}
+
+// indirectCheckers returns some of the standbys of a pool, which have recent replies of its owner.
+func (n *Node) indirectCheckers(name string) []member {
+	others := n.candidatesExcept(n.leases[name].Owner)
+	slices.SortStableFunc(others, func(a, b member) int {
+		if takesOverBefore(name, a, b) {
+			return -1
+		}
+		return 1
+	})
+	standbys := others[:min(standbyCount, len(others))]
+	rand.Shuffle(len(standbys), func(i, j int) { standbys[i], standbys[j] = standbys[j], standbys[i] })
+	return standbys[:min(indirectCheckCount, len(standbys))]
+}
+
+// seenReply says whether a node reaches a pool's owner.
+type seenReply struct {
+	Seen bool `json:"seen"`
+}
+
+// seenMaxAge is the maximum age of an owner's last reply for it to count as seen. A standby that
+// has missed two replies exceeds it.
+const seenMaxAge = 600 * time.Millisecond
+
+// serveSeen answers an indirect check of a pool's owner.
+func (n *Node) serveSeen(ctx context.Context, request pingRequest) (seenReply, error) {
+	var reply seenReply
+	err := loop.Call(ctx, n.edges.Loop, func() {
+		w := n.watchers[request.Pool]
+		reply.Seen = n.owned[request.Pool] != nil ||
+			w != nil && w.failures == 0 && n.now().Sub(w.lastReplyAt) < seenMaxAge
+	})
+	return reply, err
+}
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// observedStore is the store as this node reaches it directly. Each byte of an answer
-// tells that the store is there: small calls may wait behind a large answer for longer
-// than they are given. Answers that were given up midway are told of.
+// observedStore is the store as this node calls it directly. It records each received byte as a
+// sign that the store is reachable, since small calls may time out behind a large answer, and logs
+// answers that were abandoned midway.
 type observedStore struct {
 	rows.Store
 	node *Node
@@ -20,78 +20,78 @@
 
 // Commit implements rows.Store.
 func (s *observedStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
-	askedAt := uptime.Now()
+	requestedAt := uptime.Now()
 	result, err := s.Store.Commit(ctx, transaction)
-	s.timed(askedAt, err)
+	s.recordLatency(requestedAt, err)
 	return result, err
 }
 
-// timed notes the latency of a call that was answered.
-func (s *observedStore) timed(askedAt time.Time, err error) {
+// recordLatency records the latency of a successful call.
+func (s *observedStore) recordLatency(requestedAt time.Time, err error) {
 	if err == nil {
 		now := uptime.Now()
-		s.node.latency.note(now, now.Sub(askedAt))
+		s.node.storeLatency.record(now, now.Sub(requestedAt))
 	}
 }
 
 // Scan implements rows.Store.
 func (s *observedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
-	ctx, seen := s.observe(ctx, table)
+	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Scan(ctx, table, part, prefix)
-	s.timed(seen.askedAt, err)
-	return seen.ended(listing, err)
+	s.recordLatency(answer.requestedAt, err)
+	return answer.finish(listing, err)
 }
 
 // Page implements rows.Store.
 func (s *observedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
-	ctx, seen := s.observe(ctx, table)
+	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Page(ctx, table, part, from, limit)
-	s.timed(seen.askedAt, err)
-	return seen.ended(listing, err)
+	s.recordLatency(answer.requestedAt, err)
+	return answer.finish(listing, err)
 }
 
 // Feed implements rows.Store.
 func (s *observedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
-	ctx, seen := s.observe(ctx, table)
+	ctx, answer := s.observe(ctx, table)
 	listing, err := s.Store.Feed(ctx, table, after, wait)
-	return seen.ended(listing, err)
+	return answer.finish(listing, err)
 }
 
-// observe watches an answer about a table arrive.
+// observe returns a context that tracks the answer to a call about a table.
 func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
-	seen := &observedAnswer{node: s.node, table: table, askedAt: uptime.Now()}
-	return progress.With(ctx, seen.arrived), seen
+	answer := &observedAnswer{node: s.node, table: table, requestedAt: uptime.Now()}
+	return progress.With(ctx, answer.recordBytes), answer
 }
 
-// observedAnswer is what was seen of an answer.
+// observedAnswer tracks the receipt of one answer.
 type observedAnswer struct {
-	node    *Node
-	table   string
-	askedAt time.Time
-	bytes   atomic.Int64
-	// began is when the first byte came.
-	began atomic.Pointer[time.Time]
+	node        *Node
+	table       string
+	requestedAt time.Time
+	bytes       atomic.Int64
+	// firstByteAt is when the first byte was received.
+	firstByteAt atomic.Pointer[time.Time]
 }
 
-func (a *observedAnswer) arrived(bytes int) {
+func (a *observedAnswer) recordBytes(bytes int) {
 	a.bytes.Add(int64(bytes))
 	now := uptime.Now()
-	a.began.CompareAndSwap(nil, &now)
-	a.node.noteStore(nil)
+	a.firstByteAt.CompareAndSwap(nil, &now)
+	a.node.recordStoreResult(nil)
 }
 
-// ended dates a listing by its beginning: the store has composed it by then, however
-// long the rest was under way.
-func (a *observedAnswer) ended(listing rows.Listing, err error) (rows.Listing, error) {
-	began := a.began.Load()
+// finish sets AsOf of a listing to the arrival of its first byte. The store had composed it by
+// then, however long the rest took to arrive.
+func (a *observedAnswer) finish(listing rows.Listing, err error) (rows.Listing, error) {
+	firstByteAt := a.firstByteAt.Load()
 	listing.AsOf = uptime.Now()
-	if began != nil {
-		listing.AsOf = *began
+	if firstByteAt != nil {
+		listing.AsOf = *firstByteAt
 	}
-	if err != nil && began != nil {
+	if err != nil && firstByteAt != nil {
 		a.node.edges.Record.Count("answers_given_up", a.table)
 		a.node.edges.Record.Decided("answer given up", "table", a.table, "bytes", a.bytes.Load(),
-			"after_ms", uptime.Since(a.askedAt).Milliseconds(), "reason", err.Error())
+			"after_ms", uptime.Since(a.requestedAt).Milliseconds(), "reason", err.Error())
 	}
 	return listing, err
 }
--- /dev/null
+++ b/internal/node/ownership_confirmation_test.go
@@ -0,0 +1,67 @@
+package node
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheatroad/wheatroad/internal/pool"
+	"github.com/wheatroad/wheatroad/internal/rows"
+)
+
+// owningNode returns a node that owns the watched pool with a fencing token.
+func owningNode(t *testing.T, others map[string]float64) *watchingNode {
+	n := newWatchingNode(t, 1, others)
+	n.owned[poolName] = pool.New(n.poolOptions(poolName), n.loop, n.ports, discardRecorder{}, 5)
+	return n
+}
+
+// sinceConfirmed returns how long ago the pool's owner was last confirmed.
+func (n *watchingNode) sinceConfirmed() time.Duration {
+	return time.Duration(n.owned[poolName].Summary().ConfirmedMillis) * time.Millisecond
+}
+
+// TestPingsTellAnOwnerWhetherItStands: the lease known to the pinging node confirms the owner or
+// makes it abandon the pool.
+func TestPingsTellAnOwnerWhetherItStands(t *testing.T) {
+	cases := map[string]struct {
+		request   pingRequest
+		owner     bool
+		confirmed bool
+	}{
+		"peer knows a newer owner":     {pingRequest{Pool: poolName, Token: 6}, false, false},
+		"store lost to both":           {pingRequest{Pool: poolName, Token: 5, StoreLost: true}, true, true},
+		"store reachable for the peer": {pingRequest{Pool: poolName, Token: 5}, true, false},
+		"peer knows an older owner":    {pingRequest{Pool: poolName, Token: 4, StoreLost: true}, true, false},
+		"peer of an earlier version":   {pingRequest{Pool: poolName}, true, false},
+		"another pool":                 {pingRequest{Pool: "other", Token: 9}, false, false},
+	}
+	for name, c := range cases {
+		n := owningNode(t, nil)
+		reply, err := n.servePing(context.Background(), c.request)
+		require.NoError(t, err, name)
+		require.Equal(t, c.owner, reply.Owner, name)
+		if c.request.Token == 6 {
+			require.Nil(t, n.owned[poolName], name)
+			continue
+		}
+		require.Equal(t, c.confirmed, n.sinceConfirmed() < time.Second, name)
+	}
+}
+
+// TestOnlyNodeStandsAloneWhileTheStoreIsAway: the owner is confirmed without the store only if no
+// other node could acquire its pool.
+func TestOnlyNodeStandsAloneWhileTheStoreIsAway(t *testing.T) {
+	onlyNode := owningNode(t, nil)
+	onlyNode.confirmIfOnlyNode()
+	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is reachable")
+	onlyNode.recordStoreFailure(rows.ErrNoAnswer)
+	onlyNode.confirmIfOnlyNode()
+	require.Less(t, onlyNode.sinceConfirmed(), time.Second)
+	oneOfTwo := owningNode(t, map[string]float64{"node-2": 1})
+	oneOfTwo.recordStoreFailure(rows.ErrNoAnswer)
+	oneOfTwo.confirmIfOnlyNode()
+	require.Greater(t, oneOfTwo.sinceConfirmed(), time.Second)
+}
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// manualLoop runs what is posted at once and timers when the test lets time pass.
+// manualLoop runs posted functions at once, and timers when the test advances its time.
 type manualLoop struct {
 	now    time.Time
 	timers []manualTimer
@@ -32,8 +32,8 @@
 	return func() {}
 }
 
-// pass lets time pass, and runs the timers that are due.
-func (l *manualLoop) pass(d time.Duration) {
+// advance moves the time forward and runs the timers that are due.
+func (l *manualLoop) advance(d time.Duration) {
 	l.now = l.now.Add(d)
 	due := l.timers
 	l.timers = nil
@@ -49,62 +49,61 @@
 // watchingNode is a node that watches one pool.
 type watchingNode struct {
 	*Node
-	loop  *manualLoop
-	watch *watch
+	loop    *manualLoop
+	watcher *poolWatcher
 }
 
-// newWatchingNode returns a node of a weight beside others of given weights.
+// newWatchingNode returns a node of the given weight in a cluster with others of the given weights.
 func newWatchingNode(t *testing.T, weight float64, others map[string]float64) *watchingNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := &manualLoop{now: time.Now()}
-	n := New(ctx, Options{Name: "node-1", Weight: weight}, Edges{Store: newFakeStore(), Loop: l, Record: silentRecorder{}})
+	n := New(ctx, Options{Name: "node-1", Weight: weight}, Edges{Store: newFakeStore(), Loop: l, Record: discardRecorder{}})
 	n.sample.members["node-1"] = member{Name: "node-1", Weight: weight}
 	for name, other := range others {
 		n.sample.members[name] = member{Name: name, Weight: other}
 	}
-	n.watches[poolName] = &watch{pool: poolName, read: true}
-	n.noteStore(nil)
-	return &watchingNode{Node: n, loop: l, watch: n.watches[poolName]}
+	n.watchers[poolName] = &poolWatcher{pool: poolName, leaseRead: true}
+	n.recordStoreResult(nil)
+	return &watchingNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
-// leaseOf lets the node read a lease.
-func (n *watchingNode) leaseOf(owner string, version int64) {
+// applyLeaseOf applies a lease with the given owner.
+func (n *watchingNode) applyLeaseOf(owner string, version int64) {
 	key := pool.LeaseKey(poolName)
 	value, _ := json.Marshal(pool.Lease{Owner: owner, Address: owner})
 	n.applyNodeRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
 }
 
-// TestSuspicionEndsWithTheLease: a node asked others about an owner, the lease passed
-// on to a healthy one meanwhile, and the node then took the pool from that one.
+// TestSuspicionEndsWithTheLease: a suspected owner must not cost the next, healthy owner its pool.
 func TestSuspicionEndsWithTheLease(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
-	n.leaseOf("node-2", 5)
-	n.watch.failures = pingFailures
-	n.acquireLater(n.watch, "owner node-2 does not answer", n.suspect)
-	n.leaseOf("node-3", 6)
-	n.loop.pass(time.Minute)
-	require.False(t, n.watch.acquiring, "the lease is another")
-
-	n.watch.failures = pingFailures
-	n.acquireLater(n.watch, "owner node-3 does not answer", n.suspect)
-	n.pingAnswered(n.watch, pingReply{Owner: true})
-	n.loop.pass(time.Minute)
-	require.False(t, n.watch.acquiring, "the owner answered meanwhile")
+	n.applyLeaseOf("node-2", 5)
+	n.watcher.failures = suspectAfterFailures
+	n.scheduleAcquire(n.watcher, "owner node-2 does not answer", n.ownerSuspected)
+	n.applyLeaseOf("node-3", 6)
+	n.loop.advance(time.Minute)
+	require.False(t, n.watcher.acquiring, "the lease has changed")
+
+	n.watcher.failures = suspectAfterFailures
+	n.scheduleAcquire(n.watcher, "owner node-3 does not answer", n.ownerSuspected)
+	n.handlePingReply(n.watcher, pingReply{Owner: true})
+	n.loop.advance(time.Minute)
+	require.False(t, n.watcher.acquiring, "the owner has answered since")
 }
 
-// TestWitnessesOfAnEarlierLeaseAreIgnored: the answers came when the pool had another
-// owner already.
+// TestWitnessesOfAnEarlierLeaseAreIgnored: the result of an indirect check arrives after the pool
+// has changed its owner.
 func TestWitnessesOfAnEarlierLeaseAreIgnored(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
-	n.leaseOf("node-2", 5)
-	n.watch.failures = pingFailures
-	answer := n.witnessed(n.watch, "owner node-2 does not answer")
-	n.leaseOf("node-3", 6)
+	n.applyLeaseOf("node-2", 5)
+	n.watcher.failures = suspectAfterFailures
+	answer := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
+	n.applyLeaseOf("node-3", 6)
 	answer(false)
-	n.watch.failures = pingFailures
-	n.loop.pass(time.Minute)
-	require.False(t, n.watch.acquiring)
+	n.watcher.failures = suspectAfterFailures
+	n.loop.advance(time.Minute)
+	require.False(t, n.watcher.acquiring)
 }
 
 func TestWeakOwnerIsRelieved(t *testing.T) {
@@ -112,75 +111,75 @@
 		own, owner float64
 		want       bool
 	}{
-		"much weaker": {0.8, 0.2, true},
-		"alike":       {0.4, 0.4, false},
-		"stronger":    {0.2, 0.8, false},
+		"owner has a quarter of the weight": {0.8, 0.2, true},
+		"alike":                             {0.4, 0.4, false},
+		"stronger":                          {0.2, 0.8, false},
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, c.own, map[string]float64{"node-2": c.owner})
-		n.leaseOf("node-2", 5)
-		for range relieveAfter {
-			require.False(t, n.watch.scheduled, name)
-			n.pingAnswered(n.watch, pingReply{Owner: true})
+		n.applyLeaseOf("node-2", 5)
+		for range weakOwnerReplies {
+			require.False(t, n.watcher.acquireScheduled, name)
+			n.handlePingReply(n.watcher, pingReply{Owner: true})
 		}
-		require.Equal(t, c.want, n.watch.scheduled, name)
+		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
 	}
 }
 
-// TestOwnerThatLostTheStoreIsReplacedSoon by what it says of the store, unless the
-// asking node has lost it too.
+// TestOwnerThatLostTheStoreIsReplacedSoon: judged by the store state in its replies, unless the
+// pinging node has lost the store too.
 func TestOwnerThatLostTheStoreIsReplacedSoon(t *testing.T) {
 	cases := map[string]struct {
 		reply    pingReply
 		lostHere bool
 		want     bool
 	}{
-		"answered lately":           {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
-		"failing":                   {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
-		"quiet, nothing failed":     {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
-		"silent":                    {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
-		"lost by this node as well": {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
+		"recent answer, feeds failing":  {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
+		"failing":                       {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
+		"old answer, feeds not failing": {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
+		"silent":                        {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
+		"store lost to both nodes":      {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
 	}
 	for name, c := range cases {
 		n := newWatchingNode(t, 1, nil)
-		n.leaseOf("node-2", 5)
+		n.applyLeaseOf("node-2", 5)
 		if c.lostHere {
-			n.noteStoreFailure(rows.ErrNoAnswer)
+			n.recordStoreFailure(rows.ErrNoAnswer)
 		}
-		n.pingAnswered(n.watch, c.reply)
-		require.Equal(t, c.want, n.watch.scheduled, name)
+		n.handlePingReply(n.watcher, c.reply)
+		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
 	}
 }
 
-// TestWitnessesAreThoseWhoWatchClosely: other nodes' knowledge of an owner is too old to
-// speak for it.
+// TestWitnessesAreThoseWhoWatchClosely: the other nodes' last replies of an owner are too old for
+// an indirect check.
 func TestWitnessesAreThoseWhoWatchClosely(t *testing.T) {
 	others := map[string]float64{}
 	for i := range 40 {
 		others[fmt.Sprintf("light-%d", i)] = 0.2
 	}
-	for i := range guardCount {
+	for i := range standbyCount {
 		others[fmt.Sprintf("heavy-%d", i)] = 0.8
 	}
 	n := newWatchingNode(t, 0.2, others)
-	n.leaseOf("heavy-0", 5)
+	n.applyLeaseOf("heavy-0", 5)
 	for range 20 {
-		for _, witness := range n.witnesses(poolName) {
-			require.NotEqual(t, "heavy-0", witness.Name)
-			require.Greater(t, witness.Weight, 0.0)
+		for _, checker := range n.indirectCheckers(poolName) {
+			require.NotEqual(t, "heavy-0", checker.Name)
+			require.Greater(t, checker.Weight, 0.0)
 		}
 	}
-	require.Len(t, n.witnesses(poolName), witnessCount)
-	require.GreaterOrEqual(t, n.rank(poolName), guardCount-1, "lighter nodes do not watch closely")
+	require.Len(t, n.indirectCheckers(poolName), indirectCheckCount)
+	require.GreaterOrEqual(t, n.takeoverRank(poolName), standbyCount-1, "nodes with less weight must not be standbys")
 }
 
 func TestRetriesAreMadeOnceTheStoreIsBack(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	retried := 0
 	n.storeRetries.After(time.Hour, func() { retried++ })
-	n.noteStoreFailure(rows.ErrRefused)
+	n.recordStoreFailure(rows.ErrRefused)
 	require.Zero(t, retried)
-	n.noteStore(nil)
+	n.recordStoreResult(nil)
 	require.Equal(t, 1, retried)
 	n.storeRetries.Now()
 	require.Equal(t, 1, retried, "once")
--- a/internal/node/arriving_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -19,45 +19,46 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// arrivingStore begins each answer about a table at once, and ends it when the test says
-// so, or gives it up with its caller. Calls about other tables get no answer.
-type arrivingStore struct {
+// partialAnswerStore sends the first byte of each answer about a table at once, and the rest when
+// the test closes complete. It gives up when the caller does. Calls about other tables get no
+// answer.
+type partialAnswerStore struct {
 	rows.Store
-	table   string
-	listing rows.Listing
-	begun   chan struct{}
-	whole   chan struct{}
+	table    string
+	listing  rows.Listing
+	started  chan struct{}
+	complete chan struct{}
 }
 
-func newArrivingStore(table string, listing rows.Listing) *arrivingStore {
-	return &arrivingStore{table: table, listing: listing, begun: make(chan struct{}, 16), whole: make(chan struct{})}
+func newPartialAnswerStore(table string, listing rows.Listing) *partialAnswerStore {
+	return &partialAnswerStore{table: table, listing: listing, started: make(chan struct{}, 16), complete: make(chan struct{})}
 }
 
-func (s *arrivingStore) answer(ctx context.Context, table string) (rows.Listing, error) {
+func (s *partialAnswerStore) answer(ctx context.Context, table string) (rows.Listing, error) {
 	if table != s.table {
 		<-ctx.Done()
 		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
 	}
-	arrive(ctx, 1)
-	s.begun <- struct{}{}
+	receiveBytes(ctx, 1)
+	s.started <- struct{}{}
 	select {
-	case <-s.whole:
+	case <-s.complete:
 		return s.listing, nil
 	case <-ctx.Done():
 		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
 	}
 }
 
-func (s *arrivingStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
+func (s *partialAnswerStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
 	return s.answer(ctx, table)
 }
 
-func (s *arrivingStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
+func (s *partialAnswerStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
 	return s.answer(ctx, table)
 }
 
-// arrive lets some bytes of an answer arrive.
-func arrive(ctx context.Context, count int) {
+// receiveBytes simulates the arrival of some bytes of an answer.
+func receiveBytes(ctx context.Context, count int) {
 	_, _ = io.Copy(io.Discard, progress.Reader(ctx, bytes.NewReader(make([]byte, count))))
 }
 
@@ -67,7 +68,7 @@
 	t.Cleanup(cancel)
 	own := loop.NewGoroutine()
 	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, Edges{
-		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Record: silentRecorder{},
+		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 	})
 	go own.Run(ctx)
 	return n
@@ -78,78 +79,78 @@
 	require.NoError(t, loop.Call(context.Background(), n.edges.Loop, fn))
 }
 
-// TestArrivingFeedIsNotCalledOff: feeds were called off once the configuration had not been
-// confirmed for 0.9 s, which over a small link is while the next one arrives.
+// TestArrivingFeedIsNotCalledOff: on a slow link a feed may be receiving its answer when idle feeds
+// are canceled.
 func TestArrivingFeedIsNotCalledOff(t *testing.T) {
-	store := newArrivingStore("t", rows.Listing{Version: 7})
+	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	ended := make(chan error, 1)
 	go func() {
 		_, err := n.store.Feed(context.Background(), "t", 1, time.Hour)
 		ended <- err
 	}()
-	<-store.begun
-	n.feeds.callOff(0)
-	close(store.whole)
+	<-store.started
+	n.feeds.cancelIdle(0)
+	close(store.complete)
 	require.NoError(t, <-ended)
 }
 
-// TestBytesOfAnAnswerTellThatTheStoreIsThere: small calls that waited behind a large answer
-// told of a store that was lost, and feeds were called off for that.
+// TestBytesOfAnAnswerTellThatTheStoreIsThere: small calls that time out behind a large answer must
+// not make the node lose the store.
 func TestBytesOfAnAnswerTellThatTheStoreIsThere(t *testing.T) {
-	store := newArrivingStore("t", rows.Listing{Version: 7})
+	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
-	require.Equal(t, forever, n.storeAge())
+	require.Equal(t, unknownAge, n.storeAge())
 	go func() { _, _ = n.store.Feed(context.Background(), "t", 1, time.Hour) }()
-	<-store.begun
+	<-store.started
 	require.Less(t, n.storeAge(), time.Minute)
 
-	_, err := n.store.Feed(briefly(t), "other", 1, time.Hour)
+	_, err := n.store.Feed(expiringContext(t), "other", 1, time.Hour)
 	require.True(t, errors.Is(err, rows.ErrNoAnswer), "%v", err)
-	require.False(t, n.storeLost(), "a feed without an answer, beside one that arrives")
+	require.False(t, n.storeLost(), "one feed timed out while another was receiving its answer")
 
-	looked := make(chan bool)
-	go func() { looked <- n.losesStore() }()
-	require.Eventually(t, func() bool { return n.look.Load() != nil }, time.Minute, time.Millisecond)
-	n.noteStore(nil)
-	require.False(t, <-looked, "a look without an answer, beside one that arrives")
+	lost := make(chan bool)
+	go func() { lost <- n.confirmStoreLost() }()
+	require.Eventually(t, func() bool { return n.currentProbe.Load() != nil }, time.Minute, time.Millisecond)
+	n.recordStoreResult(nil)
+	require.False(t, <-lost, "the probe timed out while an answer was arriving")
 }
 
-// briefly returns a context that ends at once with a deadline.
-func briefly(t *testing.T) context.Context {
+// expiringContext returns a context whose deadline passes almost at once.
+func expiringContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// TestAnswerHoldsAsOfItsBeginning: an answer that took 6 s to arrive confirmed a version that
-// had been replaced in the meantime, and a key that was gone was taken.
+// TestAnswerHoldsAsOfItsBeginning: the time an answer takes to arrive must count towards the age of
+// the configuration, or a revoked key may be accepted.
 func TestAnswerHoldsAsOfItsBeginning(t *testing.T) {
-	store := newArrivingStore("operator", rows.Listing{Version: 7})
+	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
 	n.edges.Loop.Post(n.readConfiguration)
-	<-store.begun
+	<-store.started
 	begun := time.Now()
 	time.Sleep(50 * time.Millisecond)
-	store.whole <- struct{}{}
+	store.complete <- struct{}{}
 	require.Eventually(t, func() bool { return n.confirmed.Load() != nil }, time.Minute, time.Millisecond)
-	require.False(t, n.confirmed.Load().After(begun), "confirmed %v after its beginning", n.confirmed.Load().Sub(begun))
+	require.False(t, n.confirmed.Load().After(begun), "confirmed as of %v after the first byte", n.confirmed.Load().Sub(begun))
 }
 
-// pacedStore answers slowly and without a stop.
-type pacedStore struct{ rows.Store }
+// slowAnswerStore sends its answers slowly but without stalling.
+type slowAnswerStore struct{ rows.Store }
 
-func (s pacedStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
+func (s slowAnswerStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
 	return s.answer(ctx, storeTimeout+200*time.Millisecond)
 }
 
-func (s pacedStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
+func (s slowAnswerStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
 	return s.answer(ctx, wait+feedSlack+200*time.Millisecond)
 }
 
-func (pacedStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
-	for began := time.Now(); time.Since(began) < takes; {
-		arrive(ctx, 8<<10)
+func (slowAnswerStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
+	for startedAt := time.Now(); time.Since(startedAt) < takes; {
+		receiveBytes(ctx, 8<<10)
 		time.Sleep(10 * time.Millisecond)
 		if ctx.Err() != nil {
 			return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
@@ -159,7 +160,7 @@
 }
 
 func TestAnswersThatArriveSlowlyAreWaitedFor(t *testing.T) {
-	n := runningNode(t, pacedStore{}, peer.NewClient(nil))
+	n := runningNode(t, slowAnswerStore{}, peer.NewClient(nil))
 	calls := map[string]func(done func(rows.Listing, error)){
 		"scan":                      func(done func(rows.Listing, error)) { n.ports.Scan(pool.JobTable, "part", "", done) },
 		"feed":                      func(done func(rows.Listing, error)) { n.ports.feedFor(pool.JobTable, 1, 0, done) },
@@ -175,13 +176,13 @@
 	}
 }
 
-// sendingStore answers a transaction after a time.
-type sendingStore struct {
+// slowCommitStore answers a transaction after a delay.
+type slowCommitStore struct {
 	rows.Store
 	takes time.Duration
 }
 
-func (s sendingStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
+func (s slowCommitStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
 	select {
 	case <-time.After(s.takes):
 		return rows.Result{Committed: true}, nil
@@ -190,27 +191,27 @@
 	}
 }
 
-// Scan answers the look whether the store is there.
-func (sendingStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
+// Scan answers probes.
+func (slowCommitStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestLargeTransactionHasTheTimeItTakesToSend: one that takes longer to send than a small
-// one may take in all is not cut off, by itself or through another node.
+// TestLargeTransactionHasTheTimeItTakesToSend: the timeout of a transaction, direct or relayed,
+// includes the time it takes to send.
 func TestLargeTransactionHasTheTimeItTakesToSend(t *testing.T) {
 	large := rows.Transaction{Puts: []rows.Put{{Value: make([]byte, 200<<10)}}}
 	require.Greater(t, rows.SendTime(large), time.Second)
 	cases := map[string]struct {
 		own, others rows.Store
 	}{
-		"directly":             {sendingStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
-		"through another node": {refusingStore{}, sendingStore{takes: relayTimeout + 500*time.Millisecond}},
+		"directly":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
+		"through another node": {refusingStore{}, slowCommitStore{takes: relayTimeout + 500*time.Millisecond}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			n := runningNode(t, c.own, peer.NewClient(nil))
 			address := servePeers(t, newGateway(t, c.others).node)
-			n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
+			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			answers := make(chan error, 1)
 			n.ports.Commit(large, func(_ rows.Result, err error) { answers <- err })
 			require.NoError(t, <-answers)
@@ -218,30 +219,30 @@
 	}
 }
 
-// TestLargeAnswerThroughAnotherNodeIsWaitedFor: it takes longer over a small link than its
-// beginning may take.
+// TestLargeAnswerThroughAnotherNodeIsWaitedFor: on a slow link the whole answer takes longer than
+// its first byte may.
 func TestLargeAnswerThroughAnotherNodeIsWaitedFor(t *testing.T) {
-	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfiguration/2)}}}
-	small := &link{bytesPerSecond: smallLink}
+	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
+	small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 	address := servePeers(t, newGateway(t, &fixedStore{listing: listing}).node)
-	n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
-	n.noteStoreFailure(rows.ErrRefused)
+	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
+	n.recordStoreFailure(rows.ErrRefused)
 	result, err := n.store.Feed(context.Background(), pool.JobTable, 1, time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, int64(7), result.Version)
 }
 
-// TestScanThroughAnotherNodeIsWaitedFor: the other node reads slowly from the store, and the
-// link to it is small.
+// TestScanThroughAnotherNodeIsWaitedFor: the relaying node reads slowly from the store, or the link
+// to it is slow.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
-	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfiguration/2)}}}
-	for name, others := range map[string]rows.Store{"slow store": pacedStore{}, "small link": &fixedStore{listing: listing}} {
+	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
+	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "slow link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
-			small := &link{bytesPerSecond: smallLink}
+			small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 			address := servePeers(t, newGateway(t, others).node)
-			n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
+			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			result, err := n.store.Scan(context.Background(), pool.JobTable, "part", "")
 			require.NoError(t, err)
 			require.Equal(t, int64(7), result.Version)
@@ -249,27 +250,27 @@
 	}
 }
 
-// TestScanThroughASilentNodeEndsOnceTheStoreIsBack: it hung for the whole time that other
-// nodes are given, 6 s, while a new owner read its rows.
+// TestScanThroughASilentNodeEndsOnceTheStoreIsBack: the read must not wait for its relay timeout
+// once the store answers this node.
 func TestScanThroughASilentNodeEndsOnceTheStoreIsBack(t *testing.T) {
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
-	n.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
-	n.noteStoreFailure(rows.ErrRefused)
+	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
+	n.recordStoreFailure(rows.ErrRefused)
 	ended := make(chan error, 1)
 	began := time.Now()
 	n.ports.Scan(pool.JobTable, "part", "", func(_ rows.Listing, err error) { ended <- err })
 	require.Eventually(t, func() bool {
-		n.store.reads.mutex.Lock()
-		defer n.store.reads.mutex.Unlock()
-		return len(n.store.reads.open) == 1
+		n.store.relayedReads.mutex.Lock()
+		defer n.store.relayedReads.mutex.Unlock()
+		return len(n.store.relayedReads.pending) == 1
 	}, time.Minute, time.Millisecond)
-	n.noteStore(nil)
+	n.recordStoreResult(nil)
 	require.Error(t, <-ended)
 	require.Less(t, time.Since(began), relayScanTimeout)
 }
 
-// fixedStore answers each scan at once with the same listing.
+// fixedStore answers each read at once with the same listing.
 type fixedStore struct {
 	rows.Store
 	listing rows.Listing
@@ -283,13 +284,13 @@
 	return s.listing, nil
 }
 
-// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: while the store brings a configuration
-// nobody else is asked, since both would share the link; one that never becomes whole must
-// not keep it from coming from elsewhere.
+// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: no other node is polled while the store sends a
+// configuration, as both would share the link, unless the store takes longer than
+// storeTransferGrace.
 func TestOtherNodesAreAskedOnceTheStoreTakesTooLong(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	source.adopt(largeDocument(t, 2), "feed")
+	source.applyDocument(largeDocument(t, 2), "feed")
 	address := servePeers(t, source)
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	ago := func(d time.Duration) *time.Time {
@@ -297,121 +298,121 @@
 		return &at
 	}
 
-	n.configurationArriving.Store(ago(0))
+	n.configurationTransferStart.Store(ago(0))
 	onLoop(t, n, func() {
-		n.takeNews(address, catalogNews{Version: 2}, time.Now())
+		n.handleConfigurationStatus(address, configurationStatus{Version: 2}, time.Now())
 		assert.False(t, n.download.active)
 	})
-	n.configurationArriving.Store(ago(storeHeadStart))
+	n.configurationTransferStart.Store(ago(storeTransferGrace))
 	onLoop(t, n, func() {
-		n.takeNews(address, catalogNews{Version: 2}, time.Now())
+		n.handleConfigurationStatus(address, configurationStatus{Version: 2}, time.Now())
 		assert.True(t, n.download.active)
 	})
 	requireVersion(t, n, 2)
 }
 
-// requireVersion waits until a version is in force.
+// requireVersion waits until a configuration version is current.
 func requireVersion(t *testing.T, n *Node, version int64) {
 	require.Eventually(t, func() bool {
 		current := n.catalog.Load()
 		return current != nil && current.Version == version
-	}, arrival, time.Millisecond)
+	}, transferTimeout, time.Millisecond)
 }
 
 func TestArrivalIsNotedUntilItsEnd(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
-	ctx, ended := n.noteArriving(context.Background())
-	require.False(t, n.storeBringsConfiguration())
-	arrive(ctx, 1)
-	require.True(t, n.storeBringsConfiguration())
+	ctx, ended := n.trackStoreTransfer(context.Background())
+	require.False(t, n.storeTransferPending())
+	receiveBytes(ctx, 1)
+	require.True(t, n.storeTransferPending())
 	ended()
-	require.False(t, n.storeBringsConfiguration())
+	require.False(t, n.storeTransferPending())
 }
 
-// TestDownloadGoesOnAfterAFailure: what has arrived is kept, one transfer runs at a time, and
-// another node that has the version brings the rest.
+// TestDownloadGoesOnAfterAFailure: received content is kept, one transfer runs at a time, and
+// another node that has the version sends the rest.
 func TestDownloadGoesOnAfterAFailure(t *testing.T) {
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	content := largeDocument(t, 2)
-	first := chunkReply{Version: 2, Size: len(content), Content: content[:chunkBytes]}
+	first := chunkReply{Version: 2, Size: len(content), Content: content[:maxChunkBytes]}
 	onLoop(t, n, func() {
 		n.download = download{document: document{version: 2}, active: true}
-		n.takeChunk(unreachable(t), chunkRequest{Version: 2}, first)
-		assert.Len(t, n.download.content, chunkBytes)
+		n.handleChunk(unreachable(t), chunkRequest{Version: 2}, first)
+		assert.Len(t, n.download.content, maxChunkBytes)
 		n.downloadConfiguration(unreachable(t), 3)
-		assert.Equal(t, int64(2), n.download.version, "one transfer at a time")
+		assert.Equal(t, int64(2), n.download.version, "a second transfer must not start")
 	})
 	require.Eventually(t, func() bool {
 		active := true
 		onLoop(t, n, func() { active = n.download.active })
 		return !active
-	}, arrival, time.Millisecond, "the call fails")
+	}, transferTimeout, time.Millisecond, "the transfer must end when a call fails")
 
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	source.adopt(content, "feed")
+	source.applyDocument(content, "feed")
 	address := servePeers(t, source)
 	onLoop(t, n, func() {
 		n.downloadConfiguration(address, 2)
-		assert.Len(t, n.download.content, chunkBytes, "it goes on from there")
+		assert.Len(t, n.download.content, maxChunkBytes, "the received chunk must be kept")
 	})
 	requireVersion(t, n, 2)
 }
 
-// unreachable returns an address at which nobody listens.
+// unreachable returns an address without a listener.
 func unreachable(t *testing.T) string {
-	listener, err := (&link{}).listen()
+	listener, err := (&throttledLink{}).listen()
 	require.NoError(t, err)
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
-// TestChangesInQuickSuccessionDoNotStopATransfer: a version that is replaced while another
-// node fetches it stays until that is done.
+// TestChangesInQuickSuccessionDoNotStopATransfer: a replaced version is retained while another node
+// downloads it.
 func TestChangesInQuickSuccessionDoNotStopATransfer(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	var begun, fetched []byte
-	for version := int64(2); len(fetched) == 0 || len(fetched) < len(begun); version++ {
+	var first, fetched []byte
+	for version := int64(2); len(fetched) == 0 || len(fetched) < len(first); version++ {
 		content := largeDocument(t, version)
-		source.adopt(content, "feed")
-		if begun == nil {
-			begun = content
+		source.applyDocument(content, "feed")
+		if first == nil {
+			first = content
 		}
 		reply, err := source.serveChunk(chunkRequest{Version: 2, Offset: len(fetched)})
 		require.NoError(t, err)
 		require.Equal(t, int64(2), reply.Version)
 		fetched = append(fetched, reply.Content...)
 	}
-	require.Equal(t, begun, fetched)
+	require.Equal(t, first, fetched)
 }
 
 func TestServedDocuments(t *testing.T) {
 	newest := &document{version: 9}
 	var served servedDocuments
 	require.Nil(t, served.find(1, nil))
-	require.Equal(t, newest, served.find(4, newest), "a version that is not there")
+	require.Equal(t, newest, served.find(4, newest), "an unknown version gets the newest document")
 	require.Equal(t, newest, served.find(5, newest))
-	require.Len(t, served.kept, 1)
-	for version := range int64(2 * mostServed) {
+	require.Len(t, served.entries, 1)
+	for version := range int64(2 * maxServedDocuments) {
 		served.find(version+10, &document{version: version + 10})
-		require.Equal(t, newest, served.find(9, &document{version: version + 10}), "one that is being fetched stays")
+		require.Equal(t, newest, served.find(9, &document{version: version + 10}), "a version in download must be retained")
 	}
-	require.Len(t, served.kept, mostServed)
-	for i := range served.kept {
-		served.kept[i].askedAt = time.Now().Add(-servedFor - time.Second)
+	require.Len(t, served.entries, maxServedDocuments)
+	for i := range served.entries {
+		served.entries[i].requestedAt = time.Now().Add(-servedRetention - time.Second)
 	}
 	served.find(9, newest)
-	require.Len(t, served.kept, 1, "those that nobody fetches any more are gone")
+	require.Len(t, served.entries, 1, "versions that are no longer requested must be evicted")
 }
 
 func TestChunkOutsideTheConfigurationIsRefused(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	_, err := source.serveChunk(chunkRequest{Version: 1})
-	require.Error(t, err, "no document")
+	require.Error(t, err, "a node without a configuration must refuse chunks")
 	source.edges.Codec = jsonCodec{}
-	source.adopt(largeDocument(t, 2), "feed")
-	for _, offset := range []int{-1, largeConfiguration + 1} {
+	source.applyDocument(largeDocument(t, 2), "feed")
+	for _, offset := range []int{-1, largeConfigurationBytes + 1} {
 		_, err := source.serveChunk(chunkRequest{Version: 2, Offset: offset})
 		require.Error(t, err, "offset %d", offset)
 	}
@@ -423,7 +424,7 @@
 	content := largeDocument(t, 4)
 	onLoop(t, n, func() {
 		n.download = download{document: document{version: 6}, active: true}
-		n.takeChunk("", chunkRequest{Version: 6}, chunkReply{Version: 4, Size: len(content), Content: content})
+		n.handleChunk("", chunkRequest{Version: 6}, chunkReply{Version: 4, Size: len(content), Content: content})
 		assert.Equal(t, download{}, n.download)
 	})
 	require.Equal(t, int64(5), n.catalog.Load().Version)
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -11,13 +11,13 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// peerStore is the store by way of one other node.
+// peerStore calls the store through one other node.
 type peerStore struct {
 	node    *Node
 	address string
 }
 
-// storeRequest asks a node to make one call to the store. Exactly one field is set.
+// storeRequest is one store call to be made by another node. Exactly one field is set.
 type storeRequest struct {
 	Commit *rows.Transaction `json:"commit,omitempty"`
 	Scan   *scanRequest      `json:"scan,omitempty"`
@@ -48,7 +48,7 @@
 type storeReply struct {
 	Result  rows.Result  `json:"result"`
 	Listing rows.Listing `json:"listing"`
-	// HistoryGone says that a feed must be started anew.
+	// HistoryGone says that the feed must restart with a full read.
 	HistoryGone bool `json:"history_gone,omitempty"`
 }
 
@@ -80,7 +80,7 @@
 	var reply storeReply
 	document, err := p.node.call(ctx, p.address, methodStore, request)
 	if err != nil {
-		return reply, fromStoreFault(err)
+		return reply, storeErrorFromFault(err)
 	}
 	if err := json.Unmarshal(document, &reply); err != nil {
 		return reply, errors.Mark(err, rows.ErrNoAnswer)
@@ -91,15 +91,16 @@
 	return reply, nil
 }
 
-// fromStoreFault turns another node's fault into an error of the store.
-func fromStoreFault(err error) error {
+// storeErrorFromFault converts another node's fault into an error of the store.
+func storeErrorFromFault(err error) error {
 	if fault.IsKind(err, fault.StoreUnavailable) || fault.IsKind(err, fault.NoOwner) {
 		return errors.Mark(err, rows.ErrRefused)
 	}
 	return errors.Mark(err, rows.ErrNoAnswer)
 }
 
-// serveStore makes a call to the store for another node, directly only.
+// serveStore makes a call to the store for another node. It calls the store directly and does not
+// relay further.
 func (n *Node) serveStore(ctx context.Context, request storeRequest) (storeReply, error) {
 	var reply storeReply
 	if n.storeLost() {
@@ -123,9 +124,9 @@
 	if errors.Is(err, rows.ErrHistoryGone) {
 		return storeReply{HistoryGone: true}, nil
 	}
-	n.noteStore(err)
+	n.recordStoreResult(err)
 	if err != nil {
-		return reply, storeFailure(err)
+		return reply, storeWriteFault(err)
 	}
 	return reply, nil
 }
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -7,28 +7,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAllNodesPingOwners: with rounds of both lengths, and with timers that are a little late,
-// a node that guards no owner asks it each half second.
+// TestAllNodesPingOwners: with rounds at either interval, and with late timers, a node that is not
+// a standby pings owners each pingPeriod.
 func TestAllNodesPingOwners(t *testing.T) {
 	const span = 20 * time.Second
-	for _, pause := range []time.Duration{guardPeriod, pingPeriod} {
+	for _, pause := range []time.Duration{standbyPingPeriod, pingPeriod} {
 		for _, late := range []time.Duration{0, 3 * time.Millisecond, 40 * time.Millisecond} {
 			var schedule pingSchedule
 			now := time.Now()
 			end := now.Add(span)
-			asked := 0
+			pings := 0
 			for ; now.Before(end); now = now.Add(pause + late) {
-				if schedule.othersDue(now) {
-					asked++
+				if schedule.fullRoundDue(now) {
+					pings++
 				}
 			}
-			require.InDelta(t, span.Seconds()/pingPeriod.Seconds(), asked, 8, "rounds of %v, %v late", pause, late)
+			require.InDelta(t, span.Seconds()/pingPeriod.Seconds(), pings, 8, "interval %v, timers late by %v", pause, late)
 		}
 	}
 }
 
-// TestRoundsOfANodeThatGuardsNobody: it sets a round each pingPeriod, one that guards an owner
-// each guardPeriod.
+// TestRoundsOfANodeThatGuardsNobody: it schedules a round each pingPeriod, a standby each
+// standbyPingPeriod.
 func TestRoundsOfANodeThatGuardsNobody(t *testing.T) {
 	heavier := map[string]float64{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
@@ -37,9 +37,9 @@
 	for name, c := range map[string]struct {
 		others map[string]float64
 		pause  time.Duration
-	}{"guard": {nil, guardPeriod}, "other": {heavier, pingPeriod}} {
+	}{"guard": {nil, standbyPingPeriod}, "other": {heavier, pingPeriod}} {
 		n := newWatchingNode(t, 1, c.others)
-		n.leaseOf("node-1", 5)
+		n.applyLeaseOf("node-1", 5)
 		n.loop.timers = nil
 		n.pingOwners()
 		require.Len(t, n.loop.timers, 1, name)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -15,92 +15,91 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// Periods and limits of calls to the store through other nodes.
+// Timeouts and limits of store calls through other nodes.
 const (
-	// doubtAfter is how long a direct call may go without an answer before the node asks
-	// whether the store is there. The store answers in some 5 to 15 ms.
-	doubtAfter = 300 * time.Millisecond
-	// relayTries is how many other nodes are asked for one call.
-	relayTries = 2
-	// relayTimeout bounds one such call, on top of what the store is asked to wait and of
-	// what the call takes to send, which it is relayHops times.
+	// probeAfter is how long a direct call may take before the node probes the store. The usual
+	// latency is 5 to 15 ms.
+	probeAfter = 300 * time.Millisecond
+	// maxRelayAttempts is how many other nodes are tried for one call.
+	maxRelayAttempts = 2
+	// relayTimeout bounds one relayed call, in addition to the wait of a feed and to the time the
+	// call takes to send over relayHops links.
 	relayTimeout = 500 * time.Millisecond
 	relayHops    = 2
-	// relayScanTimeout bounds the beginning of all jobs' rows in a part through another
-	// node, which reads them all before it hands them on: 3.7 MB on a link of 10 Mbit/s.
+	// relayScanTimeout bounds the wait for the first byte of a relayed scan of all job rows in a
+	// part. The relaying node reads all of them before it replies: 3.7 MB on a link of 10 Mbit/s.
 	relayScanTimeout = 3 * time.Second
-	// relayPause is how long no other node is asked after none of those asked had the
-	// store: then it is away for all.
-	relayPause = 150 * time.Millisecond
+	// relayBackoff is how long no call is relayed after all attempts have failed, as the store is
+	// then unavailable to all nodes.
+	relayBackoff = 150 * time.Millisecond
 )
 
-// relayedStore is the store as this node reaches it: directly, or through other nodes
-// while the store turns this one away or a cut lies between. The same call may be made
-// both ways; callers' transactions have conditions that make the second one harmless.
+// relayedStore calls the store directly, or through other nodes while the store refuses this one or
+// a partition separates them. A call may be made both ways; transactions of callers have conditions
+// that make a second commit harmless.
 type relayedStore struct {
 	node   *Node
 	direct rows.Store
-	// reads are the reading calls that other nodes make for this one.
-	reads openFeeds
-	// preferred is the address of the node that last answered for the store.
+	// relayedReads are the pending reads through other nodes.
+	relayedReads cancelableReads
+	// preferred is the address of the node that last relayed a call.
 	preferred atomic.Pointer[string]
-	// noRelayUntil is when other nodes may be asked again.
+	// noRelayUntil is when calls may be relayed again.
 	noRelayUntil atomic.Pointer[time.Time]
 }
 
 // Commit implements rows.Store.
 func (s *relayedStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
-	sending := rows.SendTime(transaction)
-	bounds := callBounds{direct: storeTimeout + sending, relayed: relayTimeout + relayHops*sending}
-	return reach(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Result, error) {
+	sendTime := rows.SendTime(transaction)
+	timeouts := callTimeouts{direct: storeTimeout + sendTime, relayed: relayTimeout + relayHops*sendTime}
+	return callWithRelay(ctx, s, timeouts, func(ctx context.Context, store rows.Store) (rows.Result, error) {
 		return store.Commit(ctx, transaction)
 	})
 }
 
 // Scan implements rows.Store.
 func (s *relayedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
-	bounds := callBounds{direct: storeTimeout, relayed: relayTimeout, repeatable: true}
+	timeouts := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
 	if allJobs := prefix == "" && table != pool.NodeTable; allJobs {
-		bounds.relayed = relayScanTimeout
+		timeouts.relayed = relayScanTimeout
 	}
-	return reach(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+	return callWithRelay(ctx, s, timeouts, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 		return store.Scan(ctx, table, part, prefix)
 	})
 }
 
 // Page implements rows.Store.
 func (s *relayedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
-	bounds := callBounds{direct: storeTimeout, relayed: relayTimeout, repeatable: true}
-	return reach(ctx, s, bounds, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+	timeouts := callTimeouts{direct: storeTimeout, relayed: relayTimeout, readOnly: true}
+	return callWithRelay(ctx, s, timeouts, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 		return store.Page(ctx, table, part, from, limit)
 	})
 }
 
-// Feed implements rows.Store. A direct feed that fails is left to its caller's next
-// try, which then goes through another node.
+// Feed implements rows.Store. A direct feed that fails is not relayed; the caller's retry is.
 func (s *relayedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
-		return relay(ctx, s, callBounds{relayed: wait + relayTimeout, repeatable: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
+		return relay(ctx, s, callTimeouts{relayed: wait + relayTimeout, readOnly: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
 			return store.Feed(ctx, table, after, wait)
 		})
 	}
 	return s.feedDirect(ctx, table, after, wait)
 }
 
-// errStoreLost ends a direct call to a store that this node lost.
+// errStoreLost is returned for direct calls while this node has lost the store.
 var errStoreLost = errors.Mark(errors.New("the store does not answer this node"), rows.ErrRefused)
 
-// scanDirect reads a part without the help of other nodes.
+// scanDirect reads a part without relays.
 func (s *relayedStore) scanDirect(ctx context.Context, table, part string) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
 	}
 	listing, err := s.direct.Scan(ctx, table, part, "")
-	s.node.noteStore(err)
+	s.node.recordStoreResult(err)
 	return listing, err
 }
 
-// feedDirect is Feed without the help of other nodes.
+// feedDirect is Feed without relays.
 func (s *relayedStore) feedDirect(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
@@ -108,15 +107,15 @@
 	ctx, done := s.node.feeds.add(ctx, wait)
 	defer done()
 	listing, err := s.direct.Feed(ctx, table, after, wait)
-	if err != nil && calledOff(ctx) {
-		return listing, errors.Mark(errCalledOff, rows.ErrNoAnswer)
+	if err != nil && readCanceled(ctx) {
+		return listing, errors.Mark(errReadCanceled, rows.ErrNoAnswer)
 	}
-	s.node.noteFeed(err)
-	s.node.noteStore(err)
+	s.node.recordFeedResult(err)
+	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrNoAnswer) || s.node.storeAge() > probeTimeout {
-		// A feed without an answer says nothing of a store that answers other calls: its
-		// answer may wait behind a larger one.
-		s.node.noteStoreFailure(err)
+		// A feed that times out while other calls are answered does not mean that the store is
+		// lost: its answer may be queued behind a larger one.
+		s.node.recordStoreFailure(err)
 	}
 	return listing, err
 }
@@ -124,41 +123,41 @@
 // storeCall is one call to a store.
 type storeCall[T any] func(ctx context.Context, store rows.Store) (T, error)
 
-// attempt is what one way of a call brought.
+// attempt is the outcome of one direct or relayed call.
 type attempt[T any] struct {
 	result T
 	err    error
 }
 
-// answered reports whether the store itself said so.
+// answered reports whether the outcome is the store's own answer.
 func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryGone) }
 
-// callBounds are by when the answer to a call has to begin.
-type callBounds struct {
+// callTimeouts bound the wait for the first byte of an answer.
+type callTimeouts struct {
 	direct time.Duration
-	// relayed is the bound for each other node.
+	// relayed is the timeout for each other node.
 	relayed time.Duration
-	// repeatable calls only read. Through other nodes they are given up once the store
-	// answers this one, which then reads by itself.
-	repeatable bool
+	// readOnly calls are canceled at other nodes once the store answers this one, which then
+	// repeats them directly.
+	readOnly bool
 }
 
-// reach makes a call directly and, if the store turns out to be lost to this node,
-// through another one. A call that fails or takes long while the store is there is the
-// store's own matter: to make it twice would only add to its load.
-func reach[T any](ctx context.Context, s *relayedStore, bounds callBounds, call storeCall[T]) (T, error) {
+// callWithRelay makes a call directly and, if this node turns out to have lost the store, through
+// another one. A call that fails or takes long while the store is reachable is not relayed, as a
+// duplicate would add to the store's load.
+func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	if s.node.storeLost() {
-		return relay(ctx, s, bounds, call)
+		return relay(ctx, s, timeouts, call)
 	}
 	attempts := make(chan attempt[T], 2)
 	go func() {
-		directContext, cancel := progress.WithPatience(ctx, patience(bounds.direct))
+		directContext, cancel := progress.WithPatience(ctx, progressTimeout(timeouts.direct))
 		defer cancel()
 		result, err := call(directContext, s.direct)
-		s.node.noteStore(err)
+		s.node.recordStoreResult(err)
 		attempts <- attempt[T]{result, err}
 	}()
-	timer := time.NewTimer(doubtAfter)
+	timer := time.NewTimer(probeAfter)
 	defer timer.Stop()
 	var direct *attempt[T]
 	select {
@@ -169,7 +168,7 @@
 		direct = &first
 	case <-timer.C:
 	}
-	if !s.node.losesStore() {
+	if !s.node.confirmStoreLost() {
 		if direct == nil {
 			first := <-attempts
 			direct = &first
@@ -177,14 +176,13 @@
 		return direct.result, direct.err
 	}
 	go func() {
-		result, err := relay(ctx, s, bounds, call)
+		result, err := relay(ctx, s, timeouts, call)
 		attempts <- attempt[T]{result, err}
 	}()
 	return firstAnswer(attempts, direct)
 }
 
-// firstAnswer returns the first answer of two attempts, of which one may have failed
-// already.
+// firstAnswer returns the first answer of two attempts, one of which may already have failed.
 func firstAnswer[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
 	first := <-attempts
 	if first.answered() {
@@ -197,11 +195,11 @@
 		}
 		failed = &second
 	}
-	return first.result, lessKnown(failed.err, first.err)
+	return first.result, lessCertain(failed.err, first.err)
 }
 
-// lessKnown returns the error after which less is known of a call's effect.
-func lessKnown(a, b error) error {
+// lessCertain returns the error that leaves a call's effect more uncertain.
+func lessCertain(a, b error) error {
 	if errors.Is(a, rows.ErrRefused) {
 		return b
 	}
@@ -209,46 +207,47 @@
 }
 
 // relay makes a call through other nodes, one after another.
-func relay[T any](ctx context.Context, s *relayedStore, bounds callBounds, call storeCall[T]) (T, error) {
-	var none T
+func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
+	var zero T
 	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrRefused)
 	if s.node.options.Off[mechanism.StoreRelay] {
-		return none, failure
+		return zero, failure
 	}
 	if until := s.noRelayUntil.Load(); until != nil && uptime.Now().Before(*until) {
-		return none, failure
+		return zero, failure
 	}
-	for _, address := range s.relays() {
-		tryContext, cancel := progress.WithPatience(ctx, patience(bounds.relayed))
+	for _, address := range s.relayAddresses() {
+		attemptContext, cancel := progress.WithPatience(ctx, progressTimeout(timeouts.relayed))
 		ended := func() {}
-		if bounds.repeatable {
-			tryContext, ended = s.reads.add(tryContext, bounds.relayed)
+		if timeouts.readOnly {
+			attemptContext, ended = s.relayedReads.add(attemptContext, timeouts.relayed)
 		}
-		result, err := call(tryContext, &peerStore{node: s.node, address: address})
+		result, err := call(attemptContext, &peerStore{node: s.node, address: address})
 		ended()
 		cancel()
-		tried := attempt[T]{result, err}
-		if tried.answered() {
+		outcome := attempt[T]{result, err}
+		if outcome.answered() {
 			s.preferred.Store(&address)
-			s.node.noteStoreReached()
+			s.node.recordStoreReached()
 			s.node.edges.Record.Count("store_relays", "answered")
 			return result, err
 		}
 		s.node.edges.Record.Count("store_relays", "failed")
-		failure = lessKnown(failure, err)
-		if ctx.Err() != nil || calledOff(tryContext) {
-			return none, failure
+		failure = lessCertain(failure, err)
+		if ctx.Err() != nil || readCanceled(attemptContext) {
+			return zero, failure
 		}
 	}
-	until := uptime.Now().Add(relayPause)
+	until := uptime.Now().Add(relayBackoff)
 	s.noRelayUntil.Store(&until)
-	return none, failure
+	return zero, failure
 }
 
-// relays lists the nodes to ask: the one that last answered, then others by chance. Owners of pools
-// are among them, which are known to be there also when most of the known members are not.
-func (s *relayedStore) relays() []string {
-	v := s.node.view.Load()
+// relayAddresses lists the nodes to try: the one that last relayed a call, then others in random
+// order. They include the owners of pools, which are known to be alive even if most known members
+// are not.
+func (s *relayedStore) relayAddresses() []string {
+	v := s.node.snapshot.Load()
 	addresses := map[string]bool{}
 	for _, other := range v.members {
 		addresses[other.Address] = true
@@ -266,5 +265,5 @@
 	others := sortedKeys(addresses)
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	order = append(order, others...)
-	return order[:min(relayTries, len(order))]
+	return order[:min(maxRelayAttempts, len(order))]
 }
--- /dev/null
+++ b/internal/node/scheduling_delay.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// A process short of processor time reads replies late. Its calls to workers then time out although
+// they were answered, and reopening their connections takes even more processor time. Timeouts of
+// these calls are therefore extended by the process's own scheduling delay.
+const (
+	// delaySampleInterval is the interval between samples of the delay.
+	delaySampleInterval = 100 * time.Millisecond
+	// delaySampleCount is how many samples the maximum is taken over.
+	delaySampleCount = 10
+	// minSchedulingDelay is more than timers are delayed on an idle machine. Each call gets
+	// timeoutExtensionFactor times the delay, as its goroutine and those that write and read its
+	// connection wait in turn.
+	minSchedulingDelay     = 20 * time.Millisecond
+	timeoutExtensionFactor = 4
+	// maxTimeoutExtension bounds the extension. Starts are not carried out after 3 s.
+	maxTimeoutExtension = 1200 * time.Millisecond
+)
+
+// schedulingDelay tracks how late timers of this process have fired recently. All methods but
+// timeoutExtension run on the loop.
+type schedulingDelay struct {
+	// sampling is true while samples are taken.
+	sampling bool
+	samples  [delaySampleCount]time.Duration
+	next     int
+	maximum  atomic.Int64
+}
+
+// record adds a sample.
+func (l *schedulingDelay) record(delay time.Duration) {
+	l.samples[l.next] = delay
+	l.next = (l.next + 1) % delaySampleCount
+	maximum := time.Duration(0)
+	for _, sample := range l.samples {
+		maximum = max(maximum, sample)
+	}
+	l.maximum.Store(int64(maximum))
+}
+
+// reset stops sampling and clears the samples.
+func (l *schedulingDelay) reset() {
+	l.sampling = false
+	l.samples = [delaySampleCount]time.Duration{}
+	l.maximum.Store(0)
+}
+
+// timeoutExtension returns how much longer a call to a worker may take. It may be called from any
+// goroutine.
+func (l *schedulingDelay) timeoutExtension() time.Duration {
+	maximum := time.Duration(l.maximum.Load())
+	if maximum < minSchedulingDelay {
+		return 0
+	}
+	return min(timeoutExtensionFactor*maximum, maxTimeoutExtension)
+}
+
+// startDelaySampling samples the scheduling delay while this node owns a pool: only owners call
+// workers.
+func (n *Node) startDelaySampling() {
+	if n.schedulingDelay.sampling {
+		return
+	}
+	n.schedulingDelay.sampling = true
+	n.sampleDelay()
+}
+
+func (n *Node) sampleDelay() {
+	if len(n.owned) == 0 {
+		n.schedulingDelay.reset()
+		return
+	}
+	due := n.now().Add(delaySampleInterval)
+	n.edges.Loop.After(delaySampleInterval, func() {
+		n.schedulingDelay.record(n.now().Sub(due))
+		n.sampleDelay()
+	})
+}
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -6,21 +6,21 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// suspensionCheck is the pause between two looks whether the machine was suspended while its
-// time of day was set, which hides it from the looks that come with each reading of the time.
-const suspensionCheck = time.Second
+// suspensionCheckInterval is the interval between checks for a suspension of the machine that other
+// clock readings miss because the time of day was set meanwhile.
+const suspensionCheckInterval = time.Second
 
-// watchSuspensions tells of each suspension of the machine once it is over.
+// watchSuspensions logs each suspension of the machine after it ends.
 func (n *Node) watchSuspensions() {
-	known := uptime.Suspended()
-	n.edges.Loop.After(suspensionCheck, func() {
+	before := uptime.Suspended()
+	n.edges.Loop.After(suspensionCheckInterval, func() {
 		uptime.Look()
-		if suspended := uptime.Suspended() - known; suspended >= suspensionLogged {
+		if suspended := uptime.Suspended() - before; suspended >= minLoggedSuspension {
 			n.edges.Record.Decided("machine was suspended", "for_ms", suspended.Milliseconds())
 		}
 		n.watchSuspensions()
 	})
 }
 
-// suspensionLogged is the least suspension that is worth a line.
-const suspensionLogged = 100 * time.Millisecond
+// minLoggedSuspension is the shortest suspension that is logged.
+const minLoggedSuspension = 100 * time.Millisecond
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -11,51 +11,50 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// checkpointInterval is how often running work is saved, in seconds: a failure
-// loses less than this much of a job that checkpoints.
+// checkpointInterval is the interval of periodic checkpoints, in seconds.
 const checkpointInterval = 300
 
-// Cost is what the decisions of a replay took.
+// Cost is the cost of the decisions of a replay.
 type Cost struct {
-	// Decisions counts starts and preemptions.
+	// Decisions is the number of starts and preemptions.
 	Decisions int64
-	// Seconds is the processor time spent in scheduling cycles.
+	// Seconds is the time spent in scheduling cycles.
 	Seconds float64
 }
 
 // Replay is one run of a trace.
 type Replay struct {
-	scheduler *schedule.Scheduler
-	emit      func(trace.Event)
-	now       float64
-	jobs      map[string]*runningJob
-	timers    timerHeap
-	sequence  int64
-	down      map[string]bool
-	cost      Cost
-	clock     func() time.Time
-	widest    map[job.Shape]bool
+	scheduler     *schedule.Scheduler
+	emit          func(trace.Event)
+	now           float64
+	jobs          map[string]*runningJob
+	timers        timerHeap
+	sequence      int64
+	down          map[string]bool
+	cost          Cost
+	clock         func() time.Time
+	fitsIdleCache map[job.Shape]bool
 }
 
-// runningJob is the progress of one job.
+// runningJob is the state of one job.
 type runningJob struct {
-	spec       job.Spec
-	attempt    int
-	submitted  float64
-	remaining  float64
-	startedAt  float64
-	running    bool
-	vacating   bool
-	ended      bool
-	generation int64
+	spec          job.Spec
+	attempt       int
+	submitted     float64
+	remaining     float64
+	startedAt     float64
+	running       bool
+	checkpointing bool
+	ended         bool
+	generation    int64
 }
 
 type timer struct {
-	at         float64
-	sequence   int64
-	job        string
-	generation int64
-	vacate     bool
+	at           float64
+	sequence     int64
+	job          string
+	generation   int64
+	checkpointed bool
 }
 
 type timerHeap []timer
@@ -76,13 +75,13 @@
 	return last
 }
 
-// Run replays the lines on the cluster under the policy. Emit receives each
-// event in order. Clock measures the cost of decisions and nothing else.
+// Run replays a trace on the cluster with the policy and passes the events to emit in order. The
+// clock only measures the cost of decisions.
 func Run(c *trace.Cluster, lines []trace.Line, policy schedule.Policy, clock func() time.Time, emit func(trace.Event)) Cost {
 	scheduler, _ := c.Scheduler(policy)
 	r := &Replay{
 		scheduler: scheduler, emit: emit, clock: clock,
-		jobs: map[string]*runningJob{}, down: map[string]bool{}, widest: map[job.Shape]bool{},
+		jobs: map[string]*runningJob{}, down: map[string]bool{}, fitsIdleCache: map[job.Shape]bool{},
 	}
 	for next := 0; ; {
 		at := math.Inf(1)
@@ -112,8 +111,8 @@
 		if running.ended || running.generation != due.generation {
 			continue
 		}
-		if due.vacate {
-			r.vacated(running)
+		if due.checkpointed {
+			r.requeuePreempted(running)
 		} else {
 			r.finish(running)
 		}
@@ -123,7 +122,7 @@
 func (r *Replay) setTimer(running *runningJob, delay float64, vacate bool) {
 	r.sequence++
 	running.generation = r.sequence
-	heap.Push(&r.timers, timer{at: r.now + delay, sequence: r.sequence, job: running.spec.ID, generation: r.sequence, vacate: vacate})
+	heap.Push(&r.timers, timer{at: r.now + delay, sequence: r.sequence, job: running.spec.ID, generation: r.sequence, checkpointed: vacate})
 }
 
 func (r *Replay) finish(running *runningJob) {
@@ -133,9 +132,9 @@
 	r.scheduler.Ended(trace.Time(r.now), keyOf(running))
 }
 
-func (r *Replay) vacated(running *runningJob) {
+func (r *Replay) requeuePreempted(running *runningJob) {
 	running.running = false
-	running.vacating = false
+	running.checkpointing = false
 	running.generation = 0
 	r.scheduler.Requeue(trace.Time(r.now), keyOf(running), seconds(running.remaining))
 }
@@ -172,10 +171,10 @@
 }
 
 func (r *Replay) fitsIdle(shape job.Shape) bool {
-	fits, known := r.widest[shape]
+	fits, known := r.fitsIdleCache[shape]
 	if !known {
 		fits = schedule.FitsIdle(r.scheduler.Cluster(), shape, "")
-		r.widest[shape] = fits
+		r.fitsIdleCache[shape] = fits
 	}
 	return fits
 }
@@ -201,27 +200,27 @@
 	id, _ := r.scheduler.Cluster().Lookup(name)
 	r.scheduler.SetSchedulable(trace.Time(r.now), id, false)
 	for _, key := range r.scheduler.JobsOn(id) {
-		r.lose(r.jobs[key.ID])
+		r.stopAndRequeue(r.jobs[key.ID])
 	}
 }
 
-// lose stops a job whose worker went down and queues what is left of it.
-func (r *Replay) lose(running *runningJob) {
+// stopAndRequeue stops a job whose worker went down and requeues its remaining work.
+func (r *Replay) stopAndRequeue(running *runningJob) {
 	if !running.running {
 		return
 	}
-	if !running.vacating {
-		running.remaining -= keptWork(running, r.now)
+	if !running.checkpointing {
+		running.remaining -= checkpointedWork(running, r.now)
 	}
 	running.running = false
-	running.vacating = false
+	running.checkpointing = false
 	running.generation = 0
 	r.emit(trace.Event{At: r.now, Event: trace.Stop, Job: running.spec.ID, Attempt: running.attempt, Reason: "worker_down"})
 	r.scheduler.Requeue(trace.Time(r.now), keyOf(running), seconds(running.remaining))
 }
 
-// keptWork returns the seconds of work that the last periodic checkpoint saved.
-func keptWork(running *runningJob, now float64) float64 {
+// checkpointedWork returns the work, in seconds, that the last periodic checkpoint saved.
+func checkpointedWork(running *runningJob, now float64) float64 {
 	if !running.spec.Checkpoint {
 		return 0
 	}
@@ -237,7 +236,7 @@
 	r.scheduler.SetSchedulable(trace.Time(r.now), id, true)
 }
 
-// cycle decides until nothing changes any more at this instant.
+// cycle runs the scheduler at the current time until no decision frees capacity immediately.
 func (r *Replay) cycle() {
 	for {
 		began := r.clock()
@@ -246,7 +245,7 @@
 		r.cost.Decisions += int64(len(decisions))
 		again := false
 		for _, decision := range decisions {
-			again = r.follow(decision) || again
+			again = r.execute(decision) || again
 		}
 		if !again {
 			return
@@ -254,8 +253,8 @@
 	}
 }
 
-// follow carries out one decision and reports whether capacity came free at once.
-func (r *Replay) follow(decision schedule.Decision) bool {
+// execute executes a decision and reports whether it freed capacity immediately.
+func (r *Replay) execute(decision schedule.Decision) bool {
 	running := r.jobs[decision.Job.ID]
 	if decision.Start {
 		r.start(running, decision.Placement)
@@ -263,11 +262,11 @@
 	}
 	r.emit(trace.Event{At: r.now, Event: trace.Preempt, Job: running.spec.ID, Attempt: running.attempt, For: decision.For.ID})
 	if !running.spec.Checkpoint {
-		r.vacated(running)
+		r.requeuePreempted(running)
 		return true
 	}
 	running.remaining -= r.now - running.startedAt
-	running.vacating = true
+	running.checkpointing = true
 	r.setTimer(running, running.spec.CheckpointSeconds, true)
 	return false
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -27,7 +27,7 @@
 			drawn[fault.Kind] = true
 		}
 	}
-	require.Len(t, drawn, len(Kinds()), "every kind comes")
+	require.Len(t, drawn, len(Kinds()), "every kind is drawn")
 }
 
 func TestEvacuationsAreTheSameForASeed(t *testing.T) {
@@ -50,7 +50,7 @@
 	require.Greater(t, drawn, seeds/4)
 	require.Positive(t, overlapping)
 	for _, kept := range []uint64{619, 10113, 12000, 60601} {
-		require.Empty(t, NewEvacuations(kept, time.Minute), "seeds kept before stay as they are")
+		require.Empty(t, NewEvacuations(kept, time.Minute), "faults of kept seeds must not change")
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	require.InDelta(t, seeds/linksEvery, drawn, seeds/10)
 	require.Positive(t, unlimited)
-	require.Less(t, unlimited, drawn*daemons, "some links are slow")
+	require.Less(t, unlimited, drawn*daemons, "some links must be limited")
 }
 
 func TestSilencesAreTheSameForASeed(t *testing.T) {
@@ -105,11 +105,11 @@
 		}
 	}
 	require.InDelta(t, seeds/silencesEvery, drawn, seeds/10)
-	require.Greater(t, series, drawn/2, "most come in series")
+	require.Greater(t, series, drawn/2, "most silences must come in series")
 }
 
-// TestKeptSeedReplaysItsFaults: a seed of soak/regressions.txt draws the faults that it was
-// kept for, no slow links and no silences.
+// TestKeptSeedReplaysItsFaults guards against changes to the faults of a seed in
+// soak/regressions.txt, and against slow links or silences added to it.
 func TestKeptSeedReplaysItsFaults(t *testing.T) {
 	const (
 		seed    = 619
@@ -129,11 +129,11 @@
 	require.Equal(t, Fault{At: 11899188807, Kind: ResetLink, Target: 1654, Length: 3864325320}, plan[11])
 }
 
-// TestVersionsRiseAndKeepWhatGrew: a configuration with other keys keeps the extra queues,
-// a grown one keeps the keys, and each has a higher version than the one before.
+// TestVersionsRiseAndKeepWhatGrew guards against a key rotation that drops extra queues, a growth
+// that drops keys, and a version that does not increase.
 func TestVersionsRiseAndKeepWhatGrew(t *testing.T) {
-	r, _ := judging(t)
-	r.putFirst()
+	r, _ := newTestRun(t)
+	r.putInitialConfiguration()
 	first := r.configuration
 	r.putConfiguration(func(c *standin.Configuration) { c.ExtraQueues += 7 })
 	grown := r.configuration
@@ -145,18 +145,18 @@
 	require.Greater(t, r.configuration.Version, grown.Version)
 }
 
-// judging returns a run without daemons, and a job that its stand-in expects.
-func judging(t *testing.T) (*run, *submission) {
+// newTestRun returns a run without daemons, and a job that is registered with its platform.
+func newTestRun(t *testing.T) (*run, *submission) {
 	platform, err := standin.Start(simulation.NewWorld(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
-	r := &run{platform: platform, ledger: ledger{answers: map[string]int{}}}
+	r := &run{platform: platform, observations: observations{answers: map[string]int{}}}
 	s := &submission{spec: &taskgraph.Spec{ID: "00000000000000aa", Steps: []taskgraph.Step{{Count: 1, EstimateMillis: 1}}}}
 	platform.Locked(func() { platform.World.Expect(*s.spec, catalog.Queue{MaxAttempts: 1}) })
 	return r, s
 }
 
-// startTask lets the stand-in's worker begin the job's task.
+// startTask starts the task of the job on the simulated worker.
 func (r *run) startTask(s *submission) {
 	r.platform.Locked(func() {
 		order := fleet.Start{Task: taskgraph.TaskName{Job: s.spec.ID}, Run: 1, DeadlineMillis: 3000}
@@ -164,78 +164,79 @@
 	})
 }
 
-// TestJudgeCatchesBrokenHistories: each history breaks one promise.
+// TestJudgeCatchesBrokenHistories violates one invariant per history.
 func TestJudgeCatchesBrokenHistories(t *testing.T) {
 	cases := map[string]struct {
 		submission submission
 		starts     bool
 		want       string
 	}{
-		"refused and ran":      {submission{refused: true}, true, "was refused and ran"},
-		"never ended":          {submission{accepted: true, state: taskgraph.Queued}, false, "at the end"},
-		"failed without cause": {submission{accepted: true, state: taskgraph.Failed}, false, "could be done"},
-		"cancelled unasked":    {submission{accepted: true, state: taskgraph.Cancelled}, false, "nobody asked"},
-		"completed, not done":  {submission{accepted: true, state: taskgraph.Completed}, false, "is not"},
-		"completed, poison":    {submission{accepted: true, poison: true, state: taskgraph.Completed}, false, "crashes workers"},
-		"poison never ended":   {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "at the end"},
+		"refused but started":             {submission{refused: true}, true, "was refused and ran"},
+		"no final state":                  {submission{accepted: true, state: taskgraph.Queued}, false, "at the end"},
+		"failed without a fault":          {submission{accepted: true, state: taskgraph.Failed}, false, "could be done"},
+		"cancelled without a request":     {submission{accepted: true, state: taskgraph.Cancelled}, false, "nobody asked"},
+		"completed with unfinished tasks": {submission{accepted: true, state: taskgraph.Completed}, false, "is not"},
+		"completed with a poison task":    {submission{accepted: true, poison: true, state: taskgraph.Completed}, false, "crashes workers"},
+		"poison without a final state":    {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "at the end"},
 	}
 	for name, c := range cases {
-		r, s := judging(t)
+		r, s := newTestRun(t)
 		c.submission.spec = s.spec
 		if c.starts {
 			r.startTask(s)
 		}
-		r.judgeJob(&c.submission)
-		require.Len(t, r.ledger.broken, 1, name)
-		require.Contains(t, r.ledger.broken[0], c.want, name)
+		r.checkJob(&c.submission)
+		require.Len(t, r.observations.violations, 1, name)
+		require.Contains(t, r.observations.violations[0], c.want, name)
 	}
-	r, s := judging(t)
+	r, s := newTestRun(t)
 	s.refused = true
-	r.judgeJob(s)
-	require.Empty(t, r.ledger.broken, "refused and did not run")
+	r.checkJob(s)
+	require.Empty(t, r.observations.violations, "a refused job without starts is no violation")
 }
 
-// TestJudgeOfAnswers: what single answers break, by what went on at the daemon.
+// TestJudgeOfAnswers checks which single answers are violations, depending on the faults at the
+// daemon.
 func TestJudgeOfAnswers(t *testing.T) {
 	lost := errors.New("connection reset")
 	cases := map[string]struct {
-		answer            standin.Answer
-		err               error
-		takes             time.Duration
-		troubled, planned bool
-		want              string
+		answer          standin.Answer
+		err             error
+		takes           time.Duration
+		faulty, planned bool
+		want            string
 	}{
-		"whole":                     {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
-		"not whole":                 {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
-		"key refused":               {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
-		"key refused amid trouble":  {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, troubled: true},
-		"cut off by a planned stop": {err: lost, takes: lossSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
-		"crossed the closing":       {err: lost, planned: true},
-		"cut off by a kill":         {err: lost, takes: lossSlack + 20*time.Millisecond, planned: true, troubled: true},
+		"whole":                                {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
+		"truncated body":                       {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
+		"key refused":                          {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
+		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, faulty: true},
+		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
+		"sent while an idle connection closes": {err: lost, planned: true},
+		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, faulty: true},
 	}
 	for name, c := range cases {
-		r, _ := judging(t)
+		r, _ := newTestRun(t)
 		d := &daemon{}
-		if c.troubled {
-			d.troubledUntil = time.Now().Add(time.Minute)
+		if c.faulty {
+			d.faultUntil = time.Now().Add(time.Minute)
 		}
 		if c.planned {
-			d.plannedUntil = time.Now().Add(time.Minute)
+			d.plannedStopUntil = time.Now().Add(time.Minute)
 		}
-		_, _ = r.timed(d, "look", func() (standin.Answer, error) {
+		_, _ = r.checkedCall(d, "look", func() (standin.Answer, error) {
 			time.Sleep(c.takes)
 			return c.answer, c.err
 		})
 		if c.want == "" {
-			require.Empty(t, r.ledger.broken, name)
+			require.Empty(t, r.observations.violations, name)
 			continue
 		}
-		require.Len(t, r.ledger.broken, 1, name)
-		require.Contains(t, r.ledger.broken[0], c.want, name)
+		require.Len(t, r.observations.violations, 1, name)
+		require.Contains(t, r.observations.violations[0], c.want, name)
 	}
 }
 
-// buildDaemon returns the path of a freshly built daemon.
+// buildDaemon builds the daemon and returns its path.
 func buildDaemon(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "wheatroadd")
 	output, err := exec.Command("go", "build", "-o", program, "../../cmd/wheatroadd").CombinedOutput()
@@ -243,8 +244,8 @@
 	return program
 }
 
-// playShort plays one seed with real daemons.
-func playShort(t *testing.T, seed uint64) *Report {
+// runShortSoak runs one seed with daemon processes.
+func runShortSoak(t *testing.T, seed uint64) *Report {
 	report, err := Run(Options{Program: buildDaemon(t), Seed: seed, Length: 6 * time.Second, Daemons: 3, Callers: 2, Folder: t.TempDir()})
 	require.NoError(t, err)
 	require.Empty(t, report.Broken)
@@ -252,46 +253,46 @@
 	return report
 }
 
-func TestShortSoak(t *testing.T) { playShort(t, 1) }
+func TestShortSoak(t *testing.T) { runShortSoak(t, 1) }
 
-// TestShortSoakOfWorkerTroubles plays a seed whose workers crash under some tasks and by
-// chance, shrink and grow.
+// TestShortSoakOfWorkerTroubles runs a seed whose workers crash under some tasks and at random,
+// and change their capacity.
 func TestShortSoakOfWorkerTroubles(t *testing.T) {
-	report := playShort(t, 10001)
+	report := runShortSoak(t, 10001)
 	require.Positive(t, report.Workers.PoisonEvery)
 	require.Positive(t, report.States[taskgraph.Failed])
 }
 
-// TestShortSoakOfLives plays a seed whose workers start again under their identifiers and whose
-// rows are another writer's for a while.
+// TestShortSoakOfLives runs a seed whose workers restart under the same identifier and whose rows
+// are overwritten for a while.
 func TestShortSoakOfLives(t *testing.T) {
-	report := playShort(t, 20063)
-	require.NotEmpty(t, report.Lives.Restarts)
-	require.NotEmpty(t, report.Lives.ForeignRows)
+	report := runShortSoak(t, 20063)
+	require.NotEmpty(t, report.InstanceFaults.Restarts)
+	require.NotEmpty(t, report.InstanceFaults.ForeignRows)
 }
 
 func TestLivesAreTheSameForASeed(t *testing.T) {
 	const seeds = 200
 	drawn, series, foreign := 0, 0, 0
 	for seed := range uint64(seeds) {
-		lives := NewLives(seed, time.Minute, false)
-		require.Equal(t, lives, NewLives(seed, time.Minute, false))
-		if len(lives.Restarts) > 0 {
+		faults := NewInstanceFaults(seed, time.Minute, false)
+		require.Equal(t, faults, NewInstanceFaults(seed, time.Minute, false))
+		if len(faults.Restarts) > 0 {
 			drawn++
 		}
-		for _, restart := range lives.Restarts {
+		for _, restart := range faults.Restarts {
 			if restart.Series {
 				series++
 			}
 		}
-		foreign += len(lives.ForeignRows)
+		foreign += len(faults.ForeignRows)
 	}
-	require.InDelta(t, seeds/livesEvery, drawn, seeds/10)
+	require.InDelta(t, seeds/instanceFaultsEvery, drawn, seeds/10)
 	require.Positive(t, series)
 	require.Positive(t, foreign)
 	for _, kept := range []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019} {
-		require.Empty(t, NewLives(kept, time.Minute, false), "seeds played before stay as they are")
-		require.NotEmpty(t, NewLives(kept, time.Minute, true))
+		require.Empty(t, NewInstanceFaults(kept, time.Minute, false), "faults of kept seeds must not change")
+		require.NotEmpty(t, NewInstanceFaults(kept, time.Minute, true))
 	}
 }
 
@@ -300,26 +301,26 @@
 	drawn, poison, unguarded, changes := 0, 0, 0, 0
 	long := &taskgraph.Spec{Steps: []taskgraph.Step{{EstimateMillis: 1000}}}
 	for seed := range uint64(seeds) {
-		troubles := NewWorkerTroubles(seed, time.Minute)
-		require.Equal(t, troubles, NewWorkerTroubles(seed, time.Minute))
-		if troubles.PoisonEvery == 0 {
-			require.Empty(t, troubles)
+		faults := NewWorkerFaults(seed, time.Minute)
+		require.Equal(t, faults, NewWorkerFaults(seed, time.Minute))
+		if faults.PoisonEvery == 0 {
+			require.Empty(t, faults)
 			continue
 		}
 		drawn++
-		changes += len(troubles.Capacities)
-		if troubles.Unguarded {
+		changes += len(faults.Capacities)
+		if faults.Unguarded {
 			unguarded++
 		}
 		for serial := range 100 {
-			if troubles.poisons(0, serial, long) {
+			if faults.poisons(0, serial, long) {
 				poison++
 			}
 		}
 	}
-	require.InDelta(t, seeds/workerTroublesEvery, drawn, seeds/10)
+	require.InDelta(t, seeds/workerFaultsEvery, drawn, seeds/10)
 	require.InDelta(t, drawn/2, unguarded, seeds/10)
 	require.Positive(t, poison)
 	require.Positive(t, changes)
-	require.Empty(t, NewWorkerTroubles(619, 13*time.Second), "a kept seed draws nothing new")
+	require.Empty(t, NewWorkerFaults(619, 13*time.Second), "faults of kept seeds must not change")
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,7 +15,7 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// daemon is one real process of wheatroadd and what was done to it.
+// daemon is a wheatroadd process and the faults injected into it.
 type daemon struct {
 	number   int
 	program  string
@@ -27,22 +27,21 @@
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	// exited is closed once the present process has ended.
+	// exited is closed when the current process has exited.
 	exited chan struct{}
-	// stopping is true while a planned stop is under way.
+	// stopping is set during a planned stop.
 	stopping bool
-	// troubledUntil is when the last unplanned disruption of this daemon is over.
-	troubledUntil time.Time
-	// plannedUntil is when the last planned stop is over.
-	plannedUntil time.Time
-	log          *os.File
-	// died lists ends of the process that nobody asked for.
-	died []string
+	// faultUntil is the end of the last injected fault.
+	faultUntil time.Time
+	// plannedStopUntil is the end of the last planned stop.
+	plannedStopUntil time.Time
+	log              *os.File
+	// unexpectedExits lists exits that were not requested.
+	unexpectedExits []string
 }
 
-// grace is how long a planned stop may take before the process is killed, as the
-// platform does it.
-const grace = 6 * time.Second
+// stopGracePeriod is the time between SIGTERM and SIGKILL, as on the platform.
+const stopGracePeriod = 6 * time.Second
 
 func newDaemon(number int, program, folder, platform string) (*daemon, error) {
 	proxy, err := faultproxy.New(platform)
@@ -66,24 +65,23 @@
 	return d, err
 }
 
-// Daemons listen on ports below those that the system gives out by itself, 32768 and up on
-// Linux: of those it may give one to another process as soon as its listener is closed, as it
-// did to two soaks that ran at once.
+// Daemons listen on ports below the ephemeral range (32768 and up on Linux): the system may assign
+// a port of that range to another process once its listener is closed.
 const (
 	firstPort = 10000
 	portCount = 22000
-	// portSpread lies between the ports that processes with successive identifiers begin at.
+	// portSpread is the distance between the first ports of processes with successive process IDs.
 	portSpread = 611
 )
 
-// portsGiven counts the ports that were tried.
-var portsGiven atomic.Int64
+// portCounter counts the ports tried.
+var portCounter atomic.Int64
 
-// freeAddress returns a loopback address that nobody listens on, another one each time.
+// freeAddress returns an unused loopback address, a different one on each call.
 func freeAddress() (string, error) {
 	var failure error
 	for range portCount {
-		port := firstPort + (int64(os.Getpid())*portSpread+portsGiven.Add(1))%portCount
+		port := firstPort + (int64(os.Getpid())*portSpread+portCounter.Add(1))%portCount
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			failure = err
@@ -95,8 +93,8 @@
 	return "", failure
 }
 
-// begin starts the process, unless one runs.
-func (d *daemon) begin() error {
+// start starts the process unless it is running.
+func (d *daemon) start() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.command != nil {
@@ -104,7 +102,7 @@
 	}
 	command := exec.Command(d.program, "serve", d.settings)
 	command.Stdout, command.Stderr = d.log, d.log
-	// The process ends with this one, however this one ends.
+	// Kills the daemon if this process exits for any reason.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
@@ -121,14 +119,14 @@
 	defer d.mutex.Unlock()
 	signalled := command.ProcessState.Sys().(syscall.WaitStatus).Signaled()
 	if !signalled && !(d.stopping && err == nil) {
-		d.died = append(d.died, fmt.Sprintf("node-%d ended by itself: %v", d.number, err))
+		d.unexpectedExits = append(d.unexpectedExits, fmt.Sprintf("node-%d ended by itself: %v", d.number, err))
 	}
 	d.command = nil
 	close(exited)
 }
 
-// signal sends a signal to the process, if one runs. It returns a channel that is
-// closed once that process has ended, or nil.
+// signal sends a signal to the process and returns a channel that is closed when it exits, or nil
+// if no process is running.
 func (d *daemon) signal(signal syscall.Signal) chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -137,42 +135,42 @@
 	}
 	if signal == syscall.SIGTERM {
 		d.stopping = true
-		d.plannedUntil = time.Now().Add(grace + time.Second)
+		d.plannedStopUntil = time.Now().Add(stopGracePeriod + time.Second)
 	}
 	_ = d.command.Process.Signal(signal)
 	return d.exited
 }
 
-// trouble notes an unplanned disruption that lasts for a while.
-func (d *daemon) trouble(length time.Duration) {
+// recordFault records that an injected fault affects the daemon for the given time.
+func (d *daemon) recordFault(length time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if until := time.Now().Add(length); until.After(d.troubledUntil) {
-		d.troubledUntil = until
+	if until := time.Now().Add(length); until.After(d.faultUntil) {
+		d.faultUntil = until
 	}
 }
 
-// condition is what was going on at a daemon.
+// condition describes the faults and planned stops of a daemon in a period.
 type condition struct {
-	troubled bool
-	planned  bool
+	faulty      bool
+	plannedStop bool
 }
 
-// since tells what went on at the daemon at any time since from.
-func (d *daemon) since(from time.Time) condition {
+// conditionSince returns the condition of the daemon since a time.
+func (d *daemon) conditionSince(from time.Time) condition {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return condition{troubled: d.troubledUntil.After(from), planned: d.plannedUntil.After(from)}
+	return condition{faulty: d.faultUntil.After(from), plannedStop: d.plannedStopUntil.After(from)}
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (d *daemon) kill() {
 	if exited := d.signal(syscall.SIGKILL); exited != nil {
 		<-exited
 	}
 }
 
-// stop ends the process the planned way.
+// stop sends SIGTERM, and SIGKILL after the grace period.
 func (d *daemon) stop() {
 	exited := d.signal(syscall.SIGTERM)
 	if exited == nil {
@@ -180,12 +178,12 @@
 	}
 	select {
 	case <-exited:
-	case <-time.After(grace):
+	case <-time.After(stopGracePeriod):
 		d.kill()
 	}
 }
 
-// close ends the process and all that belongs to it.
+// close kills the process and closes its proxy and log.
 func (d *daemon) close() {
 	d.signal(syscall.SIGCONT)
 	d.kill()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,6 +1,5 @@
-// Package soak runs real daemons as processes of their own against the project's
-// stand-in for the platform, injects faults from outside them, and checks the promises
-// by what callers, workers and the store see.
+// Package soak runs daemon processes against the simulated platform, injects faults from outside,
+// and checks invariants from the observations of callers, workers and the store.
 package soak
 
 import (
@@ -19,96 +18,95 @@
 
 // Options of a run.
 type Options struct {
-	// Program is the path of wheatroadd.
+	// Program is the path of the wheatroadd binary.
 	Program string
 	Seed    uint64
-	// Length is how long faults come.
+	// Length is how long faults are injected.
 	Length  time.Duration
 	Daemons int
 	Callers int
-	// Lives restarts workers under their identifiers, and leaves rows of another writer, also with
-	// seeds that draw none.
+	// Lives adds restarts of workers and foreign rows also to seeds that draw none.
 	Lives bool
-	// Folder keeps settings and logs.
+	// Folder contains settings and logs.
 	Folder string
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Broken lists every broken promise.
+	// Broken lists the violated invariants.
 	Broken []string `json:"broken"`
-	// Faults counts what was injected, by kind.
+	// Faults counts the injected faults by kind.
 	Faults map[Kind]int `json:"faults"`
 	// Links are the rates of the daemons' links and the growth of the configuration.
 	Links Links `json:"links"`
-	// Silences are when open connections went silent.
+	// Silences are the times at which open connections become silent.
 	Silences []Silence `json:"silences,omitempty"`
-	// Evacuations are the zones that were emptied.
+	// Evacuations are the evacuated zones.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
-	// Workers is what befalls workers beside the plan's faults.
-	Workers WorkerTroubles `json:"workers"`
-	// Lives is what befalls workers' lives and rows.
-	Lives Lives `json:"lives"`
-	// Answers counts what callers got, by call and status.
+	// Workers are the worker faults that are not part of the plan.
+	Workers WorkerFaults `json:"workers"`
+	// InstanceFaults are the restarts of workers and the foreign rows.
+	InstanceFaults InstanceFaults `json:"lives"`
+	// Answers counts the answers to callers by call and status.
 	Answers map[string]int `json:"answers"`
-	// States counts accepted jobs by their state at the end.
+	// States counts accepted jobs by final state.
 	States map[taskgraph.State]int `json:"states"`
 	Logs   string                  `json:"logs"`
 }
 
-// run is a system under faults.
+// run is the state of one soak run.
 type run struct {
-	options  Options
-	platform *standin.Server
-	daemons  []*daemon
-	ledger   ledger
-	closed   chan struct{}
-	replaced int
+	options      Options
+	platform     *standin.Server
+	daemons      []*daemon
+	observations observations
+	closed       chan struct{}
+	replaced     int
 
 	keyMutex   sync.Mutex
 	keyVersion int
 
-	workers WorkerTroubles
+	workers WorkerFaults
 
-	// configurationMutex is held while a version is put, so that versions only rise.
+	// configurationMutex serializes writes of the configuration, so that versions only increase.
 	configurationMutex sync.Mutex
-	// configuration is the newest version.
+	// configuration is the latest version.
 	configuration standin.Configuration
 }
 
 const (
 	racks          = 3
 	workersPerRack = 4
-	readyLimit     = 30 * time.Second
-	// settleLimit is how long all accepted jobs may take to end once nothing is wrong.
-	settleLimit = 60 * time.Second
-	settlePause = 250 * time.Millisecond
-	// keyOverlap is how long an old key stays beside the new one.
+	readyTimeout   = 30 * time.Second
+	// settleTimeout is how long accepted jobs may take to end after the last fault.
+	settleTimeout = 60 * time.Second
+	pollPeriod    = 250 * time.Millisecond
+	// keyOverlap is twice the time after which callers use a new key.
 	keyOverlap = 6 * time.Second
 )
 
-// Run plays one seed.
+// Run runs one seed.
 func Run(options Options) (*Report, error) {
 	world := simulation.NewWorld(racks, workersPerRack)
 	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
-	troubles := NewWorkerTroubles(options.Seed, options.Length)
-	world.Unguarded = troubles.Unguarded
+	workerFaults := NewWorkerFaults(options.Seed, options.Length)
+	world.Unguarded = workerFaults.Unguarded
 	platform, err := standin.Start(world)
 	if err != nil {
 		return nil, err
 	}
 	defer platform.Close()
-	r := &run{options: options, workers: troubles, platform: platform, closed: make(chan struct{}), ledger: ledger{answers: map[string]int{}}}
-	r.putFirst()
-	defer r.end()
+	r := &run{options: options, workers: workerFaults, platform: platform, closed: make(chan struct{}), observations: observations{answers: map[string]int{}}}
+	r.putInitialConfiguration()
+	defer r.closeDaemons()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
 	report := &Report{Seed: options.Seed, Broken: []string{}, Faults: map[Kind]int{}, Logs: options.Folder, States: map[taskgraph.State]int{}}
-	r.play(report)
-	r.settle(report)
-	r.judge(report)
+	r.injectFaults(report)
+	r.waitForJobs(report)
+	r.collectViolations(report)
 	return report, nil
 }
 
@@ -119,26 +117,26 @@
 			return err
 		}
 		r.daemons = append(r.daemons, d)
-		if err := d.begin(); err != nil {
+		if err := d.start(); err != nil {
 			return err
 		}
 	}
-	caller := standin.NewCaller(callLimit)
-	deadline := time.Now().Add(readyLimit)
+	caller := standin.NewCaller(callTimeout)
+	deadline := time.Now().Add(readyTimeout)
 	for _, d := range r.daemons {
 		for !caller.Ready(d.ready) {
 			if time.Now().After(deadline) {
 				return errors.Newf("node-%d does not become ready, see %s", d.number, r.options.Folder)
 			}
-			time.Sleep(settlePause)
+			time.Sleep(pollPeriod)
 		}
 	}
 	return nil
 }
 
-func (r *run) begin(d *daemon) {
-	if err := d.begin(); err != nil {
-		r.ledger.fail("node-%d does not start: %v", d.number, err)
+func (r *run) startDaemon(d *daemon) {
+	if err := d.start(); err != nil {
+		r.observations.addViolation("node-%d does not start: %v", d.number, err)
 	}
 }
 
@@ -151,8 +149,8 @@
 	}
 }
 
-// play lets callers work while the faults of the plan come and go.
-func (r *run) play(report *Report) {
+// injectFaults runs the callers and injects the faults of the seed until the run is over.
+func (r *run) injectFaults(report *Report) {
 	var callers, ends sync.WaitGroup
 	for number := range r.options.Callers {
 		callers.Go(func() { r.callerLoop(number) })
@@ -165,9 +163,9 @@
 	report.Evacuations = NewEvacuations(r.options.Seed, r.options.Length)
 	r.applyEvacuations(report.Evacuations, began, &ends)
 	report.Workers = r.workers
-	r.applyWorkerTroubles(began, &ends)
-	report.Lives = NewLives(r.options.Seed, r.options.Length, r.options.Lives)
-	r.applyLives(report.Lives, began, &ends)
+	r.applyWorkerFaults(began, &ends)
+	report.InstanceFaults = NewInstanceFaults(r.options.Seed, r.options.Length, r.options.Lives)
+	r.applyInstanceFaults(report.InstanceFaults, began, &ends)
 	for _, fault := range NewPlan(r.options.Seed, r.options.Length) {
 		time.Sleep(time.Until(began.Add(fault.At)))
 		report.Faults[fault.Kind]++
@@ -184,8 +182,7 @@
 	callers.Wait()
 }
 
-// applyLinks limits the daemons' links, for the rest of the run, and lets the
-// configuration grow in time.
+// applyLinks limits the rates of the daemons' links and schedules the growth of the configuration.
 func (r *run) applyLinks(links Links, began time.Time, ends *sync.WaitGroup) {
 	for number, rate := range links.Rates {
 		r.daemons[number].proxy.SetRate(rate)
@@ -198,23 +195,23 @@
 	}
 }
 
-// applySilences lets open connections go silent in time.
+// applySilences schedules the silences.
 func (r *run) applySilences(silences []Silence, began time.Time, ends *sync.WaitGroup) {
 	for _, silence := range silences {
 		d := r.daemons[silence.Target%len(r.daemons)]
 		ends.Go(func() {
 			time.Sleep(time.Until(began.Add(silence.At)))
-			d.trouble(silenceEffect + troubleMargin)
+			d.recordFault(silenceEffect + faultMargin)
 			d.proxy.SilenceOpen()
 		})
 	}
 }
 
-// settle waits until every accepted job has ended.
-func (r *run) settle(report *Report) {
-	caller := standin.NewCaller(callLimit)
-	deadline := time.Now().Add(settleLimit)
-	for _, s := range r.ledger.submissions {
+// waitForJobs waits until every accepted job has ended or the timeout is over.
+func (r *run) waitForJobs(report *Report) {
+	caller := standin.NewCaller(callTimeout)
+	deadline := time.Now().Add(settleTimeout)
+	for _, s := range r.observations.submissions {
 		if !s.accepted {
 			continue
 		}
@@ -225,47 +222,48 @@
 				s.state = answer.State
 			}
 			if !s.state.Final() {
-				time.Sleep(settlePause)
+				time.Sleep(pollPeriod)
 			}
 		}
 		report.States[s.state]++
 	}
 }
 
-// judge collects what was broken, by callers, by workers and by the processes.
-func (r *run) judge(report *Report) {
-	for _, s := range r.ledger.submissions {
-		r.judgeJob(s)
+// collectViolations adds the violations seen by callers, workers and daemon processes to the
+// report.
+func (r *run) collectViolations(report *Report) {
+	for _, s := range r.observations.submissions {
+		r.checkJob(s)
 	}
-	report.Broken = append(report.Broken, r.ledger.broken...)
+	report.Broken = append(report.Broken, r.observations.violations...)
 	r.platform.Locked(func() { report.Broken = append(report.Broken, r.platform.World.Judge.Broken...) })
 	for _, d := range r.daemons {
 		d.mutex.Lock()
-		report.Broken = append(report.Broken, d.died...)
+		report.Broken = append(report.Broken, d.unexpectedExits...)
 		d.mutex.Unlock()
 	}
-	report.Answers = r.ledger.answers
+	report.Answers = r.observations.answers
 }
 
-// judgeJob holds a job's end against what its caller was told.
-func (r *run) judgeJob(s *submission) {
+// checkJob compares the final state of a job with what its caller was told.
+func (r *run) checkJob(s *submission) {
 	starts := 0
 	r.platform.Locked(func() { starts = r.platform.World.Judge.JobStarts(s.spec.ID) })
 	switch {
 	case s.refused && starts > 0:
-		r.ledger.fail("job %s was refused and ran", s.spec.ID)
+		r.observations.addViolation("job %s was refused and ran", s.spec.ID)
 	case !s.accepted:
 	case !s.state.Final():
-		r.ledger.fail("accepted job %s is %q at the end", s.spec.ID, s.state)
+		r.observations.addViolation("accepted job %s is %q at the end", s.spec.ID, s.state)
 	case s.poison && s.state == taskgraph.Failed:
 	case s.poison && s.state == taskgraph.Completed:
-		r.ledger.fail("job %s is shown as completed and one of its tasks crashes workers", s.spec.ID)
+		r.observations.addViolation("job %s is shown as completed and one of its tasks crashes workers", s.spec.ID)
 	case s.state == taskgraph.Failed:
-		r.ledger.fail("job %s is shown as failed and could be done", s.spec.ID)
+		r.observations.addViolation("job %s is shown as failed and could be done", s.spec.ID)
 	case s.state == taskgraph.Cancelled && !s.cancelTried:
-		r.ledger.fail("job %s is shown as cancelled and nobody asked for it", s.spec.ID)
+		r.observations.addViolation("job %s is shown as cancelled and nobody asked for it", s.spec.ID)
 	case s.state == taskgraph.Completed && !r.allDone(s):
-		r.ledger.fail("job %s is shown as completed and is not", s.spec.ID)
+		r.observations.addViolation("job %s is shown as completed and is not", s.spec.ID)
 	}
 }
 
@@ -275,13 +273,13 @@
 	return done
 }
 
-func (r *run) end() {
+func (r *run) closeDaemons() {
 	for _, d := range r.daemons {
 		d.close()
 	}
 }
 
-// key returns the newest key.
+// key returns the newest key that callers use.
 func (r *run) key() string {
 	r.keyMutex.Lock()
 	defer r.keyMutex.Unlock()
@@ -290,8 +288,8 @@
 
 func keyName(version int) string { return fmt.Sprintf("key-%d", version) }
 
-// replaceKey confirms a configuration with a further key, and a while later one
-// without the old key.
+// replaceKey publishes a configuration with an additional key; callers use it after half of
+// keyOverlap.
 func (r *run) replaceKey() {
 	r.keyMutex.Lock()
 	version := r.keyVersion + 1
@@ -304,8 +302,8 @@
 	})
 }
 
-// putFirst puts the first configuration.
-func (r *run) putFirst() {
+// putInitialConfiguration publishes the first configuration.
+func (r *run) putInitialConfiguration() {
 	r.keyVersion = 1
 	r.configuration = standin.Configuration{MaxAttempts: maxAttempts, Priority: 1, Unguarded: r.workers.Unguarded}
 	r.putKeys(keyName(r.keyVersion))
@@ -315,7 +313,7 @@
 	r.putConfiguration(func(c *standin.Configuration) { c.Keys = keys })
 }
 
-// putConfiguration puts the next version: the newest one with a change.
+// putConfiguration publishes a new version: the latest one with a change.
 func (r *run) putConfiguration(change func(*standin.Configuration)) {
 	r.configurationMutex.Lock()
 	defer r.configurationMutex.Unlock()
@@ -324,7 +322,7 @@
 	r.platform.PutConfiguration(r.configuration)
 }
 
-// NewFolder makes a folder for a run's settings and logs.
+// NewFolder creates the directory for the settings and logs of a seed.
 func NewFolder(parent string, seed uint64) (string, error) {
 	folder := filepath.Join(parent, fmt.Sprintf("seed-%d", seed))
 	return folder, os.MkdirAll(folder, 0o755)
--- /dev/null
+++ b/internal/telemetry/rate_limiter.go
@@ -0,0 +1,63 @@
+package telemetry
+
+import (
+	"sync"
+	"time"
+)
+
+// Rate limits of one log message, in lines per second. Messages about requests and runs have
+// higher limits, because a busy owner logs hundreds of them per second.
+const (
+	defaultLinesPerSecond = 200
+	runLinesPerSecond     = 600
+	requestLinesPerSecond = 1000
+)
+
+// runMessages are the log messages about single runs.
+var runMessages = map[string]bool{"placed": true, "run ended": true, "stopped": true}
+
+// requestMessages are the log messages about responses to callers.
+var requestMessages = map[string]bool{
+	"job accepted": true, "job not accepted": true, "job ended": true, "lookup refused": true,
+	"cancellation accepted": true, "cancellation refused": true, "request refused": true,
+}
+
+// rateLimiter limits the log lines per second of each message.
+type rateLimiter struct {
+	mutex   sync.Mutex
+	now     func() time.Time
+	second  int64
+	written map[string]int
+	dropped map[string]int
+}
+
+func newRateLimiter(now func() time.Time) *rateLimiter {
+	return &rateLimiter{now: now, written: map[string]int{}, dropped: map[string]int{}}
+}
+
+// allow reports whether a line of a message may be written. The first call in a second also
+// returns the number of lines dropped since the last report, by message.
+func (b *rateLimiter) allow(message string) (allowed bool, dropped map[string]int) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if second := b.now().Unix(); second != b.second {
+		b.second = second
+		clear(b.written)
+		if len(b.dropped) > 0 {
+			dropped, b.dropped = b.dropped, map[string]int{}
+		}
+	}
+	limit := defaultLinesPerSecond
+	switch {
+	case requestMessages[message]:
+		limit = requestLinesPerSecond
+	case runMessages[message]:
+		limit = runLinesPerSecond
+	}
+	if b.written[message] >= limit {
+		b.dropped[message]++
+		return false, dropped
+	}
+	b.written[message]++
+	return true, dropped
+}
--- a/internal/workload/failures.go
+++ b/internal/workload/failures.go
@@ -7,8 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// Failure rates of the plan: of 13,000 machines 180 fail a day, a rack or switch
-// goes every week, a zone a few times a year.
+// Failure rates: 180 of 13,000 machines a day, one rack or switch a week, and four zones a year.
 const (
 	machineFailuresPerDay = 180.0 / 13000
 	rackFailuresPerDay    = 1.0 / 7
@@ -22,22 +21,22 @@
 func (g *generator) failures() {
 	machines := g.cluster.Machines()
 	days := g.options.Hours / hoursPerDay
-	for range g.count(machineFailuresPerDay * days * float64(len(machines))) {
+	for range g.poisson(machineFailuresPerDay * days * float64(len(machines))) {
 		machine := machines[g.random.IntN(len(machines))]
-		g.fail(machine.Name, meanRepairHours, machines)
+		g.addFailure(machine.Name, meanRepairHours, machines)
 	}
-	for range g.count(rackFailuresPerDay * days) {
+	for range g.poisson(rackFailuresPerDay * days) {
 		machine := machines[g.random.IntN(len(machines))]
-		g.fail(machine.At.Region+"/"+machine.At.Zone+"/"+machine.At.Rack+"/", rackRepairHours, machines)
+		g.addFailure(machine.At.Region+"/"+machine.At.Zone+"/"+machine.At.Rack+"/", rackRepairHours, machines)
 	}
-	for range g.count(zoneFailuresPerDay * days) {
+	for range g.poisson(zoneFailuresPerDay * days) {
 		machine := machines[g.random.IntN(len(machines))]
-		g.fail(machine.At.Region+"/"+machine.At.Zone+"/", zoneRepairHours, machines)
+		g.addFailure(machine.At.Region+"/"+machine.At.Zone+"/", zoneRepairHours, machines)
 	}
 }
 
-// count draws a Poisson number.
-func (g *generator) count(mean float64) int {
+// poisson returns a Poisson-distributed random number.
+func (g *generator) poisson(mean float64) int {
 	limit := math.Exp(-mean)
 	product := g.random.Float64()
 	count := 0
@@ -48,8 +47,9 @@
 	return count
 }
 
-// fail takes the machines whose name begins with prefix down for a while.
-func (g *generator) fail(prefix string, repairHours float64, machines []trace.Machine) {
+// addFailure adds a failure and the repair of the machine with the given name, or of all machines
+// whose names begin with the prefix if it ends in a slash.
+func (g *generator) addFailure(prefix string, repairHours float64, machines []trace.Machine) {
 	at := g.random.Float64() * g.options.Hours * secondsPerHour
 	repaired := at + (0.25+g.random.ExpFloat64())*repairHours*secondsPerHour
 	for _, machine := range machines {
