--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -10,20 +10,21 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Between two cycles while units wait that the last one could not place, the least time
-// is cyclePause, since most of what happens then changes nothing for them, and cycleRest
-// times what the last one took. So cycles leave three quarters of the processor to ends,
-// orders and pings, which else come late when many units wait in a large pool.
+// Minimum time between two cycles while unplaced units remain: cyclePause, and at least
+// cycleRest times the duration of the last cycle. This leaves three quarters of the processor
+// to run ends, commands and pings when many units wait in a large pool.
 const (
 	cyclePause = 10 * time.Millisecond
 	cycleRest  = 3
 )
 
-// pauseAfter is the least time to the next cycle after one that took a while and left
-// units waiting.
-func pauseAfter(took time.Duration) time.Duration { return max(cyclePause, cycleRest*took) }
+// pauseAfter returns the minimum pause after a cycle of the given duration that left units
+// unplaced.
+func pauseAfter(cycleDuration time.Duration) time.Duration {
+	return max(cyclePause, cycleRest*cycleDuration)
+}
 
-// wake runs a scheduling cycle soon.
+// wake schedules a scheduling cycle unless one is scheduled already.
 func (p *Pool) wake() {
 	if p.waking || !p.loaded || p.gone || p.releasing {
 		return
@@ -44,22 +45,22 @@
 	}
 }
 
-// cycle places waiting units, the most pressing first.
+// cycle places waiting units in the order of compareUnits.
 func (p *Pool) cycle() {
-	began := p.loop.Now()
+	startedAt := p.loop.Now()
 	waiting := p.waitingUnits()
 	p.crowded = false
 	if len(waiting) == 0 || !p.accountsKnown() {
 		return
 	}
 	s := p.snapshot()
-	refused := map[placementClass]bool{}
+	unplaceable := map[placementClass]bool{}
 	for _, u := range waiting {
 		if u.state != unitWaiting || p.giveUpPoison(u) {
 			continue
 		}
 		class := classOf(u)
-		if refused[class] {
+		if unplaceable[class] {
 			continue
 		}
 		if p.place(s, u) {
@@ -67,15 +68,15 @@
 		}
 		p.crowded = true
 		if len(u.avoid) == 0 && !u.suspected() {
-			refused[class] = true
+			unplaceable[class] = true
 		}
 	}
 	p.lastCycle = p.loop.Now()
-	p.cycleTook = p.lastCycle.Sub(began)
+	p.cycleTook = p.lastCycle.Sub(startedAt)
 	p.record.Observe("cycle", p.cycleTook)
 }
 
-// openUnits yields the units of jobs that have not ended, in no order.
+// openUnits yields the units of jobs that have not ended, in unspecified order.
 func (p *Pool) openUnits() iter.Seq[*unit] {
 	return func(yield func(*unit) bool) {
 		for _, j := range p.jobs {
@@ -95,7 +96,7 @@
 	}
 }
 
-// waitingUnits lists the units that want a place, the most pressing first.
+// waitingUnits returns the units that wait for a placement, in the order of compareUnits.
 func (p *Pool) waitingUnits() []*unit {
 	var waiting []*unit
 	for u := range p.openUnits() {
@@ -109,8 +110,8 @@
 	return waiting
 }
 
-// compareUnits orders units by priority; among equals those that can still end in
-// time come before those that are late already, and then the oldest.
+// compareUnits orders units by priority, then those that can still meet their objective
+// before those that cannot, then by the job's time of acceptance.
 func compareUnits(a, b *unit, now time.Time, timelyFirst bool) int {
 	if a.job.Queue.Priority != b.job.Queue.Priority {
 		return a.job.Queue.Priority - b.job.Queue.Priority
@@ -136,12 +137,13 @@
 	return a.index - b.index
 }
 
-// late reports whether a unit without priority 0 can no longer end in time.
+// late reports whether a unit can no longer meet its objective; false for priority 0.
 func (u *unit) late(now time.Time) bool {
 	return u.job.Queue.Priority > 0 && u.slack(now) < 0
 }
 
-// place finds a place for a unit and begins it. It returns false if none is found.
+// place assigns a unit to workers. If it finds none it preempts other units or reserves
+// resources for the unit, and returns false.
 func (p *Pool) place(s *snapshot, u *unit) bool {
 	request := s.request(u)
 	if places := p.findPlace(s, u, request); places != nil {
