--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -8,7 +8,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// snapshot is what one cycle decides over.
+// snapshot is the state of the pool that one scheduling cycle works on. Workers and units are
+// identified by their indexes in it.
 type snapshot struct {
 	now     time.Time
 	workers []placement.Worker
@@ -16,24 +17,24 @@
 	racks   *placement.Racks
 	units   []placement.Unit
 	running []*unit
-	// usage is the share of the pool's room that is taken, of the scarcest kind.
+	// usage is the utilization of the pool's most used resource.
 	usage float64
-	// headrooms has, by priority, which workers' racks patient units leave to others.
+	// headrooms has, by priority, the workers that are kept free of deferrable units.
 	headrooms [][]bool
-	// reservations is how many more units may keep room free.
+	// reservations is how many more units may reserve resources in this cycle.
 	reservations int
-	// reserved has room kept for units that wait, by worker.
+	// reserved has the resources reserved for waiting units, by worker.
 	reserved map[int]reservation
 }
 
-// reservation is room on one worker that is wanted at a time.
+// reservation is a reservation of resources on one worker. It starts after a duration.
 type reservation struct {
 	after time.Duration
-	// spare is what others may hold beyond then.
+	// spare has the resources that other units may use past the start.
 	spare taskgraph.Amount
 }
 
-// placementClass groups units for which the answer is the same in one cycle.
+// placementClass groups units that one cycle either places or cannot place alike.
 type placementClass struct {
 	step *step
 	gang bool
@@ -43,8 +44,8 @@
 	return placementClass{step: u.step, gang: u.spec().Gang}
 }
 
-// snapshotMemory is the memory of the last snapshot, which the next one uses again: a
-// new one for each cycle took 0.8 s of the 1.9 s of processor time of a benchmark's cycles.
+// snapshotMemory keeps the buffers of the last snapshot for the next one, since allocating
+// them anew takes much of a cycle's time.
 type snapshotMemory struct {
 	workers []placement.Worker
 	owners  []*worker
@@ -52,11 +53,11 @@
 	running []*unit
 	// serial numbers the snapshots.
 	serial int
-	// racks groups the workers; nil once they have changed.
+	// racks groups the workers by rack; nil once the set of workers has changed.
 	racks *placement.Racks
 }
 
-// snapshot describes all workers and what runs on them. It holds until the next one.
+// snapshot returns the state of all workers and their runs. It is valid until the next call.
 func (p *Pool) snapshot() *snapshot {
 	memory := &p.memory
 	memory.serial++
@@ -78,9 +79,9 @@
 	return s
 }
 
-// describeWorker adds a worker and the units that hold room on it.
+// describeWorker adds a worker and the units that use its resources.
 func (p *Pool) describeWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
-	place := len(s.workers)
+	workerIndex := len(s.workers)
 	entry := placement.Worker{
 		Rack: w.rack, Capacity: w.Capacity, Slow: p.slow(w), Free: w.Capacity, Usable: p.usable(w, s.now),
 		Closed:  zones.Contains(w.Zone),
@@ -95,17 +96,17 @@
 		}
 		room := m.unit.spec().Room()
 		entry.Free = entry.Free.Minus(room)
-		number := p.numberUnit(s, m.unit)
-		s.units[number].Places = append(s.units[number].Places, place)
-		entry.Holders = append(entry.Holders, placement.Holder{Unit: number, Room: room})
+		index := p.numberUnit(s, m.unit)
+		s.units[index].Places = append(s.units[index].Places, workerIndex)
+		entry.Holders = append(entry.Holders, placement.Holder{Unit: index, Room: room})
 	}
 	entry.Free = w.withoutUnwanted(entry.Free, s.now)
 	s.workers = append(s.workers, entry)
 	s.owners = append(s.owners, w)
 }
 
-// formerHolders returns the emptied list of holders that the next entry had in the
-// snapshot before.
+// formerHolders returns the next entry's list of holders in the previous snapshot, emptied
+// for reuse.
 func formerHolders(workers []placement.Worker) []placement.Holder {
 	if len(workers) == cap(workers) {
 		return nil
@@ -113,7 +114,8 @@
 	return workers[:len(workers)+1][len(workers)].Holders[:0]
 }
 
-// formerPlaces returns the emptied list of places that the next entry had.
+// formerPlaces returns the next entry's list of places in the previous snapshot, emptied for
+// reuse.
 func formerPlaces(units []placement.Unit) []int {
 	if len(units) == cap(units) {
 		return nil
@@ -121,7 +123,7 @@
 	return units[:len(units)+1][len(units)].Places[:0]
 }
 
-// numberUnit returns the number of a unit in the snapshot, adding it if need be.
+// numberUnit returns the index of a unit in the snapshot and adds the unit if it is new.
 func (p *Pool) numberUnit(s *snapshot, u *unit) int {
 	if u.snapshotSerial == p.memory.serial {
 		return u.snapshotNumber
@@ -134,23 +136,23 @@
 	return u.snapshotNumber
 }
 
-// usageOf returns the share of all room that is taken, of the scarcest kind.
+// usageOf returns the utilization of the most used resource on usable workers.
 func usageOf(owners []*worker, workers []placement.Worker) float64 {
-	var all, free taskgraph.Amount
+	var total, free taskgraph.Amount
 	for i := range workers {
 		if workers[i].Usable {
-			all = all.Plus(owners[i].Capacity)
+			total = total.Plus(owners[i].Capacity)
 			free = free.Plus(workers[i].Free)
 		}
 	}
-	return max(takenShare(all.CPU, free.CPU), takenShare(all.MemoryMB, free.MemoryMB), takenShare(all.GPUs, free.GPUs))
+	return max(takenShare(total.CPU, free.CPU), takenShare(total.MemoryMB, free.MemoryMB), takenShare(total.GPUs, free.GPUs))
 }
 
-func takenShare(all, free int) float64 {
-	if all == 0 {
+func takenShare(total, free int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return 1 - float64(free)/float64(all)
+	return 1 - float64(free)/float64(total)
 }
 
 // usable reports whether a worker may take new work.
@@ -158,7 +160,7 @@
 	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.roomKnown(w, now) && !w.leaving() && now.After(w.penaltyUntil)
 }
 
-// describeUnit renders a unit that holds room.
+// describeUnit returns the placement view of a unit that uses resources.
 func (p *Pool) describeUnit(u *unit, now time.Time) placement.Unit {
 	described := placement.Unit{Room: u.spec().Room(), Remaining: p.remaining(u, now), Loss: -1, Priority: u.job.Queue.Priority}
 	switch {
@@ -171,7 +173,7 @@
 	return described
 }
 
-// request renders what a unit asks for.
+// request returns the placement request of a unit.
 func (s *snapshot) request(u *unit) *placement.Request {
 	spec := u.spec()
 	request := &placement.Request{Room: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
