--- a/internal/pool/findplace.go
+++ b/internal/pool/findplace.go
@@ -9,7 +9,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// findPlace looks for room that is free now.
+// findPlace returns workers with free resources for a unit, or nil.
 func (p *Pool) findPlace(s *snapshot, u *unit, request *placement.Request) []int {
 	if s.overdue(u) && !u.runsAlone() {
 		return p.findAnyPlace(s, u, request)
@@ -38,9 +38,8 @@
 	return p.fitByScope(s, u, &visible, &visible)
 }
 
-// fitByScope places a unit where it runs at full speed, or anywhere once it has waited
-// for that. Whether it waits goes by all workers that it may take, of which visible are
-// those that it should.
+// fitByScope prefers workers that satisfy the unit's locality, and takes any once the unit has
+// waited long enough for it. It places within visible; all decides whether waiting can help.
 func (p *Pool) fitByScope(s *snapshot, u *unit, visible, all *placement.Request) []int {
 	spec := u.spec()
 	if rack := spec.PreferredRack; rack != "" {
@@ -64,7 +63,7 @@
 	return placement.Fit(s.workers, s.racks.All, visible)
 }
 
-// findAnyPlace looks for room that is free now, whoever else might want it.
+// findAnyPlace returns workers with free resources, ignoring reservations and headroom.
 func (p *Pool) findAnyPlace(s *snapshot, u *unit, request *placement.Request) []int {
 	for _, scope := range s.scopes(u) {
 		if places := placement.Fit(s.workers, scope, request); places != nil {
@@ -77,24 +76,24 @@
 	return placement.Fit(s.workers, s.racks.All, request)
 }
 
-// overdue reports whether a unit has waited for long while much of the pool is free:
-// then nothing is worth keeping it back.
+// overdue reports whether a unit has waited too long while much of the pool is free. It is
+// then placed anywhere, to prevent starvation.
 func (s *snapshot) overdue(u *unit) bool {
 	return s.usage < idleUsage && s.now.Sub(u.readyAt) > idlePatience
 }
 
-// bound reports whether a unit still waits for a place where it runs at full speed:
-// for as long as it would lose by running elsewhere.
+// bound reports whether a unit still waits for locality. It waits no longer than the extra
+// time that a remote run takes.
 func (p *Pool) bound(s *snapshot, u *unit, request *placement.Request) bool {
 	if p.options.Off[mechanism.NearPlaces] || !s.hasNearPlace(u, request) {
 		return false
 	}
-	patience := (p.options.Bounds.RemoteFactor - 1) * float64(u.estimate())
-	return s.now.Sub(u.readyAt) < time.Duration(patience)
+	maxWait := (p.options.Bounds.RemoteFactor - 1) * float64(u.estimate())
+	return s.now.Sub(u.readyAt) < time.Duration(maxWait)
 }
 
-// hasNearPlace reports whether there are workers that could hold the unit and on which
-// it runs faster than elsewhere.
+// hasNearPlace reports whether the unit's locality could be satisfied by workers whose
+// capacity suffices, whatever they run now.
 func (s *snapshot) hasNearPlace(u *unit, request *placement.Request) bool {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
@@ -111,59 +110,59 @@
 	return false
 }
 
-// patient reports whether a unit can leave the emptiest racks to urgent jobs.
+// patient reports whether a unit has enough slack to leave the emptiest racks to urgent jobs.
 func (p *Pool) patient(s *snapshot, u *unit) bool {
 	return u.job.Queue.Priority > 0 && u.spec().PreferredRack == "" &&
 		u.slack(s.now) > time.Duration(patientShare*float64(u.job.objective))
 }
 
-// underPressure reports whether a patient unit waits because others of a higher
-// priority were just stopped for want of room.
+// underPressure reports whether a deferrable unit waits because a unit of higher priority has
+// just preempted others.
 func (p *Pool) underPressure(s *snapshot, u *unit) bool {
 	return !p.options.Off[mechanism.Pressure] && u.job.Queue.Priority > p.pressurePriority && s.now.Before(p.pressureUntil)
 }
 
-// outsideHeadroom narrows allowed to racks other than the emptiest, of which the
-// more are left out the less urgent the priority.
+// outsideHeadroom restricts allowed to workers outside the headroom of a priority.
 func (s *snapshot) outsideHeadroom(allowed func(int) bool, priority int) func(int) bool {
-	hidden := s.headroom(min(priority, len(headroomShares)-1))
-	return func(i int) bool { return !hidden[i] && (allowed == nil || allowed(i)) }
+	excluded := s.headroom(min(priority, len(headroomShares)-1))
+	return func(i int) bool { return !excluded[i] && (allowed == nil || allowed(i)) }
 }
 
-// headroom marks the workers on racks that patient units of a priority leave to others.
+// headroom marks the workers of the emptiest racks, which deferrable units of a priority don't
+// use. The lower the priority, the more racks these are.
 func (s *snapshot) headroom(priority int) []bool {
-	if hidden := s.headrooms[priority]; hidden != nil {
-		return hidden
+	if excluded := s.headrooms[priority]; excluded != nil {
+		return excluded
 	}
-	hidden := make([]bool, len(s.workers))
+	excluded := make([]bool, len(s.workers))
 	count := int(math.Ceil(headroomShares[priority] * float64(len(s.racks.Names))))
 	if count < len(s.racks.Names) {
 		for _, name := range s.racks.Emptiest(s.workers)[:count] {
 			for _, i := range s.racks.Members[name] {
-				hidden[i] = true
+				excluded[i] = true
 			}
 		}
 	}
-	s.headrooms[priority] = hidden
-	return hidden
+	s.headrooms[priority] = excluded
+	return excluded
 }
 
-// unreserved returns a limit that hides reserved room from units that would not be
-// gone in time; nil if nothing is reserved.
+// unreserved returns a limit that hides reserved resources from units whose estimate exceeds
+// the time until the reservation starts; nil if nothing is reserved.
 func (s *snapshot) unreserved(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
 	if len(s.reserved) == 0 {
 		return nil
 	}
 	return func(i int, free taskgraph.Amount) taskgraph.Amount {
-		reserved, any := s.reserved[i]
-		if !any || estimate <= reserved.after {
+		reserved, found := s.reserved[i]
+		if !found || estimate <= reserved.after {
 			return free
 		}
 		return free.Least(reserved.spare)
 	}
 }
 
-// scopes lists the groups of workers in which a unit should stand, best first.
+// scopes returns the groups of workers of which one should hold the whole unit.
 func (s *snapshot) scopes(u *unit) [][]int {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
@@ -179,7 +178,8 @@
 	return [][]int{s.racks.All}
 }
 
-// earliest returns where the unit fits first if it waits, or nil.
+// earliest returns the earliest future placement of a unit; nil if there is none, or if the
+// cycle has no reservations left and the unit's priority is not 0.
 func (s *snapshot) earliest(u *unit, request *placement.Request) *placement.Promise {
 	if s.reservations == 0 && u.job.Queue.Priority > 0 {
 		return nil
@@ -187,16 +187,15 @@
 	var best *placement.Promise
 	limit := time.Duration(math.MaxInt64)
 	for _, scope := range s.scopes(u) {
-		if promise := placement.EarliestFit(s.workers, scope, s.units, request, limit); promise != nil {
-			best = promise
-			limit = promise.After
+		if found := placement.EarliestFit(s.workers, scope, s.units, request, limit); found != nil {
+			best = found
+			limit = found.After
 		}
 	}
 	return best
 }
 
-// reserveFor keeps the room where a unit fits first from units that would be in
-// its way.
+// reserveFor reserves the resources of a future placement for a unit.
 func (s *snapshot) reserveFor(u *unit, request *placement.Request, promise *placement.Promise) {
 	if promise == nil {
 		return
@@ -205,13 +204,13 @@
 		s.reservations--
 	}
 	for i, spare := range promise.Spare {
-		known, any := s.reserved[i]
-		if any {
-			spare = spare.Least(known.spare)
+		existing, found := s.reserved[i]
+		if found {
+			spare = spare.Least(existing.spare)
 		}
-		if !any || promise.After < known.after {
-			known.after = promise.After
+		if !found || promise.After < existing.after {
+			existing.after = promise.After
 		}
-		s.reserved[i] = reservation{after: known.after, spare: spare}
+		s.reserved[i] = reservation{after: existing.after, spare: spare}
 	}
 }
