--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -7,15 +7,14 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Where workers differ so much in speed that an urgent unit ends late on a slow one, patient tasks run
-// first on idle workers of which nothing is known. Else the emptiest racks, which are left to urgent
-// units, are those that nobody knows, and an urgent gang of five finds a slow worker in nearly every draw.
+// Where urgent units miss their objective on slow workers, deferrable tasks run first on idle workers
+// of unknown speed. Otherwise the headroom for urgent units would consist of unmeasured workers.
 
-// exploreShare is the share of the known workers that have to be too slow for urgent units for the
-// others to be explored.
+// exploreShare is the share of measured workers that must be too slow for urgent units before
+// the others are explored.
 const exploreShare = 0.1
 
-// findUnexplored places a patient task on an idle worker of unknown speed.
+// findUnexplored returns an idle worker of unknown speed for a deferrable task, or nil.
 func (p *Pool) findUnexplored(s *snapshot, u *unit, visible *placement.Request) []int {
 	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.doubtful() {
 		return nil
@@ -26,7 +25,7 @@
 	}))
 }
 
-// exploring reports whether it matters which workers an urgent unit runs on.
+// exploring reports whether enough workers are too slow for urgent units.
 func (p *Pool) exploring(now time.Time) bool {
 	if p.options.Off[mechanism.LearnedSpeeds] {
 		return false
@@ -35,7 +34,7 @@
 	return p.tooSlowShare >= exploreShare
 }
 
-// leastStretch is the least of the pool's queues, as a ratio of times; false if there is none.
+// leastStretch returns the smallest stretch above 1 of the pool's queues; false if there is none.
 func (p *Pool) leastStretch() (float64, bool) {
 	least, found := 0.0, false
 	current := p.options.Catalog()
