--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -8,13 +8,13 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// timelyGains price, by priority, that a unit ends in time: what may be thrown away
-// for it, in core-seconds, with a part for each core-second of its own work. The
-// last holds for all lower priorities too.
+// timelyGains has, by priority, the gain of a unit that meets its objective, in core-seconds
+// of other units' work that may be lost for it: a base, and a share of the unit's own work.
+// The last entry holds for all lower priorities too.
 var timelyGains = []struct{ base, perWork float64 }{{600, 6}, {400, 0.5}, {200, 0.1}}
 
-// stopLoss prices, in core-seconds, what a stop of the unit throws away, and its
-// lateness if the stop would make it late.
+// stopLoss returns the cost of stopping a unit in core-seconds: the work lost, and the unit's
+// gain if the stop makes it miss its objective.
 func (p *Pool) stopLoss(u *unit, now time.Time) float64 {
 	lost := now.Sub(u.startedAt)
 	restart := u.estimate()
@@ -23,19 +23,19 @@
 		restart = p.remaining(u, now)
 	}
 	loss := u.spec().Amount.Cores() * float64(len(u.members)) * lost.Seconds()
-	left := u.wantedAt().Sub(now) - u.job.tails[u.step.index] + u.estimate()
-	if left > p.remaining(u, now) && left < restart+restartMargin {
+	timeToEnd := u.wantedAt().Sub(now) - u.job.tails[u.step.index] + u.estimate()
+	if timeToEnd > p.remaining(u, now) && timeToEnd < restart+restartMargin {
 		loss += timelyGain(u)
 	}
 	return loss
 }
 
-// restartMargin is how long a stopped unit waits, as a guess, until it runs again.
+// restartMargin is the assumed time until a stopped unit runs again.
 const restartMargin = 2 * time.Second
 
-// preemptFor stops what is cheapest so that a unit can start, and keeps the room.
-// It returns false if the stops would cost more than the start is worth, or nothing
-// helps.
+// preemptFor stops the cheapest units so that a unit can start, and reserves their resources
+// for it. It returns false if no preemption frees enough resources, or if it costs more than
+// the start gains and no guarantee is due.
 func (p *Pool) preemptFor(s *snapshot, u *unit, request *placement.Request) bool {
 	places, victims, loss := p.choosePreemption(s, u, request)
 	if places == nil {
@@ -48,20 +48,20 @@
 	return true
 }
 
-// preempt stops victims and keeps the places where a unit will start.
+// preempt stops the victims and reserves the workers on which the unit will start.
 func (p *Pool) preempt(s *snapshot, u *unit, request *placement.Request, places, victims []int) {
 	s.promise(victims, places, request.Room)
 	if len(victims) > 0 {
 		p.pressurePriority = u.job.Queue.Priority
 		p.pressureUntil = s.now.Add(pressurePeriod)
 	}
-	for _, number := range victims {
-		p.stopUnit(s.running[number], "preempted")
+	for _, index := range victims {
+		p.stopUnit(s.running[index], "preempted")
 	}
 }
 
-// choosePreemption finds the cheapest stops among the workers that the unit tries first,
-// if they are worth it, and else among all.
+// choosePreemption returns the cheapest preemption on the unit's preferred workers if it costs
+// no more than it gains, or else the cheapest one on any workers.
 func (p *Pool) choosePreemption(s *snapshot, u *unit, request *placement.Request) (places, victims []int, loss float64) {
 	gain := preemptionGain(u, s.now)
 	for _, preferred := range p.preferences(s, u) {
@@ -77,28 +77,28 @@
 	return bestPreemption(s, [][]int{s.racks.All}, request)
 }
 
-// promise gives the room of victims to places. What the victims hold beyond that
-// is not free before they have stopped, so no other unit of this cycle gets it.
+// promise reserves the victims' resources at places. The victims' other resources stay in use
+// until they have stopped, so no other unit of this cycle gets them.
 func (s *snapshot) promise(victims, places []int, room taskgraph.Amount) {
-	before := map[int]taskgraph.Amount{}
-	for _, number := range victims {
-		for _, i := range s.units[number].Places {
-			if _, known := before[i]; !known {
-				before[i] = s.workers[i].Free
+	freeBefore := map[int]taskgraph.Amount{}
+	for _, index := range victims {
+		for _, i := range s.units[index].Places {
+			if _, seen := freeBefore[i]; !seen {
+				freeBefore[i] = s.workers[i].Free
 			}
-			s.workers[i].Free = s.workers[i].Free.Plus(s.units[number].Room)
+			s.workers[i].Free = s.workers[i].Free.Plus(s.units[index].Room)
 		}
-		s.units[number].Loss = -1
-		s.units[number].Places = nil
+		s.units[index].Loss = -1
+		s.units[index].Places = nil
 	}
 	placement.Reserve(s.workers, places, room)
-	for i, free := range before {
+	for i, free := range freeBefore {
 		s.workers[i].Free = s.workers[i].Free.Least(free)
 	}
 }
 
-// pressing reports whether a unit may stop others: those of priority 0 always, gangs
-// of others while their slack is nearly used up.
+// pressing reports whether a unit may preempt others: always with priority 0, and as a gang
+// of another priority while little of its slack is left.
 func (p *Pool) pressing(s *snapshot, u *unit) bool {
 	if u.job.Queue.Priority == 0 {
 		return true
@@ -107,13 +107,13 @@
 	return !p.options.Off[mechanism.PressingGangs] && len(u.members) > 1 && slack > 0 && slack < time.Duration(pressingShare*float64(u.job.objective))
 }
 
-// mustBegin reports whether a guarantee obliges the unit to begin soon.
+// mustBegin reports whether the tenant's guarantee requires the unit to start now.
 func (p *Pool) mustBegin(s *snapshot, u *unit) bool {
 	latest := u.job.acceptedAt.Add(p.options.Bounds.Reclaim - p.options.Bounds.StopTimeout - reclaimMargin)
 	return s.now.After(latest.Add(-tickPeriod)) && p.guaranteed(u.job)
 }
 
-// preemptionGain is the loss, in core-seconds, that a unit's start is worth.
+// preemptionGain returns the gain of starting a unit, in core-seconds.
 func preemptionGain(u *unit, now time.Time) float64 {
 	if u.slack(now) <= 0 {
 		return gainLate * u.work()
@@ -121,46 +121,47 @@
 	return timelyGain(u)
 }
 
-// timelyGain is what it is worth, in core-seconds, that a unit ends in time.
+// timelyGain returns the gain of a unit that meets its objective, in core-seconds.
 func timelyGain(u *unit) float64 {
 	gain := timelyGains[min(u.job.Queue.Priority, len(timelyGains)-1)]
 	return gain.base + gain.perWork*u.work()
 }
 
-// work is the unit's estimated work in core-seconds.
+// work returns the unit's estimated work in core-seconds.
 func (u *unit) work() float64 {
 	spec := u.spec()
 	return spec.Amount.Cores() * float64(len(u.members)) * u.estimate().Seconds()
 }
 
-func bestPreemption(s *snapshot, scopes [][]int, request *placement.Request) (places, victims []int, lowest float64) {
+func bestPreemption(s *snapshot, scopes [][]int, request *placement.Request) (places, victims []int, lowestLoss float64) {
 	for _, scope := range scopes {
-		found, stopped, loss := placement.Preempt(s.workers, scope, s.units, request)
-		if found != nil && (places == nil || loss < lowest) {
-			places, victims, lowest = found, stopped, loss
+		foundPlaces, foundVictims, loss := placement.Preempt(s.workers, scope, s.units, request)
+		if foundPlaces != nil && (places == nil || loss < lowestLoss) {
+			places, victims, lowestLoss = foundPlaces, foundVictims, loss
 		}
 	}
-	return places, victims, lowest
+	return places, victims, lowestLoss
 }
 
-// guaranteed reports whether a job's tenant may claim its guarantee for it.
+// guaranteed reports whether the job has priority 0 and the accelerators of all its tenant's jobs
+// of priority 0 are within the tenant's guarantee.
 func (p *Pool) guaranteed(j *job) bool {
 	if j.Queue.Priority != 0 {
 		return false
 	}
-	used := taskgraph.Amount{}
+	demand := taskgraph.Amount{}
 	for _, other := range p.jobs {
 		if other.Tenant == j.Tenant && other.Queue.Priority == 0 && !other.next.Final() {
 			for i := range other.Spec.Steps {
-				used = used.Plus(other.Spec.Steps[i].Amount.Times(other.Spec.Steps[i].Count))
+				demand = demand.Plus(other.Spec.Steps[i].Amount.Times(other.Spec.Steps[i].Count))
 			}
 		}
 	}
-	return used.GPUs <= p.options.Catalog().Guarantee(j.Tenant).GPUs
+	return demand.GPUs <= p.options.Catalog().Guarantee(j.Tenant).GPUs
 }
 
-// lateAt reports whether an urgent unit that could end in time would end late at places that it can have
-// now, for the speed of their workers.
+// lateAt reports whether an urgent unit that can still meet its objective would miss it on the given
+// workers because of their speed.
 func (p *Pool) lateAt(s *snapshot, u *unit, places []int) bool {
 	if u.job.Queue.Priority > 0 || u.likelyPoison() || u.runsAlone() {
 		return false
@@ -172,8 +173,8 @@
 	return slack > 0 && time.Duration((slowest-1)*float64(u.estimate())) > slack
 }
 
-// preemptForSpeed stops others on workers that are not slow, for a unit that would be late on those that
-// are free, if it then ends in time and is worth it.
+// preemptForSpeed preempts units on workers that are not slow, for a unit that would miss its objective on
+// the free ones, if it can then meet it and the gain exceeds the cost.
 func (p *Pool) preemptForSpeed(s *snapshot, u *unit, request *placement.Request) bool {
 	fast := narrowed(request, func(i int) bool { return !s.workers[i].Slow && !s.owners[i].reliability.suspect() })
 	places, victims, loss := bestPreemption(s, s.scopes(u), fast)
