--- a/internal/pool/policy_test.go
+++ b/internal/pool/policy_test.go
@@ -11,8 +11,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestStandingRunsAreMoved: a task on a worker that makes no progress held its job
-// up until the day's end.
+// TestStandingRunsAreMoved guards against a stalled run that blocks its job for good.
 func TestStandingRunsAreMoved(t *testing.T) {
 	w := simulation.NewWorld(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -25,8 +24,8 @@
 	require.Positive(t, w.Judge.Counts["stops/stands still"])
 }
 
-// TestNothingWaitsLongBesideFreeRoom: a job without any run was held back for urgent
-// ones that did not come, with most of the room free (hunt: LOST).
+// TestNothingWaitsLongBesideFreeRoom guards against starvation of jobs while most of the pool
+// is kept free for urgent jobs that do not come.
 func TestNothingWaitsLongBesideFreeRoom(t *testing.T) {
 	w := simulation.NewWorld(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
@@ -35,37 +34,37 @@
 	w.Submit(spec(1, long), batch)
 	w.Own()
 	w.Run(time.Second)
-	patient := single(1)
-	patient.EstimateMillis = 30000
-	w.Submit(spec(2, patient), batch)
-	near := single(1)
-	near.EstimateMillis = 30000
-	near.PreferredRack = "r-0"
-	w.Submit(spec(3, near), batch)
+	deferrable := single(1)
+	deferrable.EstimateMillis = 30000
+	w.Submit(spec(2, deferrable), batch)
+	local := single(1)
+	local.EstimateMillis = 30000
+	local.PreferredRack = "r-0"
+	w.Submit(spec(3, local), batch)
 	w.Run(2700 * time.Millisecond)
 	for _, n := range []int{2, 3} {
 		require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(n)}), "job %d", n)
 	}
 }
 
-// TestLateUnitsMakeWayForTimelyOnes: with everything in the order of acceptance, one
-// job that was late made all that came after it late too.
+// TestLateUnitsMakeWayForTimelyOnes checks that a job that has missed its objective does not
+// make the jobs behind it miss theirs.
 func TestLateUnitsMakeWayForTimelyOnes(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
-	whole := func() taskgraph.Step {
+	wholeWorker := func() taskgraph.Step {
 		step := single(1)
 		step.GPUs, step.EstimateMillis = 8, 5000
 		return step
 	}
 	tight := catalog.Queue{Name: "tight", Priority: 1, MaxAttempts: 3, Stretch: 1}
 	roomy := catalog.Queue{Name: "roomy", Priority: 1, MaxAttempts: 3, Stretch: 3}
-	w.Submit(spec(1, whole()), roomy)
+	w.Submit(spec(1, wholeWorker()), roomy)
 	w.Own()
 	w.Run(time.Second)
-	w.Submit(spec(2, whole()), tight)
+	w.Submit(spec(2, wholeWorker()), tight)
 	w.Run(100 * time.Millisecond)
-	w.Submit(spec(3, whole()), roomy)
+	w.Submit(spec(3, wholeWorker()), roomy)
 	w.Run(10 * time.Second)
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
@@ -74,8 +73,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 }
 
-// TestGangsLearnToAvoidSlowWorkers: the progress of a gang's members tells which worker
-// is slow, and later gangs leave it alone while there is other room.
+// TestGangsLearnToAvoidSlowWorkers checks that the progress of a gang's members identifies a
+// slow worker, which later gangs use only if no other worker is free.
 func TestGangsLearnToAvoidSlowWorkers(t *testing.T) {
 	w := simulation.NewWorld(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
@@ -94,33 +93,33 @@
 	}
 	w.Submit(spec(6, gang(4)), batch)
 	w.Run(time.Second)
-	require.Equal(t, 1, slow.Runs(), "where nothing else is left it is used")
+	require.Equal(t, 1, slow.Runs(), "the slow worker is used if no other is free")
 	requireKept(t, w)
 }
 
-// TestGangsOnOneRackWaitAsLongAsItPays: elsewhere such a gang takes three times as long,
-// so it waits up to twice its estimate for its rack; one that no rack holds does not wait.
+// TestGangsOnOneRackWaitAsLongAsItPays checks that a gang that takes three times as long across
+// racks waits up to twice its estimate for one rack, and not at all if it fits on no rack.
 func TestGangsOnOneRackWaitAsLongAsItPays(t *testing.T) {
 	w := simulation.NewWorld(2, 2)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 1500 * time.Millisecond }
-	tied := func(count int) taskgraph.Step {
+	sameRackGang := func(count int) taskgraph.Step {
 		step := gang(count)
 		step.SameRack = true
 		return step
 	}
-	// Each rack is left with one free worker for a second and a half.
+	// Each rack has one free worker for a second and a half.
 	w.Submit(spec(1, gang(1)), urgent)
 	w.Own()
 	w.Run(300 * time.Millisecond)
-	w.Submit(spec(2, tied(2)), urgent)
+	w.Submit(spec(2, sameRackGang(2)), urgent)
 	w.Run(300 * time.Millisecond)
-	w.Submit(spec(3, tied(2)), urgent)
+	w.Submit(spec(3, sameRackGang(2)), urgent)
 	w.Run(900 * time.Millisecond)
-	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(3)}), "waits for its rack")
+	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(3)}), "the gang waits for one rack")
 	w.Run(10 * time.Second)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
-	w.Submit(spec(4, tied(3)), batch)
+	w.Submit(spec(4, sameRackGang(3)), batch)
 	w.Run(300 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(4)}), "no rack holds it")
+	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(4)}), "the gang fits on no rack")
 	requireKept(t, w)
 }
