--- a/internal/pool/trial.go
+++ b/internal/pool/trial.go
@@ -9,23 +9,21 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Where units run under which workers were lost. The next run of each tells sound ones from
-// those that crash workers, if no other suspect and nothing new is beside it; and it takes
-// down least on an empty worker.
+// Placement of units whose earlier runs ended with the loss of a worker. Their next run is
+// isolated, so that another loss can be attributed to the unit and affects few other runs.
 const (
-	// trialPeriod is how long after its start nothing new joins a suspect. Most tasks that
-	// crash workers do so at once.
+	// trialPeriod is how long after its start a suspected unit gets no new neighbors. Most
+	// tasks that crash workers do so at once.
 	trialPeriod = time.Second
-	// trialPatience is how long a suspect waits for a worker without another suspect. Its
-	// last run was lost some 3 s before.
+	// trialPatience is how long a suspected unit waits for a worker without another one.
 	trialPatience = 500 * time.Millisecond
-	// aloneLosses is how many lost workers, whatever the odds, make a unit run alone on its
-	// workers. The platform allows two starts after three losses of a task that crashes its
-	// workers: both have to tell it from a sound one.
+	// aloneLosses is the number of lost workers from which a unit needs empty workers, whatever
+	// its odds. The platform allows two more starts after three losses by a task that crashes
+	// its workers, so both must be conclusive.
 	aloneLosses = 3
 )
 
-// judged reports whether the verdict of a member of the unit is one of some.
+// judged reports whether the verdict on any member of the unit is one of verdicts.
 func (u *unit) judged(verdicts ...poison.Verdict) bool {
 	for _, m := range u.suspects() {
 		if slices.Contains(verdicts, m.losses.Verdict()) {
@@ -35,18 +33,17 @@
 	return false
 }
 
-// suspected reports whether a member of the unit may well crash workers.
+// suspected reports whether a member of the unit is suspected or known to crash workers.
 func (u *unit) suspected() bool {
 	return u.judged(poison.Suspected, poison.PoisonByOdds, poison.PoisonByLimit)
 }
 
-// doubtful reports whether workers were lost under the unit with no better cause known.
+// doubtful reports whether workers were lost while they ran the unit, without another known cause.
 func (u *unit) doubtful() bool { return u.suspected() || u.judged(poison.Doubtful) }
 
-// runsAlone reports whether the unit's next run has to tell whether it crashes its workers: it
-// begins on empty workers only, waits for them, and nothing joins it before it has ended. Beside
-// other suspects a run proves nothing: in a full pool with one such task in eleven jobs, 3 of 3,200
-// sound jobs lost five workers to others (8 seeds of 440 jobs in virtual time).
+// runsAlone reports whether the unit's next run must show whether it crashes its workers. It then
+// waits for empty workers, and nothing else is placed there until it has ended, since a loss beside
+// another suspected unit proves nothing.
 func (u *unit) runsAlone() bool {
 	for _, m := range u.suspects() {
 		if m.losses.Count() >= aloneLosses || m.losses.Count() > 1 && m.losses.Suspicious() {
@@ -56,8 +53,8 @@
 	return false
 }
 
-// likelyPoison reports whether the unit is more likely to crash its workers than not. Others
-// are not stopped for it.
+// likelyPoison reports whether the unit is more likely than not to crash its workers. No other
+// unit is preempted for it.
 func (u *unit) likelyPoison() bool {
 	for _, m := range u.suspects() {
 		if m.losses.Odds() >= 1 {
@@ -67,17 +64,18 @@
 	return false
 }
 
-// onTrial reports whether the unit is a suspect that is being started or was just started.
+// onTrial reports whether nothing else may be placed beside the unit: it is suspected, and its
+// start is under way or recent, or it needs empty workers.
 func (u *unit) onTrial(now time.Time) bool {
 	if u.lossGroup == nil || !u.suspected() {
 		return false
 	}
-	begun := u.state == unitActive && (now.Sub(u.startedAt) < trialPeriod || u.runsAlone())
-	return u.state == unitCommitting || begun
+	isolated := u.state == unitActive && (now.Sub(u.startedAt) < trialPeriod || u.runsAlone())
+	return u.state == unitCommitting || isolated
 }
 
-// findTrialPlace looks for room for a unit under which workers were lost and whose next run
-// may tell why.
+// findTrialPlace returns workers for a unit with unexplained worker losses, as isolated as
+// possible, or nil.
 func (p *Pool) findTrialPlace(s *snapshot, u *unit, visible *placement.Request) []int {
 	if u.runsAlone() {
 		return placement.Fit(s.workers, s.racks.All, s.onEmptyWorkers(visible))
@@ -93,11 +91,11 @@
 	return p.fitByScope(s, u, visible, visible)
 }
 
-// onEmptyWorkers narrows a request to workers on which nothing runs, or will run once units
-// of a what-if have left.
+// onEmptyWorkers restricts a request to workers without runs. In a search for a future placement
+// these are the workers that will have none.
 func (s *snapshot) onEmptyWorkers(request *placement.Request) *placement.Request {
-	narrow := *request
-	narrow.Limit = func(i int, free taskgraph.Amount) taskgraph.Amount {
+	restricted := *request
+	restricted.Limit = func(i int, free taskgraph.Amount) taskgraph.Amount {
 		if free != s.workers[i].Capacity {
 			return taskgraph.Amount{}
 		}
@@ -106,10 +104,10 @@
 		}
 		return free
 	}
-	return &narrow
+	return &restricted
 }
 
-// reserveAlone keeps the workers that are empty first for a unit that runs alone on them.
+// reserveAlone reserves the workers that become empty first, with all their resources.
 func (s *snapshot) reserveAlone(u *unit, request *placement.Request) {
 	promise := s.earliest(u, s.onEmptyWorkers(request))
 	if promise == nil {
@@ -121,10 +119,10 @@
 	s.reserveFor(u, request, promise)
 }
 
-// trialPlaces lists which workers a unit tries first that is not beyond doubt.
+// trialPlaces returns the preferred workers of a unit with unexplained losses, best first.
 func (s *snapshot) trialPlaces(u *unit) []func(i int) bool {
 	empty := func(i int) bool { return len(s.owners[i].members) == 0 }
-	apart := func(i int) bool {
+	withoutDoubtful := func(i int) bool {
 		for _, m := range s.owners[i].members {
 			if m.unit.doubtful() {
 				return false
@@ -133,12 +131,12 @@
 		return true
 	}
 	if u.suspected() {
-		return []func(int) bool{empty, apart}
+		return []func(int) bool{empty, withoutDoubtful}
 	}
-	return []func(int) bool{apart}
+	return []func(int) bool{withoutDoubtful}
 }
 
-// closeToOthers keeps further units of this cycle off workers.
+// closeToOthers makes workers unusable for the rest of the cycle.
 func (s *snapshot) closeToOthers(places []int) {
 	for _, place := range places {
 		s.workers[place].Usable = false
