--- a/internal/pool/tries.go
+++ b/internal/pool/tries.go
@@ -6,68 +6,68 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// An order without an answer is sent a second time after secondTryLeast, or after
-// secondTryRatio times what orders have lately taken if that is longer, beside the first
-// one. Workers answer in some 4 ms, and start or stop a run once, however often they are
-// told; to wait for the first one's time to run out cost an urgent gang 0.4 s.
+// Commands to workers are hedged: without a response within secondTryLeast, or within
+// secondTryRatio times the recent average latency if that is longer, a second copy is sent
+// while the first is pending. Workers handle starts and stops idempotently.
 const (
 	secondTryLeast = 60 * time.Millisecond
 	secondTryRatio = 4
-	// orderLatencyMemory is over how many orders their latency is averaged.
+	// orderLatencyMemory is the number of commands over which the latency is averaged.
 	orderLatencyMemory = 32
 )
 
-// secondTryAfter is how long an order may go without an answer before it is sent again.
+// secondTryAfter returns the time without a response after which a command is sent again.
 func (p *Pool) secondTryAfter() time.Duration {
-	after := max(secondTryLeast, secondTryRatio*p.orderLatency)
+	delay := max(secondTryLeast, secondTryRatio*p.orderLatency)
 	if p.options.Late != nil {
-		after += p.options.Late()
+		delay += p.options.Late()
 	}
-	return after
+	return delay
 }
 
-// tries are the tries of one order that are under way.
+// tries is the state of one hedged command.
 type tries struct {
+	// open is the number of copies without a response or failure.
 	open int
-	// answered is true once it is known what became of the order, or all tries failed.
+	// answered is true once the command's outcome is known or all copies failed.
 	answered bool
 }
 
-// unanswered reports whether the only try so far is under way still.
+// unanswered reports whether the first copy is pending and no other was sent.
 func (t *tries) unanswered() bool { return t.open == 1 && !t.answered }
 
-// repeatedOrder is an order to a worker that gets a second try.
+// repeatedOrder is a hedged command to a worker.
 type repeatedOrder struct {
-	// name is the order's in counters.
+	// name is the command's name in counters.
 	name string
-	// current reports whether the order still is about its member's present run, and wanted
-	// whether a second try still makes sense.
+	// current reports whether the command still concerns its member's latest run, and wanted
+	// whether a second copy is still useful.
 	current, wanted func() bool
 	send            func(done func(fleet.Reply, error))
-	// answered takes in what became of one try.
+	// answered handles the response to one copy, or its failure.
 	answered func(sent *tries, reply fleet.Reply, err error)
 }
 
-// sendTwice sends an order, and once more if it has no answer after a while. It returns the
-// tries.
+// sendTwice sends a command, and a second copy if there is no response after secondTryAfter. It
+// returns the state of the hedged command.
 func (p *Pool) sendTwice(order *repeatedOrder) *tries {
-	sent := &tries{}
-	try := func() {
+	state := &tries{}
+	sendCopy := func() {
 		p.record.Count("worker_orders", order.name)
-		sent.open++
+		state.open++
 		order.send(func(reply fleet.Reply, err error) {
-			sent.open--
+			state.open--
 			if order.current() {
-				order.answered(sent, reply, err)
+				order.answered(state, reply, err)
 			}
 		})
 	}
-	try()
+	sendCopy()
 	p.loop.After(p.secondTryAfter(), func() {
-		if order.current() && order.wanted() && sent.unanswered() {
+		if order.current() && order.wanted() && state.unanswered() {
 			p.record.Count("retries", order.name+"_unanswered")
-			try()
+			sendCopy()
 		}
 	})
-	return sent
+	return state
 }
