--- a/internal/pool/waiting.go
+++ b/internal/pool/waiting.go
@@ -8,33 +8,33 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// waitReason says what keeps a unit from a place.
+// waitReason is why a unit could not be placed.
 type waitReason string
 
-// The reasons, the first that holds.
+// Wait reasons. The first one that applies, in the order of findWaitReason, is kept.
 const (
-	// waitNothing: the unit was placed at its first look.
+	// waitNothing: the unit was placed at the first attempt.
 	waitNothing waitReason = ""
-	// waitRoom: no group of workers has enough free room.
+	// waitRoom: no usable workers have enough free resources.
 	waitRoom waitReason = "no room"
-	// waitEvacuated: there is free room in evacuated zones only, or it is not known from lately
-	// which zones are evacuated.
+	// waitEvacuated: only evacuated zones have enough free resources, or the set of evacuated
+	// zones is not fresh.
 	waitEvacuated waitReason = "zone evacuated"
-	// waitPressure: others were just stopped for want of room.
+	// waitPressure: a unit of higher priority has just preempted others.
 	waitPressure waitReason = "pressure"
-	// waitReserved: the free room is kept for units that waited before.
+	// waitReserved: the free resources are reserved for other units.
 	waitReserved waitReason = "reserved"
-	// waitHeadroom: the free room is on racks that are left to more urgent jobs.
+	// waitHeadroom: the free resources are on racks that are kept for more urgent jobs.
 	waitHeadroom waitReason = "headroom"
-	// waitNear: there is free room, but not where the unit runs at full speed.
+	// waitNear: free resources don't satisfy the unit's locality.
 	waitNear waitReason = "no near place"
 )
 
-// waitLookPeriod is how often the reason of a step's wait is looked up. Telling it
-// takes a few more searches for room, and only log lines depend on it.
+// waitLookPeriod is the minimum time between two updates of a step's wait reason. It takes
+// several searches for a placement, and only logs need it.
 const waitLookPeriod = 250 * time.Millisecond
 
-// noteWait keeps what a unit that found no place waits for.
+// noteWait updates the wait reason of the step of a unit that could not be placed.
 func (p *Pool) noteWait(s *snapshot, u *unit, request *placement.Request) {
 	if u.step.waitsFor != waitNothing && s.now.Sub(u.step.waitSeenAt) < waitLookPeriod {
 		return
@@ -68,19 +68,19 @@
 	return waitNear
 }
 
-// withoutEvacuations returns the workers as they would be if no zone was evacuated.
+// withoutEvacuations returns the snapshot's workers as if no zone were evacuated.
 func (p *Pool) withoutEvacuations(s *snapshot) []placement.Worker {
 	if len(p.evacuated().Zones()) == 0 && p.evacuationsKnown(s.now) {
 		return s.workers
 	}
-	open := slices.Clone(s.workers)
-	for i := range open {
-		open[i].Usable = p.usable(s.owners[i], s.now)
+	workers := slices.Clone(s.workers)
+	for i := range workers {
+		workers[i].Usable = p.usable(s.owners[i], s.now)
 	}
-	return open
+	return workers
 }
 
-// waitedFor returns what the unit last waited for since it became ready.
+// waitedFor returns the last wait reason since the unit became ready.
 func (u *unit) waitedFor() waitReason {
 	if u.step.waitSeenAt.Before(u.readyAt) {
 		return waitNothing
@@ -88,13 +88,13 @@
 	return u.step.waitsFor
 }
 
-// unsavedWork returns, in core-seconds, what of one member's run is lost by its end.
-func (p *Pool) unsavedWork(u *unit, how fleet.How, ran time.Duration) float64 {
-	if how == fleet.Done {
+// unsavedWork returns the work of one member's run that its end loses, in core-seconds.
+func (p *Pool) unsavedWork(u *unit, outcome fleet.How, runTime time.Duration) float64 {
+	if outcome == fleet.Done {
 		return 0
 	}
 	if u.spec().Checkpoints {
-		ran = min(ran, p.options.Bounds.CheckpointInterval)
+		runTime = min(runTime, p.options.Bounds.CheckpointInterval)
 	}
-	return u.spec().Amount.Cores() * ran.Seconds()
+	return u.spec().Amount.Cores() * runTime.Seconds()
 }
