--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -7,19 +7,20 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// memberEnded frees a member's room and settles its unit.
-func (p *Pool) memberEnded(m *member, how fleet.How) {
+// memberEnded releases a member's resources. It stops the rest of its gang unless the member
+// is done, and otherwise requeues the unit once no member is active.
+func (p *Pool) memberEnded(m *member, outcome fleet.How) {
 	u := m.unit
 	p.release(m)
 	p.wake()
-	if u.state == unitActive && how != fleet.Done && u.active() > 0 {
-		p.stopUnit(u, "member "+string(how))
+	if u.state == unitActive && outcome != fleet.Done && u.active() > 0 {
+		p.stopUnit(u, "member "+string(outcome))
 		return
 	}
 	p.settle(u)
 }
 
-// settle returns a unit to the queue once nothing of it runs any more.
+// settle requeues a unit that has no active members, or ends it if its job has ended.
 func (p *Pool) settle(u *unit) {
 	if u.active() > 0 || (u.state != unitActive && u.state != unitStopping) {
 		return
@@ -34,7 +35,8 @@
 	p.wake()
 }
 
-// unitDone notes that a unit's work is complete.
+// unitDone marks a unit as ended after its work is done, learns from its run, and completes its
+// step and job if it was their last unit.
 func (p *Pool) unitDone(u *unit) {
 	if u.state == unitEnded || u.job.next.Final() {
 		return
@@ -70,7 +72,8 @@
 	p.finishJob(j, taskgraph.Completed)
 }
 
-// unitFailed counts a failed run and ends the job if it was the last allowed.
+// unitFailed counts a failed run, excludes its worker for the unit, and fails the job if no
+// attempts are left.
 func (p *Pool) unitFailed(u *unit, w *worker) {
 	if u.state == unitEnded || u.job.next.Final() {
 		return
@@ -87,7 +90,7 @@
 	}
 }
 
-// remaining estimates how long a unit still runs.
+// remaining returns the estimated time until a running unit ends.
 func (p *Pool) remaining(u *unit, now time.Time) time.Duration {
 	estimate := u.estimate()
 	elapsed := now.Sub(u.startedAt)
