--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -7,46 +7,46 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// What is made of members of a gang that come on much more slowly than the others, which
-// wait for them.
+// Detection of stragglers: members of a gang that are much slower than the others, which wait
+// for them.
 const (
-	// laggardRatio is a run's time, against what the speed known of its worker explains, from which
-	// the worker counts as disturbed.
+	// laggardRatio is the ratio of a run's projected duration to the one that its worker's known speed
+	// explains, from which the member is a straggler.
 	laggardRatio = 2.5
-	// fastestLead is by how much a pool's median worker is slower at most than its fast ones, as long
-	// as nothing is known of them.
+	// fastestLead bounds the median worker's duration as a multiple of that of the fastest workers
+	// while most speeds are unknown.
 	fastestLead = 2
-	// moveOverhead is what a move takes beside the work done anew: the stop, up to 0.9 s on
-	// the platform's sites, and the start.
+	// moveOverhead is the time that a restart takes besides the repeated work: the stop, which
+	// takes up to 0.9 s on the platform, and the start.
 	moveOverhead = 1200 * time.Millisecond
-	// moveRatio is how many times longer than a move the rest of a run must take.
+	// moveRatio is how many times longer than a restart the rest of the run must take.
 	moveRatio = 1.5
-	// projectionAge is the age of a run from which its progress, in percent, tells its time.
+	// projectionAge is the minimum age of a run for a projection from its progress.
 	projectionAge = 500 * time.Millisecond
-	// leastProgressShare stands for progress that is listed as 0 percent.
+	// leastProgressShare is assumed for progress that is reported as 0 percent.
 	leastProgressShare = 0.005
 )
 
-// checkLaggards compares the members of a gang. It moves one whose slowest member would keep the others
-// for longer than to begin anew takes, and keeps new work off that member's worker.
+// checkLaggards detects stragglers in a gang and excludes their workers from new work. It restarts the
+// gang if waiting for the slowest member would take longer than a restart.
 func (p *Pool) checkLaggards(u *unit, now time.Time) {
 	if len(u.members) < 2 || !u.startedHere || u.resumed || u.runningSince.IsZero() {
 		return
 	}
-	// What this run tells of its workers must not explain it away.
+	// Deferred, so that the speeds learned from this run do not hide its stragglers.
 	defer p.learnFromGang(u)
 	if p.options.Off[mechanism.Laggards] {
 		return
 	}
-	sound, known := p.soundTime(u, now)
+	medianDuration, known := p.soundTime(u, now)
 	if !known {
 		return
 	}
 	slowest := time.Duration(0)
 	for _, m := range u.members {
 		projected, ok := m.projectedTime()
-		explained := float64(sound) * max(1, p.slowness(m.worker, now))
-		if !ok || float64(projected) < laggardRatio*explained {
+		expected := float64(medianDuration) * max(1, p.slowness(m.worker, now))
+		if !ok || float64(projected) < laggardRatio*expected {
 			continue
 		}
 		if !m.worker.cold(now) {
@@ -55,55 +55,54 @@
 		p.leaveAlone(m.worker, "a run is much slower than its gang", now)
 		slowest = max(slowest, projected)
 	}
-	left := u.runningSince.Add(slowest).Sub(now)
-	if float64(left) > moveRatio*float64(sound+moveOverhead) {
+	timeLeft := u.runningSince.Add(slowest).Sub(now)
+	if float64(timeLeft) > moveRatio*float64(medianDuration+moveOverhead) {
 		p.stopUnit(u, "slow member")
 	}
 }
 
-// slowPeriod is how long gangs avoid a worker after one of its runs was much slower than
-// its siblings: twice the penalty, so that single tasks come there first.
+// slowPeriod is how long gangs avoid the worker of a straggler. It is twice the exclusion period,
+// so that single tasks run there first.
 const slowPeriod = 2 * penalty
 
-// soundTime returns how long the work of a member takes as a whole on the median worker, and false while
-// less than half of the members have told their progress. It goes by the members on workers of known
-// speed, whose lower quartile holds with more than half of them disturbed; where most are not known, by
-// the median of all, since a pool's fastest workers say little of its others but that they are not
-// slower by more than fastestLead.
+// soundTime returns the projected duration of a member on the median worker, and false while less than
+// half of the members or fewer than two have a projection. It is the lower quartile of the members on
+// workers of known speed, which is robust against many stragglers. If most speeds are unknown it is the
+// median of all members, at most fastestLead times their lower quartile.
 func (p *Pool) soundTime(u *unit, now time.Time) (time.Duration, bool) {
-	var told, corrected []time.Duration
+	var projections, corrected []time.Duration
 	for _, m := range u.members {
 		projected, ok := m.projectedTime()
 		if !ok {
 			continue
 		}
-		told = append(told, projected)
+		projections = append(projections, projected)
 		if p.speedKnown(m.worker) {
 			corrected = append(corrected, time.Duration(float64(projected)/p.slowness(m.worker, now)))
 		}
 	}
-	if len(told) < 2 || 2*len(told) < len(u.members) {
+	if len(projections) < 2 || 2*len(projections) < len(u.members) {
 		return 0, false
 	}
-	if 2*len(corrected) >= len(told) {
+	if 2*len(corrected) >= len(projections) {
 		slices.Sort(corrected)
 		return corrected[(len(corrected)-1)/4], true
 	}
-	slices.Sort(told)
-	return min(told[(len(told)-1)/2], fastestLead*told[(len(told)-1)/4]), true
+	slices.Sort(projections)
+	return min(projections[(len(projections)-1)/2], fastestLead*projections[(len(projections)-1)/4]), true
 }
 
-// projectedTime returns how long a member's work takes as a whole at the pace so far, and
-// false if it is too early to tell.
+// projectedTime returns the total duration of a member's run at its speed so far, and false if
+// the run is too young for a projection.
 func (m *member) projectedTime() (time.Duration, bool) {
 	if m.state != memberRunning || m.worker == nil || m.percentAt.IsZero() {
 		return 0, false
 	}
-	listed := m.listedAt
+	reportedAt := m.listedAt
 	if m.percent >= nearEnd {
-		listed = m.percentAt
+		reportedAt = m.percentAt
 	}
-	elapsed := listed.Sub(m.unit.runningSince)
+	elapsed := reportedAt.Sub(m.unit.runningSince)
 	if elapsed < projectionAge {
 		return 0, false
 	}
