--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -6,46 +6,46 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// When a run counts as standing still, and how long that is waited for. Nobody knows how
-// long a stall lasts. To move a run after a wait as long as what the move throws away
-// costs at most twice what it would cost to know.
+// Detection of stalled runs. The duration of a stall is unknown; a restart after a wait as long
+// as the time that it loses costs at most twice the optimum.
 const (
-	// A run stands still once its progress has not changed for stallPeriod and for
-	// stallShare of its estimate. Progress comes in percent: a run that takes eight times
-	// its estimate still shows one of them in that time.
+	// A run is stalled once its progress has not changed for stallPeriod and for stallShare of
+	// its estimate. Progress is reported in whole percent, so a run that takes eight times its
+	// estimate still progresses within that time.
 	stallPeriod = time.Second
 	stallShare  = 0.08
-	// nearEnd is the percent from which a member of a gang may be waiting for the others.
+	// nearEnd is the progress in percent from which a member of a gang may be waiting for the
+	// others.
 	nearEnd = 95
-	// stallLimit, and stallLimitShare of the estimate if that is longer, bound how long a
-	// stall is waited for whatever a move throws away.
+	// stallLimit, or stallLimitShare of the estimate if that is longer, bounds the wait for a
+	// stalled run, however much a restart loses.
 	stallLimit      = 8 * time.Second
 	stallLimitShare = 0.4
-	// stallDoublings bounds how often these times double: with each stall of a unit, since
-	// work that takes far longer than its estimate seems to stand still on any worker. The
-	// last is 34 minutes, in which a percent of two days' work is done.
+	// stallDoublings bounds the doublings of these times, one for each stall of the unit. Work
+	// that takes far longer than its estimate looks stalled on any worker. The longest wait is
+	// 34 minutes, one percent of two days.
 	stallDoublings = 8
-	// ownStalls is the number of stalls from which a unit's own work counts as slow.
+	// ownStalls is the number of stalls from which the unit's own work counts as slow.
 	ownStalls = 2
-	// gangPatience is the share of the gang timeout after which a gang without all of its
-	// members is taken back.
+	// gangPatience is the share of the gang timeout after which a gang with unanswered starts
+	// is stopped.
 	gangPatience = 0.6
-	// firstLook is how long after its start a run is looked at that nothing was heard of,
-	// and lookPause the pause until it is looked at again while it shows no progress.
+	// firstLook is the age of a run from which its worker is polled if it reports no progress,
+	// and lookPause the minimum time between polls.
 	firstLook = 600 * time.Millisecond
 	lookPause = 400 * time.Millisecond
 )
 
-// checkUnits takes back gangs that do not come together and runs that stand still.
+// checkUnits stops units with unanswered starts, and checks active runs for stalls and stragglers.
 func (p *Pool) checkUnits() {
 	now := p.loop.Now()
-	patience := time.Duration(gangPatience * float64(p.options.Bounds.GangTimeout))
+	startTimeout := time.Duration(gangPatience * float64(p.options.Bounds.GangTimeout))
 	for _, w := range p.sortedWorkers() {
 		for _, m := range w.members {
 			u := m.unit
 			switch {
 			case u.state != unitActive:
-			case m.state == memberUncertain && now.Sub(u.startedAt) > patience:
+			case m.state == memberUncertain && now.Sub(u.startedAt) > startTimeout:
 				p.stopUnit(u, "start unanswered")
 			default:
 				p.checkProgress(m, now)
@@ -57,8 +57,8 @@
 	}
 }
 
-// checkProgress looks at a run that has shown no progress yet, and moves one that has
-// stood still for long enough.
+// checkProgress restarts a unit whose run has been stalled for long enough, and polls the worker
+// of a young run for its progress.
 func (p *Pool) checkProgress(m *member, now time.Time) {
 	stalled := p.stalledFor(m)
 	if stalled > 0 && p.quickStalls() && !m.unit.seemsSlow() {
@@ -73,8 +73,8 @@
 	}
 }
 
-// wantsLook reports whether a young run should be looked at: one that shows no progress
-// yet, and once each member of a gang, to compare them.
+// wantsLook reports whether a run's worker should be polled: while the run shows no progress, and
+// for gangs until each member can be compared with the others.
 func (p *Pool) wantsLook(m *member, now time.Time) bool {
 	u := m.unit
 	if m.state != memberRunning || !u.startedHere || u.runningSince.IsZero() || u.spec().LongRunning || now.Sub(u.runningSince) < firstLook {
@@ -88,8 +88,8 @@
 
 func (p *Pool) quickStalls() bool { return !p.options.Off[mechanism.QuickStalls] }
 
-// stalledFor returns how long a run has made no progress by what its worker has listed, or
-// 0 if it moves, waits for others of its gang, or is not known to do neither.
+// stalledFor returns for how long a run has been stalled according to its worker's reports; 0 if it
+// makes progress, may wait for other members of its gang, or has no reports yet.
 func (p *Pool) stalledFor(m *member) time.Duration {
 	u := m.unit
 	if m.state != memberRunning || u.spec().LongRunning || m.percentAt.IsZero() || m.percent >= nearEnd {
@@ -112,33 +112,33 @@
 	return 0
 }
 
-// stallPatience is how long a run's stall is waited for.
+// stallPatience returns how long a run may be stalled before its unit is restarted.
 func (p *Pool) stallPatience(m *member) time.Duration {
-	longest := max(stallLimit, time.Duration(stallLimitShare*float64(m.unit.estimate()))) << min(m.unit.stalls, stallDoublings)
+	limit := max(stallLimit, time.Duration(stallLimitShare*float64(m.unit.estimate()))) << min(m.unit.stalls, stallDoublings)
 	if !p.quickStalls() {
-		return longest
+		return limit
 	}
-	return min(longest, p.workAtStake(m))
+	return min(limit, p.workAtStake(m))
 }
 
-// workAtStake is how much of a run's time a move throws away.
+// workAtStake returns how much of a run's time a restart loses.
 func (p *Pool) workAtStake(m *member) time.Duration {
-	worked := m.percentAt.Sub(m.unit.startedAt)
+	runTime := m.percentAt.Sub(m.unit.startedAt)
 	if m.unit.spec().Checkpoints {
-		return min(worked, p.options.Bounds.CheckpointInterval)
+		return min(runTime, p.options.Bounds.CheckpointInterval)
 	}
-	return worked
+	return runTime
 }
 
-// seemsSlow reports whether it is the unit's own work that seems to stand still, since it
-// did so on several sets of workers.
+// seemsSlow reports whether the unit itself is slow rather than its workers, since it stalled on
+// several sets of workers.
 func (u *unit) seemsSlow() bool { return u.stalls >= ownStalls }
 
-// stopStanding moves a unit away from the workers on which it stands still.
+// stopStanding stops a stalled unit to restart it, and excludes the workers on which it stalled.
 func (p *Pool) stopStanding(u *unit) {
 	u.stalls++
 	if u.seemsSlow() {
-		// Its workers are not to blame, and may be all there are.
+		// The workers are not the cause, and there may be no others.
 		u.avoid = nil
 		p.stopUnit(u, "stands still")
 		return
@@ -159,8 +159,7 @@
 	p.stopUnit(u, "stands still")
 }
 
-// noteRunning notes that a member's start was confirmed. The work of a gang begins with
-// its last member.
+// noteRunning sets runningSince once the starts of all members are confirmed.
 func (u *unit) noteRunning(now time.Time) {
 	if !u.runningSince.IsZero() {
 		return
