--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -9,22 +9,22 @@
 	"github.com/wheatroad/wheatroad/internal/speeds"
 )
 
-// What is learned of workers' speeds, from all work that tells it. The members of a gang are equal
-// tasks that began together; the tasks of a step that run by themselves are alike, though not equal.
+// Estimation of worker speeds from runs. The members of a gang are equal tasks that start together;
+// the single tasks of a step are similar, not equal.
 const (
-	// leastPercent is the progress from which a run tells its time.
+	// leastPercent is the minimum progress for a projection of a run's duration.
 	leastPercent = 3
-	// surePercent is the progress from which a task by itself tells its worker's speed: what it is told
-	// by is known to a twentieth.
+	// surePercent is the minimum progress of a single task for an estimate of its worker's speed.
+	// The rounding error of the projection is then at most a twentieth.
 	surePercent = 10
-	// slowRatio is the time, against the median worker's, from which a worker is left to
-	// tasks that no others wait for.
+	// slowRatio is the time per work, relative to the median worker's, from which gangs avoid a
+	// worker.
 	slowRatio = 1.12
-	// medianPeriod is how old the median worker's time may be.
+	// medianPeriod is the maximum age of the cached median.
 	medianPeriod = 250 * time.Millisecond
 )
 
-// noteRate keeps how long a run takes as a whole, by the progress that its worker lists.
+// noteRate updates a run's projected duration from the progress that its worker reported.
 func (p *Pool) noteRate(m *member, percent int, now time.Time) {
 	u := m.unit
 	if percent < leastPercent || percent >= atWork || u.runningSince.IsZero() || !u.tellsSpeed() {
@@ -44,12 +44,12 @@
 	}
 }
 
-// tellsSpeed reports whether the time of the unit's run depends on its work and its workers alone.
+// tellsSpeed reports whether the duration of the unit's run depends only on its work and its workers.
 func (u *unit) tellsSpeed() bool {
 	return u.startedHere && !u.resumed && !u.spec().LongRunning && !u.awayFromData()
 }
 
-// awayFromData reports whether a task runs elsewhere than where its data lies, which takes longer.
+// awayFromData reports whether a member runs outside the unit's preferred rack, which takes longer.
 func (u *unit) awayFromData() bool {
 	rack := u.spec().PreferredRack
 	if rack == "" {
@@ -58,7 +58,8 @@
 	return slices.ContainsFunc(u.members, func(m *member) bool { return m.worker != nil && m.worker.rack != rack })
 }
 
-// learnFromGang compares the members of a gang, once a run, as soon as all have told their times.
+// learnFromGang updates the speeds of a gang's workers, once per run, when all members have a projected
+// duration.
 func (p *Pool) learnFromGang(u *unit) {
 	if u.comparedRun == u.run || len(u.members) < 2 || !u.tellsSpeed() {
 		return
@@ -78,7 +79,7 @@
 	u.slowness = p.slowestOf(u)
 }
 
-// expectedWork is what is known of the work of a unit's members before they began.
+// expectedWork returns the prior estimate of the work of a unit's members.
 func (p *Pool) expectedWork(u *unit) speeds.Work {
 	model := p.durations[u.job.Queue.Name]
 	if model == nil || u.spec().Estimate() <= 0 {
@@ -87,18 +88,19 @@
 	return speeds.Work{LogTime: math.Log(u.estimate().Seconds()) + p.medianTime(p.loop.Now()), Variance: model.variance()}
 }
 
-// noteTaskDone takes in how long a task took that ended well.
+// noteTaskDone updates its worker's speed from the duration of a completed single task.
 func (p *Pool) noteTaskDone(u *unit) {
 	m := u.members[0]
 	if len(u.members) != 1 || m.worker == nil || u.runningSince.IsZero() || !u.tellsSpeed() {
 		return
 	}
-	took := max(time.Millisecond, p.loop.Now().Sub(u.runningSince))
-	u.step.cohort.Note(&m.inCohort, &m.worker.speed, math.Log(took.Seconds()))
+	duration := max(time.Millisecond, p.loop.Now().Sub(u.runningSince))
+	u.step.cohort.Note(&m.inCohort, &m.worker.speed, math.Log(duration.Seconds()))
 	p.learnFromTask(u)
 }
 
-// learnFromTask compares a task with the others of its step, once a run.
+// learnFromTask updates a worker's speed from a single task compared with others of its step, once per
+// run.
 func (p *Pool) learnFromTask(u *unit) {
 	m := u.members[0]
 	if u.comparedRun == u.run || m.worker.cold(p.loop.Now()) {
@@ -109,39 +111,39 @@
 	}
 }
 
-// medianTime returns the logarithm of the median worker's time per work.
+// medianTime returns the logarithm of the median worker's time per work, cached for medianPeriod.
 func (p *Pool) medianTime(now time.Time) float64 {
 	if now.Sub(p.medianAt) < medianPeriod {
 		return p.medianLogTime
 	}
 	p.medianAt = now
-	var known []float64
+	var logTimes []float64
 	for _, w := range p.workers {
 		if w.speed.Known() {
-			known = append(known, w.speed.LogTime())
+			logTimes = append(logTimes, w.speed.LogTime())
 		}
 	}
 	p.medianLogTime, p.tooSlowShare = 0, 0
-	if len(known) > 0 {
-		slices.Sort(known)
-		p.medianLogTime = known[len(known)/2]
-		p.tooSlowShare = p.shareOfTooSlow(known)
+	if len(logTimes) > 0 {
+		slices.Sort(logTimes)
+		p.medianLogTime = logTimes[len(logTimes)/2]
+		p.tooSlowShare = p.shareOfTooSlow(logTimes)
 	}
 	return p.medianLogTime
 }
 
-// shareOfTooSlow returns the share of workers, by the sorted logarithms of their times, on which the least
-// patient queue's jobs end late.
-func (p *Pool) shareOfTooSlow(known []float64) float64 {
+// shareOfTooSlow returns the share of workers, given their sorted log times, on which jobs of the queue
+// with the smallest stretch miss their objective.
+func (p *Pool) shareOfTooSlow(logTimes []float64) float64 {
 	stretch, found := p.leastStretch()
 	if !found {
 		return 0
 	}
-	first, _ := slices.BinarySearch(known, p.medianLogTime+math.Log(stretch))
-	return 1 - float64(first)/float64(len(known))
+	firstTooSlow, _ := slices.BinarySearch(logTimes, p.medianLogTime+math.Log(stretch))
+	return 1 - float64(firstTooSlow)/float64(len(logTimes))
 }
 
-// slow reports whether a worker takes longer than most.
+// slow reports whether gangs avoid a worker because it is slower than most.
 func (p *Pool) slow(w *worker) bool {
 	now := p.loop.Now()
 	if now.Before(w.slowUntil) || w.cold(now) {
@@ -150,12 +152,12 @@
 	return !p.options.Off[mechanism.LearnedSpeeds] && w.speed.Exceeds(p.medianTime(now), slowRatio)
 }
 
-// speedKnown reports whether a worker's speed is known and goes into decisions.
+// speedKnown reports whether a worker's speed is known and learned speeds are in use.
 func (p *Pool) speedKnown(w *worker) bool {
 	return !p.options.Off[mechanism.LearnedSpeeds] && w.speed.Known()
 }
 
-// slowestOf is the slowness of the slowest worker of a unit, rounded for logs.
+// slowestOf returns the slowness of a unit's slowest worker, rounded to two decimals for logs.
 func (p *Pool) slowestOf(u *unit) float64 {
 	slowest, now := 0.0, p.loop.Now()
 	for _, m := range u.members {
@@ -166,7 +168,7 @@
 	return math.Round(100*slowest) / 100
 }
 
-// slowness is how many times longer a worker takes than the median one, 1 if it is not known.
+// slowness returns a worker's time per work relative to the median worker's; 1 if it is unknown.
 func (p *Pool) slowness(w *worker, now time.Time) float64 {
 	if !p.speedKnown(w) {
 		return 1
