--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -7,50 +7,48 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Estimates come with jobs and may be far off: on the platform's days those of urgent
-// jobs vary by a factor of 2.5 (standard deviation) where the work varies by 1.5, and
-// say little about it. What runs of a queue took is therefore learned, as a line in
-// logarithms from the estimate to the time that the work took.
+// The estimates in job specifications may be far off. Durations are therefore predicted for each
+// queue by a linear regression of the logarithm of the duration on that of the estimate.
 const (
-	// durationMemory bounds the weight of what was learned, in jobs, so that it follows
-	// a workload that changes.
+	// durationMemory bounds the total weight of past runs, in jobs, so that the model follows a
+	// changing workload.
 	durationMemory = 60.0
-	// priorJobs is the weight, in jobs, of the assumption that estimates are right on
-	// the whole, and priorSpread that of the assumption that they tell jobs apart, in
-	// squared logarithms: that of some eight jobs whose estimates vary by half.
+	// priorJobs is the weight, in jobs, of the prior that estimates are right on average.
+	// priorSpread is the weight of the prior that durations are proportional to estimates, in
+	// squared logarithms.
 	priorJobs   = 3.0
 	priorSpread = 2.0
-	// priorSquares is the variance of what predictions are off by, as long as nothing is known, with the
-	// weight of priorJobs; mostSquare bounds what one job adds, which may be one of a long tail.
+	// priorSquares is the prior variance of the prediction error, with the weight of priorJobs.
+	// mostSquare bounds the squared error that one run adds, against outliers.
 	priorSquares = 0.25
 	mostSquare   = 1.0
 )
 
-// durationModel is what is known of one queue's durations: weighted sums over the
-// logarithms of estimates (x) and of durations (y), in seconds. It is written with the
-// owner's rows, so that the next owner goes on from it.
+// durationModel is the regression of one queue: weighted sums over the logarithms of estimates
+// (x) and of durations (y), in seconds. It is stored with the owner's rows and read by the next
+// owner.
 type durationModel struct {
 	Weight float64 `json:"n"`
 	X      float64 `json:"x"`
 	Y      float64 `json:"y"`
 	XX     float64 `json:"xx"`
 	XY     float64 `json:"xy"`
-	// Squares adds up the squares of what predictions were off by.
+	// Squares is the weighted sum of squared prediction errors.
 	Squares float64 `json:"rr,omitempty"`
 }
 
-// learn takes in a run's estimate and duration with a weight of up to one job.
-func (d *durationModel) learn(estimate, took time.Duration, weight float64) {
-	if estimate <= 0 || took <= 0 {
+// learn adds a run's estimate and duration with a weight of at most one job.
+func (d *durationModel) learn(estimate, duration time.Duration, weight float64) {
+	if estimate <= 0 || duration <= 0 {
 		return
 	}
 	if total := d.Weight + weight; total > durationMemory {
-		keep := durationMemory / total
-		d.Weight, d.X, d.Y, d.XX, d.XY, d.Squares = d.Weight*keep, d.X*keep, d.Y*keep, d.XX*keep, d.XY*keep, d.Squares*keep
+		scale := durationMemory / total
+		d.Weight, d.X, d.Y, d.XX, d.XY, d.Squares = d.Weight*scale, d.X*scale, d.Y*scale, d.XX*scale, d.XY*scale, d.Squares*scale
 	}
-	x, y := math.Log(estimate.Seconds()), math.Log(took.Seconds())
-	off := y - math.Log(d.predict(estimate).Seconds())
-	d.Squares += weight * min(mostSquare, off*off)
+	x, y := math.Log(estimate.Seconds()), math.Log(duration.Seconds())
+	predictionError := y - math.Log(d.predict(estimate).Seconds())
+	d.Squares += weight * min(mostSquare, predictionError*predictionError)
 	d.Weight += weight
 	d.X += weight * x
 	d.Y += weight * y
@@ -58,7 +56,7 @@
 	d.XY += weight * x * y
 }
 
-// predict returns how long work with an estimate is expected to take.
+// predict returns the expected duration of work with the given estimate.
 func (d *durationModel) predict(estimate time.Duration) time.Duration {
 	if estimate <= 0 || d.Weight == 0 {
 		return estimate
@@ -72,12 +70,12 @@
 	return time.Duration(math.Exp(predicted) * float64(time.Second))
 }
 
-// variance is that of the logarithm of what predictions are off by.
+// variance returns the variance of the logarithmic prediction error.
 func (d *durationModel) variance() float64 {
 	return (d.Squares + priorSquares*priorJobs) / (d.Weight + priorJobs)
 }
 
-// learnDuration takes in a unit that has ended well.
+// learnDuration updates the queue's model from a completed unit.
 func (p *Pool) learnDuration(u *unit) {
 	if !u.startedHere || u.resumed || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
 		return
@@ -87,29 +85,29 @@
 		model = &durationModel{}
 		p.durations[u.job.Queue.Name] = model
 	}
-	// On slow workers it took longer than the work does.
-	took := time.Duration(float64(p.loop.Now().Sub(u.startedAt)) / u.slowness)
-	model.learn(u.spec().Estimate(), took, 1/float64(len(u.step.units)))
+	// Corrects for slow workers.
+	duration := time.Duration(float64(p.loop.Now().Sub(u.startedAt)) / u.slowness)
+	model.learn(u.spec().Estimate(), duration, 1/float64(len(u.step.units)))
 }
 
-// takeDurations goes on from what an earlier owner had learned. Of the head rows of
-// several parts the one that knows most counts.
+// takeDurations takes over the models of an earlier owner. Of several head rows it keeps, for
+// each queue, the model with the largest weight.
 func (p *Pool) takeDurations(earlier head) {
 	if p.options.Off[mechanism.LearnedDurations] {
 		return
 	}
 	for queue, model := range earlier.Durations {
-		known := p.durations[queue]
-		if model != nil && (known == nil || model.Weight > known.Weight) {
+		current := p.durations[queue]
+		if model != nil && (current == nil || model.Weight > current.Weight) {
 			p.durations[queue] = model
 		}
 	}
 }
 
-// estimatePeriod is the pause between two looks at the estimates of open jobs.
+// estimatePeriod is the minimum time between two updates of the estimates of open jobs.
 const estimatePeriod = time.Second
 
-// refreshEstimates applies what was learned to open jobs.
+// refreshEstimates updates the estimates of open jobs from the queues' models.
 func (p *Pool) refreshEstimates() {
 	now := p.loop.Now()
 	if now.Sub(p.estimatedAt) < estimatePeriod {
@@ -123,7 +121,7 @@
 	}
 }
 
-// estimateJob sets how long a job's steps are expected to take, and what follows.
+// estimateJob sets the expected durations of a job's steps, and its tails and objective.
 func (p *Pool) estimateJob(j *job) {
 	model := p.durations[j.Queue.Name]
 	j.estimates = make([]time.Duration, len(j.Spec.Steps))
@@ -141,5 +139,5 @@
 	j.objective = j.Queue.Objective(longest)
 }
 
-// estimate is how long the unit's work is expected to take.
+// estimate returns the expected duration of the unit's work.
 func (u *unit) estimate() time.Duration { return u.job.estimates[u.step.index] }
