--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// accountAge is how old the workers' accounts of themselves may be when a start goes out to
-// a worker that does not guard its capacity. Feeds are asked again each second. The platform
-// counts a capacity that has shrunk from its contact bound, 3 s at the least, and a heartbeat
-// on; the row shows it within that heartbeat.
+// accountAge is the maximum age of the workers' rows for a start on workers that do not enforce
+// their capacity. Feeds are polled each second; the platform counts a reduced capacity from at
+// least 3 s and a heartbeat after the change.
 const accountAge = 2500 * time.Millisecond
 
-// accountsKnown reports whether the workers' capacities are known from lately, where it is
-// the owner's to keep within them.
+// accountsKnown reports whether the workers' capacities are fresh enough for placement; always
+// true if the workers enforce them.
 func (p *Pool) accountsKnown() bool {
 	if p.options.Without.AccountAge || p.guarded() {
 		return true
@@ -17,7 +16,7 @@
 	return p.loop.Now().Sub(p.workersAsOf) <= accountAge
 }
 
-// guarded reports whether the pool's workers refuse what does not fit.
+// guarded reports whether the pool's workers refuse starts that exceed their capacity.
 func (p *Pool) guarded() bool {
 	current := p.options.Catalog()
 	if current == nil {
@@ -31,8 +30,8 @@
 	return false
 }
 
-// holdsItsMembers reports whether all that runs or is to run on the worker fits into the
-// capacity that it has now.
+// holdsItsMembers reports whether all members and unwanted runs on the worker fit into its present
+// capacity.
 func (w *worker) holdsItsMembers(now time.Time) bool {
 	free := w.Capacity
 	for _, m := range w.members {
