--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -4,20 +4,20 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// progress renders the job's row.
+// progress returns the contents of the job's progress row.
 func (j *job) progress() Progress {
 	record := Progress{State: j.next}
 	if !j.endedAt.IsZero() {
 		record.EndedMillis = j.endedAt.UnixMilli()
 	}
-	render := (*step).progress
+	encode := (*step).progress
 	if j.next.Final() {
-		render = (*step).leftovers
+		encode = (*step).leftovers
 	}
 	for _, t := range j.times {
 		for _, s := range t.steps {
-			if rendered, any := render(s, t.number); any {
-				record.Steps = append(record.Steps, rendered)
+			if encoded, found := encode(s, t.number); found {
+				record.Steps = append(record.Steps, encoded)
 			}
 		}
 	}
@@ -42,16 +42,16 @@
 	return record, s.ended > 0 || len(record.Units) > 0
 }
 
-// leftovers renders the units of an ended job that may still run on workers whose rows are
-// gone, where a next owner would not find them.
+// leftovers returns the record of an ended job's units that may still run on workers without a
+// row, which the next owner could not find otherwise.
 func (s *step) leftovers(number int) (stepProgress, bool) {
 	record := stepProgress{Time: number, Step: s.index}
 	for _, u := range s.units {
 		if u.active() == 0 {
 			continue
 		}
-		if rendered := u.progress(); len(rendered.Addresses) > 0 {
-			record.Units = append(record.Units, rendered)
+		if unitRecord := u.progress(); len(unitRecord.Addresses) > 0 {
+			record.Units = append(record.Units, unitRecord)
 		}
 	}
 	return record, len(record.Units) > 0
@@ -77,7 +77,7 @@
 	return record
 }
 
-// noteConfirmed notes that a member's run was confirmed.
+// noteConfirmed marks a member's run as confirmed.
 func (r *unitProgress) noteConfirmed(member int) {
 	if r.Confirmed == nil {
 		r.Confirmed = newBitset(len(r.Workers))
@@ -85,7 +85,7 @@
 	bitset(r.Confirmed).set(member)
 }
 
-// noteLife names the life of a worker that a member may run in.
+// noteLife records the worker incarnation on which a member may run.
 func (r *unitProgress) noteLife(member int, life fleet.Life) {
 	r.Workers[member] = life.ID
 	if life.Born == 0 {
