--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -7,24 +7,23 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Operators evacuate zones: nothing new may start there later than Bounds.Evacuation after the
-// store has acknowledged it. No owner is told; it has to know from lately what the store says.
-// A start that is sent by news of an age up to evacuationAge and is carried out up to
-// startAhead later begins within that bound.
+// Operators evacuate zones: no run may start there later than Bounds.Evacuation after the store
+// acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of evacuated
+// zones that is not older than evacuationAge. With a delay of at most startAhead until the start
+// is carried out, it stays within the bound.
 const (
-	// evacuationAgeMost bounds that age. Chosen: several rounds of a node's feed, which is answered
-	// each 0.3 s; other values were not compared.
+	// evacuationAgeMost bounds evacuationAge. It is several responses of a node's feed, which come
+	// every 0.3 s.
 	evacuationAgeMost = 2 * time.Second
-	// evacuationMargin is left of the bound: timers that fire late and clocks that drift by
-	// 2% in five seconds.
+	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
-	// evacuationReadAgeMost bounds the age from which the owner reads the rows itself: the node's
-	// own feed is silent, or the store turns the node away while others reach it.
+	// evacuationReadAgeMost bounds the age from which the owner reads the rows itself, for example
+	// because its node's feed is silent or the store refuses the node.
 	evacuationReadAgeMost = 800 * time.Millisecond
 )
 
-// startAhead is how far ahead of a worker's clock a start's deadline lies: no start is carried
-// out later than that.
+// startAhead returns how far a start's deadline lies ahead of the worker's clock. No start is
+// carried out later.
 func (p *Pool) startAhead() time.Duration {
 	ahead := startLimit
 	if p.options.Late != nil {
@@ -36,8 +35,8 @@
 	return ahead
 }
 
-// evacuationAge is how old what is known of evacuations may be when a start goes out; 0 if
-// nothing bounds it.
+// evacuationAge returns the maximum age of the set of evacuated zones for a start; 0 if it is
+// unlimited.
 func (p *Pool) evacuationAge() time.Duration {
 	bound := p.options.Bounds.Evacuation
 	if bound <= 0 || p.options.Without.EvacuationAge {
@@ -46,7 +45,8 @@
 	return min(evacuationAgeMost, bound-p.startAhead()-evacuationMargin)
 }
 
-// evacuationReadAge leaves half of the age that starts may go by to the reading.
+// evacuationReadAge returns the age of the set from which the owner reads it again. At most half of
+// evacuationAge, so that the other half is left for the read.
 func (p *Pool) evacuationReadAge() time.Duration {
 	if limit := p.evacuationAge(); limit > 0 {
 		return min(evacuationReadAgeMost, limit/2)
@@ -54,7 +54,7 @@
 	return evacuationReadAgeMost
 }
 
-// evacuated returns the newest that is known of evacuated zones.
+// evacuated returns the newest known set of evacuated zones.
 func (p *Pool) evacuated() evacuation.Set {
 	if p.options.Evacuated == nil {
 		return p.evacuatedRead
@@ -62,13 +62,13 @@
 	return p.evacuatedRead.Newest(p.options.Evacuated())
 }
 
-// evacuationsKnown reports whether it is known from lately which zones are evacuated.
+// evacuationsKnown reports whether the set of evacuated zones is fresh enough for starts.
 func (p *Pool) evacuationsKnown(now time.Time) bool {
 	limit := p.evacuationAge()
 	return limit == 0 || now.Sub(p.evacuated().AsOf) <= limit
 }
 
-// mayStartOn reports whether a start may go to a worker's zone.
+// mayStartOn reports whether a run may start on a worker: its zone is known not to be evacuated.
 func (p *Pool) mayStartOn(w *worker, now time.Time) bool {
 	if p.options.Without.Evacuations {
 		return true
@@ -76,8 +76,8 @@
 	return p.evacuationsKnown(now) && !p.evacuated().Contains(w.Zone)
 }
 
-// checkEvacuations reads the operators' rows once nothing else has told of them, and tells of
-// changes.
+// checkEvacuations handles changes of the evacuated zones, and reads the operators' rows if the set
+// is older than evacuationReadAge.
 func (p *Pool) checkEvacuations() {
 	p.NoteEvacuations()
 	askedAt := p.loop.Now()
@@ -98,8 +98,8 @@
 	})
 }
 
-// NoteEvacuations tells of zones that were evacuated or taken back, and lets waiting units try
-// again.
+// NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change and
+// schedules a cycle.
 func (p *Pool) NoteEvacuations() {
 	if p.gone {
 		return
@@ -116,8 +116,8 @@
 	p.wake()
 }
 
-// runsInEvacuatedZones counts the runs on workers of evacuated zones. They run on: to move them
-// would throw work away and take room from others while a zone is missing.
+// runsInEvacuatedZones returns the number of runs in evacuated zones. They continue: a restart would
+// lose work and take resources from others while a zone is missing.
 func (p *Pool) runsInEvacuatedZones() int {
 	count := 0
 	zones := p.evacuated()
