--- a/internal/pool/laggards_test.go
+++ b/internal/pool/laggards_test.go
@@ -9,15 +9,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Symptom: with a sixth of the workers 6.6 times slower for 5 s many urgent gangs ended
-// late.
-// Sequence: by calculation three of four gangs of eight get a slow member, for which the
-// others wait: 16 s for 2.5 s of work.
-// Cause: workers' speeds were learned from gangs that had ended, which those with a slow
-// member do late, and no run was ever moved for being slow.
-// Settled by: windows worth 0.40 to 0.61 in the seconds in which workers are slow, 0.9 and
-// more after them.
-
+// TestGangLeavesWorkersThatTurnSlow guards against gangs that miss their objective because they wait
+// for a straggler instead of being restarted on other workers.
 func TestGangLeavesWorkersThatTurnSlow(t *testing.T) {
 	w := worldOfGangs(2, 4)
 	for _, worker := range w.Workers[:2] {
@@ -30,6 +23,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
+// TestSlowWorkersAreLeftAloneForAWhile checks that the worker of a straggler gets no new work.
 func TestSlowWorkersAreLeftAloneForAWhile(t *testing.T) {
 	w := worldOfGangs(2, 4)
 	slow := w.Workers[0]
@@ -43,7 +37,8 @@
 	requireKept(t, w)
 }
 
-// TestGangNearItsEndIsNotMoved: what is left takes less than to begin anew.
+// TestGangNearItsEndIsNotMoved checks that a gang is not restarted if the rest takes less time than
+// a restart.
 func TestGangNearItsEndIsNotMoved(t *testing.T) {
 	const work = 6 * time.Second
 	w := worldOfGangs(2, 4)
