--- a/internal/pool/stalls_test.go
+++ b/internal/pool/stalls_test.go
@@ -10,17 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Symptom: with an eighth of the workers standing still most urgent gangs ended late, and
-// a third of all runs were stopped.
-// Sequence: tasks on some workers make no progress; a gang of eight meets one of these
-// workers in two cases out of three and holds all its room; after 8 s it is stopped and
-// begins anew, often on another standing worker.
-// Cause: a run that made no progress was moved after 8 s whatever it had to lose, and its
-// worker got new work all the while.
-// Settled by: own day workers-in-trouble on the large site, worth 0.175; 248 of 499 urgent
-// jobs that were served ended late.
-
-// gangWork is how long the gangs of these tests take.
+// gangWork is the duration of the gangs in these tests.
 const gangWork = 2500 * time.Millisecond
 
 func worldOfGangs(racks, workers int) *simulation.World {
@@ -29,7 +19,7 @@
 	return w
 }
 
-// worldWithGang returns a world of four workers with an owner and a gang as job 1.
+// worldWithGang returns a simulation of four workers with an owner and a gang as job 1.
 func worldWithGang(members int, work, estimate time.Duration) *simulation.World {
 	w := simulation.NewWorld(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
@@ -40,17 +30,19 @@
 	return w
 }
 
-// workersOf returns workers that run tasks of a job now.
+// workersOf returns the workers that run tasks of a job.
 func workersOf(w *simulation.World, job string) []*simulation.Worker {
-	var found []*simulation.Worker
+	var running []*simulation.Worker
 	for _, worker := range w.Workers {
 		if worker.RunsOf(job) > 0 {
-			found = append(found, worker)
+			running = append(running, worker)
 		}
 	}
-	return found
+	return running
 }
 
+// TestYoungGangLeavesStandingWorkersSoon guards against a fixed stall timeout, after which an urgent
+// gang on stalled workers misses its objective although a restart would have lost little.
 func TestYoungGangLeavesStandingWorkersSoon(t *testing.T) {
 	w := worldOfGangs(2, 4)
 	for _, worker := range w.Workers[:2] {
@@ -60,31 +52,32 @@
 	w.Submit(spec(1, gang(3)), urgent)
 	w.Run(3*gangWork - time.Second)
 	requireKept(t, w)
-	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "a stall of a second and a half, a stop and a second run")
+	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "a stall of 1.5 s, a stop and a second run fit into the time")
 }
 
+// TestStandingWorkersGetNothingNew checks that workers with stalled runs get no new work.
 func TestStandingWorkersGetNothingNew(t *testing.T) {
 	w := worldOfGangs(1, 4)
-	standing := w.Workers[0]
-	standing.Standing = true
+	stalled := w.Workers[0]
+	stalled.Standing = true
 	w.Own()
-	few := single(8)
-	few.MaxPerWorker = 2
-	w.Submit(spec(1, few), batch)
+	limited := single(8)
+	limited.MaxPerWorker = 2
+	w.Submit(spec(1, limited), batch)
 	w.Run(500 * time.Millisecond)
-	require.Equal(t, 2, standing.Runs(), "the first runs stand there")
+	require.Equal(t, 2, stalled.Runs(), "the first runs are stalled there")
 	w.Run(gangWork)
 	w.Submit(spec(2, single(8)), urgent)
 	w.Run(time.Second)
-	require.Zero(t, standing.RunsOf(jobID(2)))
-	standing.Standing = false
+	require.Zero(t, stalled.RunsOf(jobID(2)))
+	stalled.Standing = false
 	w.Run(20 * time.Second)
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestStallIsWaitedForWhileAMoveWouldLoseMore: a run that has worked for long is worth
-// more than a short stall.
+// TestStallIsWaitedForWhileAMoveWouldLoseMore checks that a short stall does not restart a run that
+// has done more work than the stall lasts.
 func TestStallIsWaitedForWhileAMoveWouldLoseMore(t *testing.T) {
 	const work, stall = 10 * time.Second, 3 * time.Second
 	w := worldWithGang(3, work, work)
@@ -100,7 +93,8 @@
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
-// TestLongTasksAreNotTakenForStanding: a percent of an hour's work takes 36 s.
+// TestLongTasksAreNotTakenForStanding checks that a run whose progress takes 36 s per percent does not
+// count as stalled.
 func TestLongTasksAreNotTakenForStanding(t *testing.T) {
 	const work = time.Hour
 	w := worldWithGang(3, work, work)
@@ -109,8 +103,8 @@
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
-// TestTaskFarLongerThanItsEstimateRunsThrough: a percent of its work takes longer than any
-// stall that is expected of such an estimate, on every worker. It was moved without end.
+// TestTaskFarLongerThanItsEstimateRunsThrough guards against endless restarts of a task that takes
+// longer for a percent of progress than its estimate's stall timeout.
 func TestTaskFarLongerThanItsEstimateRunsThrough(t *testing.T) {
 	const work = 20 * time.Minute
 	for name, estimate := range map[string]time.Duration{"no estimate": 0, "a second": time.Second} {
