--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -12,19 +12,13 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Symptom: in a pool whose workers' speeds are 0.6, 1 and 1.6 a third of the urgent gangs ended late with
-// most of the room free, and gangs were moved over and over for a "slow member".
-// Sequence: a gang of five has a slow worker in seven of eight draws and goes at its pace. Its members were
-// compared with its fastest ones, 2.7 times as fast, and it was moved to another such draw.
-// Cause: speeds were learned from gangs that had ended only, not from those that were moved nor from
-// single tasks, and the fastest workers were taken for the ordinary ones.
-// Settled by: lines "placed" with no wait, "run ended" with reason "slow member", and the progress of
-// members after 0.7 s: 21, 12 and 7 percent, whatever the job.
+// These tests guard against urgent gangs that miss their objective, or are restarted repeatedly, in a
+// pool whose workers ordinarily differ in speed.
 
-// mixedWork is how long the work of these tests takes on an ordinary worker.
+// mixedWork is the duration of the work in these tests on a worker of speed 1.
 const mixedWork = 4 * time.Second
 
-// worldOfSpeeds has workers of three speeds by turns, each rack with all of them.
+// worldOfSpeeds returns a simulation whose workers alternate between three speeds in each rack.
 func worldOfSpeeds(racks, workers int) *simulation.World {
 	w := simulation.NewWorld(racks, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return mixedWork }
@@ -42,7 +36,7 @@
 	return step
 }
 
-// runsOnSlow counts the runs of a job on the world's slow workers.
+// runsOnSlow returns the number of a job's runs on slow workers.
 func runsOnSlow(w *simulation.World, job int) int {
 	count := 0
 	for _, worker := range w.Workers {
@@ -53,7 +47,8 @@
 	return count
 }
 
-// TestGangsAreNotMovedForOrdinaryDifferencesOfSpeed: to begin anew takes longer than the slow member.
+// TestGangsAreNotMovedForOrdinaryDifferencesOfSpeed checks that a gang is not restarted if the restart
+// takes longer than waiting for its slow member.
 func TestGangsAreNotMovedForOrdinaryDifferencesOfSpeed(t *testing.T) {
 	w := worldOfSpeeds(1, 12)
 	w.Own()
@@ -65,7 +60,7 @@
 	require.Zero(t, w.Judge.Counts["stops/slow member"])
 }
 
-// TestRunningGangTellsSpeeds, before its end.
+// TestRunningGangTellsSpeeds checks that speeds are learned from a gang before it ends.
 func TestRunningGangTellsSpeeds(t *testing.T) {
 	w := worldOfSpeeds(2, 9)
 	w.Own()
@@ -74,16 +69,16 @@
 	step.GPUs, step.MaxPerWorker = 4, 1
 	w.Submit(spec(1, step), batch)
 	w.Run(1500 * time.Millisecond)
-	small := mixed(gang(4))
-	small.GPUs = 4
-	w.Submit(spec(2, small), urgent)
+	smallGang := mixed(gang(4))
+	smallGang.GPUs = 4
+	w.Submit(spec(2, smallGang), urgent)
 	w.Run(200 * time.Millisecond)
 	require.Equal(t, 4, w.Judge.Starts(taskOf(2, 0, 0))+w.Judge.Starts(taskOf(2, 0, 1))+w.Judge.Starts(taskOf(2, 0, 2))+w.Judge.Starts(taskOf(2, 0, 3)))
 	require.Zero(t, runsOnSlow(w, 2))
 	requireKept(t, w)
 }
 
-// TestSingleTasksTellSpeeds: an urgent gang goes where tasks by themselves went fast.
+// TestSingleTasksTellSpeeds checks that an urgent gang avoids workers on which single tasks were slow.
 func TestSingleTasksTellSpeeds(t *testing.T) {
 	w := worldOfSpeeds(2, 9)
 	w.Own()
@@ -98,14 +93,15 @@
 	requireKept(t, w)
 }
 
-// TestUrgentGangStopsOthersOnFasterWorkers: with only slow workers free it would end late.
+// TestUrgentGangStopsOthersOnFasterWorkers checks that an urgent gang preempts units on faster workers
+// if it would miss its objective on the free, slow ones.
 func TestUrgentGangStopsOthersOnFasterWorkers(t *testing.T) {
 	w := worldOfSpeeds(1, 9)
 	w.Own()
 	w.Run(time.Second)
 	w.Submit(spec(1, mixed(gang(9))), batch)
 	w.Run(10 * time.Second)
-	// Patient work fills the workers that are not slow, since gangs keep off slow ones.
+	// The batch gang takes all workers that are not slow, since gangs avoid slow ones.
 	w.Submit(spec(2, mixed(gang(6))), batch)
 	w.Run(500 * time.Millisecond)
 	require.Zero(t, runsOnSlow(w, 2))
@@ -114,11 +110,11 @@
 	require.Zero(t, runsOnSlow(w, 3))
 	w.Run(5250 * time.Millisecond)
 	requireKept(t, w)
-	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)), "in time")
+	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)), "the urgent gang completes in time")
 }
 
-// TestPatientTasksExploreIdleWorkers: once workers are known to differ much, those that nobody knows are
-// not left to urgent gangs.
+// TestPatientTasksExploreIdleWorkers checks that deferrable tasks run on idle workers of unknown speed
+// once speeds are known to differ much.
 func TestPatientTasksExploreIdleWorkers(t *testing.T) {
 	explored := func(off mechanism.Off) int {
 		w := worldOfSpeeds(4, 9)
