--- a/internal/pool/durations_test.go
+++ b/internal/pool/durations_test.go
@@ -9,17 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestDurationsByWhatEstimatesTell checks that predictions follow estimates that correlate with the
+// durations, and ignore those that don't.
 func TestDurationsByWhatEstimatesTell(t *testing.T) {
 	cases := map[string]struct {
-		// slope is how much of an estimate's deviation the duration shares.
+		// slope is the share of an estimate's deviation from the mean that the duration has too.
 		slope    float64
 		estimate time.Duration
 		least    time.Duration
 		most     time.Duration
 	}{
-		"exact estimates are kept":   {1, 8 * time.Second, 7 * time.Second, 9 * time.Second},
-		"low ones that tell nothing": {0, 400 * time.Millisecond, 1300 * time.Millisecond, 2500 * time.Millisecond},
-		"high ones":                  {0, 12 * time.Second, 2 * time.Second, 4 * time.Second},
+		"accurate estimate":          {1, 8 * time.Second, 7 * time.Second, 9 * time.Second},
+		"low uncorrelated estimate":  {0, 400 * time.Millisecond, 1300 * time.Millisecond, 2500 * time.Millisecond},
+		"high uncorrelated estimate": {0, 12 * time.Second, 2 * time.Second, 4 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -28,8 +30,8 @@
 			for range 200 {
 				deviation := random.NormFloat64()
 				estimate := time.Duration(2 * math.Exp(deviation) * float64(time.Second))
-				took := time.Duration(2 * math.Exp(c.slope*deviation+0.1*random.NormFloat64()) * float64(time.Second))
-				model.learn(estimate, took, 1)
+				duration := time.Duration(2 * math.Exp(c.slope*deviation+0.1*random.NormFloat64()) * float64(time.Second))
+				model.learn(estimate, duration, 1)
 			}
 			predicted := model.predict(c.estimate)
 			require.GreaterOrEqual(t, predicted, c.least)
@@ -49,10 +51,11 @@
 	model.learn(time.Second, 4*time.Second, 1)
 	predicted := model.predict(time.Second)
 	require.Greater(t, predicted, time.Second)
-	require.Less(t, predicted, 2*time.Second, "one run tells little")
+	require.Less(t, predicted, 2*time.Second, "one run has little weight against the prior")
 }
 
-// TestDurationsOutlastATakeover: the newest knowledge of several head rows is taken over.
+// TestDurationsOutlastATakeover checks that a new owner keeps the model with the largest weight from
+// several head rows.
 func TestDurationsOutlastATakeover(t *testing.T) {
 	p := &Pool{durations: map[string]*durationModel{}}
 	p.takeDurations(head{Token: 4})
