--- a/internal/pool/reliability_test.go
+++ b/internal/pool/reliability_test.go
@@ -10,9 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestFailingWorkersBurnNoAttemptsOfGangs: some workers begin to fail whatever they
-// start while older runs on them go on and end well. Gangs lost all their attempts to
-// them (worker "errors" days of the grown courier deployment: 8 to 11 jobs a day).
+// TestFailingWorkersBurnNoAttemptsOfGangs guards against gangs that lose all attempts to workers that
+// fail all new runs while their older runs still make progress.
 func TestFailingWorkersBurnNoAttemptsOfGangs(t *testing.T) {
 	w := simulation.NewWorld(4, 10)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
@@ -30,10 +29,10 @@
 		worker.Failing = i%8 == 0
 	}
 	const gangs = 30
-	narrow := single(6)
-	narrow.Gang, narrow.CPU, narrow.GPUs, narrow.MaxPerWorker = true, 24000, 2, 1
+	gangStep := single(6)
+	gangStep.Gang, gangStep.CPU, gangStep.GPUs, gangStep.MaxPerWorker = true, 24000, 2, 1
 	for n := 1; n <= gangs; n++ {
-		w.Submit(spec(n, narrow), urgent)
+		w.Submit(spec(n, gangStep), urgent)
 		w.Run(300 * time.Millisecond)
 	}
 	w.Run(30 * time.Second)
@@ -43,8 +42,8 @@
 	}
 }
 
-// TestSoundWorkersAreTrustedAgain: a worker whose failure was the job's own fault gets
-// gangs again once something else has run there.
+// TestSoundWorkersAreTrustedAgain checks that a worker that failed a run gets gangs again once another
+// run has made progress there.
 func TestSoundWorkersAreTrustedAgain(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Workers[0].Failing = true
@@ -60,9 +59,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
 }
 
-// TestGangsStayOnTheirRackBesideAFailedWorker: a worker that failed once made its rack
-// look too small for a gang, which then went over several racks and took three times as
-// long.
+// TestGangsStayOnTheirRackBesideAFailedWorker guards against a same-rack gang that is spread over several
+// racks, and so slowed down, because one worker of each rack failed once.
 func TestGangsStayOnTheirRackBesideAFailedWorker(t *testing.T) {
 	w := simulation.NewWorld(2, 3)
 	for i, worker := range w.Workers {
@@ -78,9 +76,9 @@
 	for _, worker := range w.Workers {
 		worker.Failing = false
 	}
-	together := gang(3)
-	together.SameRack = true
-	w.Submit(spec(2, together), urgent)
+	sameRackGang := gang(3)
+	sameRackGang.SameRack = true
+	w.Submit(spec(2, sameRackGang), urgent)
 	w.Run(300 * time.Millisecond)
 	racks := map[string]int{}
 	for _, worker := range w.Workers {
