--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -11,7 +11,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// unguardedWorld has workers that start whatever they are told.
+// unguardedWorld returns a simulation whose workers don't enforce their capacity.
 func unguardedWorld(workers int) *simulation.World {
 	w := simulation.NewWorld(1, workers)
 	w.Unguarded = true
@@ -19,7 +19,7 @@
 	return w
 }
 
-// TestStartsGoByNewCapacity: a worker shrinks and grows while it runs.
+// TestStartsGoByNewCapacity checks that starts follow a worker's capacity as it shrinks and grows.
 func TestStartsGoByNewCapacity(t *testing.T) {
 	w := unguardedWorld(1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
@@ -38,14 +38,14 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// shrunkCapacity is that of a worker that has lost five of its eight accelerators.
+// shrunkCapacity returns the capacity of a worker that has lost five of its eight accelerators.
 func shrunkCapacity() taskgraph.Amount {
 	shrunk := simulation.WorkerCapacity
 	shrunk.GPUs = 3
 	return shrunk
 }
 
-// shrinkWithStoreAway lets a worker shrink while an owner waits for the store to read its rows.
+// shrinkWithStoreAway shrinks a worker while its new owner waits for an unavailable store.
 func shrinkWithStoreAway(without pool.Without) *simulation.World {
 	w := unguardedWorld(1)
 	w.Without = without
@@ -62,8 +62,8 @@
 	return w
 }
 
-// shrinkWhileSuspended lets a worker shrink while its owner is suspended, whose feeds are
-// silent for a while afterwards.
+// shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are silent for
+// a while afterwards.
 func shrinkWhileSuspended(without pool.Without) *simulation.World {
 	w := unguardedWorld(1)
 	w.Without = without
@@ -82,13 +82,12 @@
 	return w
 }
 
-// TestStartsWaitForNewsOfCapacities: a worker shrank while the store was away, or while the
-// owner was suspended. The owner's writes succeeded again before its feed had told of it, and
-// it filled the worker as it had been: 8 accelerators of 3.
+// TestStartsWaitForNewsOfCapacities guards against starts by a stale capacity: after a store outage or
+// a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
 func TestStartsWaitForNewsOfCapacities(t *testing.T) {
 	for name, shrink := range map[string]func(pool.Without) *simulation.World{
-		"takeover with the store away": shrinkWithStoreAway,
-		"suspended":                    shrinkWhileSuspended,
+		"takeover during a store outage": shrinkWithStoreAway,
+		"suspended":                      shrinkWhileSuspended,
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireKeptOnlyWith(t, shrink, pool.Without{AccountAge: true})
@@ -96,14 +95,8 @@
 	}
 }
 
-// Work that is being stopped takes room until its end, and no account of its worker names it. A
-// run of a cancelled job was being stopped by one owner when the next one took over: that counted
-// its room as free and filled it, nine accelerators of eight. The next owner's rows showed the job
-// as cancelled with nothing left of it, and the worker's account listed seven runs; the
-// "begun" of the ninth stood 68 ms before the "over" of the stopped one.
-
-// takeOverWhileStopping lets an owner be replaced just after it has stopped a cancelled job that
-// fills a worker, while another one waits.
+// takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job that
+// fills a worker, while another job waits.
 func takeOverWhileStopping(without pool.Without) *simulation.World {
 	w := unguardedWorld(1)
 	w.Without = without
@@ -123,12 +116,14 @@
 	return w
 }
 
+// TestStoppingWorkKeepsItsRoomOverATakeover guards against a new owner that counts the resources of
+// stopping runs as free, since neither its rows nor the worker's report list these runs.
 func TestStoppingWorkKeepsItsRoomOverATakeover(t *testing.T) {
 	requireKept(t, takeOverWhileStopping(pool.Without{}))
 }
 
-// TestUnwantedRunsKeepTheirRoomWhileTheyStop: the same for runs that the owner itself stops because the
-// rows do not name them.
+// TestUnwantedRunsKeepTheirRoomWhileTheyStop guards against the same fault for runs that the new owner
+// stops because its rows don't list them.
 func TestUnwantedRunsKeepTheirRoomWhileTheyStop(t *testing.T) {
 	w := unguardedWorld(1)
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
