--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -12,10 +12,10 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// longAgo is beyond the bound of an evacuation, which counts from its acknowledgement.
+// longAgo is longer than the bound on starts after an evacuation's acknowledgement.
 const longAgo = 5500 * time.Millisecond
 
-// startsThere counts how many runs of a job began in a zone.
+// startsThere returns the number of a job's runs on a zone's workers.
 func startsThere(w *simulation.World, zone, job string) int {
 	count := 0
 	for _, worker := range w.Workers {
@@ -26,7 +26,7 @@
 	return count
 }
 
-// evacuatedWorld has two racks, each a zone, of which the first one is evacuated.
+// evacuatedWorld returns a simulation of two racks, each a zone, of which the first is evacuated.
 func evacuatedWorld(without pool.Without) (*simulation.World, *simulation.Owner, string) {
 	w := simulation.NewWorld(2, 3)
 	w.Without = without
@@ -38,10 +38,10 @@
 	return w, owner, zone
 }
 
-// TestNothingStartsInAnEvacuatedZone: single tasks, gangs and urgent ones that would stop
-// others; what waits starts once the zone is taken back.
+// TestNothingStartsInAnEvacuatedZone checks that neither single tasks nor urgent gangs start in an
+// evacuated zone, and that waiting ones start once the evacuation ends.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
-	play := func(without pool.Without) *simulation.World {
+	runScenario := func(without pool.Without) *simulation.World {
 		w, _, zone := evacuatedWorld(without)
 		w.Run(longAgo)
 		w.Submit(spec(1, single(30)), batch)
@@ -52,10 +52,11 @@
 		w.Run(20 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, play, pool.Without{Evacuations: true})
+	requireKeptOnlyWith(t, runScenario, pool.Without{Evacuations: true})
 }
 
-// TestZoneIsUsedAgainOnceTakenBack: within a heartbeat.
+// TestZoneIsUsedAgainOnceTakenBack checks that runs start in a zone within a heartbeat after its
+// evacuation ends.
 func TestZoneIsUsedAgainOnceTakenBack(t *testing.T) {
 	w, _, zone := evacuatedWorld(pool.Without{})
 	w.Run(2 * time.Second)
@@ -69,7 +70,7 @@
 	requireKept(t, w)
 }
 
-// TestWorkRunsOnInAnEvacuatedZone: it is neither stopped nor moved.
+// TestWorkRunsOnInAnEvacuatedZone checks that an evacuation neither stops nor restarts runs.
 func TestWorkRunsOnInAnEvacuatedZone(t *testing.T) {
 	w := simulation.NewWorld(2, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
@@ -84,7 +85,8 @@
 	require.Zero(t, w.Judge.Counts["attempts/stopped"])
 }
 
-// TestAllZonesEvacuated: jobs are accepted and wait, and none is lost or given up.
+// TestAllZonesEvacuated checks that jobs are accepted, wait and complete after an evacuation of all
+// zones.
 func TestAllZonesEvacuated(t *testing.T) {
 	w, _, zone := evacuatedWorld(pool.Without{})
 	other := w.Workers[len(w.Workers)-1].Zone
@@ -101,11 +103,11 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestOwnerWithoutNewsStartsNothing: neither its feeds nor its own questions are answered,
-// while its writes are; it was suspended; or it is new. Each would start by what it last knew.
+// TestOwnerWithoutNewsStartsNothing guards against starts by a stale or unknown set of evacuated zones:
+// the store answers an owner's writes but not its reads, the owner was suspended, or it is new.
 func TestOwnerWithoutNewsStartsNothing(t *testing.T) {
-	t.Run("the store tells it nothing", func(t *testing.T) {
-		play := func(without pool.Without) *simulation.World {
+	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
+		runScenario := func(without pool.Without) *simulation.World {
 			w := simulation.NewWorld(2, 3)
 			w.Without = without
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -122,10 +124,10 @@
 			w.Run(20 * time.Second)
 			return w
 		}
-		requireKeptOnlyWith(t, play, pool.Without{EvacuationAge: true})
+		requireKeptOnlyWith(t, runScenario, pool.Without{EvacuationAge: true})
 	})
-	t.Run("it was suspended", func(t *testing.T) {
-		play := func(without pool.Without) *simulation.World {
+	t.Run("owner was suspended", func(t *testing.T) {
+		runScenario := func(without pool.Without) *simulation.World {
 			w := simulation.NewWorld(2, 3)
 			w.Without = without
 			owner := w.Own()
@@ -141,9 +143,9 @@
 			w.Run(25 * time.Second)
 			return w
 		}
-		requireKeptOnlyWith(t, play, pool.Without{EvacuationAge: true, Confirmation: true})
+		requireKeptOnlyWith(t, runScenario, pool.Without{EvacuationAge: true, Confirmation: true})
 	})
-	t.Run("it is new", func(t *testing.T) {
+	t.Run("new owner", func(t *testing.T) {
 		w, owner, zone := evacuatedWorld(pool.Without{})
 		w.Run(longAgo)
 		owner.Process.Kill()
@@ -159,9 +161,10 @@
 	})
 }
 
-// TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile: its row takes long to write.
+// TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile checks that a placement is not started if its zone
+// is evacuated while its row is being written.
 func TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile(t *testing.T) {
-	play := func(without pool.Without) *simulation.World {
+	runScenario := func(without pool.Without) *simulation.World {
 		w := simulation.NewWorld(2, 3)
 		w.Bounds.Evacuation = 2 * time.Second
 		w.Without = without
@@ -177,11 +180,11 @@
 		w.Run(20 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, play, pool.Without{StartZones: true})
+	requireKeptOnlyWith(t, runScenario, pool.Without{StartZones: true})
 }
 
-// TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone: later tries of a start come after the
-// zone was evacuated.
+// TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone checks that an unanswered start is not sent again
+// after its zone was evacuated.
 func TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
 	w.Bounds.Evacuation = 2 * time.Second
@@ -200,8 +203,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// evacuateSome evacuates a zone or takes one back now and then, by numbers of its own, so that
-// the other faults of a seed stay as they are.
+// evacuateSome evacuates a random zone, ends a zone's evacuation, or does nothing. It has its own
+// source of random numbers, so that the other faults of a seed stay the same.
 func evacuateSome(w *simulation.World, random *rand.Rand) {
 	zones := w.Zones()
 	zone := zones[random.IntN(len(zones))]
