--- a/internal/pool/cold_test.go
+++ b/internal/pool/cold_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// coldFor makes a worker slow for a while, as its row says.
+// coldFor makes a worker slow for a duration and marks it as cold in its row.
 func coldFor(w *simulation.World, worker *simulation.Worker, d time.Duration) {
 	worker.Slowness, worker.ColdMillis = 4, d.Milliseconds()
 	w.PutWorkerRow(worker)
@@ -20,7 +20,8 @@
 	})
 }
 
-// TestGangsLeaveColdWorkersToSingleTasks: a gang is as slow as its slowest member.
+// TestGangsLeaveColdWorkersToSingleTasks checks that gangs avoid cold workers, since a gang is as slow as
+// its slowest member, and that single tasks run there.
 func TestGangsLeaveColdWorkersToSingleTasks(t *testing.T) {
 	w := simulation.NewWorld(1, 4)
 	w.Own()
@@ -33,13 +34,13 @@
 	require.Zero(t, w.Workers[0].RunsOf(jobID(1))+w.Workers[1].RunsOf(jobID(1)))
 	w.Submit(spec(2, single(4)), urgent)
 	w.Run(100 * time.Millisecond)
-	require.Equal(t, 4, w.Workers[0].RunsOf(jobID(2))+w.Workers[1].RunsOf(jobID(2)), "single tasks may come")
+	require.Equal(t, 4, w.Workers[0].RunsOf(jobID(2))+w.Workers[1].RunsOf(jobID(2)), "single tasks run on cold workers")
 	w.Run(20 * time.Second)
 	requireKept(t, w)
 }
 
-// TestColdWorkersAreNotLeftAlone: a slow member shows a worker that is in trouble, unless it is
-// just cold.
+// TestColdWorkersAreNotLeftAlone checks that a straggler's worker is excluded from new work unless it is
+// cold.
 func TestColdWorkersAreNotLeftAlone(t *testing.T) {
 	for name, cold := range map[string]bool{"cold": true, "slow": false} {
 		t.Run(name, func(t *testing.T) {
