--- a/internal/pool/twolosses_test.go
+++ b/internal/pool/twolosses_test.go
@@ -10,13 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// A sound job was given up after two of twelve workers had started again, 0.4 s apart, both under one
-// of its tasks: "job given up", reason crash_odds, losses 2, odds 576; "run lost" at the age of 2.2 s
-// beside another task, and of 0.4 s alone. No other worker was lost around them, so that two losses
-// stood out from the rate of chance losses, which leaves out those of the task itself.
-
-// TestTwoLossesByChanceGiveNoJobUp: two losses at ages so far apart don't tell a task that crashes its
-// workers from a sound one, and a third run does.
+// TestTwoLossesByChanceGiveNoJobUp guards against a healthy job that fails after two unrelated worker
+// restarts, which hit one of its tasks at very different ages of its runs.
 func TestTwoLossesByChanceGiveNoJobUp(t *testing.T) {
 	w := simulation.NewWorld(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
