--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -84,7 +84,7 @@
 // was killed before its stops arrived; the row of an ended job names no workers, but for those
 // that are no longer listed, which a next owner does not meet by greeting all others.
 func TestRunOfAnEndedJobIsStoppedByTheNextOwner(t *testing.T) {
-	for name, leave := range map[string]func(*simulation.World, *simulation.Worker){
+	for name, removeRow := range map[string]func(*simulation.World, *simulation.Worker){
 		"listed":  func(*simulation.World, *simulation.Worker) {},
 		"leaving": func(w *simulation.World, worker *simulation.Worker) { w.RemoveWorkerRow(worker) },
 	} {
@@ -95,7 +95,7 @@
 			w.Cancel(jobID(1))
 			w.Run(100 * time.Millisecond)
 			require.Equal(t, taskgraph.Cancelled, w.StoredState(jobID(1)))
-			leave(w, busy)
+			removeRow(w, busy)
 			w.Run(100 * time.Millisecond)
 			former.Process.Kill()
 			busy.LoseOrder = nil
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -13,15 +13,15 @@
 // loseFormerRuns settles the members that were confirmed in the former life before the next one
 // was asked, and are not in its account.
 func (p *Pool) loseFormerRuns(w *worker, reply fleet.Reply, sentAt time.Time) {
-	there := namesOf(reply.Running)
+	listed := namesOf(reply.Running)
 	for i := range reply.Ended {
-		there[runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
+		listed[runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
 	}
 	all := w.members
 	w.members = nil
 	var kept []*member
 	for _, m := range all {
-		if m.overWithLife(sentAt, p.options.Without) && !there[runName{task: m.name(), run: m.unit.run}] {
+		if m.overWithLife(sentAt, p.options.Without) && !listed[runName{task: m.name(), run: m.unit.run}] {
 			w.members = append(w.members, m)
 		} else {
 			kept = append(kept, m)
@@ -51,22 +51,22 @@
 // loseFormerMembers settles the members that an earlier owner had confirmed in a former life of the
 // worker, by the first account of the present one.
 func (p *Pool) loseFormerMembers(w *worker, listed map[*member]bool) {
-	var ended []*worker
+	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
 		if m.formerLife.ID == "" || m.state != memberUncertain || !m.sentAt.IsZero() || listed[m] {
 			continue
 		}
-		place := slices.IndexFunc(ended, func(known *worker) bool { return known.Life == m.formerLife })
-		if place < 0 {
-			place = len(ended)
-			ended = append(ended, &worker{Worker: fleet.Worker{Life: m.formerLife, Address: w.Address}})
+		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerLife })
+		if index < 0 {
+			index = len(formers)
+			formers = append(formers, &worker{Worker: fleet.Worker{Life: m.formerLife, Address: w.Address}})
 		}
-		former := ended[place]
+		former := formers[index]
 		w.members = slices.DeleteFunc(w.members, func(other *member) bool { return other == m })
 		former.members = append(former.members, m)
 		m.worker, m.confirmedBefore = former, true
 	}
-	for _, former := range ended {
+	for _, former := range formers {
 		p.loseRuns(former, lostWithLife)
 	}
 }
--- a/internal/pool/greet_test.go
+++ b/internal/pool/greet_test.go
@@ -13,7 +13,7 @@
 // TestGreetingsAreBounded: a new owner greeted all workers at once; with 3,000 of them it read
 // their answers too late and took them for silent. Workers that do run something come first.
 func TestGreetingsAreBounded(t *testing.T) {
-	const most = 128
+	const maxContacts = 128
 	w := simulation.NewWorld(30, 10)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 20 * time.Second }
 	last := w.Workers[len(w.Workers)-1]
@@ -33,7 +33,7 @@
 	before := w.Judge.Counts["worker_orders/hold"]
 	w.Own()
 	w.Run(100 * time.Millisecond)
-	require.LessOrEqual(t, w.Judge.Counts["worker_orders/hold"]-before, most+2)
+	require.LessOrEqual(t, w.Judge.Counts["worker_orders/hold"]-before, maxContacts+2)
 	require.Contains(t, w.Judge.Trace[len(w.Judge.Trace)-1], "rows read", "no worker is taken as silent yet")
 	for _, worker := range w.Workers {
 		worker.Cut = false
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -150,11 +150,11 @@
 	}
 	expected := w.clockNow(now)
 	allowed := clockJump + time.Duration(2*clockDrift*float64(now.Sub(w.clockAt)))
-	by := time.Duration(clock-expected) * time.Millisecond
-	if by.Abs() <= allowed {
+	difference := time.Duration(clock-expected) * time.Millisecond
+	if difference.Abs() <= allowed {
 		return false
 	}
-	p.record.Decided("worker clock jumped", "worker", w.ID, "by_ms", by.Milliseconds(), "runs", len(w.members))
+	p.record.Decided("worker clock jumped", "worker", w.ID, "by_ms", difference.Milliseconds(), "runs", len(w.members))
 	return true
 }
 
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -100,12 +100,12 @@
 func (p *Pool) dropJob(id string) {
 	p.dropping = true
 	parts := JobParts(p.options.Pool, id)
-	left, failed := len(parts), false
+	pending, failed := len(parts), false
 	for _, part := range parts {
 		removes := []rows.Key{AcceptedKey(part, id), CancelledKey(part, id)}
 		p.ports.Commit(rows.Transaction{Removes: removes}, func(_ rows.Result, err error) {
 			failed = failed || err != nil
-			if left--; left > 0 {
+			if pending--; pending > 0 {
 				return
 			}
 			p.dropping = false
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -63,33 +63,33 @@
 
 // restarted takes in the account of a life that has followed the known one, asked for at sentAt.
 // What surely ran in the former life is over; whatever else was ordered may be in the next one.
-func (p *Pool) restarted(w *worker, reply fleet.Reply, by lifeEvidence, sentAt time.Time) {
+func (p *Pool) restarted(w *worker, reply fleet.Reply, evidence lifeEvidence, sentAt time.Time) {
 	claimed := w.claimed
 	next := w.Worker
 	if claimed != nil {
 		next = *claimed
 	}
 	next.Born = reply.Born
-	p.noteRestart(w, next.Life, by, len(w.members))
+	p.noteRestart(w, next.Life, evidence, len(w.members))
 	p.loseFormerRuns(w, reply, sentAt)
-	n := p.replaceLife(w, next)
-	n.greeted, n.greetedAt = true, p.loop.Now()
+	replacement := p.replaceLife(w, next)
+	replacement.greeted, replacement.greetedAt = true, p.loop.Now()
 	if claimed != nil {
-		p.describe(n, claimed)
+		p.describe(replacement, claimed)
 		// The life that the row named may be a later one yet.
-		n.Born = reply.Born
+		replacement.Born = reply.Born
 	}
 	if !p.options.Without.NextLifeLease {
 		// Orders that were meant for the former life gave leases by its clock.
-		n.deadline = reply.ClockMillis + p.options.Bounds.MaxHold.Milliseconds()
+		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxHold.Milliseconds()
 	}
-	p.holdAnswered(n, reply, sentAt)
+	p.holdAnswered(replacement, reply, sentAt)
 }
 
 // noteRestart records that a worker's life has ended and the next has begun.
-func (p *Pool) noteRestart(w *worker, next fleet.Life, by lifeEvidence, runs int) {
-	p.record.Count("worker_restarts", string(by))
-	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(by), "runs", runs)
+func (p *Pool) noteRestart(w *worker, next fleet.Life, evidence lifeEvidence, runs int) {
+	p.record.Count("worker_restarts", string(evidence))
+	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(evidence), "runs", runs)
 }
 
 // replaceLife makes the next life of a worker the known one, with the members that are left and
@@ -98,28 +98,28 @@
 	if w.holdTimer != nil {
 		w.holdTimer()
 	}
-	n := p.unlistedWorker(next.Life)
-	n.Worker, n.rack = next, next.Rack()
-	n.Draining = false
-	n.missing = true
-	n.machineRecord = w.machineRecord
-	n.restarts++
+	replacement := p.unlistedWorker(next.Life)
+	replacement.Worker, replacement.rack = next, next.Rack()
+	replacement.Draining = false
+	replacement.missing = true
+	replacement.machineRecord = w.machineRecord
+	replacement.restarts++
 	moved := w.members
 	w.members = nil
 	for _, m := range moved {
-		p.moveToLife(m, n)
+		p.moveToLife(m, replacement)
 	}
 	p.wake()
-	return n
+	return replacement
 }
 
 // moveToLife lets a member's run be looked for in the next life of its worker. Unless that lists
 // the run, it is barred there before the task is placed again: the start, or a copy of it, may
 // still come. Answers to orders under way say nothing any more.
-func (p *Pool) moveToLife(m *member, n *worker) {
+func (p *Pool) moveToLife(m *member, replacement *worker) {
 	m.leaveLife(m.worker.Life)
-	m.worker = n
-	n.members = append(n.members, m)
+	m.worker = replacement
+	replacement.members = append(replacement.members, m)
 	m.stopSent, m.stopAnswered = false, false
 	if m.stopTimer != nil {
 		m.stopTimer()
--- a/internal/pool/lives_test.go
+++ b/internal/pool/lives_test.go
@@ -77,7 +77,7 @@
 // TestStartsForAFormerLifeAreBarredInTheNext: the second copy of a start was answered, and the
 // first one is carried out late, by the next life of the worker.
 func TestStartsForAFormerLifeAreBarredInTheNext(t *testing.T) {
-	play := func(without pool.Without) *simulation.World {
+	simulate := func(without pool.Without) *simulation.World {
 		w := simulation.NewWorld(1, 2)
 		w.Without = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
@@ -101,7 +101,7 @@
 		w.Run(40 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, play, pool.Without{OpenStarts: true})
+	requireKeptOnlyWith(t, simulate, pool.Without{OpenStarts: true})
 }
 
 // leaseInNextLife lets a start that was meant for a former life give a lease of the platform's
@@ -230,9 +230,9 @@
 func TestUntrueRowOfALaterLifeEndsNothing(t *testing.T) {
 	w, _ := oneWorker(pool.Without{})
 	requireRunsGoOnAlone(t, w, func() {
-		untrue := *w.Workers[0]
-		untrue.Born += 3_600_000
-		w.PutWorkerRow(&untrue)
+		falseRow := *w.Workers[0]
+		falseRow.Born += 3_600_000
+		w.PutWorkerRow(&falseRow)
 	})
 }
 
@@ -290,26 +290,26 @@
 // store is silent, and at each moment of a takeover.
 func TestRestartsDuringTakeovers(t *testing.T) {
 	for _, ahead := range []int64{0, farAhead} {
-		for moment := time.Duration(0); moment < 60*time.Millisecond; moment += 3 * time.Millisecond {
+		for offset := time.Duration(0); offset < 60*time.Millisecond; offset += 3 * time.Millisecond {
 			w := simulation.NewWorld(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 			owner := w.Own()
 			w.Submit(spec(1, single(6), gang(2)), batch)
-			w.Run(time.Second + moment)
+			w.Run(time.Second + offset)
 			owner.Process.Kill()
 			w.Workers[0].Restart(20*time.Millisecond, ahead)
 			w.Run(30 * time.Millisecond)
 			w.Workers[2].Restart(20*time.Millisecond, 0)
 			w.Own()
-			w.Run(moment)
+			w.Run(offset)
 			w.Workers[1].RestartUnseen(15*time.Millisecond, ahead)
-			w.Run(moment)
+			w.Run(offset)
 			w.Store.AwayAll = true
 			w.Run(200 * time.Millisecond)
 			w.Store.AwayAll = false
 			w.Run(40 * time.Second)
 			requireKept(t, w)
-			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "%v", moment)
+			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "%v", offset)
 		}
 	}
 }
@@ -319,13 +319,13 @@
 func TestTwoLivesLostAreTwoLosses(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.RestartsInPlace = true
-	guilty := taskOf(1, 0, 0)
-	w.Crashing[guilty] = crashAtOnce
+	crashing := taskOf(1, 0, 0)
+	w.Crashing[crashing] = crashAtOnce
 	w.Own()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(30 * time.Second)
-	requireGivenUp(t, w, guilty, 2)
+	requireGivenUp(t, w, crashing, 2)
 }
 
 // TestRecordOfAMachineGoesOn: a worker that fails whatever it starts, and starts again, is still left
@@ -334,8 +334,8 @@
 	w := simulation.NewWorld(1, 2)
 	w.Own()
 	w.Run(100 * time.Millisecond)
-	bad := w.Workers[0]
-	bad.Failing = true
+	failing := w.Workers[0]
+	failing.Failing = true
 	w.Workers[1].Unwell = true
 	many := batch
 	many.MaxAttempts = 50
@@ -343,7 +343,7 @@
 		w.Submit(spec(n, single(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
-	bad.Restart(50*time.Millisecond, farAhead)
+	failing.Restart(50*time.Millisecond, farAhead)
 	w.Run(60 * time.Millisecond)
 	next := w.Workers[2]
 	w.Submit(spec(90, single(1)), many)
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -88,15 +88,15 @@
 }
 
 // addLoss adds the member to the suspects of a loss, if its run was on the worker.
-func (m *member) addLoss(loss *poison.Loss, was presence) {
-	if was == neverThere {
+func (m *member) addLoss(loss *poison.Loss, ran presence) {
+	if ran == neverThere {
 		return
 	}
 	history := m.lossHistory()
 	switch {
 	case history == nil:
 		// The unit has too many: whatever struck it was none of its members.
-	case was == perhapsThere:
+	case ran == perhapsThere:
 		history.AddUnexplained(loss.Worker)
 	default:
 		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.ageAt(loss.At), AgeAssumed: !m.unit.startedHere})
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -33,12 +33,12 @@
 }
 
 // requireGivenUp asks that a job was given up after its task crashed at most so many workers.
-func requireGivenUp(t *testing.T, w *simulation.World, guilty taskgraph.TaskName, mostCrashes int) {
+func requireGivenUp(t *testing.T, w *simulation.World, crashing taskgraph.TaskName, mostCrashes int) {
 	t.Helper()
 	requireKept(t, w)
-	require.Equal(t, taskgraph.Failed, w.StoredState(guilty.Job))
-	require.LessOrEqual(t, w.Judge.Crashes(guilty), mostCrashes)
-	require.GreaterOrEqual(t, w.Judge.Crashes(guilty), 2)
+	require.Equal(t, taskgraph.Failed, w.StoredState(crashing.Job))
+	require.LessOrEqual(t, w.Judge.Crashes(crashing), mostCrashes)
+	require.GreaterOrEqual(t, w.Judge.Crashes(crashing), 2)
 }
 
 // TestTaskThatCrashesWorkersIsGivenUp replays the incident without faults of the owner: the
@@ -46,14 +46,14 @@
 func TestTaskThatCrashesWorkersIsGivenUp(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
-	guilty := taskOf(2, 0, 0)
-	w.Crashing[guilty] = crashAtOnce
+	crashing := taskOf(2, 0, 0)
+	w.Crashing[crashing] = crashAtOnce
 	w.Own()
 	w.Submit(spec(1, single(30)), batch)
 	w.Run(time.Second)
 	w.Submit(spec(2, single(1)), urgent)
 	w.Run(60 * time.Second)
-	requireGivenUp(t, w, guilty, 2)
+	requireGivenUp(t, w, crashing, 2)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
@@ -78,8 +78,8 @@
 
 func requireCrashesOutlastOwners(t *testing.T, w *simulation.World, killAfter time.Duration) {
 	t.Helper()
-	guilty := taskOf(1, 0, 0)
-	w.Crashing[guilty] = crashAtOnce
+	crashing := taskOf(1, 0, 0)
+	w.Crashing[crashing] = crashAtOnce
 	owner := w.Own()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
@@ -90,7 +90,7 @@
 		owner = w.Own()
 	}
 	w.Run(60 * time.Second)
-	requireGivenUp(t, w, guilty, 3)
+	requireGivenUp(t, w, crashing, 3)
 }
 
 // What happened. A gang of eight was given up as one that crashes workers, and no worker had
@@ -106,13 +106,13 @@
 
 // staleWorkers lets all workers be replaced, or die, while the owner's feeds are silent, and a
 // job come then.
-func staleWorkers(die func(*simulation.Worker)) *simulation.World {
+func staleWorkers(fail func(*simulation.Worker)) *simulation.World {
 	w := simulation.NewWorld(2, 4)
 	owner := w.Own()
 	w.Run(time.Second)
 	w.Store.FeedsSilent = true
 	for _, worker := range w.Workers {
-		die(worker)
+		fail(worker)
 	}
 	w.Run(5 * time.Second)
 	w.Submit(spec(1, single(3)), urgent)
@@ -127,12 +127,12 @@
 
 // TestWorkersThatDiedBeforeAStartAreNoEvidence: they were replaced, or are silent.
 func TestWorkersThatDiedBeforeAStartAreNoEvidence(t *testing.T) {
-	for name, die := range map[string]func(*simulation.Worker){
+	for name, fail := range map[string]func(*simulation.Worker){
 		"replaced": (*simulation.Worker).CrashAndRestart,
 		"silent":   (*simulation.Worker).Crash,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := staleWorkers(die)
+			w := staleWorkers(fail)
 			requireKept(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 		})
@@ -143,8 +143,8 @@
 // given up by the number of workers alone, in time still.
 func TestTaskThatCrashesBeforeItsStartIsAnswered(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
-	guilty := taskOf(1, 0, 0)
-	w.Crashing[guilty] = crashAtOnce
+	crashing := taskOf(1, 0, 0)
+	w.Crashing[crashing] = crashAtOnce
 	for _, worker := range w.Workers {
 		worker.LoseOrder = func() simulation.Fate { return simulation.AnswerLost }
 	}
@@ -152,7 +152,7 @@
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(90 * time.Second)
-	requireGivenUp(t, w, guilty, 5)
+	requireGivenUp(t, w, crashing, 5)
 }
 
 // TestWorkersThatLeaveAreNoEvidence: workers that drain may be gone sooner than they said, and
@@ -202,16 +202,16 @@
 	owner := w.Own()
 	w.Submit(spec(9, single(8*workers-2)), batch)
 	w.Run(time.Second)
-	var roomy *simulation.Worker
+	var freeWorker *simulation.Worker
 	for _, worker := range w.Workers {
 		if worker.Runs() < 8 {
-			roomy = worker
+			freeWorker = worker
 		}
 	}
-	roomy.Cut = true
+	freeWorker.Cut = true
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(300 * time.Millisecond)
-	roomy.ReplaceUnseen()
+	freeWorker.ReplaceUnseen()
 	for range 3 {
 		w.Store.Latency = 20 * time.Millisecond
 		lost := w.Judge.Counts["attempts/lost"]
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -85,9 +85,9 @@
 }
 
 func (p *Pool) started(m *member, reply fleet.Reply) {
-	took := p.loop.Now().Sub(m.sentAt)
-	p.record.Observe("start_order", took)
-	p.orderLatency += (took - p.orderLatency) / orderLatencyMemory
+	latency := p.loop.Now().Sub(m.sentAt)
+	p.record.Observe("start_order", latency)
+	p.orderLatency += (latency - p.orderLatency) / orderLatencyMemory
 	m.inUnknownLife = p.heard(m.worker, reply.ClockMillis)
 	if m.state == memberStarting || m.state == memberUncertain {
 		m.state = memberRunning
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -54,13 +54,13 @@
 	}
 	listed := namesOf(reply.Running)
 	now := p.loop.Now()
-	for name, known := range w.unwanted {
+	for name, unwanted := range w.unwanted {
 		switch {
 		case listed[name]:
-		case known.endsBy.IsZero():
-			known.endsBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
-			w.unwanted[name] = known
-		case now.After(known.endsBy):
+		case unwanted.endsBy.IsZero():
+			unwanted.endsBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
+			w.unwanted[name] = unwanted
+		case now.After(unwanted.endsBy):
 			delete(w.unwanted, name)
 		}
 	}
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -109,13 +109,13 @@
 // are back soon after it is; until then the worker counts as listed.
 func (p *Pool) unlist(w *worker) {
 	w.claimed = nil
-	left := p.storeBackAt.Add(lapsedRowGrace).Sub(p.loop.Now())
-	if left <= 0 || w.Draining {
+	remaining := p.storeBackAt.Add(lapsedRowGrace).Sub(p.loop.Now())
+	if remaining <= 0 || w.Draining {
 		p.unlistNow(w)
 		return
 	}
 	w.missing = true
-	p.loop.After(left, func() {
+	p.loop.After(remaining, func() {
 		if !p.gone && w.missing && p.workers[w.ID] == w {
 			p.unlistNow(w)
 		}
