--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -6,38 +6,38 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// A worker object of the owner is one life of a worker: all that is kept there ends with it,
-// but for its machine's record. Another life is claimed by the worker's row and proved by an
-// answer: a row may be another writer's, and what runs on a worker is not given up for one.
+// A worker value stands for one incarnation of a worker: everything kept there ends with it, except
+// the machine record. A worker row that names another incarnation is only a hint, since it may have
+// been written by someone else: runs are not given up until the worker itself has answered.
 
-// lifeEvidence says how the owner learned of a worker's next life.
+// lifeEvidence says how the owner learned that a worker has restarted.
 type lifeEvidence string
 
 const (
-	// lifeByRow: the row named another life, and nothing was known to run in the former one.
+	// lifeByRow: the row named another incarnation, and no run was known in the former one.
 	lifeByRow lifeEvidence = "row"
-	// lifeByClaim: the row named another life, which then answered.
+	// lifeByClaim: the row named another incarnation, and that one answered.
 	lifeByClaim lifeEvidence = "row and answer"
-	// lifeByAnswer: another life answered at the address of the former one.
+	// lifeByAnswer: another incarnation answered at the address of the former one.
 	lifeByAnswer lifeEvidence = "answer"
-	// lifeByProgress: an earlier owner had placed tasks in a later life than the one that the
-	// worker's row named.
+	// lifeByProgress: the progress rows of an earlier owner name a later incarnation than the
+	// worker's row.
 	lifeByProgress lifeEvidence = "progress row"
 )
 
-// lifeOrder says how a life that is told of relates to the one that is known.
+// lifeOrder says how a reported incarnation relates to the known one.
 type lifeOrder int
 
 const (
-	// sameLife: the same, or one of them does not say.
+	// sameLife: the same incarnation, or one of the two start times is unknown.
 	sameLife lifeOrder = iota
-	// laterLife: the known one has ended if it is true.
+	// laterLife: if the report is true, the known incarnation has ended.
 	laterLife
-	// earlierLife: what is told is out of date, or untrue.
+	// earlierLife: the report is stale or false.
 	earlierLife
 )
 
-// orderOf compares a time of birth with that of the known life.
+// orderOf compares a reported start time with that of the known incarnation.
 func (p *Pool) orderOf(w *worker, born int64) lifeOrder {
 	switch {
 	case p.options.Without.Lives, w.Born == 0, born == 0, born == w.Born:
@@ -48,9 +48,10 @@
 	return earlierLife
 }
 
-// follows reports whether the life that answered a question of askedAt has followed the known one.
-// Births are times of day, which may be set back between two lives: an answer to a question that was
-// asked after the known life's last account is of a life that follows it, whatever its birth.
+// follows reports whether the incarnation that answered a request sent at askedAt succeeds the
+// known one. Start times are wall-clock times, and the clock may be set back between two
+// incarnations. So an answer to a request that was sent after the known incarnation's last report
+// counts as that of a successor, even if its start time is earlier.
 func (p *Pool) follows(w *worker, born int64, askedAt time.Time) bool {
 	switch p.orderOf(w, born) {
 	case laterLife:
@@ -61,8 +62,9 @@
 	return false
 }
 
-// restarted takes in the account of a life that has followed the known one, asked for at sentAt.
-// What surely ran in the former life is over; whatever else was ordered may be in the next one.
+// restarted handles the report of an incarnation that succeeds the known one; the report was
+// requested at sentAt. Runs that were certainly in the former incarnation are lost; any other start
+// that was sent may still reach the new one.
 func (p *Pool) restarted(w *worker, reply fleet.Reply, evidence lifeEvidence, sentAt time.Time) {
 	claimed := w.claimed
 	next := w.Worker
@@ -76,24 +78,24 @@
 	replacement.greeted, replacement.greetedAt = true, p.loop.Now()
 	if claimed != nil {
 		p.describe(replacement, claimed)
-		// The life that the row named may be a later one yet.
+		// The row may name an incarnation later than the one that answered.
 		replacement.Born = reply.Born
 	}
 	if !p.options.Without.NextLifeLease {
-		// Orders that were meant for the former life gave leases by its clock.
+		// Orders addressed to the former incarnation carried lease deadlines on its clock.
 		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxHold.Milliseconds()
 	}
 	p.holdAnswered(replacement, reply, sentAt)
 }
 
-// noteRestart records that a worker's life has ended and the next has begun.
+// noteRestart counts and logs a worker's restart.
 func (p *Pool) noteRestart(w *worker, next fleet.Life, evidence lifeEvidence, runs int) {
 	p.record.Count("worker_restarts", string(evidence))
 	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(evidence), "runs", runs)
 }
 
-// replaceLife makes the next life of a worker the known one, with the members that are left and
-// the machine's record. Its row has yet to come.
+// replaceLife switches to the next incarnation of a worker. It keeps the remaining members and the
+// machine record; the row of the new incarnation has not been read yet.
 func (p *Pool) replaceLife(w *worker, next fleet.Worker) *worker {
 	if w.holdTimer != nil {
 		w.holdTimer()
@@ -113,9 +115,10 @@
 	return replacement
 }
 
-// moveToLife lets a member's run be looked for in the next life of its worker. Unless that lists
-// the run, it is barred there before the task is placed again: the start, or a copy of it, may
-// still come. Answers to orders under way say nothing any more.
+// moveToLife moves a member to the next incarnation of its worker, whose report will show whether
+// the run is there. If the run is not listed, it is stopped there before the task is placed again,
+// because the start or a copy of it may still arrive. Answers to requests in flight are ignored
+// from here on.
 func (p *Pool) moveToLife(m *member, replacement *worker) {
 	m.leaveLife(m.worker.Life)
 	m.worker = replacement
@@ -135,8 +138,8 @@
 	}
 }
 
-// answeredByAnotherLife settles an account that is not of the known life. It returns false if it
-// is of that life.
+// answeredByAnotherLife handles a reply that is not from the known incarnation. It returns false if
+// the reply is from the known one.
 func (p *Pool) answeredByAnotherLife(w *worker, reply fleet.Reply, sentAt time.Time) bool {
 	if w.Born == 0 {
 		w.Born = reply.Born
@@ -147,12 +150,12 @@
 		return true
 	case p.orderOf(w, reply.Born) == earlierLife:
 		if w.greeted {
-			// Answers on different connections may pass each other.
+			// Replies on different connections may arrive out of order.
 			p.record.Count("refusals", "worker_answer_stale")
 			p.holdLater(w, quickHold)
 			return true
 		}
-		// The life was only told of by a row, and was not true.
+		// Only a row named the known incarnation, and the row was false.
 		p.record.Count("refusals", "worker_row_refuted")
 		w.Born = reply.Born
 		p.unlistNow(w)
