--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -7,14 +7,13 @@
 )
 
 const (
-	// holdPeriod is how long a hold waits for an end.
+	// holdPeriod is how long a poll waits at the worker for a run to end.
 	holdPeriod = 2 * time.Second
-	// holdRetry is the pause after a hold without an answer.
+	// holdRetry is the delay after a poll without an answer.
 	holdRetry = 300 * time.Millisecond
 )
 
-// hold asks a worker what it runs and extends its lease, unless a hold is under
-// way already.
+// hold polls a worker for its report and renews its lease, unless a poll is already in flight.
 func (p *Pool) hold(w *worker) {
 	if w.holding || p.gone || p.workers[w.ID] != w {
 		return
@@ -52,8 +51,8 @@
 	})
 }
 
-// holdWait is 0 while something is to be known soon, such as an account after which ends may be
-// acknowledged that the hold does not acknowledge itself.
+// holdWait returns how long the next poll waits at the worker. It is 0 while a report is needed
+// soon, such as the one that must precede an acknowledgement that this poll does not carry.
 func (p *Pool) holdWait(w *worker, acknowledged int64) time.Duration {
 	if w.ends.writing > 0 || w.ends.due > acknowledged || len(w.members) == 0 {
 		return 0
@@ -67,15 +66,15 @@
 	return holdPeriod
 }
 
-// A worker that left a call unanswered may do so again: the answer that tells of an end
-// can be lost, and the owner notes the end only with the next one. For lossyPeriod, about
-// the length of such a fault on the platform's days, holds wait for lossyHoldPeriod only.
+// A worker that left a call unanswered may do so again, and an end reported in a lost answer is
+// noticed only with the next poll. For lossyPeriod, about as long as such faults last, polls wait
+// only for lossyHoldPeriod.
 const (
 	lossyPeriod     = 6 * time.Second
 	lossyHoldPeriod = 400 * time.Millisecond
 )
 
-// uncertain reports whether a member's start got no answer.
+// uncertain reports whether the start of any member is unanswered.
 func (w *worker) uncertain() bool {
 	for _, m := range w.members {
 		if m.state == memberUncertain {
@@ -85,7 +84,7 @@
 	return false
 }
 
-// look asks a worker what it runs, beside a hold that may be waiting for an end.
+// look polls a worker without waiting, in addition to a poll that may be in flight.
 func (p *Pool) look(w *worker) {
 	w.lookedAt = p.loop.Now()
 	if !w.holding {
@@ -109,15 +108,15 @@
 	})
 }
 
-// heard notes an answer of a worker. It returns true if the worker's clock is not where it was expected,
-// so that another life may have answered.
+// heard records a reply of a worker. It returns true if the worker's clock deviates from its
+// estimate, in which case another incarnation may have answered.
 func (p *Pool) heard(w *worker, clock int64) (jumped bool) {
 	now := p.loop.Now()
 	jumped = p.noteClockJump(w, clock, now)
 	w.clock, w.clockAt = clock, now
 	if jumped {
-		// Orders were given by another clock, and this may be another life, which an account
-		// tells and an answer to a start does not.
+		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
+		// identifies the incarnation; the answer to a start does not.
 		w.deadline = clock + p.options.Bounds.MaxHold.Milliseconds()
 		p.look(w)
 	}
@@ -129,7 +128,7 @@
 	return jumped
 }
 
-// accounted takes in an account of the known life that was asked for at sentAt.
+// accounted handles a report of the known incarnation that was requested at sentAt.
 func (p *Pool) accounted(w *worker, reply fleet.Reply, sentAt time.Time) {
 	p.heard(w, reply.ClockMillis)
 	w.ends.accountAt = p.loop.Now()
@@ -139,11 +138,12 @@
 	p.takeAccount(w, reply, sentAt)
 }
 
-// clockJump is by how much a worker's clock may differ from its estimate beyond drift before that
-// is told: far more than answers are late or pass each other.
+// clockJump is the deviation of a worker's clock from its estimate, beyond drift, that counts as a
+// jump. It far exceeds the delay and reordering of replies.
 const clockJump = 10 * time.Second
 
-// noteClockJump reports and records whether a worker's clock is not where it was expected.
+// noteClockJump reports and logs whether a worker's clock deviates from its estimate by more than
+// clockJump.
 func (p *Pool) noteClockJump(w *worker, clock int64, now time.Time) bool {
 	if w.clock == 0 {
 		return false
@@ -158,7 +158,7 @@
 	return true
 }
 
-// unheard notes a call without an answer.
+// unheard records a call without an answer.
 func (p *Pool) unheard(w *worker) {
 	first := w.unanswered == 0
 	w.unanswered++
@@ -168,11 +168,12 @@
 		p.noteSilence()
 	}
 	w.lossyUntil = p.loop.Now().Add(lossyPeriod)
-	// Once its runs are given up nothing else would ask it, and it stayed out of use for good.
+	// Without this poll nothing would contact the worker again once its runs are lost, and it would
+	// stay unused.
 	p.holdLater(w, quickHold)
 }
 
-// holdAnswered takes in a hold that was sent at sentAt.
+// holdAnswered handles the reply to a poll that was sent at sentAt.
 func (p *Pool) holdAnswered(w *worker, reply fleet.Reply, sentAt time.Time) {
 	first := !w.greeted
 	if first {
@@ -187,22 +188,22 @@
 	p.forgetIfIdle(w)
 }
 
-// extendAtOnce extends the lease of what runs on a worker met for the first time.
+// extendAtOnce renews the lease of runs on a worker after the first contact.
 func (p *Pool) extendAtOnce(w *worker) {
 	if len(w.members) > 0 {
 		p.hold(w)
 	}
 }
 
-// scheduleHold keeps holds going while anything runs on the worker, and
-// acknowledges ends once they are written.
+// scheduleHold keeps polling while anything runs on the worker, and acknowledges ended runs once
+// they are written.
 func (p *Pool) scheduleHold(w *worker) {
 	if w.ends.due > 0 {
 		p.hold(w)
 		return
 	}
 	if w.ends.pending() {
-		// The hold after the write acknowledges; until then the lease needs care.
+		// The poll after the write acknowledges; until then the lease must be renewed.
 		p.holdLater(w, holdRetry)
 		return
 	}
@@ -220,7 +221,7 @@
 	p.hold(w)
 }
 
-// quickHold is the pause between two looks at a worker whose state is in doubt.
+// quickHold is the delay between two polls of a worker whose state is uncertain.
 const quickHold = 100 * time.Millisecond
 
 func (p *Pool) holdLater(w *worker, pause time.Duration) {
