--- a/internal/pool/greet.go
+++ b/internal/pool/greet.go
@@ -1,18 +1,19 @@
 package pool
 
-// greetLimit bounds the workers that are asked at once. Each takes a new connection: a new
-// owner of 3,000 workers that opened all at once read their answers too late, took them for
-// silent, and opened connections anew.
+// greetLimit bounds the first contacts in flight. Each opens a connection; a new owner that
+// contacts thousands of workers at once reads the answers too late and takes the workers for
+// unresponsive.
 const greetLimit = 128
 
-// greetings are the first contacts with workers, which fence former owners there.
+// greetings holds the queued and open first contacts with workers. A first contact fences former
+// owners at the worker.
 type greetings struct {
 	waiting []*worker
 	open    int
 }
 
-// greetAll asks every worker what it runs; first those that the rows name, whose leases run
-// out.
+// greetAll polls every worker, first those that have runs according to the rows, since their leases
+// are running.
 func (p *Pool) greetAll() {
 	for _, w := range p.sortedWorkers() {
 		if len(w.members) > 0 {
@@ -24,14 +25,14 @@
 	}
 }
 
-// greet makes the first contact with a worker, in its turn.
+// greet queues the first contact with a worker.
 func (p *Pool) greet(w *worker) {
 	if p.loaded && !w.greeted {
 		p.askSoon(w)
 	}
 }
 
-// askSoon asks a worker what it runs, in its turn.
+// askSoon queues a poll of a worker.
 func (p *Pool) askSoon(w *worker) {
 	if w.toGreet || w.Address == "" {
 		return
@@ -55,7 +56,7 @@
 	}
 }
 
-// greetingEnded makes room for the next greeting, whatever became of this one.
+// greetingEnded frees the slot of a first contact, whatever its result.
 func (p *Pool) greetingEnded(w *worker) {
 	if !w.greeting {
 		return
