--- a/internal/pool/silence.go
+++ b/internal/pool/silence.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Workers that run nothing are not asked how they are. When many fall silent at once, as with a rack, a
-// switch or a zone, the idle ones among them are found out only by the gangs that are placed there, one
-// after another: each waits for its silent member, and then begins anew with the next. So all idle workers
-// are asked once when that happens, and once more each silencePause while it goes on.
+// Idle workers are not polled. When many workers stop responding at once, such as all those of a
+// rack, a switch or a zone, the idle ones among them would be detected only when a gang is placed
+// there and fails to start. So all idle workers are polled when that happens, at most once per
+// silencePause.
 
 const (
-	// silenceLeast is how many workers have to fall silent within silenceWindow.
+	// silenceLeast is how many workers have to stop responding within silenceWindow.
 	silenceLeast  = 3
 	silenceWindow = time.Second
 	silencePause  = 2 * time.Second
 )
 
-// silences are the times at which workers last fell silent, the latest of silenceLeast.
+// silences holds the latest silenceLeast times at which a worker stopped responding.
 type silences struct {
 	times   [silenceLeast]time.Time
 	next    int
 	askedAt time.Time
 }
 
-// note takes in that a worker fell silent. It returns true if all idle ones are to be asked.
+// note records that a worker stopped responding. It returns true if all idle workers should be
+// polled.
 func (s *silences) note(now time.Time) bool {
 	s.times[s.next] = now
 	s.next = (s.next + 1) % silenceLeast
-	// The next one to be replaced is the earliest.
+	// The next slot to be overwritten holds the earliest time.
 	if now.Sub(s.times[s.next]) > silenceWindow || now.Sub(s.askedAt) < silencePause {
 		return false
 	}
@@ -33,7 +34,7 @@
 	return true
 }
 
-// noteSilence asks all idle workers how they are if many fall silent at once.
+// noteSilence polls all idle workers if many workers have stopped responding at once.
 func (p *Pool) noteSilence() {
 	if !p.loaded || !p.silences.note(p.loop.Now()) {
 		return
