--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// startLimit is how far ahead of a worker's clock a start's deadline lies. A worker that does not
-	// answer can't have carried the start out once that has passed; until then its gang stands
-	// still. The hold that follows an answer extends the lease.
+	// startLimit is the time from sending a start to its deadline on the worker's clock. A worker
+	// that does not answer cannot have started the run after it; until then the gang waits. The
+	// poll after an answer renews the lease.
 	startLimit = 2 * time.Second
-	// startRetry is the pause before a start without an answer is sent again.
+	// startRetry is the delay before an unanswered start is sent again.
 	startRetry = 50 * time.Millisecond
-	// startPatience is how long a start without an answer is sent again.
+	// startPatience is how long an unanswered start is retried.
 	startPatience = 1200 * time.Millisecond
 )
 
-// startUnit orders every member to start.
+// startUnit sends a start for every member.
 func (p *Pool) startUnit(u *unit) {
 	u.state = unitActive
 	u.startedAt = p.loop.Now()
@@ -38,7 +38,7 @@
 	u, w := m.unit, m.worker
 	now := p.loop.Now()
 	if m.startDeadline == 0 {
-		// Later tries keep the deadline of the first one.
+		// Retries keep the deadline of the first start.
 		m.startDeadline = w.clockNow(now) + min(p.startAhead(), p.leaseLeft(now)).Milliseconds()
 	}
 	order := fleet.Start{
@@ -58,12 +58,12 @@
 	})
 }
 
-// startAnswered takes in what became of one try of a start.
+// startAnswered handles the result of one try of a start.
 func (p *Pool) startAnswered(m *member, sent *tries, reply fleet.Reply, err error) {
 	reason := fleet.ReasonOf(err)
 	lost := err != nil && reason == fleet.NoAnswer
 	if err != nil && reply.ClockMillis > 0 {
-		// A refusal tells the worker's clock too, by which it may have been late.
+		// A refusal also carries the worker's clock, which explains a start refused as late.
 		p.heard(m.worker, reply.ClockMillis)
 	}
 	if lost {
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case sent.answered:
-		// The other try told what became of the run. This one may yet be carried out.
+		// The other try settled the start, but this one may still be carried out.
 		m.doubtful = m.doubtful || lost
 	case err == nil:
 		sent.answered = true
@@ -116,35 +116,35 @@
 		return
 	}
 	if reason == fleet.NoRoom {
-		// Something runs there that is not known here.
+		// The worker runs something that this owner does not know of.
 		w.penaltyUntil = p.loop.Now().Add(roomPenalty)
 		p.look(w)
 	}
-	// The order was refused: nothing runs.
+	// The start was refused, so nothing runs.
 	p.memberEnded(m, fleet.Stopped)
 }
 
-// barStart keeps a start that may still be under way from being carried out, and looks what
-// became of it.
+// barStart sends a stop so that a start that may still be in flight is not carried out, and polls
+// the worker for the state of the run.
 func (p *Pool) barStart(m *member) {
 	m.state = memberUncertain
 	m.sentAt = p.loop.Now()
 	p.hold(m.worker)
 	p.sendStop(m)
 	if len(m.unit.members) > 1 {
-		// The run can't become whole any more: the others need not wait for it.
+		// The gang can no longer start completely: the other members need not wait.
 		p.stopUnit(m.unit, "start unanswered")
 	}
 }
 
-// wantsAnotherStart reports whether a start without an answer is worth another try.
+// wantsAnotherStart reports whether an unanswered start may be sent again.
 func (p *Pool) wantsAnotherStart(m *member) bool {
 	now := p.loop.Now()
 	return m.unit.state == unitActive && now.Sub(m.unit.startedAt) < startPatience && !m.stopSent && p.mayStartOn(m.worker, now)
 }
 
-// startAgain sends a start once more after a pause. The worker starts the same run
-// once, however often it is told.
+// startAgain sends a start again after startRetry. Starts are idempotent: the worker starts a run
+// only once.
 func (p *Pool) startAgain(m *member) {
 	w, u, run := m.worker, m.unit, m.unit.run
 	p.record.Count("retries", "start")
@@ -160,5 +160,5 @@
 	})
 }
 
-// roomPenalty keeps new work away from a worker that had no room.
+// roomPenalty is how long a worker that refused a start for lack of capacity gets no new work.
 const roomPenalty = 500 * time.Millisecond
