--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -6,10 +6,10 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// stopRetry is the pause before a stop whose tries all failed is sent again.
+// stopRetry is the delay before a stop is sent again after all its tries have failed.
 const stopRetry = 200 * time.Millisecond
 
-// stopUnit orders every member to stop.
+// stopUnit sends a stop for every member.
 func (p *Pool) stopUnit(u *unit, reason string) {
 	if u.state != unitActive {
 		return
@@ -26,8 +26,8 @@
 	p.settle(u)
 }
 
-// sendStop repeats a stop until the worker answers it. The stop also bars a start
-// that has not arrived yet.
+// sendStop sends a stop until the worker answers it. The stop also blocks a start of the run that
+// arrives later.
 func (p *Pool) sendStop(m *member) {
 	if m.stopSent || m.worker == nil {
 		return
@@ -44,7 +44,7 @@
 	})
 }
 
-// stopAnswered takes in what became of one try of a stop.
+// stopAnswered handles the result of one try of a stop.
 func (p *Pool) stopAnswered(m *member, sent *tries, reply fleet.Reply, err error) {
 	u, w, run := m.unit, m.worker, m.unit.run
 	switch {
@@ -58,7 +58,7 @@
 			p.look(w)
 		}
 	case sent.open > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
-		// The other try is under way.
+		// The other try is still in flight.
 	case p.orderFailed(w, err):
 	default:
 		sent.answered = true
