--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -9,7 +9,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// assign books a member's room on a worker.
+// assign reserves capacity for a member on a worker and resets the state of its previous run.
 func (p *Pool) assign(m *member, w *worker) {
 	m.worker = w
 	m.state = memberNone
@@ -25,7 +25,7 @@
 	w.members = append(w.members, m)
 }
 
-// release frees a member's room.
+// release frees the capacity that a member has reserved.
 func (p *Pool) release(m *member) {
 	if m.stopTimer != nil {
 		m.stopTimer()
@@ -45,7 +45,7 @@
 	}
 }
 
-// begin writes a placement, then starts the unit.
+// begin writes a unit's placement, and starts the unit once that is stored.
 func (p *Pool) begin(u *unit, places []*worker) {
 	u.run++
 	u.state = unitCommitting
@@ -67,8 +67,8 @@
 		switch {
 		case u.state != unitCommitting || u.run != run:
 		case u.active() < len(u.members), !p.placeHolds(u):
-			// A worker was lost before any start was sent, or the write took so long that what
-			// it was decided by no longer holds.
+			// A worker was lost before any start was sent, or the write took so long that the
+			// placement is no longer valid.
 			p.record.Count("start_failures", "place_lost")
 			p.clearMembers(u)
 			u.state = unitWaiting
@@ -80,7 +80,7 @@
 	})
 }
 
-// placeHolds reports whether a unit whose placement is written may be started there still.
+// placeHolds reports whether a unit whose placement is stored may still be started there.
 func (p *Pool) placeHolds(u *unit) bool {
 	if !p.mayStart(p.loop.Now()) || !p.accountsKnown() {
 		return false
@@ -96,7 +96,7 @@
 	return true
 }
 
-// maxLoggedWorkers bounds the workers named on one line.
+// maxLoggedWorkers bounds the worker names in one log line.
 const maxLoggedWorkers = 8
 
 func workerIDs(places []*worker) string {
