--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -7,21 +7,21 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// runName names one run of a task.
+// runName identifies one run of a task.
 type runName struct {
 	task taskgraph.TaskName
 	run  int
 }
 
-// unwantedRun is a run that a worker listed and the owner does not want. It takes room until it has
-// ended.
+// unwantedRun is a run that a worker listed and that this owner did not expect there. It occupies
+// capacity until it has ended.
 type unwantedRun struct {
 	room taskgraph.Amount
-	// endsBy is when it has surely ended; zero while the worker lists it.
+	// endsBy is the time by which the run has certainly ended; zero while the worker lists it.
 	endsBy time.Time
 }
 
-// namesOf returns the runs that a worker lists as running.
+// namesOf returns the identifiers of the runs that a worker lists as running.
 func namesOf(running []fleet.Running) map[runName]bool {
 	names := make(map[runName]bool, len(running))
 	for i := range running {
@@ -30,7 +30,7 @@
 	return names
 }
 
-// stopUnwanted stops a run that does not belong on a worker.
+// stopUnwanted stops a run that should not be on a worker.
 func (p *Pool) stopUnwanted(w *worker, name taskgraph.TaskName, run int) {
 	room := taskgraph.Amount{}
 	if j := p.jobs[name.Job]; j != nil && name.Step < len(j.Spec.Steps) {
@@ -46,8 +46,9 @@
 	})
 }
 
-// settleUnwanted goes by an account that does not list some of them: what has no end there either
-// is being stopped, and no account names work that is.
+// settleUnwanted updates the unexpected runs of a worker from its report. A run that is neither
+// listed nor reported as ended is being stopped, because reports omit runs in that state; it is
+// removed after the time of a stop.
 func (p *Pool) settleUnwanted(w *worker, reply fleet.Reply) {
 	for i := range reply.Ended {
 		delete(w.unwanted, runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run})
@@ -66,19 +67,19 @@
 	}
 }
 
-// withoutUnwanted returns what is left of an amount of free room beside a worker's unwanted runs.
+// withoutUnwanted subtracts the capacity of a worker's unexpected runs from its free capacity.
 func (w *worker) withoutUnwanted(free taskgraph.Amount, now time.Time) taskgraph.Amount {
-	for _, known := range w.unwanted {
-		if known.endsBy.IsZero() || now.Before(known.endsBy) {
-			free = free.Minus(known.room)
+	for _, unwanted := range w.unwanted {
+		if unwanted.endsBy.IsZero() || now.Before(unwanted.endsBy) {
+			free = free.Minus(unwanted.room)
 		}
 	}
 	return free
 }
 
-// roomKnown reports whether all is known that takes room on a worker that does not guard its
-// capacity. What an owner before this one was stopping when the worker first heard of this one is in
-// no account, and ends within the time of a stop.
+// roomKnown reports whether everything that occupies capacity on a worker is known, for workers
+// that do not enforce their capacity. Runs that the former owner was stopping at the first contact
+// are in no report; they end within the time of a stop.
 func (p *Pool) roomKnown(w *worker, now time.Time) bool {
 	if p.options.Without.AccountAge || p.guarded() {
 		return true
