--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -7,11 +7,11 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// What becomes of runs that were placed in a former life of their worker. Those that surely ended with
-// it are lost at once; the others are looked for in the next life.
+// Runs that were placed in a former incarnation of their worker: those that certainly ended with it
+// are lost at once, the others are looked up in the next incarnation.
 
-// loseFormerRuns settles the members that were confirmed in the former life before the next one
-// was asked, and are not in its account.
+// loseFormerRuns marks as lost the runs that were confirmed in the former incarnation before the
+// report of the next one was requested, and that this report does not contain.
 func (p *Pool) loseFormerRuns(w *worker, reply fleet.Reply, sentAt time.Time) {
 	listed := namesOf(reply.Running)
 	for i := range reply.Ended {
@@ -31,10 +31,11 @@
 	w.members = append(w.members, kept...)
 }
 
-// overWithLife reports whether the member's run surely is over if it is in no account that the
-// next life of its worker gave on a question of sentAt. A start of this owner without an answer, or
-// a copy of one, may come to the next life; one of an earlier owner is fenced there by the question.
-// A run that is being stopped is in no account, but if it was confirmed in the former life.
+// overWithLife reports whether the member's run has certainly ended if it is missing from the
+// report of the worker's next incarnation that was requested at sentAt. An unanswered start of this
+// owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner is
+// fenced there by the request. A run that is being stopped is missing from reports, so it counts as
+// ended only if an earlier owner had it confirmed in the former incarnation.
 func (m *member) overWithLife(sentAt time.Time, without Without) bool {
 	switch m.state {
 	case memberNone:
@@ -48,8 +49,8 @@
 	return false
 }
 
-// loseFormerMembers settles the members that an earlier owner had confirmed in a former life of the
-// worker, by the first account of the present one.
+// loseFormerMembers marks as lost the members whose runs an earlier owner had confirmed in a former
+// incarnation of the worker, if the first report of the present one does not list them.
 func (p *Pool) loseFormerMembers(w *worker, listed map[*member]bool) {
 	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// leaveLife notes that the member's run was last known in a life that has ended. It is looked for
-// in the next one, where nothing has confirmed it.
+// leaveLife records that the member's run was last known in an incarnation that has ended. The next
+// incarnation has not confirmed the run yet.
 func (m *member) leaveLife(life fleet.Life) {
 	if m.wasConfirmed() {
 		m.formerLife = life
@@ -80,8 +81,8 @@
 	m.confirmedBefore = false
 }
 
-// endedWithFormerLife counts the loss of a worker's former life under a run that is not in the next
-// one. When it ended is not known, so that it is no evidence.
+// endedWithFormerLife records the loss of the worker's former incarnation for a run that is not in
+// the next one. The loss is unexplained, since the time at which the run ended is unknown.
 func (m *member) endedWithFormerLife() {
 	if m.formerLife.ID == "" {
 		return
