--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -13,14 +13,14 @@
 const (
 	// lostWithInstance: another instance answers at the worker's address.
 	lostWithInstance lossReason = "worker replaced"
-	// lostWithLife: the worker has started again, and runs nothing of before.
+	// lostWithLife: the worker has restarted and runs nothing from before.
 	lostWithLife lossReason = "worker restarted"
-	// lostWithLease: the worker was silent until its lease had run out.
+	// lostWithLease: the worker did not respond until its lease had expired.
 	lostWithLease lossReason = "lease ran out"
 )
 
-// loseRuns settles all members on a worker that no longer runs anything and will list no
-// ends. One of them may have crashed it.
+// loseRuns marks all members as lost on a worker that no longer runs anything and will report no
+// ends. One of the runs may have crashed the worker.
 func (p *Pool) loseRuns(w *worker, reason lossReason) {
 	lost := w.members
 	p.recordLoss(w, reason)
@@ -33,7 +33,7 @@
 	}
 }
 
-// noteLostRun records a run that was lost with its worker. A member whose placement is
+// noteLostRun counts and logs a run that was lost with its worker. A member whose placement is
 // still being written has no run.
 func (p *Pool) noteLostRun(m *member, reason lossReason) {
 	u, w := m.unit, m.worker
@@ -45,8 +45,8 @@
 		"confirmed", m.state == memberRunning, "ran_ms", u.ranMillis(w.lastAlive(p.loop.Now())))
 }
 
-// ranMillis is how long the unit's run had run at a time, for logs: 0 if an earlier owner started
-// it, whose line tells when.
+// ranMillis returns how long the unit's run had been running at a given time, for logs. It is 0 if
+// an earlier owner started the run.
 func (u *unit) ranMillis(at time.Time) int64 {
 	if !u.startedHere {
 		return 0
@@ -54,7 +54,7 @@
 	return max(0, at.Sub(u.startedAt).Milliseconds())
 }
 
-// lastAlive is when the worker fell silent, or now if it did not.
+// lastAlive returns the time at which the worker stopped responding, or now if it responds.
 func (w *worker) lastAlive(now time.Time) time.Time {
 	if w.unanswered > 0 {
 		return w.silentAt
@@ -62,11 +62,11 @@
 	return now
 }
 
-// recordLoss notes a lost worker against the tasks that ran there, since one that crashes
-// workers lists no end and would else be started for ever.
+// recordLoss records a lost worker against the tasks that ran there. A task that crashes its
+// workers is never reported as failed, so without this record it would be restarted forever.
 func (p *Pool) recordLoss(w *worker, reason lossReason) {
 	if w.Draining || w.departing {
-		// It left by plan, and took with it what was not moved in time.
+		// The worker left as planned, with the runs that were not moved in time.
 		for _, m := range w.members {
 			if m.losses.Count() > 0 {
 				m.losses.AddUnexplained(w.Life.String())
@@ -87,7 +87,7 @@
 	p.lossLedger.Lost(loss)
 }
 
-// addLoss adds the member to the suspects of a loss, if its run was on the worker.
+// addLoss adds the member to the suspects of a loss if its run was on the worker.
 func (m *member) addLoss(loss *poison.Loss, ran presence) {
 	if ran == neverThere {
 		return
@@ -95,7 +95,7 @@
 	history := m.lossHistory()
 	switch {
 	case history == nil:
-		// The unit has too many: whatever struck it was none of its members.
+		// Losses of this many members at once have a cause outside the unit.
 	case ran == perhapsThere:
 		history.AddUnexplained(loss.Worker)
 	default:
@@ -103,7 +103,7 @@
 	}
 }
 
-// addressTaken reports whether another worker is listed at a worker's address.
+// addressTaken reports whether another worker is listed at the worker's address.
 func (p *Pool) addressTaken(w *worker) bool {
 	for _, other := range p.workers {
 		if other != w && other.listed && other.Address == w.Address && w.Address != "" {
