--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -5,12 +5,12 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// historiesLimit bounds the members of one unit whose losses are kept in its row. More are
-// lost at once only with racks, which says nothing of a task.
+// historiesLimit bounds the members of one unit whose losses are stored in its row. When more are
+// lost, a shared cause such as a rack failure is likely.
 const historiesLimit = 16
 
-// lossHistory returns the member's history, creating it if need be; nil if the unit has too
-// many.
+// lossHistory returns the member's loss history and creates it if necessary. It returns nil if too
+// many members of the unit have one.
 func (m *member) lossHistory() *poison.History {
 	u := m.unit
 	if m.losses != nil {
@@ -26,7 +26,7 @@
 	return m.losses
 }
 
-// suspects lists the members under which workers were lost.
+// suspects returns the members whose workers were lost while they ran there.
 func (u *unit) suspects() []*member {
 	if u.lossGroup == nil {
 		return nil
@@ -40,7 +40,7 @@
 	return suspects
 }
 
-// keptLosses renders the losses for the unit's row.
+// keptLosses returns the losses in the form stored in the unit's row.
 func (u *unit) keptLosses() []memberLosses {
 	var kept []memberLosses
 	for _, m := range u.suspects() {
@@ -49,7 +49,7 @@
 	return kept
 }
 
-// restoreLosses takes over what an earlier owner kept of lost workers.
+// restoreLosses restores the losses that an earlier owner stored.
 func (p *Pool) restoreLosses(u *unit, kept []memberLosses) {
 	if len(kept) == 0 {
 		return
@@ -65,8 +65,8 @@
 	}
 }
 
-// giveUpPoison ends the unit's job if one of its tasks crashes the workers that start it:
-// each further start would take down another one. It returns true if it did.
+// giveUpPoison fails the unit's job if one of its tasks crashes the workers that run it, since each
+// further start would crash another worker. It returns true if it failed the job.
 func (p *Pool) giveUpPoison(u *unit) bool {
 	if p.options.Without.LossRecords || u.job.next.Final() {
 		return false
