--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	// leaseExtension is how far each hold extends what runs, unless the platform's
-	// bound is lower. A shorter one frees what a dead worker held sooner.
+	// leaseExtension is how far each poll extends the lease of a worker's runs, unless the
+	// platform's bound is lower. A shorter extension frees the capacity of failed workers sooner.
 	leaseExtension = 6 * time.Second
-	// clockDrift is how much slower than ours a worker's clock may run.
+	// clockDrift is the fraction by which a worker's clock may be slower than the owner's.
 	clockDrift = 0.02
-	// lapseMargin is added to the end of a lease before its runs count as gone.
+	// lapseMargin is added to the end of a lease before its runs count as lost.
 	lapseMargin = 300 * time.Millisecond
 )
 
-// clockNow estimates the worker's clock, from below: leases that are given by it end no later
-// than meant. A worker that was idle for minutes may refuse a start as late by it, and tells
-// its clock with that.
+// clockNow returns a lower estimate of the worker's clock, so that leases never end later than
+// intended. After minutes of idleness a worker may refuse a start as late because of it; the
+// refusal carries the worker's clock.
 func (w *worker) clockNow(now time.Time) int64 {
 	elapsed := float64(now.Sub(w.clockAt).Milliseconds())
 	return w.clock + int64(elapsed*(1-clockDrift))
 }
 
-// lapsed reports whether all leases of the worker have surely run out.
+// lapsed reports whether all leases of the worker have certainly expired.
 func (p *Pool) lapsed(w *worker) bool {
 	deadline := w.deadline
 	if p.options.Without.LeaseWait {
 		return true
 	}
 	if deadline == 0 {
-		// No lease was given by this owner. The one before may have given some until this one
-		// had claimed the progress.
+		// This owner granted no lease. The former owner may have granted some until this one had
+		// claimed the progress rows.
 		since := w.clockAt
 		if p.claimedAt.After(since) && !p.options.Without.ClaimWait {
 			since = p.claimedAt
@@ -38,7 +38,8 @@
 	return w.clockNow(p.loop.Now()) > deadline+lapseMargin.Milliseconds()
 }
 
-// checkWorkers ends what ran on workers that stayed silent past their lease.
+// checkWorkers marks the runs of workers that stopped responding as lost once the lease has
+// expired.
 func (p *Pool) checkWorkers() {
 	for _, w := range p.sortedWorkers() {
 		silent := w.unanswered > 0 || (!w.greeted && p.loaded)
