--- a/internal/pool/leaving.go
+++ b/internal/pool/leaving.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// checkLeaving goes on emptying workers that leave.
+// checkLeaving continues to move long-running tasks off draining workers.
 func (p *Pool) checkLeaving() {
 	for _, w := range p.sortedWorkers() {
 		if !w.Draining {
@@ -17,8 +17,8 @@
 	}
 }
 
-// emptyLeaving stops what will not end before the worker leaves. Tasks that last move
-// a few at a time, so that no more of their step are away than allowed.
+// emptyLeaving stops the runs that will not end before a draining worker shuts down. Long-running
+// tasks move a few at a time, so that no more of a step are down than its spec allows.
 func (p *Pool) emptyLeaving(w *worker) {
 	now := p.loop.Now()
 	left := time.Duration(w.RemainingMillis) * time.Millisecond
@@ -39,7 +39,7 @@
 	}
 }
 
-// awayCount counts the lasting tasks of a step that are not at work.
+// awayCount returns the number of long-running tasks of a step that are not ready.
 func (s *step) awayCount() int {
 	count := 0
 	for _, u := range s.units {
@@ -52,8 +52,8 @@
 	return count
 }
 
-// atWork is the percent from which a lasting task is at work.
+// atWork is the progress, in percent, from which a long-running task is ready.
 const atWork = 100
 
-// leaveMargin is kept between a run's expected end and the worker's.
+// leaveMargin is the least time between a run's expected end and the shutdown of its worker.
 const leaveMargin = 500 * time.Millisecond
