--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// dueMargin keeps a start from coming before its time on a slow clock.
+// dueMargin delays a scheduled start so that a slow clock does not make it early.
 const dueMargin = 5 * time.Millisecond
 
 func (t *jobTime) earlierEnded(s *step) bool {
@@ -40,7 +40,7 @@
 	return true
 }
 
-// applyCancel ends a job because a caller asked for it.
+// applyCancel ends a job at the request of a caller.
 func (p *Pool) applyCancel(id string) {
 	j := p.jobs[id]
 	if j == nil {
@@ -55,7 +55,7 @@
 	p.finishJob(j, taskgraph.Cancelled)
 }
 
-// finishJob gives a job its final state and stops what still runs of it.
+// finishJob puts a job into its final state and stops its remaining runs.
 func (p *Pool) finishJob(j *job, state taskgraph.State) {
 	j.next = state
 	j.endedAt = p.loop.TimeOfDay()
@@ -82,7 +82,7 @@
 	}
 }
 
-// dropOldJobs removes the rows of a job that ended long ago. Its progress goes
+// dropOldJobs deletes the rows of one job whose retention has expired. The progress row is deleted
 // last, so that the job cannot appear to be new.
 func (p *Pool) dropOldJobs() {
 	if p.dropping || p.releasing {
