--- a/internal/pool/presence.go
+++ b/internal/pool/presence.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// presence says whether a run can have been on a worker when that was lost.
+// presence says whether a run can have been on a worker when the worker was lost.
 type presence int
 
 const (
-	// neverThere runs were not started, or their starts were refused or came after the worker
-	// had fallen silent: an owner whose listing is old places tasks on workers that have died.
+	// neverThere: the run was not started, or its start was refused or sent after the worker had
+	// stopped responding. An owner with a stale worker list places tasks on failed workers.
 	neverThere presence = iota
-	// perhapsThere runs have a start without an answer, or were written by an earlier owner: the
-	// worker may have died before, or been cut off, and the start never been sent.
+	// perhapsThere: the start is unanswered, or an earlier owner wrote the placement. The worker
+	// may have failed or been cut off before, and the start may never have been sent.
 	perhapsThere
-	// surelyThere runs were confirmed by the worker.
+	// surelyThere: the worker confirmed the run.
 	surelyThere
 )
 
-// presenceAt tells whether the member's run was on its worker when that was lost.
+// presenceAt returns whether the member's run was on its worker when the worker was lost at the
+// given time.
 func (m *member) presenceAt(at time.Time) presence {
 	u := m.unit
 	switch {
@@ -30,25 +31,24 @@
 	return perhapsThere
 }
 
-// wasConfirmed reports whether the worker has told this owner, or one before it, of the run.
+// wasConfirmed reports whether the worker has confirmed the run to this owner or an earlier one.
 func (m *member) wasConfirmed() bool {
 	return m.state == memberRunning && !m.inUnknownLife || m.confirmedBefore
 }
 
-// confirmationDelay is how long the row may wait that tells of a confirmed start. Without it a next
-// owner can't tell a run that crashed its worker from a start that never arrived: of 1,973 tasks that
-// crash workers 19 took five of them, and none of 2,021 with it (600 plays of random faults in virtual
-// time). Most rows are written for something else before.
+// confirmationDelay is how long the write of a confirmed start may be delayed to share a
+// transaction with other changes. A later owner needs that row to tell a run that crashed its
+// worker from a start that never arrived.
 const confirmationDelay = 500 * time.Millisecond
 
-// noteConfirmedStart lets the row tell that the unit's worker has confirmed a start.
+// noteConfirmedStart schedules the write that records a confirmed start.
 func (p *Pool) noteConfirmedStart(u *unit) { p.writer.add(u.job, confirmationDelay) }
 
-// unknownAge is taken for the age of runs that an earlier owner started: between those that
-// crash their worker at once and the usual length of a run, some seconds.
+// unknownAge is the least age assumed for runs that an earlier owner started. It lies between the
+// age of runs that crash their worker at once and a typical duration.
 const unknownAge = 2 * time.Second
 
-// ageAt is how old the unit's run was at a time.
+// ageAt returns the age of the unit's run at a given time.
 func (u *unit) ageAt(at time.Time) time.Duration {
 	age := at.Sub(u.startedAt)
 	if !u.startedHere {
