--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -7,63 +7,65 @@
 	"github.com/wheatroad/wheatroad/internal/speeds"
 )
 
-// machineRecord is what is known of the machine below a worker, whichever life runs on it: a
-// machine that fails or slows what it runs goes on doing so after its worker started again.
+// machineRecord holds what is known of a worker's machine. It survives restarts of the worker,
+// because a machine that fails or slows its runs keeps doing so.
 type machineRecord struct {
-	// penaltyUntil keeps new work away, and slowUntil keeps gangs away.
+	// penaltyUntil is until when the worker gets no new work, and slowUntil until when it gets no
+	// gangs.
 	penaltyUntil time.Time
 	slowUntil    time.Time
 	speed        speeds.Estimate
 	reliability  reliability
-	// restarts is how often its worker started again under its identifier since the owner met it.
+	// restarts counts the restarts of the worker under its identifier since this owner's first
+	// contact.
 	restarts int
 }
 
-// worker is one life of a worker and what the owner believes of it.
+// worker is one incarnation of a worker, with its state as known to this owner.
 type worker struct {
 	fleet.Worker
 	machineRecord
 	rack string
-	// claimed is a later life that the worker's row names and that has not answered yet; nil if
-	// there is none. It is being asked while asking is true.
+	// claimed is another incarnation that the worker's row names and that has not answered yet, or
+	// nil. asking is true while it is being polled.
 	claimed *fleet.Worker
 	asking  bool
 	// listed is false once the worker's row is gone.
 	listed bool
-	// departing is true once the worker has answered without its row: it leaves by plan and
-	// serves on for a while.
+	// departing is true once the worker has answered after its row was deleted: it is shutting down
+	// as planned and still serves for a while.
 	departing bool
-	// missing is true while the row is gone but may have lapsed with the store away.
+	// missing is true while the row is gone but may only have expired during a store outage.
 	missing bool
-	// greeted is true once the worker has answered under this owner's token.
+	// greeted is true once the worker has answered a request with this owner's token.
 	greeted bool
-	// greetedAt is when it first did.
+	// greetedAt is when the worker first did so.
 	greetedAt time.Time
-	// toGreet is true while the worker waits to be greeted, and greeting while it is.
+	// toGreet is true while a first contact is queued, and greeting while it is in flight.
 	toGreet, greeting bool
-	// members that may run here, in the order of their assignment.
+	// members are the members that may run here, in order of assignment.
 	members []*member
-	// unwanted are runs that the worker lists and the owner does not want.
+	// unwanted holds the runs that the worker lists and this owner did not expect.
 	unwanted map[runName]unwantedRun
 	// clock is the worker's clock in milliseconds at clockAt.
 	clock   int64
 	clockAt time.Time
-	// deadline is the latest lease end, on the worker's clock, that was sent.
+	// deadline is the latest lease deadline sent, on the worker's clock.
 	deadline int64
 	ends     endNumbers
-	// lookedAt is when the worker was last asked for its account beside a hold.
+	// lookedAt is when the worker was last polled in addition to a waiting poll.
 	lookedAt time.Time
-	// holding is true while a hold is under way.
+	// holding is true while a poll is in flight.
 	holding   bool
 	holdTimer func()
-	// unanswered counts calls without an answer since the last one.
+	// unanswered counts the calls without an answer since the last reply.
 	unanswered int
 	silentAt   time.Time
-	// lossyUntil is how long the worker counts as one that loses answers.
+	// lossyUntil is until when polls of the worker are kept short, because its answers get lost.
 	lossyUntil time.Time
-	// coldUntil is how long the worker is slow after its start.
+	// coldUntil is until when the worker is slow after its start.
 	coldUntil time.Time
 }
 
-// leaving reports whether the worker leaves.
+// leaving reports whether the worker is draining or no longer listed.
 func (w *worker) leaving() bool { return w.Draining || !w.listed }
