--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -7,9 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// takeAccount takes in what a worker runs and what has ended there. An owner that hands
-// its pool back leaves that to the next one: each end would put the hand-over off until
-// it is written.
+// takeAccount applies a worker's report of running and ended runs. An owner that is releasing its
+// pool leaves that to the next one, since each recorded end would delay the release by a write.
 func (p *Pool) takeAccount(w *worker, reply fleet.Reply, sentAt time.Time) {
 	if p.releasing {
 		return
@@ -18,7 +17,8 @@
 	p.compare(w, reply, sentAt)
 }
 
-// compare settles members against what the worker lists. Ends have been taken in.
+// compare reconciles the members on a worker with the runs that it lists. Ended runs have already
+// been applied.
 func (p *Pool) compare(w *worker, reply fleet.Reply, sentAt time.Time) {
 	now := p.loop.Now()
 	p.settleUnwanted(w, reply)
@@ -44,7 +44,7 @@
 	}
 }
 
-// memberAt returns the member that has a run on a worker, or nil.
+// memberAt returns the member whose given run is on a worker, or nil.
 func (p *Pool) memberAt(w *worker, name taskgraph.TaskName, run int) *member {
 	j := p.jobs[name.Job]
 	if j == nil {
@@ -77,30 +77,30 @@
 	}
 }
 
-// memberNotListed settles a member that the worker neither runs nor lists as ended.
+// memberNotListed reconciles a member whose run the worker lists neither as running nor as ended.
 func (p *Pool) memberNotListed(m *member, sentAt time.Time) {
 	switch {
 	case m.stopAnswered:
-		// The end of a stop is listed; without one in time there was no run.
+		// A completed stop is reported as an end; if none was reported in time, there was no run.
 		if sentAt.Sub(m.sentAt) > p.options.Bounds.StopTimeout {
 			m.endedWithFormerLife()
 			p.memberEnded(m, fleet.Stopped)
 		}
 	case m.stopTried && m.state == memberRunning && !p.options.Without.StopWait:
-		// The worker may be carrying out a stop whose answer was lost: what ends by it is
-		// not listed and still works. A run whose start was never confirmed may still be to
-		// come, and is gone only once a stop is answered.
+		// The worker may be carrying out a stop whose answer was lost: a run that is being stopped
+		// is not listed but may still run. A run whose start was never confirmed may still arrive,
+		// and is gone only once a stop is answered.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 	case m.state == memberUncertain && m.sentAt.IsZero() && p.options.Without.StopWait:
 		p.memberEnded(m, fleet.Lapsed)
 	case m.state == memberUncertain && m.sentAt.IsZero():
-		// An earlier owner's start that will not come, as the worker has seen this
-		// owner's token; but the run may be ending by a stop of that owner.
+		// The worker has seen this owner's token, so a pending start of an earlier owner is fenced.
+		// A stop of that owner may still be in progress.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 	case m.state == memberUncertain && m.sentAt.Before(sentAt):
-		// The start may still be carried out; a stop bars it.
+		// The start may still be carried out; a stop blocks it.
 		p.sendStop(m)
 	case m.state == memberRunning && m.sentAt.Before(sentAt):
 		p.noteUnlistedRun(m)
@@ -108,8 +108,8 @@
 	}
 }
 
-// noteUnlistedRun records that a confirmed run is over and nobody said how: the worker neither
-// runs it nor lists its end.
+// noteUnlistedRun counts and logs a confirmed run that ended with an unknown outcome: the worker
+// lists it neither as running nor as ended.
 func (p *Pool) noteUnlistedRun(m *member) {
 	u, w := m.unit, m.worker
 	p.record.Count("attempts", "unlisted")
@@ -117,8 +117,8 @@
 		"ran_ms", u.ranMillis(p.loop.Now()), "acknowledged_end", w.ends.acknowledged)
 }
 
-// takeEnds takes in the ends that a worker lists and acknowledges them once written. An end counts
-// for its run, not by its number: a list may come twice.
+// takeEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
+// Ends are matched by run rather than by number, because a list may be received twice.
 func (p *Pool) takeEnds(w *worker, ends []fleet.Ended) {
 	var highest int64
 	for i := range ends {
