--- a/internal/pool/lives_test.go
+++ b/internal/pool/lives_test.go
@@ -12,11 +12,11 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// farAhead is where the clock of a next life stands that is far ahead of the former one's.
+// farAhead is the clock of a restarted worker that is far ahead of the clock before the restart.
 const farAhead = 7_000_000
 
-// oneWorker returns a world with a single worker, so that everything is placed there, and its
-// owner. Tasks take two seconds.
+// oneWorker returns a world with a single worker, on which everything is placed, and its owner.
+// Tasks take two seconds.
 func oneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 1)
 	w.Without = without
@@ -26,9 +26,9 @@
 	return w, owner
 }
 
-// numbersOfFormerLife lets ends be written by a slow store while their worker starts again. Starts
-// that the former life left undone reach the next one, where they fail at once, with numbers below
-// those of the former life's ends. Answers to holds are lost for a while if holdsLost is true.
+// numbersOfFormerLife restarts a worker while a slow store is writing its ended runs. Starts sent
+// before the restart reach the next incarnation, where they fail at once with lower numbers than
+// the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
 func numbersOfFormerLife(without pool.Without, holdsLost bool) *simulation.World {
 	w, _ := oneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
@@ -57,15 +57,16 @@
 	return w
 }
 
-// TestNumbersOfAFormerLifeDoNotReachTheNext: neither when the next life's account comes before the
-// ends are written, nor when no account comes at all.
+// TestNumbersOfAFormerLifeDoNotReachTheNext guards against acknowledging ends of a restarted worker
+// by the numbers of its former incarnation, whether or not a report of the new one arrives before
+// the ends are stored.
 func TestNumbersOfAFormerLifeDoNotReachTheNext(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
 		without   pool.Without
 	}{
-		"next life known":   {without: pool.Without{Lives: true}},
-		"next life unknown": {holdsLost: true, without: pool.Without{FreshAccount: true}},
+		"restart known":   {without: pool.Without{Lives: true}},
+		"restart unknown": {holdsLost: true, without: pool.Without{FreshAccount: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireKept(t, numbersOfFormerLife(pool.Without{}, c.holdsLost))
@@ -74,8 +75,8 @@
 	}
 }
 
-// TestStartsForAFormerLifeAreBarredInTheNext: the second copy of a start was answered, and the
-// first one is carried out late, by the next life of the worker.
+// TestStartsForAFormerLifeAreBarredInTheNext: the first copy of a start arrives late and reaches
+// the worker after a restart, although the second copy was answered before it.
 func TestStartsForAFormerLifeAreBarredInTheNext(t *testing.T) {
 	simulate := func(without pool.Without) *simulation.World {
 		w := simulation.NewWorld(1, 2)
@@ -95,7 +96,7 @@
 			}
 		}
 		w.Submit(spec(1, single(1)), batch)
-		// The late start's deadline lies ahead of the next life's clock.
+		// The deadline of the late start is ahead of the clock after the restart.
 		w.Run(2500 * time.Millisecond)
 		busyWorker(w).Restart(50*time.Millisecond, 0)
 		w.Run(40 * time.Second)
@@ -104,9 +105,9 @@
 	requireKeptOnlyWith(t, simulate, pool.Without{OpenStarts: true})
 }
 
-// leaseInNextLife lets a start that was meant for a former life give a lease of the platform's
-// longest, as its deadline lies far ahead on the next life's clock. The worker is cut off right
-// after its first account.
+// leaseInNextLife lets a start that was sent before a restart grant the longest lease, since its
+// deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
+// first report.
 func leaseInNextLife(without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Bounds.MaxHold = 10 * time.Second
@@ -136,8 +137,9 @@
 	requireKeptOnlyWith(t, leaseInNextLife, pool.Without{NextLifeLease: true})
 }
 
-// TestRunInTheNextLifeGoesOnUnderTheNextOwner: the worker starts again while a placement there is
-// written, the start goes to the next life, and the owner is killed. The row names the former life.
+// TestRunInTheNextLifeGoesOnUnderTheNextOwner: the worker restarts while a placement on it is being
+// written, the start reaches the next incarnation, and the owner is killed. The progress row names
+// the former incarnation.
 func TestRunInTheNextLifeGoesOnUnderTheNextOwner(t *testing.T) {
 	w, owner := oneWorker(pool.Without{})
 	w.Store.FeedsSilent = true
@@ -148,7 +150,7 @@
 	w.Run(100 * time.Millisecond)
 	w.Workers[0].Restart(50*time.Millisecond, 0)
 	w.Run(500 * time.Millisecond)
-	require.Equal(t, 2, w.Workers[1].Runs(), "started in the next life")
+	require.Equal(t, 2, w.Workers[1].Runs(), "started after the restart")
 	owner.Process.Kill()
 	w.Store.FeedsSilent, w.Store.Latency = false, 0
 	w.Own()
@@ -158,17 +160,17 @@
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
 }
 
-// TestRunThatEndedWithItsLifeIsPlacedAgain: by an owner that saw the restart, by one that was
-// killed before it, and by one that was killed after it, with and without power lost by all nodes.
+// TestRunThatEndedWithItsLifeIsPlacedAgain covers an owner that sees the restart, one that is
+// killed before it, one that is killed after it, and a time without an owner.
 func TestRunThatEndedWithItsLifeIsPlacedAgain(t *testing.T) {
 	cases := map[string]struct {
 		killBefore, killAfter bool
 		away                  time.Duration
 	}{
-		"owner stays":                   {},
-		"owner killed before":           {killBefore: true},
-		"owner killed after":            {killAfter: true},
-		"no owner for seconds, restart": {killBefore: true, away: 8 * time.Second},
+		"owner stays":                {},
+		"owner killed before":        {killBefore: true},
+		"owner killed after":         {killAfter: true},
+		"no owner for eight seconds": {killBefore: true, away: 8 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -194,7 +196,8 @@
 	}
 }
 
-// TestRestartIsKnownAtOnce: what ran in a life that surely ended needs no wait for a lease.
+// TestRestartIsKnownAtOnce: runs that ended with a restart are placed again without waiting for the
+// lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
 	w, _ := oneWorker(pool.Without{})
 	w.Submit(spec(1, single(8)), batch)
@@ -206,7 +209,8 @@
 	requireKept(t, w)
 }
 
-// TestStaleRowOfAFormerLifeChangesNothing: a row of the former life comes after one of the next.
+// TestStaleRowOfAFormerLifeChangesNothing: a row of the former incarnation arrives after a row of
+// the next one.
 func TestStaleRowOfAFormerLifeChangesNothing(t *testing.T) {
 	w, _ := oneWorker(pool.Without{})
 	former := w.Workers[0]
@@ -221,12 +225,12 @@
 	w.Run(20 * time.Second)
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "nothing was stopped for it")
+	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "the stale row stopped nothing")
 	require.NotZero(t, w.Judge.Counts["refusals/worker_row_stale"])
 }
 
-// TestUntrueRowOfALaterLifeEndsNothing: a row names a life that there is not. What runs goes on;
-// nothing new is placed there until a true row is back.
+// TestUntrueRowOfALaterLifeEndsNothing: a row names an incarnation that does not exist. Runs
+// continue, and nothing new is placed on the worker until a correct row is back.
 func TestUntrueRowOfALaterLifeEndsNothing(t *testing.T) {
 	w, _ := oneWorker(pool.Without{})
 	requireRunsGoOnAlone(t, w, func() {
@@ -236,8 +240,8 @@
 	})
 }
 
-// TestWorkersThatDoNotTellTheirBirth: on platforms whose workers do not, an identifier stands for
-// one life.
+// TestWorkersThatDoNotTellTheirBirth covers platforms whose workers do not report a start time: an
+// identifier stands for one incarnation.
 func TestWorkersThatDoNotTellTheirBirth(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	for _, worker := range w.Workers {
@@ -251,8 +255,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestNextLifeMayBeOfAnotherKind: its capacity, labels, zone and drain are its own, and work that
-// asks for what only the former life had goes elsewhere.
+// TestNextLifeMayBeOfAnotherKind: a restarted worker has its own capacity, labels, zone and drain
+// state, and tasks that need a label of the former incarnation are not placed there.
 func TestNextLifeMayBeOfAnotherKind(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
 	w.Unguarded = true
@@ -279,15 +283,15 @@
 	special.RequiredLabel = "special"
 	w.Submit(spec(2, special), batch)
 	w.Run(time.Second)
-	require.Equal(t, 3, next.Runs(), "the next life does not drain and has three accelerators")
+	require.Equal(t, 3, next.Runs(), "the restarted worker does not drain and has three accelerators")
 	w.Run(20 * time.Second)
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Zero(t, w.Judge.JobStarts(jobID(2)), "nobody has that label any more")
+	require.Zero(t, w.Judge.JobStarts(jobID(2)), "no worker has that label any more")
 }
 
-// TestRestartsDuringTakeovers: workers start again while no owner lives, twice in a row, while the
-// store is silent, and at each moment of a takeover.
+// TestRestartsDuringTakeovers: workers restart without an owner, twice in a row, during a store
+// outage, and at many points of a takeover.
 func TestRestartsDuringTakeovers(t *testing.T) {
 	for _, ahead := range []int64{0, farAhead} {
 		for offset := time.Duration(0); offset < 60*time.Millisecond; offset += 3 * time.Millisecond {
@@ -314,8 +318,8 @@
 	}
 }
 
-// TestTwoLivesLostAreTwoLosses: a task that crashes its worker, which comes back under its
-// identifier, is found out as if each life had a name of its own.
+// TestTwoLivesLostAreTwoLosses: a task that crashes a worker which restarts under its identifier is
+// detected as if each incarnation had an identifier of its own.
 func TestTwoLivesLostAreTwoLosses(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.RestartsInPlace = true
@@ -328,8 +332,7 @@
 	requireGivenUp(t, w, crashing, 2)
 }
 
-// TestRecordOfAMachineGoesOn: a worker that fails whatever it starts, and starts again, is still left
-// alone.
+// TestRecordOfAMachineGoesOn: the penalty of a worker that fails every task outlasts its restart.
 func TestRecordOfAMachineGoesOn(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
@@ -355,8 +358,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestClockSetBackBetweenLives: the next life's birth is before the former one's. Both its row and its
-// accounts seem to be out of date; it runs what is placed there all the same.
+// TestClockSetBackBetweenLives: the start time of a restarted worker is before that of its former
+// incarnation, so its row and reports seem stale. It is used all the same.
 func TestClockSetBackBetweenLives(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
@@ -387,24 +390,18 @@
 	}
 }
 
-// Symptom: one of 4,000 plays of random faults ran a task twice at the same time.
-// Sequence: a worker started again under its identifier and its owner did not know. It sent a start, which
-// the next life answered; the row named the former life and the start as confirmed. The run was being
-// stopped, so that no account named it, when the next owner read the row, found a later life, and took
-// the run for lost with the former one.
-// Cause: an answer to a start does not say which life it is of, and counted as one of the life that
-// was known.
-// Settled by: "worker clock jumped" 1 ms after the start, "run lost" with reason "worker restarted", and
-// the end of the same run, as stopped, 0.25 s later.
+// An answer to a start does not identify the incarnation. If an unknown restart precedes it, the
+// next owner must not take the run for lost with the former incarnation, or the task runs twice.
 
-// TestStartAnsweredByALifeThatNobodyKnew is looked for in that life by the next owner too.
+// TestStartAnsweredByALifeThatNobodyKnew: the next owner looks for the run in the new incarnation,
+// too.
 func TestStartAnsweredByALifeThatNobodyKnew(t *testing.T) {
 	w := worldOfGangs(1, 2)
 	w.StopTime, w.Bounds.StopTimeout = 1500*time.Millisecond, 2*time.Second
 	answersLost := false
 	w.Workers[0].LoseAnswer = func() bool { return answersLost }
 	owner := w.Own()
-	// The former life's clock is far ahead of that of the next one.
+	// The clock of the former incarnation is far ahead of that of the next one.
 	w.Run(2 * clockJumpSeen)
 	w.Store.FeedsSilent = true
 	w.Workers[1].CrashAndRestart()
@@ -424,7 +421,7 @@
 		w.Run(time.Millisecond)
 	}
 	require.Positive(t, w.Judge.Decisions["stopped"])
-	// The row that tells of confirmed starts is written, and the run is being stopped.
+	// The row with the confirmed starts is written, and the run is being stopped.
 	w.Run(800 * time.Millisecond)
 	w.Store.FeedsSilent, answersLost = false, false
 	w.Own()
@@ -433,5 +430,5 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// clockJumpSeen is by how much a clock has to jump to be noticed.
+// clockJumpSeen is the least clock jump that the owner detects.
 const clockJumpSeen = 10 * time.Second
