--- a/internal/pool/greet_test.go
+++ b/internal/pool/greet_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestGreetingsAreBounded: a new owner greeted all workers at once; with 3,000 of them it read
-// their answers too late and took them for silent. Workers that do run something come first.
+// TestGreetingsAreBounded guards against a new owner contacting so many workers at once that it
+// takes them for unresponsive. Workers with runs come first.
 func TestGreetingsAreBounded(t *testing.T) {
 	const maxContacts = 128
 	w := simulation.NewWorld(30, 10)
@@ -34,7 +34,7 @@
 	w.Own()
 	w.Run(100 * time.Millisecond)
 	require.LessOrEqual(t, w.Judge.Counts["worker_orders/hold"]-before, maxContacts+2)
-	require.Contains(t, w.Judge.Trace[len(w.Judge.Trace)-1], "rows read", "no worker is taken as silent yet")
+	require.Contains(t, w.Judge.Trace[len(w.Judge.Trace)-1], "rows read", "no worker counts as unresponsive yet")
 	for _, worker := range w.Workers {
 		worker.Cut = false
 	}
