--- a/internal/pool/silence_test.go
+++ b/internal/pool/silence_test.go
@@ -9,15 +9,11 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Symptom: an urgent gang of 18 took 12.7 s for work of 2.6 s, with most of the pool free.
-// Sequence: one worker in eighteen went dark, and came back as another instance 4 s later. The gang
-// lost a member, and was placed four more times on a worker whose row had not lapsed yet, each of which
-// stopped all its other members.
-// Cause: idle workers were not asked how they are, so that each dead one was found out by a gang.
-// Settled by: "start failed" with reason "other_instance" at 8.83, 9.38, 9.89 and 10.41 s.
+// Guards against gangs being placed on one failed idle worker after another, each placement ending
+// with a start error.
 
-// TestGangsAreNotPlacedOnWorkersThatDiedWithOthers: a third of the workers goes, a few of which run
-// something. Gangs that come a while later are placed once.
+// TestGangsAreNotPlacedOnWorkersThatDiedWithOthers: a third of the workers fails, a few of them
+// busy. Gangs submitted a while later are placed once.
 func TestGangsAreNotPlacedOnWorkersThatDiedWithOthers(t *testing.T) {
 	w := worldOfGangs(3, 12)
 	w.Own()
@@ -26,7 +22,7 @@
 		w.Submit(spec(n, gang(2)), batch)
 	}
 	w.Run(500 * time.Millisecond)
-	// Their rows stay for as long as they might only have missed heartbeats.
+	// Their rows have not expired yet.
 	for i, worker := range w.Workers {
 		if i%3 == 0 {
 			worker.Crash()
