--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestRefusedRetryDoesNotHideALateStart: a start got no answer, the next try was refused,
-// and the task was started elsewhere while the first start was still to be carried out.
+// TestRefusedRetryDoesNotHideALateStart: after an unanswered start, a refused retry must not let
+// the task start elsewhere while the first start may still be carried out.
 func TestRefusedRetryDoesNotHideALateStart(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.OrderDelay = 1500 * time.Millisecond
@@ -34,8 +34,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestUnreachableWorkerIsLeftAtOnce: starts on a worker that refused connections were
-// sent again without a pause for 1.2 s, thousands of times.
+// TestUnreachableWorkerIsLeftAtOnce guards against retrying starts without a delay on a worker that
+// refuses connections.
 func TestUnreachableWorkerIsLeftAtOnce(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
@@ -49,8 +49,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestRowsThatLapsedWithTheStoreAwayAreWaitedFor: workers' rows run out while the store
-// is away and are written again soon after it is back; jobs that came then waited.
+// TestRowsThatLapsedWithTheStoreAwayAreWaitedFor: worker rows expire during a store outage and are
+// rewritten soon after it. Jobs submitted in between must not wait.
 func TestRowsThatLapsedWithTheStoreAwayAreWaitedFor(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
@@ -70,13 +70,13 @@
 	w.Submit(spec(2, single(12)), batch)
 	w.Run(300 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[0].Runs())
-	require.LessOrEqual(t, w.Workers[1].Runs(), 1, "a row that stays away is that of a worker that is gone")
+	require.LessOrEqual(t, w.Workers[1].Runs(), 1, "a worker whose row does not come back is gone")
 	w.Run(10 * time.Second)
 	requireKept(t, w)
 }
 
-// TestEndsAreNotedSoonThoughAnswersAreLost: an end whose answer was lost was noted up to
-// 2.8 s later, with the next hold (courier scale-2: answers of half of the workers lost).
+// TestEndsAreNotedSoonThoughAnswersAreLost: an end whose report was lost is recorded soon, with a
+// shorter poll.
 func TestEndsAreNotedSoonThoughAnswersAreLost(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
@@ -94,7 +94,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// loseFirst returns fates of which the first one is given and all others are answered.
+// loseFirst returns a function that gives the first order this fate and answers all others.
 func loseFirst(fate simulation.Fate) func() simulation.Fate {
 	orders := 0
 	return func() simulation.Fate {
@@ -105,16 +105,11 @@
 	}
 }
 
-// Symptom: of 104 urgent jobs that ended late on a day on which one order in twenty was
-// left unanswered, 22 had lost nothing but the answer to a start.
-// Sequence: a start gets no answer; it is sent again after 0.4 s; the gang's others wait.
-// Cause: a second start waited for the first one's time to run out, though workers answer
-// within some 4 ms and start a run once, however often they are told.
-// Settled by: the jobs' lines: placed, a start failed with no_answer 0.38 s later, ended
-// 0.2 to 1.1 s late.
+// Guards against waiting for the deadline of an unanswered start before sending it again, while the
+// rest of the gang waits.
 
 func TestUnansweredStartIsSentAgainSoon(t *testing.T) {
-	for name, fate := range map[string]simulation.Fate{"never done": simulation.NeverDone, "done late": simulation.DoneLate, "done": simulation.AnswerLost} {
+	for name, fate := range map[string]simulation.Fate{"never carried out": simulation.NeverDone, "carried out late": simulation.DoneLate, "answer lost": simulation.AnswerLost} {
 		t.Run(name, func(t *testing.T) {
 			w := simulation.NewWorld(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -133,8 +128,8 @@
 	}
 }
 
-// TestUnansweredStopIsSentAgainSoon: an urgent gang waited 0.55 s longer for the room of
-// what it pushed out.
+// TestUnansweredStopIsSentAgainSoon: an urgent gang waits for the capacity of preempted tasks no
+// longer than needed when a stop is lost.
 func TestUnansweredStopIsSentAgainSoon(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
@@ -149,13 +144,8 @@
 	requireKept(t, w)
 }
 
-// Symptom: a task was started on a second worker while its first run was still ending.
-// Sequence: a stop is carried out and its answer is lost; within the time of the stop the
-// worker answers a hold, since another run ends there, and lists the stopped run no longer.
-// Cause: a run that the worker did not list counted as gone unless the stop's answer had
-// been heard.
-// Settled by: random faults, seed 596: stopped at 2.286 s, placed anew at 2.296 s, the
-// first run over at 2.587 s.
+// Guards against starting a task elsewhere while its first run is still stopping: the answer to the
+// stop is lost, and a poll no longer lists the run.
 
 func TestStopWithoutAnswerIsWaitedOut(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
@@ -164,7 +154,7 @@
 		case jobID(2):
 			return 1100 * time.Millisecond
 		case jobID(3):
-			// Its end brings the hold that is under way at the stop.
+			// Its end answers the poll that is in flight at the time of the stop.
 			return 700 * time.Millisecond
 		}
 		return 6 * time.Second
@@ -177,7 +167,7 @@
 	w.Own()
 	w.Run(time.Second)
 	leaving := workersOf(w, jobID(2))[0]
-	require.Equal(t, 2, leaving.RunsOf(jobID(1)), "all on one worker")
+	require.Equal(t, 2, leaving.RunsOf(jobID(1)), "all tasks run on one worker")
 	leaving.LoseOrder = func() simulation.Fate { return simulation.AnswerLost }
 	leaving.Draining, leaving.RemainingMillis = true, 3000
 	w.PutWorkerRow(leaving)
@@ -186,14 +176,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// Symptom: under an owner at the limit of its processor tasks that had ended well were
-// started again.
-// Sequence: a start gets no answer and is still under way; the stop that bars it gets none
-// either; two accounts of the worker, a second apart, do not list the run; the task is
-// placed elsewhere, and the first start is carried out.
-// Cause: the wait for a stop without an answer was also applied to runs whose start was
-// never confirmed. Those are gone only once a stop is answered, which bars them.
-// Settled by: 24 such starts on a day with 3,000 workers, each run 1 on another worker.
+// Guards against starting a task elsewhere while an unanswered start is in flight: the stop that
+// blocks it is unanswered too, and reports do not list the run.
 
 func TestUnconfirmedStartIsBarredBeforeItsTaskRunsElsewhere(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
@@ -222,14 +206,10 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// Symptom: an urgent gang was not served with most of the pool free.
-// Sequence: it was placed 0.3 s after one of its workers had gone dark. That start got no answer, nor
-// did two more tries in the next second; then nothing happened for 3.4 s, until it was certain that none
-// of them was carried out, and the seven other members were stopped.
-// Cause: each try gave the worker 3 s more to carry the start out.
-// Settled by: lines "start failed" at 5.0, 5.5 and 5.9 s, "worker replaced" at 8.8 s.
+// Guards against each retry of a start extending the time in which the worker may carry it out,
+// during which the whole gang waits.
 
-// TestGangLeavesADarkWorkerSoon: it ends in time though one of its starts gets no answer.
+// TestGangLeavesADarkWorkerSoon: a gang ends in time although one of its starts gets no answer.
 func TestGangLeavesADarkWorkerSoon(t *testing.T) {
 	w := worldOfGangs(2, 4)
 	w.Own()
