--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -11,28 +11,18 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// What happened. Two jobs had a task that took down each worker that started it, 10 ms after
-// the start; a worker each 3.4 s, 25 and 17 of them, to the end of the day, with all that
-// ran beside it. Both jobs were "running" all the while.
-//
-// The sequence: the start is answered; the owner's hold is reset ("worker does not answer");
-// the row lapses; another instance answers at the address ("worker dead"), and the lost run's
-// task is placed again in the same cycle, as if it had never run, beside others that were
-// lost with it. Takeovers, and a loss of all nodes, changed nothing.
-//
-// The cause: only ends that a worker lists as failed were counted, and a worker that crashes
-// lists none, so that nothing told a task's first run from its twentieth. What settled it:
-// "run lost" with the same task each time, 10 ms after its start, confirmed, and rows of
-// progress that hold no trace of it.
-
-// crashAtOnce is how long the tasks of the incident took to crash their worker.
+// A task that crashes each worker that starts it must be detected. A crashed worker lists no failed
+// run, so failed runs alone do not show it.
+
+// crashAtOnce lets a task crash its worker shortly after its start.
 var crashAtOnce = simulation.Crash{After: 10 * time.Millisecond}
 
 func taskOf(job, step, index int) taskgraph.TaskName {
 	return taskgraph.TaskName{Job: jobID(job), Step: step, Index: index}
 }
 
-// requireGivenUp asks that a job was given up after its task crashed at most so many workers.
+// requireGivenUp requires that a job failed after its task crashed at least two and at most
+// mostCrashes workers.
 func requireGivenUp(t *testing.T, w *simulation.World, crashing taskgraph.TaskName, mostCrashes int) {
 	t.Helper()
 	requireKept(t, w)
@@ -41,8 +31,8 @@
 	require.GreaterOrEqual(t, w.Judge.Crashes(crashing), 2)
 }
 
-// TestTaskThatCrashesWorkersIsGivenUp replays the incident without faults of the owner: the
-// tasks that ran beside the guilty one end well.
+// TestTaskThatCrashesWorkersIsGivenUp: without owner faults, the tasks beside the crashing one
+// complete.
 func TestTaskThatCrashesWorkersIsGivenUp(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
@@ -57,17 +47,17 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestCrashesOutlastOwners: what is known of a task's crashes outlasts the owner, whether it
-// is killed before it noticed the crash, after it, or together with all others.
+// TestCrashesOutlastOwners: the recorded crashes of a task survive takeovers, whether the owner is
+// killed before or after it notices a crash.
 func TestCrashesOutlastOwners(t *testing.T) {
 	for name, killAfter := range map[string]time.Duration{
 		"just after the crash":   20 * time.Millisecond,
 		"before the row is gone": 2 * time.Second,
-		"before the new life":    3200 * time.Millisecond,
+		"before the restart":     3200 * time.Millisecond,
 		"after the second start": 3500 * time.Millisecond,
 	} {
 		for _, inPlace := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", in place ", inPlace), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", restart in place ", inPlace), func(t *testing.T) {
 				w := simulation.NewWorld(2, 4)
 				w.RestartsInPlace = inPlace
 				requireCrashesOutlastOwners(t, w, killAfter)
@@ -93,19 +83,11 @@
 	requireGivenUp(t, w, crashing, 3)
 }
 
-// What happened. A gang of eight was given up as one that crashes workers, and no worker had
-// crashed under it.
-//
-// The sequence: the store was away for 4 s; idle workers crashed and came back as other
-// instances meanwhile, which the owner's listing could not show. On its return the gang was
-// placed on some of them twice in half a second; their starts were refused ("other_instance"),
-// their workers counted as lost under it, 9 ms and 1 ms after the start.
-//
-// The cause: a loss counted against runs that had never begun. What settled it: "run lost" with
-// confirmed false behind "start failed" with reason other_instance, at each of both workers.
-
-// staleWorkers lets all workers be replaced, or die, while the owner's feeds are silent, and a
-// job come then.
+// A start that was refused, or sent to a worker that had failed before, must not count as a crash
+// by the task.
+
+// staleWorkers replaces or fails all workers while the owner's feeds are silent, then submits a
+// job.
 func staleWorkers(fail func(*simulation.Worker)) *simulation.World {
 	w := simulation.NewWorld(2, 4)
 	owner := w.Own()
@@ -125,7 +107,8 @@
 	return w
 }
 
-// TestWorkersThatDiedBeforeAStartAreNoEvidence: they were replaced, or are silent.
+// TestWorkersThatDiedBeforeAStartAreNoEvidence covers workers that were replaced and workers that
+// do not respond.
 func TestWorkersThatDiedBeforeAStartAreNoEvidence(t *testing.T) {
 	for name, fail := range map[string]func(*simulation.Worker){
 		"replaced": (*simulation.Worker).CrashAndRestart,
@@ -139,8 +122,8 @@
 	}
 }
 
-// TestTaskThatCrashesBeforeItsStartIsAnswered: no start of it is ever confirmed, so that it is
-// given up by the number of workers alone, in time still.
+// TestTaskThatCrashesBeforeItsStartIsAnswered: no start of the task is ever confirmed, so its job
+// fails by the number of lost workers alone.
 func TestTaskThatCrashesBeforeItsStartIsAnswered(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
 	crashing := taskOf(1, 0, 0)
@@ -155,8 +138,8 @@
 	requireGivenUp(t, w, crashing, 5)
 }
 
-// TestWorkersThatLeaveAreNoEvidence: workers that drain may be gone sooner than they said, and
-// take with them what was to end in time.
+// TestWorkersThatLeaveAreNoEvidence: a draining worker may shut down earlier than announced, with
+// runs that should have ended in time.
 func TestWorkersThatLeaveAreNoEvidence(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 800 * time.Millisecond }
@@ -172,7 +155,7 @@
 		leaving.Draining, leaving.RemainingMillis = true, 5000
 		w.PutWorkerRow(leaving)
 		w.Run(100 * time.Millisecond)
-		require.Equal(t, 1, leaving.RunsOf(jobID(1)), "left to end there")
+		require.Equal(t, 1, leaving.RunsOf(jobID(1)), "the task may end on the draining worker")
 		leaving.CrashAndRestart()
 	}
 	w.Run(10 * time.Second)
@@ -181,20 +164,12 @@
 	require.Zero(t, w.Judge.Counts["given_up/crash_odds"])
 }
 
-// What happened. A sound job was given up after two lost workers, on none of which it had run: its
-// odds of crashing them were 16.
-//
-// The sequence: a start was sent to a worker that had just been cut off and had a hold open; the
-// worker crashed behind the cut and started again. The owner was killed, and the next one found the
-// second start in the rows, written and never sent, on a worker that started again too.
-//
-// The cause: a hold that was open, and a row of an earlier owner, counted as proof that the run had
-// been there. What settled it: "run lost" with confirmed false, ran_ms 411 and 0, "job given up" with
-// losses 2, and one run on the platform, which began later.
-
-// startsThatNeverArrive lets a job's first start go to a worker that has a hold open, is cut off and
-// crashes, and the next three be written by owners that are killed before they are sent, on workers
-// that crash.
+// A poll in flight, or a placement of an earlier owner, is no proof that a run was on a lost
+// worker.
+
+// startsThatNeverArrive sends a job's first start to a worker that has a poll in flight, is cut off
+// and crashes. The next three placements are on workers that crash, and their owners are killed
+// before sending the start.
 func startsThatNeverArrive() *simulation.World {
 	const workers = 16
 	w := simulation.NewWorld(1, workers)
@@ -218,7 +193,7 @@
 		for w.Judge.Counts["attempts/lost"] == lost {
 			w.Run(time.Millisecond)
 		}
-		// The placement is written 10 ms later, and the start would go out 10 ms after that.
+		// The placement is stored 10 ms later, and the start would be sent 10 ms after that.
 		w.Run(11 * time.Millisecond)
 		owner.Process.Kill()
 		w.Store.Latency = 0
