--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -10,11 +10,11 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// stoppedWithin is how soon nothing of a cancelled job may run any more.
+// stoppedWithin is the time after which nothing of a cancelled job may run.
 const stoppedWithin = 3400 * time.Millisecond
 
-// TestLateStartOfACancelledJobIsStopped: a worker carries a start out seconds after it was
-// sent and its job cancelled.
+// TestLateStartOfACancelledJobIsStopped: a worker carries out a start seconds after it was sent,
+// when its job has been cancelled.
 func TestLateStartOfACancelledJobIsStopped(t *testing.T) {
 	for _, late := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 2900 * time.Millisecond} {
 		w := simulation.NewWorld(1, 1)
@@ -34,8 +34,8 @@
 	}
 }
 
-// leavingWorker starts a task on a worker that then leaves without a word: its row goes, and
-// it serves on. Its owner is replaced, and the job is cancelled.
+// leavingWorker starts a task on a worker whose row is then deleted without a drain, while the
+// worker still serves. The owner is replaced, and the job is cancelled.
 func leavingWorker(replace func(*simulation.World, *simulation.Owner)) *simulation.World {
 	w, former := longRun()
 	w.RemoveWorkerRow(busyWorker(w))
@@ -44,9 +44,8 @@
 	return w
 }
 
-// TestTaskOfARemovedStarterIsStopped: the owner that started a task was removed, and its
-// worker's row was gone, so that the next owner knew the worker by name only and could not
-// tell it to stop: the task ran on until its lease ended, 6 s later.
+// TestTaskOfARemovedStarterIsStopped: a new owner must be able to stop a task on a worker whose row
+// is gone, rather than leave it running until its lease ends.
 func TestTaskOfARemovedStarterIsStopped(t *testing.T) {
 	for name, replace := range map[string]func(*simulation.World, *simulation.Owner){
 		"killed": func(w *simulation.World, owner *simulation.Owner) {
@@ -54,13 +53,13 @@
 			w.Cancel(jobID(1))
 			w.Own()
 		},
-		"handed over": func(w *simulation.World, owner *simulation.Owner) {
+		"pool released": func(w *simulation.World, owner *simulation.Owner) {
 			owner.Process.Post(owner.Release)
 			w.Run(100 * time.Millisecond)
 			w.Cancel(jobID(1))
 			w.Own()
 		},
-		"cancelled before it was read": func(w *simulation.World, owner *simulation.Owner) {
+		"cancelled before the feed delivered it": func(w *simulation.World, owner *simulation.Owner) {
 			w.Store.FeedsSilent = true
 			w.Cancel(jobID(1))
 			w.Run(200 * time.Millisecond)
@@ -80,9 +79,9 @@
 	}
 }
 
-// TestRunOfAnEndedJobIsStoppedByTheNextOwner: the owner wrote that the job was cancelled and
-// was killed before its stops arrived; the row of an ended job names no workers, but for those
-// that are no longer listed, which a next owner does not meet by greeting all others.
+// TestRunOfAnEndedJobIsStoppedByTheNextOwner: an owner is killed after it has stored a cancellation
+// and before its stops arrive. The row of an ended job names only workers that are no longer
+// listed, since the next owner contacts all listed ones.
 func TestRunOfAnEndedJobIsStoppedByTheNextOwner(t *testing.T) {
 	for name, removeRow := range map[string]func(*simulation.World, *simulation.Worker){
 		"listed":  func(*simulation.World, *simulation.Worker) {},
