--- a/internal/pool/feedpace_test.go
+++ b/internal/pool/feedpace_test.go
@@ -9,10 +9,10 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// heartbeat is how often workers of the platform write their rows.
+// heartbeat is the period in which workers of the platform write their rows.
 const heartbeat = 1500 * time.Millisecond
 
-// beat lets every worker write its row once per period, all spread over it, as heartbeats do.
+// beat lets every worker write its row once per period, spread evenly over it.
 func beat(w *simulation.World, period time.Duration) {
 	for i, worker := range w.Workers {
 		var write func()
@@ -26,8 +26,7 @@
 	}
 }
 
-// TestHeartbeatsAreReadTogether: each heartbeat of a worker ended the feed of the workers' rows at
-// once, which was asked for again: two thirds of an owner's calls to the store told nothing new.
+// TestHeartbeatsAreReadTogether guards against one store call for each heartbeat of a worker.
 func TestHeartbeatsAreReadTogether(t *testing.T) {
 	w := simulation.NewWorld(10, 8)
 	beat(w, heartbeat)
@@ -40,7 +39,7 @@
 	require.GreaterOrEqual(t, perSecond, 3.0)
 }
 
-// drainFirst lets the first worker drain, and returns it.
+// drainFirst drains the first worker and returns it.
 func drainFirst(w *simulation.World) *simulation.Worker {
 	leaving := w.Workers[0]
 	leaving.Draining, leaving.RemainingMillis = true, 5000
@@ -48,7 +47,8 @@
 	return leaving
 }
 
-// TestDrainsAreKnownSoonAmidHeartbeats: the least bound of the platform is 2 s.
+// TestDrainsAreKnownSoonAmidHeartbeats: a drain is noticed promptly amid frequent heartbeats; the
+// platform's shortest bound is 2 s.
 func TestDrainsAreKnownSoonAmidHeartbeats(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	beat(w, 300*time.Millisecond)
@@ -63,8 +63,8 @@
 	requireKept(t, w)
 }
 
-// TestFeedOfManyWorkersKeepsUp: 4,500 workers write 3,000 rows a second, more than answers of 500
-// rows bring with a pause after each; what the owner knew of its workers grew older and older.
+// TestFeedOfManyWorkersKeepsUp: 4,500 workers write 3,000 rows a second, and the owner's worker
+// list must not fall behind.
 func TestFeedOfManyWorkersKeepsUp(t *testing.T) {
 	w := simulation.NewWorld(45, 100)
 	w.Judge.Quiet = true
