--- a/internal/pool/leaseend_test.go
+++ b/internal/pool/leaseend_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// longRun returns a world of two workers in which the first owner has started a job of one
-// long task, and that owner.
+// longRun returns a world of two workers in which the first owner has started one long task, and
+// that owner.
 func longRun() (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 2)
 	return w, startLongRun(w)
@@ -29,7 +29,7 @@
 	return owner
 }
 
-// busyWorker names the worker that runs something.
+// busyWorker returns the first worker that has a run, or nil.
 func busyWorker(w *simulation.World) *simulation.Worker {
 	for _, worker := range w.Workers {
 		if worker.Runs() > 0 {
@@ -39,11 +39,9 @@
 	return nil
 }
 
-// TestLeaseWaitBeginsWithTheRows: an owner read the list of workers, then waited for 8 s for
-// the rows of progress, while the one before it still ran tasks. A worker that did not answer
-// at once then counted as silent since the list was read, so that its lease seemed to have run
-// out, 2 ms after the rows were read, and its task was started again beside it ("lease ran
-// out" in the same instant as "rows read").
+// TestLeaseWaitBeginsWithTheRows: an owner that gets the progress rows long after the worker list
+// must wait out leases from the time of the progress rows, because the former owner may have
+// renewed them in between.
 func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
 	w, _ := longRun()
 	busy := busyWorker(w)
@@ -62,8 +60,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// successorReadsLate lets an owner that is busy all the time be replaced by one that loses the
-// store for 8 s after it has read the list of workers.
+// successorReadsLate replaces a busy owner by one that loses the store for 8 s after it has read
+// the worker list.
 func successorReadsLate(without pool.Without) *simulation.World {
 	w, _ := longRun()
 	w.Without = without
@@ -84,13 +82,13 @@
 	return w
 }
 
-// TestLeaseWaitBehindABusyOwner: as before, with a former owner whose writes tell it that it
-// stands.
+// TestLeaseWaitBehindABusyOwner is the same case with a former owner whose own writes confirm that
+// it has not been replaced.
 func TestLeaseWaitBehindABusyOwner(t *testing.T) {
 	requireKeptOnlyWith(t, successorReadsLate, pool.Without{ClaimWait: true})
 }
 
-// pause stops a process for a while, in one of the ways in which that happens.
+// pause stops a process for a while in one of several ways.
 type pause func(*simulation.World, *simulation.Owner, time.Duration)
 
 func freeze(w *simulation.World, owner *simulation.Owner, d time.Duration) {
@@ -103,8 +101,8 @@
 
 func goOn(*simulation.World, *simulation.Owner, time.Duration) {}
 
-// deposedOwner lets an owner of a long run be cut off from the store, and paused, and then
-// replaced by one that cannot reach the run's worker.
+// deposedOwner cuts the owner of a long run off from the store, pauses it, and replaces it by one
+// that cannot reach the worker of the run.
 func deposedOwner(stop pause, without pool.Without, steadyTime bool) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Without, w.SteadyTime = without, steadyTime
@@ -121,10 +119,9 @@
 	return w
 }
 
-// TestDeposedOwnerDoesNotExtendLeases: a new owner waits until the leases on a worker that it
-// cannot reach have surely run out. The former owner reached that worker still, did not know
-// of its successor, and went on extending the lease, so that the task ran twice at once. A
-// suspended owner does not even see that time has passed, if it lives by the steady clock.
+// TestDeposedOwnerDoesNotExtendLeases guards against a replaced owner renewing a lease that its
+// successor is waiting out, which would run the task twice. On the steady clock a suspended owner
+// does not notice the time that has passed.
 func TestDeposedOwnerDoesNotExtendLeases(t *testing.T) {
 	for name, stop := range map[string]pause{"cut off": goOn, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
@@ -135,14 +132,14 @@
 	}
 	briefly := func(w *simulation.World, owner *simulation.Owner, _ time.Duration) { suspend(w, owner, 2*time.Second) }
 	requireKept(t, deposedOwner(briefly, pool.Without{}, false))
-	require.NotEmpty(t, deposedOwner(briefly, pool.Without{}, true).Judge.Broken, "by the steady clock")
+	require.NotEmpty(t, deposedOwner(briefly, pool.Without{}, true).Judge.Broken, "with the steady clock")
 }
 
-// startAfterPause lets an owner be paused between the write of a placement and its start, and
-// be replaced by one that cannot reach the worker.
+// startAfterPause pauses an owner between the write of a placement and its start, and replaces it
+// by one that cannot reach the worker.
 func startAfterPause(stop pause, without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 2)
-	// Where zones can be evacuated, the age of what is known of them holds the start back too.
+	// With evacuations enabled, stale zone information would delay the start as well.
 	w.Bounds.Evacuation = 0
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
@@ -152,7 +149,7 @@
 	long := single(1)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
-	// The feed brings the job at once; the write is under way.
+	// The feed delivers the job at once; the write is in flight.
 	w.Run(20 * time.Millisecond)
 	stop(w, former, 6800*time.Millisecond)
 	former.CutFromStore = true
@@ -167,9 +164,8 @@
 	return w
 }
 
-// TestStartIsNotSentLongAfterItsRow: an owner stood still between the write of a placement
-// and its start, was replaced, and sent the start when it went on; the new owner had by then
-// waited out the leases on a worker that it could not reach.
+// TestStartIsNotSentLongAfterItsRow: an owner that was paused between the write of a placement and
+// its start must not send the start after its successor has waited out the leases.
 func TestStartIsNotSentLongAfterItsRow(t *testing.T) {
 	for name, stop := range map[string]pause{"frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
@@ -180,9 +176,8 @@
 	}
 }
 
-// TestIdleWorkersTellTheirClocks: the owner takes a worker's clock to run up to 2% slow, so
-// that after minutes its first start is late by the worker's clock. It was so for ever then:
-// the refusal's clock was not heard.
+// TestIdleWorkersTellTheirClocks: after minutes of idleness the estimate of a worker's clock is so
+// low that its first start is refused as late. The clock in the refusal must correct the estimate.
 func TestIdleWorkersTellTheirClocks(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Own()
