--- a/internal/pool/restartedworkers_test.go
+++ b/internal/pool/restartedworkers_test.go
@@ -11,28 +11,17 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Workers crashed and started again half a second later under the identifiers that they had. For
-// seconds after that nobody noticed how runs ended on them: tasks that were done ran again, and a
-// gang whose runs had failed as often as it may was started twice more.
-//
-// A worker numbers its ends from 1 in each life. The owner kept the highest number that it had
-// taken in by the worker's identifier, skipped the ends of the next life up to that number, and
-// acknowledged them, so that the worker dropped them. A run that is neither running nor listed as
-// ended counts as gone, and was placed again.
-//
-// What settled it: eight times "run ended" on a worker before its restart and none after, though
-// 25 runs were placed there; "start failed" with reason late for all eight starts right after the
-// restart, as deadlines were given by the clock of the former life; and tasks "placed" again some
-// 150 ms after their runs had ended, without a line about those.
+// Guards against skipping or acknowledging the ends of a restarted worker by the end numbers from
+// before its restart, which would run completed tasks again and not count failures.
 
-// restartTime is how long the workers were away.
+// restartTime is how long a restarting worker is down.
 const restartTime = 500 * time.Millisecond
 
-// clocksOfNextLives has where the clock of a worker stands when it starts again.
-var clocksOfNextLives = map[string]int64{"clock from the beginning": 0, "clock far ahead": 7_000_000}
+// clocksOfNextLives holds the clock of a worker right after its restart.
+var clocksOfNextLives = map[string]int64{"clock from zero": 0, "clock far ahead": 7_000_000}
 
-// restartAfterEnds lets the only worker of a pool list eight ends, start again while eight tasks
-// run on it, and run what is placed on it then.
+// restartAfterEnds lets the only worker of a pool report eight ends, restarts it while it runs
+// eight tasks, and then runs what is placed on it.
 func restartAfterEnds(clockMillis int64, queue catalog.Queue, afterwards func(*simulation.Worker)) *simulation.World {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -56,7 +45,7 @@
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 			for index := range 8 {
-				require.LessOrEqual(t, w.Judge.Starts(taskOf(2, 0, index)), 2, "one start in each life")
+				require.LessOrEqual(t, w.Judge.Starts(taskOf(2, 0, index)), 2, "one start before and one after the restart")
 			}
 		})
 	}
