--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -55,13 +55,13 @@
 	}
 	listed := namesOf(reply.Running)
 	now := p.loop.Now()
-	for name, unwanted := range w.unwanted {
+	for name, run := range w.unwanted {
 		switch {
 		case listed[name]:
-		case unwanted.endsBy.IsZero():
-			unwanted.endsBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
-			w.unwanted[name] = unwanted
-		case now.After(unwanted.endsBy):
+		case run.endsBy.IsZero():
+			run.endsBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
+			w.unwanted[name] = run
+		case now.After(run.endsBy):
 			delete(w.unwanted, name)
 		}
 	}
@@ -69,9 +69,9 @@
 
 // withoutUnwanted subtracts the capacity of a worker's unexpected runs from its free capacity.
 func (w *worker) withoutUnwanted(free taskgraph.Amount, now time.Time) taskgraph.Amount {
-	for _, unwanted := range w.unwanted {
-		if unwanted.endsBy.IsZero() || now.Before(unwanted.endsBy) {
-			free = free.Minus(unwanted.room)
+	for _, run := range w.unwanted {
+		if run.endsBy.IsZero() || now.Before(run.endsBy) {
+			free = free.Minus(run.room)
 		}
 	}
 	return free
