--- a/internal/pool/greet.go
+++ b/internal/pool/greet.go
@@ -1,12 +1,11 @@
 package pool
 
-// greetLimit bounds the first contacts in flight. Each opens a connection; a new owner that
-// contacts thousands of workers at once reads the answers too late and takes the workers for
-// unresponsive.
+// greetLimit bounds the queued polls in flight. Each may open a connection; a new owner that polls
+// thousands of workers at once reads the answers too late and takes the workers for unresponsive.
 const greetLimit = 128
 
-// greetings holds the queued and open first contacts with workers. A first contact fences former
-// owners at the worker.
+// greetings is the queue of first contacts with workers, which fence former owners there, and of
+// polls of idle workers.
 type greetings struct {
 	waiting []*worker
 	open    int
@@ -56,7 +55,7 @@
 	}
 }
 
-// greetingEnded frees the slot of a first contact, whatever its result.
+// greetingEnded frees the slot of a queued poll, whatever its result.
 func (p *Pool) greetingEnded(w *worker) {
 	if !w.greeting {
 		return
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -41,7 +41,8 @@
 	greeted bool
 	// greetedAt is when the worker first did so.
 	greetedAt time.Time
-	// toGreet is true while a first contact is queued, and greeting while it is in flight.
+	// toGreet is true while a poll is queued, and greeting while a poll from the queue is in
+	// flight.
 	toGreet, greeting bool
 	// members are the members that may run here, in order of assignment.
 	members []*member
