--- a/internal/pool/announce.go
+++ b/internal/pool/announce.go
@@ -2,11 +2,11 @@
 
 import "github.com/wheatroad/wheatroad/internal/rows"
 
-// TakeAnnounced takes in the row of an accepted job that the accepting node has written,
-// ahead of the feed. The feed may be silent for seconds while the store takes writes.
+// TakeAnnounced applies the row of an accepted job as announced by the node that wrote it,
+// ahead of the change feed, which may stall for seconds while the store still accepts writes.
 //
-// A row at a version that the feed has passed is ignored: the feed brought it, and it may
-// belong to a job whose rows are removed by now, which would run again.
+// Rows at or below the feed's version are ignored: the feed has delivered them already, and
+// a job whose rows have been removed since would run again.
 func (p *Pool) TakeAnnounced(row rows.Row) {
 	if p.gone || !p.loaded || row.Version <= p.jobsVersion {
 		return
