--- a/internal/pool/batch.go
+++ b/internal/pool/batch.go
@@ -10,14 +10,15 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// batchLimit bounds the rows of one transaction, whose limit is 100 entries, and
-// batchBytes their size, whose limit is 1 MB with its encoding.
+// Limits of one batch. The store allows 100 entries and 1 MB of encoded size per
+// transaction.
 const (
 	batchLimit = 80
 	batchBytes = 700 << 10
 )
 
-// batch is a set of rows that is written at once, and what depends on it.
+// batch is a set of rows that is written in one transaction, with the callbacks that wait
+// for the write.
 type batch struct {
 	serial   int
 	jobs     []*job
@@ -25,13 +26,14 @@
 	values   [][]byte
 	removes  []string
 	after    []func()
-	// left is true if rows were left for the next batch: they have waited long enough.
+	// left is true if dirty rows did not fit. They are overdue, so the next batch is sent
+	// without a delay.
 	left   bool
 	sentAt time.Time
-	// failures counts tries without success, and open those without an answer yet.
+	// failures counts failed attempts, and open counts attempts in flight.
 	failures int
 	open     int
-	// written is true once a try has taken effect.
+	// written is true once an attempt is known to be committed.
 	written bool
 }
 
@@ -64,33 +66,32 @@
 	return b
 }
 
-// transaction renders a batch for a part.
+// transaction builds the transaction that writes a batch to a partition.
 func (w *writer) transaction(b *batch, part int) rows.Transaction {
-	name := progressPart(w.pool.options.Pool, part)
+	partition := progressPart(w.pool.options.Pool, part)
 	transaction := rows.Transaction{
-		Conditions: []rows.Condition{{Key: headKey(name), Version: w.headVersions[part]}},
-		Puts:       []rows.Put{{Key: headKey(name), Value: w.pool.head(strconv.Itoa(b.serial))}},
+		Conditions: []rows.Condition{{Key: headKey(partition), Version: w.headVersions[part]}},
+		Puts:       []rows.Put{{Key: headKey(partition), Value: w.pool.head(strconv.Itoa(b.serial))}},
 	}
 	if w.pool.options.Without.HeadCondition {
 		transaction.Conditions = nil
 	}
 	for i, j := range b.jobs {
-		transaction.Puts = append(transaction.Puts, rows.Put{Key: progressKey(name, j.id), Value: b.values[i]})
+		transaction.Puts = append(transaction.Puts, rows.Put{Key: progressKey(partition, j.id), Value: b.values[i]})
 	}
 	for _, id := range b.removes {
-		transaction.Removes = append(transaction.Removes, progressKey(name, id))
+		transaction.Removes = append(transaction.Removes, progressKey(partition, id))
 	}
 	return transaction
 }
 
-// head renders this owner's head row.
+// head encodes this owner's head row.
 func (p *Pool) head(nonce string) []byte {
 	return mustEncode(head{Token: p.token, Nonce: p.options.Incarnation + "." + nonce, Durations: p.durations})
 }
 
-// partPatience is how long a part of the store may go without an answer before the batch
-// is sent to the next one as well, on top of what it takes to send. A store that is fifty
-// times slower answers in 0.5 s.
+// partPatience is the time after which a batch without a response is also sent to the next
+// partition, in addition to the time that sending takes.
 const partPatience = 600 * time.Millisecond
 
 func (w *writer) send(b *batch) {
@@ -123,8 +124,8 @@
 	})
 }
 
-// retry sends a batch again, to the next part. Its rows are the same there, so it
-// does not matter which of the tries take effect.
+// retry sends a failed batch to the next partition, with backoff once all partitions have
+// failed. The rows are the same in each, so any number of attempts may take effect.
 func (w *writer) retry(b *batch, err error) {
 	w.pool.record.Count("retries", commitRetryReason(err))
 	b.failures++
@@ -147,7 +148,7 @@
 	})
 }
 
-// retryDoublings bounds how often the pause between tries doubles.
+// retryDoublings limits the exponential backoff between attempts.
 const retryDoublings = 4
 
 func commitRetryReason(err error) string {
@@ -157,7 +158,9 @@
 	return "commit_no_answer"
 }
 
-// conditionFailed tells an own try whose answer was lost from another owner's write.
+// conditionFailed handles a failed condition on the head row. If the row holds this owner's
+// token, an earlier attempt was committed and its response lost; otherwise this owner was
+// replaced.
 func (w *writer) conditionFailed(b *batch, part int, result rows.Result) {
 	w.pool.noteStore()
 	for i := range result.Current {
