--- a/internal/pool/claim.go
+++ b/internal/pool/claim.go
@@ -6,11 +6,11 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// claim makes this owner the only one that can write a part of the progress.
+// claim fences former owners from a progress partition by replacing its head row.
 func (w *writer) claim(part int, done func()) {
 	p := w.pool
-	name := progressPart(p.options.Pool, part)
-	p.scanPrefix(ProgressTable, name, headRow, func(listing rows.Listing) {
+	partition := progressPart(p.options.Pool, part)
+	p.scanPrefix(ProgressTable, partition, headRow, func(listing rows.Listing) {
 		version := rows.Absent
 		for i := range listing.Rows {
 			var current head
