--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -2,8 +2,8 @@
 
 import "github.com/wheatroad/wheatroad/internal/fleet"
 
-// claimNextLife takes in a row that names another life of a worker, which would be the next one.
-// With something running in the known life, that other one is asked first.
+// claimNextLife handles a worker row that names a later incarnation than the known one. If runs
+// may exist in the known incarnation, the named one has to answer before it replaces it.
 func (p *Pool) claimNextLife(w *worker, described *fleet.Worker) {
 	if len(w.members) == 0 && len(w.unwanted) == 0 {
 		p.noteRestart(w, described.Life, lifeByRow, 0)
@@ -14,7 +14,7 @@
 	p.askClaimed(w)
 }
 
-// askClaimed asks the life that a row named for its account.
+// askClaimed requests a run report from the incarnation that a worker row names.
 func (p *Pool) askClaimed(w *worker) {
 	if w.asking || w.claimed == nil {
 		return
@@ -38,10 +38,11 @@
 	})
 }
 
-// claimNotProved goes on with the known life. A claim without an answer may still be true.
+// claimNotProved keeps the known incarnation. Without a response the row may still be right, so
+// the request is repeated.
 func (p *Pool) claimNotProved(w *worker, err error) {
 	if err == nil {
-		// The known life answers where the row said the later one is.
+		// The known incarnation answered at the address in the row.
 		p.refuteClaim(w)
 		return
 	}
@@ -59,7 +60,8 @@
 	}
 }
 
-// refuteClaim lets go of a claim that is untrue. The row that made it names no worker to use.
+// refuteClaim discards an incarnation that the worker did not confirm, and treats the worker's row
+// as gone.
 func (p *Pool) refuteClaim(w *worker) {
 	p.record.Count("refusals", "worker_row_refuted")
 	w.claimed = nil
