--- a/internal/pool/confirmation.go
+++ b/internal/pool/confirmation.go
@@ -6,22 +6,21 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// confirmPeriod is the age from which the store is asked whether this owner stands. The
-// shortest lease of the platform's sites is 6 s; a busy owner's writes tell all the time.
+// confirmPeriod is the age of the last confirmation from which the lease row is read again. It
+// is well below the shortest worker lease of 6 s. Each committed write confirms ownership too.
 const confirmPeriod = time.Second
 
-// Confirm notes that this owner was surely not replaced at a time. It extends the leases of
-// what runs, and starts more, only for as long as a successor waits that cannot reach a worker:
-// the longest lease of a run from that time on. Else an owner that was replaced while it was cut
-// off, frozen or suspended keeps tasks running that its successor takes as over, and they run
-// twice at once.
+// Confirm records that this owner held the pool at a given time. Leases of runs may extend at
+// most MaxHold beyond it, which is how long a successor waits for workers that it cannot reach.
+// Otherwise an owner that was replaced while partitioned or suspended could keep runs alive
+// that its successor has started elsewhere.
 func (p *Pool) Confirm(at time.Time) {
 	if at.After(p.confirmedAt) {
 		p.confirmedAt = at
 	}
 }
 
-// leaseLeft is how long leases that are given now may last.
+// leaseLeft returns the longest lease that may be granted now.
 func (p *Pool) leaseLeft(now time.Time) time.Duration {
 	if p.options.Without.Confirmation {
 		return p.options.Bounds.MaxHold
@@ -29,13 +28,13 @@
 	return p.confirmedAt.Add(p.options.Bounds.MaxHold).Sub(now)
 }
 
-// mayStart reports whether a start that is sent now has time enough under this owner's lease.
+// mayStart reports whether the remaining lease is long enough to start a run.
 func (p *Pool) mayStart(now time.Time) bool {
 	return p.leaseLeft(now) >= min(startLimit, p.options.Bounds.MaxHold/2)
 }
 
-// checkConfirmation asks the store whether this owner stands, once that is not known from
-// lately.
+// checkConfirmation reads the lease row if the last confirmation of ownership is older than
+// confirmPeriod.
 func (p *Pool) checkConfirmation() {
 	askedAt := p.loop.Now()
 	if p.confirming || !p.loaded || askedAt.Sub(p.confirmedAt) < confirmPeriod {
