--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -1,10 +1,10 @@
-// Package pool schedules the jobs of one pool of workers. One node at a time owns a
-// pool: it took the pool's lease row with a conditional write, and the version of
-// that row is the fencing token of every order. Every write of the owner is
-// conditional on the head row, which each write replaces; so a former owner can
-// write nothing, and a write whose answer was lost settles by repeating it.
+// Package pool schedules the jobs of one pool of workers. Each pool is owned by one node
+// at a time. The node acquires ownership by a conditional write of the pool's lease row,
+// whose version is the fencing token of all its orders to workers. All writes of the
+// owner are conditional on a head row that each of them replaces, so a former owner
+// cannot write, and a write whose response was lost can be repeated safely.
 //
-// A run is started only after a row names the worker it goes to. A new owner thus
-// knows for every task where it may run, asks those workers, which fences them, and
-// goes on from what they list.
+// The worker of a run is persisted before the run is started. After a takeover the new
+// owner therefore knows where each task may run. It contacts those workers, which fences
+// the former owner there, and continues from the runs that they report.
 package pool
