--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -8,21 +8,21 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// foreignRows are the workers' rows that name no worker to use, as another writer left them.
+// foreignRows tracks invalid worker rows.
 type foreignRows struct {
-	// faults has the fault of each by its name.
+	// faults holds the fault of each invalid row by row name.
 	faults map[string]fleet.RowFault
-	// told is how many there were when that was last logged, at toldAt.
+	// told is the count that was last logged, at toldAt.
 	told   int
 	toldAt time.Time
 }
 
-// foreignRowsPause is the least time between two lines about rows of another writer. They may come
-// by the thousand, and change with each heartbeat.
+// foreignRowsPause limits the rate of log lines about invalid rows: there may be thousands, and
+// they may change with each heartbeat.
 const foreignRowsPause = 10 * time.Second
 
-// takeForeignRow notes a row that names no worker to use. What runs on the worker of that name goes
-// on under its lease; nothing new is started there until its own row is back.
+// takeForeignRow records an invalid worker row. Runs on the worker of that name continue, but
+// nothing is started there until its row is valid again.
 func (p *Pool) takeForeignRow(name string, err error) {
 	fault := fleet.RowUnreadable
 	var rowError *fleet.RowError
@@ -34,19 +34,19 @@
 	p.distrust(name)
 }
 
-// distrust lets nothing start on a worker whose row does not name it any more.
+// distrust stops new placements on a worker whose row has become invalid.
 func (p *Pool) distrust(name string) {
 	w := p.workers[name]
 	if w == nil || !w.listed {
 		return
 	}
 	w.claimed = nil
-	// It did not leave by plan: if it is lost, that counts as any other loss.
+	// The worker did not announce its departure, so losing it counts as unplanned.
 	w.missing = true
 	p.unlistNow(w)
 }
 
-// tellForeignRows logs how many rows there are of another writer, once their number has changed.
+// tellForeignRows logs the number of invalid worker rows when it has changed.
 func (p *Pool) tellForeignRows() {
 	now, count := p.loop.Now(), len(p.foreign.faults)
 	if count == p.foreign.told || now.Sub(p.foreign.toldAt) < foreignRowsPause {
@@ -58,7 +58,7 @@
 	p.record.Decided("rows of another writer", "rows", count, "example", name, "fault", string(fault))
 }
 
-// example returns the first of the rows by name.
+// example returns the invalid row with the lowest name.
 func (f *foreignRows) example() (string, fleet.RowFault) {
 	first := ""
 	for name := range f.faults {
