--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -9,33 +9,32 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// unitState is where a unit is on its way.
+// unitState is the scheduling phase of a unit.
 type unitState int
 
 const (
-	// unitWaiting units want a place.
+	// unitWaiting units wait for placement.
 	unitWaiting unitState = iota
-	// unitCommitting units have a place that is being written.
+	// unitCommitting units have a placement that is being persisted.
 	unitCommitting
 	// unitActive units have been ordered to start.
 	unitActive
 	// unitStopping units have been ordered to stop.
 	unitStopping
-	// unitEnded units are done; members may still be listed by workers.
+	// unitEnded units have finished; workers may still report runs of their members.
 	unitEnded
 )
 
-// memberState is what is known of one run of one task.
+// memberState is the known state of a member's present run.
 type memberState int
 
 const (
 	// memberNone members have no run.
 	memberNone memberState = iota
-	// memberStarting members have been ordered to start, without an answer yet.
+	// memberStarting members have a start order in flight.
 	memberStarting
-	// memberUncertain members got no answer to their start.
+	// memberUncertain members may run: their start got no response, or they were restored.
 	memberUncertain
-	// memberRunning members run.
 	memberRunning
 )
 
@@ -43,29 +42,29 @@
 type job struct {
 	id string
 	Accepted
-	// acceptedAt is on the loop's clock.
+	// acceptedAt is converted to the loop's clock.
 	acceptedAt time.Time
-	// estimates has for each step how long its work is expected to take.
+	// estimates are the expected task durations by step.
 	estimates []time.Duration
-	// objective is how long the job, or one time of it, should take.
+	// objective is the target duration of one repetition of the job.
 	objective time.Duration
-	// tails has for each step the longest chain of work that begins with it.
+	// tails are the critical-path durations from each step to the end of the job.
 	tails []time.Duration
 	times []*jobTime
-	// state is what the store says; next is what it will say.
+	// state is the persisted state, and next the state once pending writes are committed.
 	state taskgraph.State
 	next  taskgraph.State
-	// endedAt is a time of day.
+	// endedAt is wall-clock time, unlike acceptedAt.
 	endedAt   time.Time
 	cancelled bool
-	// begun is true once a task was started.
+	// begun is true once a task of the job was placed, by any owner.
 	begun bool
-	// ordered is true once this owner sent a start of the job.
+	// ordered is true once a start order was sent; assumed for restored jobs.
 	ordered bool
 	dirty   bool
 }
 
-// jobTime is one time of a job's steps.
+// jobTime is one repetition of a job.
 type jobTime struct {
 	number int
 	due    time.Time
@@ -73,57 +72,56 @@
 	ended  int
 }
 
-// step is one step of one time.
+// step is one step of a repetition.
 type step struct {
 	spec  *taskgraph.Step
 	index int
-	// units exist once the earlier steps have ended.
+	// units are created once all preceding steps are complete.
 	units    []*unit
 	ended    int
 	complete bool
-	// waitsFor is what kept the step's units from a place at the last look, which was
-	// at waitSeenAt.
+	// waitsFor is why the step's units could not be placed at waitSeenAt, the last time that
+	// was checked.
 	waitsFor   waitReason
 	waitSeenAt time.Time
-	// cohort compares the times of the step's tasks.
+	// cohort compares the durations of the step's tasks.
 	cohort speeds.Cohort
 }
 
-// unit is what is placed at once: one task, or all tasks of a gang.
+// unit is the unit of placement: a single task, or all tasks of a gang.
 type unit struct {
 	job   *job
 	time  *jobTime
 	step  *step
 	index int
 	state unitState
-	// run is the number of the latest run; 0 before the first.
+	// run numbers the runs from 1; 0 before the first.
 	run        int
 	failures   int
 	checkpoint string
 	members    []*member
 	readyAt    time.Time
 	startedAt  time.Time
-	// runningSince is when all members of the latest run were confirmed to run; zero
-	// before that.
+	// runningSince is when all members of the latest run were known to be running; zero before
+	// that.
 	runningSince time.Time
 	// startedHere is true if this owner started the latest run.
 	startedHere bool
-	// resumed is true if the latest run goes on from a checkpoint.
+	// resumed is true if the latest run was started from a checkpoint.
 	resumed bool
-	// stalls counts how often the unit was moved since it stood still.
+	// stalls counts how often the unit was moved for lack of progress.
 	stalls int
 	// snapshotNumber is the unit's number in the snapshot of snapshotSerial.
 	snapshotNumber, snapshotSerial int
-	// stopReason says why the unit is being stopped.
+	// stopReason is set while the unit is being stopped.
 	stopReason string
-	// avoid has the workers on which the unit failed.
+	// avoid holds the workers on which the unit has failed.
 	avoid map[string]bool
-	// slowness is how many times longer the unit's work took, on the slowest of its workers, than it
-	// takes on the median one, as far as speeds are known.
+	// slowness is the slowdown of the unit's slowest worker relative to the median worker.
 	slowness float64
-	// comparedRun is the latest run of which the members' speeds were compared.
+	// comparedRun is the latest run whose members' speeds were compared.
 	comparedRun int
-	// lossGroup joins what lost workers say of the members; nil if none was lost.
+	// lossGroup holds the crash histories of the members; nil if no worker was lost.
 	lossGroup *poison.Group
 }
 
@@ -132,42 +130,43 @@
 	unit  *unit
 	index int
 	state memberState
-	// worker is nil unless a run of the member may exist there.
+	// worker is where a run of the member may exist, or nil.
 	worker *worker
-	// stopTried is true once a stop of the present run was sent, whatever became of it;
-	// stopSent and stopAnswered tell how far a stop has come.
+	// stopTried is true once a stop of the present run was sent, whatever its outcome;
+	// stopSent and stopAnswered are the state of the current stop order.
 	stopTried    bool
 	stopSent     bool
 	stopAnswered bool
 	stopTimer    func()
-	// doubtful is true once a start of the present run got no answer: it may be carried
-	// out later, whatever later tries are told.
+	// doubtful is true once a start of the present run got no response: the order may still
+	// be executed, whatever the response to a later attempt.
 	doubtful bool
-	// inUnknownLife is true if the start was answered by what may be another life than the one that
-	// is known, which the next account tells.
+	// inUnknownLife is true if the start may have been answered by an unknown incarnation of the
+	// worker; the next run report shows which.
 	inUnknownLife bool
-	// confirmedBefore is true if an earlier owner had the present run confirmed.
+	// confirmedBefore is true if the present run was confirmed to an earlier owner.
 	confirmedBefore bool
-	// formerLife is the life in which the present run was last known, if its worker has started
-	// again since.
+	// formerLife is the worker's incarnation in which the present run was last known, if the
+	// worker has restarted since.
 	formerLife fleet.Life
-	// startTries are the tries of the present run's latest start; nil before it.
+	// startTries are the attempts of the present run's latest start; nil before it.
 	startTries *tries
 	sentAt     time.Time
-	// startDeadline is that of the present run's start on the worker's clock; 0 before it is sent.
+	// startDeadline is the deadline of the present run's start order, in milliseconds of the
+	// worker's clock; 0 before it is sent.
 	startDeadline int64
-	// percent is the progress that the worker last listed, percentAt when it last
-	// changed, and listedAt when it was last listed.
+	// percent is the last reported progress, percentAt when it last changed, and listedAt
+	// when the run was last reported.
 	percent   int
 	percentAt time.Time
 	listedAt  time.Time
-	// losses is what workers that were lost under the member say of it; nil if none was.
+	// losses is the history of workers lost while the member ran there; nil if there are none.
 	losses *poison.History
-	// logTime is the logarithm of the seconds that the run takes as a whole, told at timedPercent of
-	// its progress; 0 if it is not told yet.
+	// logTime is the logarithm of the run's projected duration in seconds, estimated at
+	// timedPercent of its progress; 0 before the first estimate.
 	logTime      float64
 	timedPercent int
-	// inCohort is what the task says beside the others of its step.
+	// inCohort is the member's entry in the step's cohort.
 	inCohort speeds.Member
 }
 
@@ -178,7 +177,7 @@
 
 func (u *unit) spec() *taskgraph.Step { return u.step.spec }
 
-// active counts the members that may run somewhere.
+// active returns the number of members that may be running.
 func (u *unit) active() int {
 	count := 0
 	for _, m := range u.members {
@@ -196,7 +195,7 @@
 	}
 }
 
-// wantedAt returns when the unit's work, with all that follows it, should end.
+// wantedAt returns the target completion time of the unit's repetition.
 func (u *unit) wantedAt() time.Time {
 	begin := u.job.acceptedAt
 	if !u.time.due.IsZero() {
@@ -205,12 +204,13 @@
 	return begin.Add(u.job.objective)
 }
 
-// slack is how much later than now the unit may start and still end in time.
+// slack returns how long the unit's start may be delayed without missing the target
+// completion time; negative if it is missed already.
 func (u *unit) slack(now time.Time) time.Duration {
 	return u.wantedAt().Sub(now) - u.job.tails[u.step.index]
 }
 
-// timeAt returns time k, creating it if need be.
+// timeAt returns repetition k, creating it and those before it if needed.
 func (j *job) timeAt(k int) *jobTime {
 	for len(j.times) <= k {
 		number := len(j.times)
@@ -223,7 +223,7 @@
 	return j.times[k]
 }
 
-// unitCount is how many units a step has.
+// unitCount returns 1 for a gang, and otherwise the number of tasks.
 func (s *step) unitCount() int {
 	if s.spec.Gang {
 		return 1
@@ -231,7 +231,6 @@
 	return s.spec.Count
 }
 
-// createUnits makes the step's units.
 func (s *step) createUnits(j *job, t *jobTime, now time.Time) {
 	s.units = make([]*unit, s.unitCount())
 	for i := range s.units {
@@ -247,7 +246,7 @@
 	}
 }
 
-// unitOf returns the unit and member of a task name, or nil.
+// memberOf returns the member of a task name, or nil if it does not exist.
 func (j *job) memberOf(name taskgraph.TaskName) *member {
 	if name.Time >= len(j.times) || name.Step >= len(j.Spec.Steps) {
 		return nil
