--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -10,24 +10,24 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Bounds are the periods that the platform sets.
+// Bounds are limits that the platform sets.
 type Bounds struct {
-	// MaxHold bounds the lease of what runs on a worker.
+	// MaxHold is the longest lease of the runs on a worker.
 	MaxHold time.Duration
-	// StopTimeout bounds how long a stop takes.
+	// StopTimeout is the longest time that a stop takes.
 	StopTimeout time.Duration
 	// GangTimeout is how long members of a gang wait for the others.
 	GangTimeout time.Duration
-	// Reclaim is the time in which a guaranteed job must begin.
+	// Reclaim is the time within which a job with guaranteed capacity must start.
 	Reclaim time.Duration
-	// CheckpointInterval is the work between two checkpoints.
+	// CheckpointInterval is the running time between two checkpoints.
 	CheckpointInterval time.Duration
-	// StatusRetention is how long a job's state must be readable after its end.
+	// StatusRetention is how long the state of an ended job must stay readable.
 	StatusRetention time.Duration
-	// Evacuation is the time after the acknowledgement of a zone's evacuation from which nothing
-	// starts there; 0 if nothing bounds it.
+	// Evacuation is the delay after the acknowledgement of a zone's evacuation from which no
+	// run may start there; 0 for no limit.
 	Evacuation time.Duration
-	// RemoteFactor is how much longer a step takes away from its rack.
+	// RemoteFactor is the slowdown of a step outside its preferred rack.
 	RemoteFactor float64
 }
 
@@ -38,60 +38,63 @@
 	Node        string
 	Incarnation string
 	Address     string
-	// Weight is the owner's processor share.
+	// Weight is the CPU share of the owner's node.
 	Weight float64
 	Bounds Bounds
-	// Catalog returns the configuration in force.
+	// Catalog returns the current configuration.
 	Catalog func() *catalog.Catalog
-	// Evacuated returns what the node knows of evacuated zones; nil is nothing.
+	// Evacuated returns the evacuated zones known to the node; nil if it tracks none.
 	Evacuated func() evacuation.Set
-	// Off has parts of the policy that are switched off, for measurements.
+	// Off disables parts of the scheduling policy, for measurements.
 	Off mechanism.Off
-	// Without takes mechanisms out, for tests that show what they prevent.
+	// Without disables safeguards, for tests that show what they prevent.
 	Without Without
-	// Late returns how much longer orders may take because this process is late itself; nil
-	// is none.
+	// Late returns the current delay of this process, which is added to timeouts and deadlines
+	// of orders; nil means no delay.
 	Late func() time.Duration
 	// Ended is called once the node is no longer the owner.
 	Ended func(reason string)
 }
 
-// Without lists mechanisms that are taken out.
+// Without selects safeguards to disable. Each comment says what happens without it.
 type Without struct {
-	// StopWait: a run that a greeted worker does not list counts as gone at once.
+	// StopWait: a run that a contacted worker does not report counts as ended immediately.
 	StopWait bool
-	// LeaseWait: what ran on a silent worker counts as gone at once.
+	// LeaseWait: runs on an unresponsive worker count as ended immediately.
 	LeaseWait bool
-	// EndRows: ends are acknowledged before they are written.
+	// EndRows: run results are acknowledged before they are persisted.
 	EndRows bool
-	// HeadCondition: writes do not require the head row as this owner left it.
+	// HeadCondition: writes are not conditional on this owner's head row.
 	HeadCondition bool
-	// Confirmation: leases are extended though the owner may have been replaced.
+	// Confirmation: leases are extended even if the owner may have been replaced.
 	Confirmation bool
-	// ClaimWait: leases of former owners are waited out from the reading of the workers.
+	// ClaimWait: the wait for former owners' leases begins when the workers are read, not
+	// when the progress partitions are fenced.
 	ClaimWait bool
-	// AccountAge: starts on workers that do not guard their capacity go by old accounts.
+	// AccountAge: starts on workers that do not enforce their capacity rely on capacities of
+	// any age.
 	AccountAge bool
 	// Evacuations: evacuated zones are used like others.
 	Evacuations bool
-	// EvacuationAge: starts go by whatever was last known of evacuated zones.
+	// EvacuationAge: starts rely on knowledge of evacuated zones of any age.
 	EvacuationAge bool
-	// StartZones: a placement is started though its zone was evacuated while it was written.
+	// StartZones: a placement is started even if its zone was evacuated during the write.
 	StartZones bool
-	// Lives: the lives of a worker are not told apart.
+	// Lives: the incarnations of a worker are not distinguished.
 	Lives bool
-	// NextLifeLease: leases in a worker's next life are counted by its own owner's orders only.
+	// NextLifeLease: orders meant for a worker's former incarnation do not count as leases in
+	// the next one.
 	NextLifeLease bool
-	// OpenStarts: starts without an answer do not come to a worker's next life.
+	// OpenStarts: unanswered starts are assumed not to reach a worker's next incarnation.
 	OpenStarts bool
-	// FreshAccount: ends are acknowledged however old the last account of the worker is.
+	// FreshAccount: run results are acknowledged however old the worker's last report is.
 	FreshAccount bool
-	// LossRecords: no job is given up for crashing workers.
+	// LossRecords: jobs are not failed for crashing workers.
 	LossRecords bool
 }
 
-// Ports reach the outside. Each call returns at once; done runs on the pool's
-// loop, exactly once.
+// Ports are the pool's asynchronous calls to the store and the workers. Each returns
+// immediately; done is called exactly once, on the pool's loop.
 type Ports interface {
 	Commit(transaction rows.Transaction, done func(rows.Result, error))
 	Scan(table, part, prefix string, done func(rows.Listing, error))
@@ -99,22 +102,23 @@
 	Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error))
 	Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error))
 	Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error))
-	// EvacuationRows names the table and the prefix of the rows by which operators evacuate
-	// zones, and EvacuatedZone reads the zone from a row's key; false if it is another row.
+	// EvacuationRows returns the table and key prefix of the rows by which operators evacuate
+	// zones.
 	EvacuationRows() (table, prefix string)
+	// EvacuatedZone returns the zone of an evacuation row's key; false for other rows.
 	EvacuatedZone(key rows.Key) (string, bool)
-	// DecodeWorker reads a worker's row, and WorkerTable names their table.
+	// DecodeWorker parses a row of the table that WorkerTable names.
 	DecodeWorker(id string, value []byte) (*fleet.Worker, error)
 	WorkerTable() string
 }
 
-// Recorder counts and logs.
+// Recorder records metrics and log lines.
 type Recorder interface {
 	Count(counter, reason string)
 	// Observe adds a duration to a latency histogram.
 	Observe(histogram string, d time.Duration)
 	// Set sets a gauge.
 	Set(gauge string, value int64)
-	// Decided logs one line for a decision that touches a job or a belief.
+	// Decided logs a scheduling decision or a change of assumed state.
 	Decided(decision string, keysAndValues ...any)
 }
