--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -14,12 +14,12 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Periods of the owner's own work.
+// Periods of the owner's loop and its retries.
 const (
 	tickPeriod    = 250 * time.Millisecond
 	retryPause    = 150 * time.Millisecond
 	retryPauseMax = time.Second
-	// retentionMargin is added to how long ended jobs are kept.
+	// retentionMargin is kept beyond Bounds.StatusRetention.
 	retentionMargin = 60 * time.Second
 )
 
@@ -29,77 +29,77 @@
 	loop    loop.Loop
 	ports   Ports
 	record  Recorder
-	// token is the version of the lease row that this owner wrote.
-	token int64
-	// acquiredAt is when this owner went to work.
+	// token is the fencing token: the version of the lease row that this owner wrote.
+	token      int64
 	acquiredAt time.Time
 	jobs       map[string]*job
 	workers    map[string]*worker
-	// workerOrder has the workers in the order of their names; nil once they change.
+	// workerOrder caches the workers sorted by name; nil once the set changes.
 	workerOrder []*worker
 	memory      snapshotMemory
 	greetings   greetings
 	writer      writer
-	// storeRetries are calls to the store that wait to be made again.
+	// storeRetries schedules the retries of store calls.
 	storeRetries *loop.Retries
-	// loaded is true once rows are read; orders go out only then.
+	// loaded is true once the pool's rows are read; no orders are sent before.
 	loaded    bool
 	gone      bool
 	releasing bool
 	waking    bool
-	// lastCycle is when the last scheduling cycle ended, and crowded is true if it
-	// left units waiting.
+	// lastCycle is when the last scheduling cycle ended, and crowded is true if it left units
+	// unplaced.
 	lastCycle time.Time
 	crowded   bool
-	// cycleTook is how long that cycle took.
+	// cycleTook is the duration of the last cycle.
 	cycleTook time.Duration
-	// orderLatency is how long starts have lately taken to be answered.
+	// orderLatency is the moving average of the response time of starts.
 	orderLatency time.Duration
-	// storeAnsweredAt is when the store last answered.
+	// storeAnsweredAt is the time of the store's last response.
 	storeAnsweredAt time.Time
-	// storeBackAt is when the store last answered after a silence of storeGap.
+	// storeBackAt is the time of the first response after the last outage of storeGap or more.
 	storeBackAt time.Time
-	// pressureUntil is how long patient units below pressurePriority wait.
+	// pressureUntil is when units of lower priority than pressurePriority, if they can wait, may
+	// be placed again.
 	pressureUntil    time.Time
 	pressurePriority int
-	// medianLogTime is the median of the workers' times per work, as it was at medianAt.
+	// medianLogTime is the median of the workers' relative task durations, as a logarithm,
+	// computed at medianAt.
 	medianLogTime float64
 	medianAt      time.Time
-	// tooSlowShare is the share of the known workers that are too slow for urgent units.
+	// tooSlowShare is the fraction of workers of known speed that are too slow for urgent units.
 	tooSlowShare float64
-	// silences tells when many workers fall silent at once.
+	// silences detects that many workers become unresponsive at once.
 	silences silences
-	// taskSpread is how much the tasks of a step differ.
+	// taskSpread is the variation of task durations within a step.
 	taskSpread speeds.Spread
-	// dropping is true while the rows of an old job are removed.
+	// dropping is true while the rows of an expired job are being removed.
 	dropping bool
-	// durations is what was learned of each queue's durations; estimatedAt is when it was
-	// last applied to open jobs.
+	// durations holds the learned duration model of each queue; estimatedAt is when the models
+	// were last applied to open jobs.
 	durations   map[string]*durationModel
 	estimatedAt time.Time
-	// jobsVersion is the version of the store up to which the feed of jobs was read.
+	// jobsVersion is the store version up to which the job feed was read.
 	jobsVersion int64
-	// lossLedger weighs lost workers against each other, to tell tasks that crash workers.
+	// lossLedger correlates losses of workers, to find tasks that crash workers.
 	lossLedger *poison.Ledger
-	// claimedAt is when this owner alone could write the progress.
+	// claimedAt is when all progress partitions were fenced against former owners.
 	claimedAt time.Time
-	// confirmedAt is when this owner was last known not to be replaced; confirming is true
-	// while the store is asked.
+	// confirmedAt is when this owner last was known to hold the pool; confirming is true while
+	// a read of the lease row is in flight.
 	confirmedAt time.Time
 	confirming  bool
-	// workersAsOf is the time of which the workers' rows are known.
+	// workersAsOf is the time as of which the worker rows are known.
 	workersAsOf time.Time
-	// evacuatedRead is what this owner itself read of evacuated zones, evacuatedNoted what it
-	// last told of them, and evacuationsWereKnown whether that was new enough for starts.
+	// evacuatedRead holds the evacuated zones as read by this owner, evacuatedNoted those last
+	// logged, and evacuationsWereKnown whether they were recent enough for starts.
 	evacuatedRead, evacuatedNoted            evacuation.Set
 	evacuationsWereKnown, readingEvacuations bool
 	foreign                                  foreignRows
-	// earlyCancels are cancellations read before their job.
+	// earlyCancels holds cancellations that were read before their job.
 	earlyCancels map[string]bool
 }
 
-// New returns the state of a pool whose lease was acquired at version token, which
-// is also the version of the head row.
+// New returns the state of a pool whose lease row was written at version token.
 func New(options Options, l loop.Loop, ports Ports, record Recorder, token int64) *Pool {
 	p := &Pool{
 		options: options, loop: l, ports: ports, record: record, token: token,
@@ -112,8 +112,8 @@
 	return p
 }
 
-// Acquire returns the transaction that takes a pool whose lease row stands at
-// version, which is rows.Absent if there is none.
+// Acquire returns the transaction that acquires a pool whose lease row has the given
+// version; rows.Absent if there is no such row.
 func Acquire(options Options, version int64, nonce string) rows.Transaction {
 	lease := Lease{Owner: options.Node, Incarnation: options.Incarnation, Address: options.Address, Nonce: nonce, Weight: options.Weight}
 	return rows.Transaction{
@@ -122,7 +122,7 @@
 	}
 }
 
-// Start reads the pool's rows and goes to work.
+// Start reads the pool's rows and begins to schedule.
 func (p *Pool) Start() {
 	p.acquiredAt = p.loop.Now()
 	p.record.Count("takeovers", "acquired")
@@ -136,10 +136,10 @@
 // Token returns the owner's fencing token.
 func (p *Pool) Token() int64 { return p.token }
 
-// StoreAge returns how long ago the store last answered this owner.
+// StoreAge returns the time since the store's last response to this owner.
 func (p *Pool) StoreAge() time.Duration { return p.loop.Now().Sub(p.storeAnsweredAt) }
 
-// noteStore notes an answer of the store.
+// noteStore records a response of the store.
 func (p *Pool) noteStore() {
 	now := p.loop.Now()
 	if now.Sub(p.storeAnsweredAt) > storeGap {
@@ -148,17 +148,19 @@
 	p.storeAnsweredAt = now
 }
 
-// StoreBack makes the calls again that wait for the store.
+// StoreBack retries pending store calls immediately. It is called when the store is available
+// again.
 func (p *Pool) StoreBack() {
 	if !p.gone {
 		p.storeRetries.Now()
 	}
 }
 
-// storeGap is longer than the store is ever silent while a feed is open.
+// storeGap is the time without a response after which the store counts as having been
+// unavailable. Open feeds get responses more often.
 const storeGap = 1500 * time.Millisecond
 
-// Abandon ends the owner's work at once; nothing that runs is touched.
+// Abandon stops the owner immediately. Runs continue on their workers.
 func (p *Pool) Abandon(reason string) {
 	if p.gone {
 		return
@@ -169,7 +171,7 @@
 	p.options.Ended(reason)
 }
 
-// tick does what has no event of its own.
+// tick runs the periodic checks.
 func (p *Pool) tick() {
 	if p.gone {
 		return
@@ -187,8 +189,8 @@
 	p.loop.After(tickPeriod, p.tick)
 }
 
-// State returns what the store says of a job; the result is false if this owner
-// does not know the job.
+// State returns the state of a job as persisted, but Running once one of its tasks was placed.
+// The result is false if the job is unknown to this owner.
 func (p *Pool) State(id string) (taskgraph.State, bool) {
 	j := p.jobs[id]
 	if j == nil || !p.loaded {
@@ -200,7 +202,7 @@
 	return j.state, true
 }
 
-// Waiting returns how many jobs of each queue have no task begun.
+// Waiting returns the number of jobs by queue of which no task was placed yet.
 func (p *Pool) Waiting() map[string]int {
 	counts := map[string]int{}
 	for _, j := range p.jobs {
@@ -214,8 +216,8 @@
 // Loaded reports whether the pool's rows are read.
 func (p *Pool) Loaded() bool { return p.loaded }
 
-// sortedWorkers returns the workers in the order of their names. The list stays as it
-// is when workers come and go.
+// sortedWorkers returns the workers sorted by name. The returned slice is not modified when
+// workers are added or removed.
 func (p *Pool) sortedWorkers() []*worker {
 	if p.workerOrder != nil {
 		return p.workerOrder
@@ -229,8 +231,8 @@
 	return sorted
 }
 
-// Release hands the pool back: once all writes are done the lease row names no
-// owner. What runs goes on under the next owner.
+// Release clears the owner in the lease row once all writes are done. Runs continue under the
+// next owner.
 func (p *Pool) Release() {
 	if p.gone || p.releasing {
 		return
@@ -263,5 +265,5 @@
 	})
 }
 
-// releasePause is the pause between two looks whether all writes are done.
+// releasePause is the interval at which a release checks for pending writes.
 const releasePause = 20 * time.Millisecond
