--- a/internal/pool/read.go
+++ b/internal/pool/read.go
@@ -11,12 +11,12 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// scanPrefix is scanAll for names with a prefix.
+// scanPrefix is scanAll limited to row names with a prefix.
 func (p *Pool) scanPrefix(table, part, prefix string, done func(rows.Listing)) {
 	p.scanUntil(table, part, prefix, retryPause, done)
 }
 
-// scanAll repeats a scan until it answers.
+// scanAll reads all rows of a partition, and retries with backoff until it succeeds.
 func (p *Pool) scanAll(table, part string, pause time.Duration, done func(rows.Listing)) {
 	p.scanUntil(table, part, "", pause, done)
 }
@@ -38,22 +38,23 @@
 
 func nextPause(pause time.Duration) time.Duration { return min(2*pause, retryPauseMax) }
 
-// passed notes up to which version a table's changes were read.
+// passed records the version up to which a table's change feed was read.
 func (p *Pool) passed(table string, version int64) {
 	if table == JobTable {
 		p.jobsVersion = version
 	}
 }
 
-// noteListing notes as of when a table is known: the answer may have waited for this process
-// since it was asked for.
+// noteListing records as of when a table is known. That is the time of the request, since the
+// response may have been delayed in this process.
 func (p *Pool) noteListing(table string, askedAt time.Time) {
 	if table == p.ports.WorkerTable() && askedAt.After(p.workersAsOf) {
 		p.workersAsOf = askedAt
 	}
 }
 
-// follow reads a table's changes for ever. On lost history it calls again.
+// follow reads a table's change feed until the pool stops. If the store has compacted the
+// history after the given version, it calls again, which has to read the whole table.
 func (p *Pool) follow(table string, after int64, pause time.Duration, apply func(rows.Row), again func()) {
 	if p.gone {
 		return
@@ -81,19 +82,17 @@
 	})
 }
 
-// workerFeedPause is the pause between an answer of the workers' feed and the next question. Each
-// heartbeat ends the feed, though it tells nothing new: with 350 workers it was asked for 132
-// times a second, 8,110 of 12,086 calls to the store on a calm day; with the pause it takes 4,289
-// calls in place of 11,766 (one seed, both ways). A drain is known that much later, of at least
-// 2 s that the platform's sites give.
+// workerFeedPause is the delay between a response of the worker feed and the next request. Every
+// heartbeat completes a request, so without the delay the feed would dominate the calls to the
+// store. It delays the notice of a drain, which is at least 2 s long.
 const workerFeedPause = 200 * time.Millisecond
 
-// workerFeedFull is how many rows an answer has after which there is no pause: half of what the
-// platform gives at once. More than 3,000 workers write faster than full answers with pauses
-// bring their rows.
+// workerFeedFull is the number of rows in a response from which the next request follows without
+// delay, so that the feed keeps up with thousands of workers. It is half of the platform's limit
+// of rows in a response.
 const workerFeedFull = 250
 
-// followAfter goes on with a feed after a pause, or at once.
+// followAfter calls next after a delay, or immediately if the delay is 0.
 func (p *Pool) followAfter(pause time.Duration, next func()) {
 	if pause == 0 {
 		next()
@@ -102,7 +101,7 @@
 	p.loop.After(pause, next)
 }
 
-// feedPause is how long the owner leaves a table alone after an answer.
+// feedPause returns the delay between a feed's response and the next request.
 func (p *Pool) feedPause(table string, answer rows.Listing) time.Duration {
 	count := len(answer.Rows)
 	if table != p.ports.WorkerTable() || count == 0 || count >= workerFeedFull || p.options.Off[mechanism.PacedFeeds] {
@@ -111,15 +110,15 @@
 	return workerFeedPause
 }
 
-// readRows claims and reads the progress, then reads the jobs and follows them.
+// readRows fences and reads the progress partitions, then reads the jobs and follows their feed.
 func (p *Pool) readRows() {
 	var progress []rows.Row
-	left := progressParts
+	remaining := progressParts
 	for part := range progressParts {
 		p.writer.claim(part, func() {
 			p.scanAll(ProgressTable, progressPart(p.options.Pool, part), retryPause, func(listing rows.Listing) {
 				progress = append(progress, listing.Rows...)
-				if left--; left == 0 {
+				if remaining--; remaining == 0 {
 					p.readJobs(progress)
 				}
 			})
@@ -135,19 +134,19 @@
 	})
 }
 
-// scanJobs reads all parts of the table of jobs as one listing, whose version is
-// the lowest of the parts'.
+// scanJobs reads all partitions of the job table as one listing, with the lowest of their
+// versions.
 func (p *Pool) scanJobs(done func(rows.Listing)) {
-	all := rows.Listing{}
-	left := jobParts
+	merged := rows.Listing{}
+	remaining := jobParts
 	for number := range jobParts {
 		p.scanAll(JobTable, jobPart(p.options.Pool, number), retryPause, func(listing rows.Listing) {
-			all.Rows = append(all.Rows, listing.Rows...)
-			if all.Version == 0 || listing.Version < all.Version {
-				all.Version = listing.Version
+			merged.Rows = append(merged.Rows, listing.Rows...)
+			if merged.Version == 0 || listing.Version < merged.Version {
+				merged.Version = listing.Version
 			}
-			if left--; left == 0 {
-				done(all)
+			if remaining--; remaining == 0 {
+				done(merged)
 			}
 		})
 	}
@@ -165,7 +164,7 @@
 			p.record.Count("refusals", "progress_row_invalid")
 			continue
 		}
-		if known, any := records[row.Name]; !any || record.NewerThan(&known) {
+		if known, found := records[row.Name]; !found || record.NewerThan(&known) {
 			records[row.Name] = record
 		}
 	}
@@ -199,7 +198,7 @@
 	})
 }
 
-// applyJobRow takes in an accepted job or a cancellation.
+// applyJobRow applies the row of an accepted job or of a cancellation.
 func (p *Pool) applyJobRow(row rows.Row, records map[string]Progress) {
 	if row.Gone {
 		return
