--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -14,14 +14,14 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Tables of the store. The part of a row is the pool's name, except for members.
+// Tables of the store. Partitions are named after the pool, except for that of the node rows.
 const (
-	// NodeTable holds the lease row of each pool and, under the empty part, a row
-	// for each node.
+	// NodeTable holds the lease row of each pool and, in the partition with the empty name, a
+	// row for each node.
 	NodeTable = "nodes"
-	// JobTable holds accepted jobs and cancellations; any node writes it.
+	// JobTable holds accepted jobs and cancellations. All nodes write it.
 	JobTable = "jobs"
-	// ProgressTable holds what only the owner writes: progress and the head row.
+	// ProgressTable holds the progress of jobs and the head rows. Only the owner writes it.
 	ProgressTable = "progress"
 )
 
@@ -29,54 +29,53 @@
 const (
 	LeaseRow = "owner"
 	headRow  = "!head"
-	// Suffixes follow a job's identifier.
+	// The suffixes are appended to the job's identifier.
 	acceptedSuffix  = ".accepted"
 	cancelledSuffix = ".cancelled"
 )
 
 // Lease is the row that names the owner of a pool.
 type Lease struct {
-	// Owner is empty when the pool was handed back.
+	// Owner is empty once the pool was released.
 	Owner       string `json:"owner"`
 	Incarnation string `json:"incarnation"`
-	// Address is where other nodes reach the owner.
+	// Address is the owner's address for other nodes.
 	Address string `json:"address"`
-	// Nonce tells this acquisition from all others.
+	// Nonce is unique to this acquisition.
 	Nonce string `json:"nonce"`
-	// Weight is the owner's processor share; 0 in leases of versions that did not tell it.
+	// Weight is the CPU share of the owner's node; 0 in leases of older versions.
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// Accepted is the row of an accepted job. It never changes.
+// Accepted is the row of an accepted job. It is immutable.
 type Accepted struct {
 	Spec   taskgraph.Spec `json:"spec"`
 	Tenant string         `json:"tenant,omitempty"`
 	// Queue is the queue's configuration when the job was accepted.
 	Queue catalog.Queue `json:"queue"`
-	// AcceptedMillis is the time of day on the accepting node, since 1970.
+	// AcceptedMillis is the Unix time in milliseconds on the accepting node.
 	AcceptedMillis int64 `json:"accepted_ms"`
 }
 
 // AcceptedAt returns when the job was accepted.
 func (a *Accepted) AcceptedAt() time.Time { return time.UnixMilli(a.AcceptedMillis) }
 
-// head is the content of the head row of a part.
+// head is the content of the head row of a progress partition.
 type head struct {
-	// Token is the owner's; Nonce tells the owner's transactions apart.
+	// Token is the owner's fencing token; Nonce identifies the transaction.
 	Token int64  `json:"token"`
 	Nonce string `json:"nonce"`
-	// Durations is what the owner has learned of its queues' durations.
+	// Durations holds the learned duration model of each queue.
 	Durations map[string]*durationModel `json:"durations,omitempty"`
 }
 
-// Progress is the owner's row of a job. Of several in different parts the newest
-// counts.
+// Progress is the progress row of a job. If several partitions have one, the newest is valid.
 type Progress struct {
-	// Token is the owner's, and Serial numbers its rows.
+	// Token is the owner's fencing token, and Serial the number of the owner's batch.
 	Token  int64           `json:"token"`
 	Serial int             `json:"serial"`
 	State  taskgraph.State `json:"state"`
-	// EndedMillis is the time of day at which the job ended, since 1970.
+	// EndedMillis is the Unix time in milliseconds at which the job ended.
 	EndedMillis int64          `json:"ended_ms,omitempty"`
 	Steps       []stepProgress `json:"steps,omitempty"`
 }
@@ -89,10 +88,11 @@
 	return p.Serial > other.Serial
 }
 
-// maxRun bounds the number of a run: far more than a task is ever started.
+// maxRun is the largest run number or failure count of a valid row.
 const maxRun = 1 << 30
 
-// fits reports whether the row can be of a job. One that can't is damaged, or another writer's.
+// fits reports whether the row is consistent with the job's specification. If not, it is corrupt
+// or was not written by an owner.
 func (p *Progress) fits(spec *taskgraph.Spec) bool {
 	for i := range p.Steps {
 		saved := &p.Steps[i]
@@ -113,12 +113,12 @@
 	return numbered && r.Failures >= 0 && r.Failures <= maxRun && len(r.Workers) <= step.Count
 }
 
-// stepProgress is the progress of one step of one time.
+// stepProgress is the progress of one step of a repetition.
 type stepProgress struct {
 	Time     int  `json:"k,omitempty"`
 	Step     int  `json:"s"`
 	Complete bool `json:"c,omitempty"`
-	// Ended has a bit for each unit that has ended.
+	// Ended is a bit set of the units that have finished.
 	Ended []byte         `json:"e,omitempty"`
 	Units []unitProgress `json:"u,omitempty"`
 }
@@ -129,23 +129,23 @@
 	Run        int    `json:"r"`
 	Failures   int    `json:"f,omitempty"`
 	Checkpoint string `json:"p,omitempty"`
-	// Workers has the worker of each member that may run, or an empty text.
+	// Workers holds the worker of each member that may be running, and otherwise "".
 	Workers []string `json:"w,omitempty"`
-	// Born tells which life of its worker each member may run in; nil if none is known, as in
-	// rows of versions that did not tell lives apart.
+	// Born holds the start time of the worker incarnation in which each member may be running;
+	// nil if none is known, as in rows of older versions.
 	Born []int64 `json:"b,omitempty"`
-	// Confirmed has a bit for each member whose worker has confirmed the run. It is written some
-	// time after the start, and so may be missing for a run that was confirmed.
+	// Confirmed is a bit set of the members whose run was confirmed by the worker. It is written
+	// with a delay, so the bit of a confirmed run may be missing.
 	Confirmed []byte `json:"n,omitempty"`
-	// Addresses has where the workers serve whose own rows are gone: one that leaves without
-	// a word serves on for a while, and a next owner could not reach it by its name.
+	// Addresses holds the addresses of workers whose own rows are gone. They may still serve, and
+	// the next owner needs the address to contact them.
 	Addresses map[string]string `json:"a,omitempty"`
-	// Losses has the members under which workers were lost.
+	// Losses holds the crash records of members whose workers were lost.
 	Losses []memberLosses `json:"l,omitempty"`
 }
 
-// lifeOf returns the life of the worker that a member may run on; without an identifier if it runs
-// on none.
+// lifeOf returns the worker incarnation in which a member may be running; its identifier is empty
+// if there is none.
 func (r *unitProgress) lifeOf(member int) fleet.Life {
 	life := fleet.Life{ID: r.Workers[member]}
 	if member < len(r.Born) {
@@ -154,28 +154,25 @@
 	return life
 }
 
-// memberLosses is what lost workers say of one member of a unit.
+// memberLosses holds the losses of workers under one member of a unit.
 type memberLosses struct {
 	Member  int             `json:"m,omitempty"`
 	Records []poison.Record `json:"l"`
 }
 
-// jobParts is over how many parts a pool's accepted jobs are spread. A part carries out
-// its transactions one after another, so that the parts bound the jobs a second that a
-// slow store takes: one of 0.5 s a transaction takes 64 with 32 parts, and took 16 with 8,
-// where 23 a second come at 1,100 workers. A takeover reads each part.
+// jobParts is the number of partitions for a pool's accepted jobs. A partition serializes its
+// transactions, so the number limits the jobs per second that a slow store accepts. A takeover
+// reads every partition.
 const jobParts = 32
 
-// partSeparator stands between a pool's name and the number of a part.
+// partSeparator separates the pool's name from the partition number.
 const partSeparator = "/"
 
-// jobPartChoices is in how many parts a job's accepted row may stand: where one
-// part of the store is away, the row goes into the next. Rows of one job in several
-// parts are one job.
+// jobPartChoices is the number of partitions that may hold a job's accepted row. If one is
+// unavailable, the row is written to the next. Rows in several partitions are the same job.
 const jobPartChoices = 3
 
-// JobParts lists the parts that may hold a job's accepted row, the first choice
-// first.
+// JobParts returns the partitions that may hold a job's accepted row, in order of preference.
 func JobParts(pool, id string) []string {
 	first := int(xxhash.Sum64String(id) % jobParts)
 	parts := make([]string, jobPartChoices)
@@ -185,8 +182,8 @@
 	return parts
 }
 
-// progressParts is over how many parts the owner may write its rows: where one part
-// of the store is away, the rows go into the next.
+// progressParts is the number of progress partitions. If one is unavailable, the owner writes to
+// the next.
 const progressParts = 3
 
 func progressPart(pool string, number int) string {
@@ -200,17 +197,17 @@
 	return pool + partSeparator + strconv.Itoa(number)
 }
 
-// AcceptedKey is the key of an accepted job's row in a part.
+// AcceptedKey returns the key of an accepted job's row in a partition.
 func AcceptedKey(part, id string) rows.Key {
 	return rows.Key{Table: JobTable, Part: part, Name: id + acceptedSuffix}
 }
 
-// CancelledKey is the key of a job's cancellation in a part.
+// CancelledKey returns the key of a job's cancellation in a partition.
 func CancelledKey(part, id string) rows.Key {
 	return rows.Key{Table: JobTable, Part: part, Name: id + cancelledSuffix}
 }
 
-// ProgressParts lists the parts that may hold a job's progress.
+// ProgressParts returns the partitions that may hold the progress of a pool's jobs.
 func ProgressParts(pool string) []string {
 	parts := make([]string, progressParts)
 	for i := range parts {
@@ -223,7 +220,7 @@
 	return rows.Key{Table: ProgressTable, Part: part, Name: id}
 }
 
-// LeaseKey is the key of a pool's lease.
+// LeaseKey returns the key of a pool's lease row.
 func LeaseKey(pool string) rows.Key {
 	return rows.Key{Table: NodeTable, Part: pool, Name: LeaseRow}
 }
@@ -232,7 +229,7 @@
 	return rows.Key{Table: ProgressTable, Part: part, Name: headRow}
 }
 
-// mustEncode renders a record. Records are structs of plain fields.
+// mustEncode encodes a record as JSON. Records have only fields that can be encoded.
 func mustEncode(record any) []byte {
 	document, err := json.Marshal(record)
 	if err != nil {
@@ -241,7 +238,7 @@
 	return document
 }
 
-// Encode renders a record for its row.
+// Encode encodes a record as the value of its row.
 func Encode(record any) []byte { return mustEncode(record) }
 
 type bitset []byte
