--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -31,7 +31,7 @@
 	p.wake()
 }
 
-// restore takes over what an earlier owner wrote of a job.
+// restore applies the progress that an earlier owner persisted for a job.
 func (p *Pool) restore(j *job, record Progress) {
 	for i := range record.Steps {
 		saved := &record.Steps[i]
@@ -64,8 +64,8 @@
 	}
 }
 
-// restoreUnit assumes that the unit runs where its row says until its workers have
-// answered.
+// restoreUnit assumes that the unit's members run on the workers in its row, until those workers
+// report their runs.
 func (p *Pool) restoreUnit(u *unit, saved unitProgress) {
 	u.run, u.failures, u.checkpoint = saved.Run, saved.Failures, saved.Checkpoint
 	p.restoreLosses(u, saved.Losses)
@@ -87,9 +87,10 @@
 	}
 }
 
-// workerOfRow returns the worker that a row of progress names. Address is empty unless its own
-// row was gone when that was written. A later life than the named one may run the task too: it
-// may have begun between the write of the row and the start.
+// workerOfRow returns the worker that a progress row names. The address is only set if the
+// worker's own row was gone at the time of the write. If a later incarnation than the named one
+// is known, it is returned: it may run the task, as the worker may have restarted between the
+// write and the start.
 func (p *Pool) workerOfRow(life fleet.Life, address string) *worker {
 	known := p.workers[life.ID]
 	if known == nil {
@@ -109,8 +110,8 @@
 	return p.replaceLife(known, next)
 }
 
-// meetLeftovers makes the workers known that may still run tasks of an ended job though their
-// rows are gone. What they list is then stopped as unwanted.
+// meetLeftovers adds workers without a row of their own that may still run tasks of an ended job.
+// The runs that they report are then stopped as unwanted.
 func (p *Pool) meetLeftovers(record *Progress) {
 	for i := range record.Steps {
 		for _, unit := range record.Steps[i].Units {
