--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -7,54 +7,57 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// RestartedWorker is a worker that started again under its identifier.
+// RestartedWorker is a worker that restarted under the same identifier.
 type RestartedWorker struct {
 	Worker string `json:"worker"`
-	// Born is when its present life began, in milliseconds since 1970.
+	// Born is the start time of the present incarnation, in milliseconds of Unix time.
 	Born int64 `json:"born"`
-	// Times is how often it came back since the owner met it.
+	// Times is the number of restarts since this owner first knew the worker.
 	Times int `json:"times"`
 	Runs  int `json:"runs"`
 }
 
-// mostRestarted bounds the workers that a summary names.
+// mostRestarted limits the number of workers in Summary.Restarted.
 const mostRestarted = 16
 
-// Summary is an owner's account of its pool for operators.
+// Summary is the status of a pool for operators.
 type Summary struct {
-	// Loaded is true once the rows are read.
+	// Loaded is true once the pool's rows are read.
 	Loaded bool `json:"loaded"`
 	// Jobs counts jobs by state.
 	Jobs map[taskgraph.State]int `json:"jobs"`
-	// WaitingUnits counts tasks and gangs that want a place.
+	// WaitingUnits counts tasks and gangs that wait for placement.
 	WaitingUnits int `json:"waiting_units"`
 	Workers      int `json:"workers"`
-	// Unusable counts workers that take no new work, Slow those that take longer than
-	// most, and Silent those that do not answer.
+	// Unusable counts workers that get no new runs, Slow those slower than most, and Silent
+	// those with unanswered calls.
 	Unusable int `json:"unusable"`
 	Slow     int `json:"slow"`
 	Silent   int `json:"silent"`
 	Runs     int `json:"runs"`
-	// EvacuatedZones take nothing new; RunsThere run on in them. EvacuationsMillis is the age of
-	// what is known of them, and EvacuationsKnown is false if that is too old for starts.
+	// EvacuatedZones get no new runs, and RunsThere counts the runs that continue in them.
+	// EvacuationsMillis is the age of this information, and EvacuationsKnown is false if it is too
+	// old for starts.
 	EvacuatedZones    []string `json:"evacuated_zones"`
 	RunsThere         int      `json:"runs_in_evacuated_zones"`
 	EvacuationsMillis int64    `json:"evacuations_age_ms"`
 	EvacuationsKnown  bool     `json:"evacuations_known"`
-	// WaitingForZones counts units that would find room if no zone was evacuated.
+	// WaitingForZones counts units that could be placed if no zone was evacuated.
 	WaitingForZones int `json:"waiting_for_evacuated_zones"`
-	// Suspects counts the tasks and gangs that wait or run and may well crash workers.
+	// Suspects counts the waiting and running tasks and gangs that are suspected of crashing
+	// workers.
 	Suspects int `json:"suspects"`
-	// Restarted names the workers that came back most often, and Restarts counts all their returns.
+	// Restarted lists the workers with the most restarts, and Restarts counts the restarts of all
+	// workers.
 	Restarted []RestartedWorker `json:"restarted"`
 	Restarts  int               `json:"restarts"`
-	// ForeignRows counts rows of workers that another writer left.
+	// ForeignRows counts invalid worker rows.
 	ForeignRows int `json:"foreign_rows"`
-	// ConfirmedMillis is how long ago the owner was last known not to be replaced.
+	// ConfirmedMillis is the time since the owner last was known to hold the pool.
 	ConfirmedMillis int64 `json:"confirmed_ms"`
 }
 
-// Summary returns the owner's account of its pool.
+// Summary returns the pool's current status.
 func (p *Pool) Summary() Summary {
 	summary := Summary{Loaded: p.loaded, Jobs: map[taskgraph.State]int{}, WaitingUnits: len(p.waitingUnits()), Workers: len(p.workers)}
 	for _, j := range p.jobs {
@@ -90,7 +93,7 @@
 	return summary
 }
 
-// addRestarted adds the workers that came back, most often first.
+// addRestarted adds the restarted workers, those with the most restarts first.
 func (s *Summary) addRestarted(workers []*worker) {
 	for _, w := range workers {
 		if w.restarts > 0 {
