--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -6,44 +6,42 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// writer puts the owner's rows into the store, one transaction at a time. Each
-// requires the head row of its part as the one before left it and replaces it, so a
-// transaction that comes late changes nothing. Where a part of the store is away,
-// the same rows go into the next one.
+// writer persists the owner's rows, one batch at a time. Each transaction is conditional on
+// the version of its partition's head row and replaces that row, so a delayed transaction has
+// no effect. If a partition is unavailable, the same rows are written to the next one.
 type writer struct {
 	pool *Pool
-	// headVersions are the versions of the parts' head rows.
+	// headVersions are the versions of the head rows by partition.
 	headVersions [progressParts]int64
 	part         int
 	serial       int
 	dirty        []*job
 	removes      []string
-	// added and taken count the rows that were ever dirty, and those of them that went into
-	// a batch.
+	// added counts the rows ever marked dirty, and taken those of them put into a batch.
 	added, taken int
-	// after are run in their order.
+	// after holds callbacks in the order in which they run.
 	after []pendingFunc
-	// sending is true while a transaction is under way.
+	// sending is true while a batch is in flight.
 	sending bool
-	// dueAt is when the next transaction is to be sent; zero if nothing waits. Timer
-	// calls off the flush that is set for then.
+	// dueAt is the time of the next flush; zero if nothing is pending. timer cancels that
+	// flush.
 	dueAt time.Time
 	timer func()
 }
 
-// endDelay is how long the row of an ended run may wait, so that one transaction takes
-// in several ends. The platform counts an end as noted 100 ms after it was listed.
+// endDelay is how long the result of a run may wait for others to share its transaction. The
+// platform counts a result as recorded 100 ms after it was reported.
 const endDelay = 40 * time.Millisecond
 
 func (w *writer) busy() bool { return w.sending || len(w.dirty) > 0 || len(w.removes) > 0 }
 
-// persist writes a job's progress at once.
+// persist writes a job's progress without delay.
 func (p *Pool) persist(j *job) { p.writer.add(j, 0) }
 
-// persistEnd writes a job's progress after an end that nobody waits for.
+// persistEnd writes a job's progress after the result of a run on which nothing waits.
 func (p *Pool) persistEnd(j *job) { p.writer.add(j, p.writer.delayOfEnds()) }
 
-// delayOfEnds is how long ends may wait to be written.
+// delayOfEnds returns how long results may wait to be written.
 func (w *writer) delayOfEnds() time.Duration {
 	if w.pool.releasing || w.pool.options.Off[mechanism.EndDelay] {
 		return 0
@@ -60,8 +58,8 @@
 	w.flushWithin(delay)
 }
 
-// afterWrite runs fn once all that is dirty now is written, which begins after delay
-// at the latest.
+// afterWrite runs fn once all rows that are dirty now have been written. The write begins within
+// delay.
 func (p *Pool) afterWrite(delay time.Duration, fn func()) {
 	if !p.writer.busy() {
 		fn()
@@ -71,14 +69,13 @@
 	p.writer.flushWithin(delay)
 }
 
-// remove drops a job's progress.
+// remove deletes a job's progress row.
 func (w *writer) remove(id string) {
 	w.removes = append(w.removes, id)
 	w.flushWithin(w.delayOfEnds())
 }
 
-// flushWithin sends what waits after delay at the latest, or as soon as the transaction
-// that is under way has ended.
+// flushWithin sends the pending rows within delay, or once the batch in flight is written.
 func (w *writer) flushWithin(delay time.Duration) {
 	due := w.pool.loop.Now().Add(delay)
 	if w.dueAt.IsZero() || due.Before(w.dueAt) {
@@ -87,7 +84,7 @@
 	}
 }
 
-// arm sets the flush for when it is due, unless a transaction is under way.
+// arm schedules the flush at dueAt, unless a batch is in flight.
 func (w *writer) arm() {
 	if w.sending {
 		return
@@ -111,7 +108,8 @@
 	})
 }
 
-// pendingFunc is run once as many rows as were ever dirty when it was set are written.
+// pendingFunc is a callback that runs once the first rows of those counted in writer.added are
+// written.
 type pendingFunc struct {
 	run  func()
 	rows int
@@ -130,7 +128,7 @@
 	w.send(w.nextBatch())
 }
 
-// takeAfter returns the functions that need wait for no row beyond those taken so far.
+// takeAfter removes and returns the callbacks that wait only for rows put into a batch so far.
 func (w *writer) takeAfter() []func() {
 	var ready []func()
 	for len(w.after) > 0 && w.after[0].rows <= w.taken {
