--- a/internal/pool/announce_test.go
+++ b/internal/pool/announce_test.go
@@ -12,15 +12,10 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Symptom: jobs that were accepted in one second were first looked at 1.2 s later, when an
-// empty pool had waited for them; urgent ones ended late.
-// Sequence: the store's feeds tell nothing for a second before its history is cut, while
-// jobs are accepted and their rows written.
-// Cause: an owner learned of jobs by its feed only, though the accepting node knew.
-// Settled by: the lines of such jobs: accepted at 1.009 s, placed at 2.250 s after a wait
-// of 4 ms.
+// Regression tests: jobs started late while the change feed stalled, because owners learned of
+// them only from the feed.
 
-// acceptedRow is the row of an accepted job as the store holds it.
+// acceptedRow returns the stored row of an accepted job.
 func acceptedRow(w *simulation.World, id string) rows.Row {
 	part := pool.JobParts(simulation.PoolName, id)[0]
 	return w.Store.List(pool.JobTable, part, id).Rows[0]
@@ -42,18 +37,18 @@
 	w.Store.FeedsSilent = false
 	w.Run(5 * time.Second)
 	requireKept(t, w)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "told twice, and by the feed")
+	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "the second announcement and the feed start nothing")
 }
 
-// TestLateAnnouncementIsIgnored: a job whose rows were removed long after its end must not
-// begin anew.
+// TestLateAnnouncementIsIgnored: a job must not run again when it is announced after its rows
+// were removed.
 func TestLateAnnouncementIsIgnored(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	owner := w.Own()
 	w.Submit(spec(1, single(1)), urgent)
 	row := acceptedRow(w, jobID(1))
 	w.Run(5 * time.Minute)
-	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "removed")
+	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "the rows of the ended job are removed")
 	owner.Process.Post(func() { owner.TakeAnnounced(row) })
 	w.Run(5 * time.Second)
 	requireKept(t, w)
