--- a/internal/pool/benchmark_test.go
+++ b/internal/pool/benchmark_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// submitMix submits jobs as the grown
-// deployments bring them: urgent gangs, gangs on one rack, and wide steps of small tasks.
+// submitMix submits a mix of urgent gangs, most of them on one rack, gangs of larger tasks, and
+// wide steps of small tasks.
 func submitMix(w *simulation.World, random *rand.Rand, first, count, racks int) {
 	sizes := []int{1, 2, 4, 8, 8}
 	for n := first; n < first+count; n++ {
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkOwner measures the owner's processor time for each virtual second of a
-// busy pool, at two sizes; the ratio of the two is the slope in the number of workers.
+// BenchmarkOwner measures the CPU time per virtual second of a busy pool's owner, by the number
+// of workers.
 func BenchmarkOwner(b *testing.B) {
 	for _, racks := range []int{4, 30, 92, 250} {
 		b.Run(fmt.Sprintf("workers=%d", racks*12), func(b *testing.B) {
