--- a/internal/pool/faults_test.go
+++ b/internal/pool/faults_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestRandomFaults drives owners through kills, freezes, lost orders, lost writes
-// and crashing workers and asks that every job ends with all promises kept.
+// TestRandomFaults injects kills and freezes of owners, lost orders and writes, network
+// partitions and store outages. All invariants must hold and all jobs must complete.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestJudgeCatchesMissingMechanisms takes one mechanism out at a time: among the
-// seeds that hold with all of them at least one must break.
+// TestJudgeCatchesMissingMechanisms disables one safeguard at a time: at least one of the seeds
+// that pass with all of them must then violate an invariant.
 func TestJudgeCatchesMissingMechanisms(t *testing.T) {
 	cases := map[string]pool.Without{
 		"lease wait":     {LeaseWait: true},
@@ -45,12 +45,12 @@
 					return
 				}
 			}
-			require.Fail(t, "no seed breaks without it")
+			require.Fail(t, "no seed violates an invariant without the safeguard")
 		})
 	}
 }
 
-// stopUnderWay kills an owner just after it ordered a stop and lets another take over.
+// stopUnderWay kills an owner just after it ordered a stop, and starts another.
 func stopUnderWay(without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 3)
 	w.Without = without
@@ -70,13 +70,13 @@
 	return w
 }
 
-// TestStopUnderWayAtTakeover: a new owner took a stopping run for one that never
-// came (seeds 12, 22 and 24 of the random faults found it).
+// TestStopUnderWayAtTakeover: a new owner must not take a run that is being stopped for one that
+// was never started.
 func TestStopUnderWayAtTakeover(t *testing.T) {
 	requireKeptOnlyWith(t, stopUnderWay, pool.Without{StopWait: true})
 }
 
-// changePace lets a worker stand still, turn slow, or work again, now and then.
+// changePace stalls, resumes or changes the speed of a random worker, or does nothing.
 func changePace(w *simulation.World, random *rand.Rand) {
 	worker := w.Workers[random.IntN(len(w.Workers))]
 	switch random.IntN(8) {
@@ -89,11 +89,11 @@
 	}
 }
 
-// randomSeeds is how many seeds of random faults are played.
+// randomSeeds is the number of seeds for the random fault tests.
 const randomSeeds = 100
 
-// randomFaults plays a world with faults by seed and returns it, settled, with the
-// number of its jobs.
+// randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
+// It returns the simulation and its number of jobs.
 func randomFaults(seed uint64, without pool.Without) (*simulation.World, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := simulation.NewWorld(2, 5)
@@ -111,8 +111,8 @@
 	for _, worker := range w.Workers {
 		worker.LoseOrder = fate(0.05)
 	}
-	// The paces of workers are drawn apart, so that they leave a seed's other faults as
-	// they are.
+	// Worker speeds and evacuations have generators of their own, so that they do not change the
+	// other faults of a seed.
 	paces := rand.New(rand.NewPCG(seed, 2))
 	zones := rand.New(rand.NewPCG(seed, 8))
 	owner := w.Own()
