--- a/internal/pool/foreignrows_test.go
+++ b/internal/pool/foreignrows_test.go
@@ -12,8 +12,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// requireRunsGoOnAlone lets tasks begin on a world's only worker, then spoils its row: they go on to
-// their end, and nothing new starts there until the worker's own row is back.
+// requireRunsGoOnAlone starts tasks on the only worker, then makes its row invalid: they must run to
+// completion, and nothing may start there until the row is valid again.
 func requireRunsGoOnAlone(t *testing.T, w *simulation.World, spoil func()) {
 	t.Helper()
 	w.Submit(spec(1, single(4)), batch)
@@ -24,17 +24,17 @@
 	w.Run(10 * time.Second)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
-	require.Zero(t, w.Judge.JobStarts(jobID(2)), "the row names no worker to use")
+	require.Zero(t, w.Judge.JobStarts(jobID(2)), "nothing starts while the worker row is invalid")
 	w.PutWorkerRow(w.Workers[0])
 	w.Run(20 * time.Second)
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 }
 
-// TestRunsGoOnUnderAForeignRow: a worker's row turns unreadable while tasks run there that outlast
-// their first lease, and back.
+// TestRunsGoOnUnderAForeignRow: a worker's row is temporarily invalid while tasks run that outlast
+// their first lease.
 func TestRunsGoOnUnderAForeignRow(t *testing.T) {
-	for name, value := range map[string]string{"no document": "{", "null": "null", "another service": `{"ID":"w-0-0","Pool":"other","Address":"w-0-0"}`} {
+	for name, value := range map[string]string{"no JSON document": "{", "null": "null", "another service": `{"ID":"w-0-0","Pool":"other","Address":"w-0-0"}`} {
 		t.Run(name, func(t *testing.T) {
 			w, _ := oneWorker(pool.Without{})
 			w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestNextOwnerFindsRunsUnderAForeignRow: the owner is killed while a worker's row is another
-// writer's; the next one reaches the worker by what the rows of progress tell.
+// TestNextOwnerFindsRunsUnderAForeignRow: the owner is killed while a worker's row is invalid. The
+// next owner must contact the worker at the address in the progress rows.
 func TestNextOwnerFindsRunsUnderAForeignRow(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
@@ -62,7 +62,8 @@
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
 }
 
-// TestThousandsOfForeignRowsCostOneLine: the others are used as ever, and log and feed bear them.
+// TestThousandsOfForeignRowsCostOneLine: thousands of invalid worker rows must produce one log line
+// and not affect the use of valid workers.
 func TestThousandsOfForeignRowsCostOneLine(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	for n := range 3000 {
