--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Rows that outlast an owner may be damaged, or another writer's. A new owner takes over all the same.
+// Stored rows may be corrupt or written by another program. A new owner must take over regardless.
 
-// takeOverWithRow lets an owner read a row beside those of a sound job.
+// takeOverWithRow starts an owner that reads the given row beside those of valid jobs.
 func takeOverWithRow(key rows.Key, value []byte) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Judge.Quiet = true
@@ -48,16 +48,17 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		var accepted pool.Accepted
 		if json.Unmarshal(value, &accepted) == nil && mostTasks(&accepted.Spec) > fuzzedTasks {
-			t.Skip("20,000 tasks that ask for nothing take 6 s on two workers")
+			t.Skip("too many tasks in one step for a fuzz iteration")
 		}
-		// The world knows nothing of such a job, so that its workers do not start it.
+		// The simulation does not know the job, so the workers must not start it.
 		takeOverWithRow(pool.AcceptedKey(pool.JobParts(simulation.PoolName, jobID(3))[0], jobID(3)), value)
 	})
 }
 
-// fuzzedTasks bounds the tasks of one time of a job that is taken over.
+// fuzzedTasks limits the tasks of one step of a fuzzed job.
 const fuzzedTasks = 500
 
+// mostTasks returns the number of tasks of the job's widest step.
 func mostTasks(spec *taskgraph.Spec) int {
 	most := 0
 	for i := range spec.Steps {
