--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -22,12 +22,12 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// single is a step of equal tasks with one accelerator each.
+// single returns a step of identical tasks with one accelerator each.
 func single(count int) taskgraph.Step {
 	return taskgraph.Step{Count: count, Amount: taskgraph.Amount{CPU: 4000, MemoryMB: 20000, GPUs: 1}, EstimateMillis: 1000}
 }
 
-// gang is a step whose tasks take whole workers together.
+// gang returns a gang step whose tasks use all accelerators of a worker.
 func gang(count int) taskgraph.Step {
 	step := single(count)
 	step.GPUs = 8
@@ -47,14 +47,14 @@
 	require.Empty(t, w.Judge.Broken)
 }
 
-// requireKeptOnlyWith asks that a history keeps all promises and ends its first job, and breaks
-// one of them once a mechanism is taken out.
-func requireKeptOnlyWith(t *testing.T, play func(pool.Without) *simulation.World, without pool.Without) {
+// requireKeptOnlyWith requires that a scenario holds all invariants and completes its first job,
+// and that it violates an invariant with the given safeguards disabled.
+func requireKeptOnlyWith(t *testing.T, scenario func(pool.Without) *simulation.World, without pool.Without) {
 	t.Helper()
-	w := play(pool.Without{})
+	w := scenario(pool.Without{})
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.NotEmpty(t, play(without).Judge.Broken, "without the mechanism")
+	require.NotEmpty(t, scenario(without).Judge.Broken, "no invariant violated without the safeguard")
 }
 
 func TestGraphOfStepsRunsInOrder(t *testing.T) {
@@ -70,8 +70,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestWorkerReplacedDuringPlacement: the owner ended with a nil pointer when a
-// worker's instance was replaced between the write of a placement and its start.
+// TestWorkerReplacedDuringPlacement: the owner panicked when a worker was replaced between the
+// write of a placement and the start.
 func TestWorkerReplacedDuringPlacement(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	first := spec(1, single(1))
@@ -105,7 +105,7 @@
 	requireKept(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	name := taskgraph.TaskName{Job: jobID(1)}
-	require.Equal(t, 1, w.Judge.Starts(name), "what runs goes on under the next owner")
+	require.Equal(t, 1, w.Judge.Starts(name), "the run continues under the next owner")
 }
 
 func TestFrozenOwnerStartsNothingAfterTakeover(t *testing.T) {
@@ -183,8 +183,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestPoolIsHandedBackAtOnceBesideEnds: rows of ends that waited for each other kept the
-// owner from handing its pool back; nothing was placed meanwhile (a recorded day: 0.6 s).
+// TestPoolIsHandedBackAtOnceBesideEnds: run results that wait to share a transaction must not delay
+// the release of the pool.
 func TestPoolIsHandedBackAtOnceBesideEnds(t *testing.T) {
 	w := simulation.NewWorld(2, 8)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
@@ -198,8 +198,8 @@
 	require.Equal(t, "handed back", owner.Ended)
 }
 
-// TestSilentPartHoldsStartsUpShortly: a part of the store that gave no answer held every
-// start up for 1.5 s.
+// TestSilentPartHoldsStartsUpShortly: a store partition that does not respond must delay starts only
+// briefly.
 func TestSilentPartHoldsStartsUpShortly(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
@@ -339,7 +339,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestLastingTasksAreStartedAgain: they end only by a cancellation.
+// TestLastingTasksAreStartedAgain: long-running tasks are restarted until their job is cancelled.
 func TestLastingTasksAreStartedAgain(t *testing.T) {
 	w := simulation.NewWorld(1, 3)
 	lasting := single(3)
