--- a/internal/pool/workerfaults_test.go
+++ b/internal/pool/workerfaults_test.go
@@ -16,35 +16,35 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// workerSeeds is how many seeds of workers' random faults are played, from firstWorkerSeed on.
+// Seeds of the random worker fault tests.
 var (
 	workerSeeds     = flag.Int("worker-seeds", 60, "seeds of workers' random faults")
 	firstWorkerSeed = flag.Int("first-worker-seed", 0, "the first of them")
 )
 
-// workerFaults is a world whose workers crash, shrink, drain and are cut off, alone and by
-// tasks that crash them, while owners are killed, frozen and suspended.
+// workerFaults is a simulation in which workers crash, lose capacity, drain and are partitioned
+// from the network, some tasks crash their workers, and owners are killed, frozen and suspended.
 type workerFaults struct {
 	*simulation.World
 	random *rand.Rand
-	// zones draws evacuations, and restarts those of workers, each by numbers of its own.
+	// zones, restarts and foreign draw evacuations, worker restarts and invalid worker rows. Each
+	// kind has its own generator, so that it does not change the other faults of a seed.
 	zones    *rand.Rand
 	restarts *rand.Rand
-	// foreign draws rows of another writer.
-	foreign *rand.Rand
-	owner   *simulation.Owner
-	jobs    int
-	guilty  []taskgraph.TaskName
-	// cancelled has the jobs that were cancelled.
+	foreign  *rand.Rand
+	owner    *simulation.Owner
+	jobs     int
+	guilty   []taskgraph.TaskName
+	// cancelled holds the numbers of the cancelled jobs.
 	cancelled map[int]bool
 }
 
-// TestRandomFaultsOfWorkers asks that all promises hold, that jobs whose task crashes workers
-// are given up or done, and that all others are done.
+// TestRandomFaultsOfWorkers requires that all invariants hold, that jobs with a task that crashes
+// workers fail, and that all others complete, except for a small fraction.
 func TestRandomFaultsOfWorkers(t *testing.T) {
 	var mutex sync.Mutex
 	sound, givenUp := 0, 0
-	// lost counts the guilty tasks by how many workers crashed under them.
+	// lost counts the crashing tasks by the number of workers that each crashed.
 	lost := map[int]int{}
 	reasons := map[string]int{}
 	t.Run("seeds", func(t *testing.T) {
@@ -68,12 +68,12 @@
 		}
 	})
 	t.Logf("%d sound jobs, %d of them given up (of all: %v); guilty tasks by the workers lost under them: %v", sound, givenUp, reasons, lost)
-	require.LessOrEqual(t, givenUp*500, sound, "sound jobs given up")
-	require.Zero(t, lost[6], "the judge allows five")
+	require.LessOrEqual(t, givenUp*500, sound, "regular jobs failed for crashing workers")
+	require.Zero(t, lost[6], "a task may crash at most five workers")
 }
 
-// TestJudgeCatchesMissingMechanismsOfWorkers takes one mechanism out at a time: among the
-// seeds that hold with all of them at least one must break.
+// TestJudgeCatchesMissingMechanismsOfWorkers disables one safeguard at a time: at least one of the
+// seeds that pass with all of them must then violate an invariant.
 func TestJudgeCatchesMissingMechanismsOfWorkers(t *testing.T) {
 	cases := map[string]struct {
 		without pool.Without
@@ -93,13 +93,13 @@
 					return
 				}
 			}
-			require.Fail(t, "no seed breaks without it")
+			require.Fail(t, "no seed violates an invariant without the safeguard")
 		})
 	}
 }
 
-// countSound checks the jobs' states; it returns how many sound ones there were and how many
-// of them were given up.
+// countSound checks the states of all jobs. It returns the number of regular jobs, which have no
+// crashing task and were not cancelled, and how many of them failed.
 func (f *workerFaults) countSound(t *testing.T) (sound, givenUp int) {
 	guilty := map[string]bool{}
 	for _, name := range f.guilty {
@@ -111,7 +111,7 @@
 		case f.cancelled[n]:
 			require.True(t, state.Final(), "job %d is %s", n, state)
 		case guilty[jobID(n)]:
-			require.Equal(t, taskgraph.Failed, state, "job %d, whose task crashes workers", n)
+			require.Equal(t, taskgraph.Failed, state, "job %d has a task that crashes workers", n)
 		default:
 			sound++
 			if state == taskgraph.Failed {
@@ -135,8 +135,7 @@
 	return playWorkerFaultsHolding(seed, without, steady, 0)
 }
 
-// TestRandomFaultsOfWorkersThatHoldLonger: as before, where the platform allows longer leases
-// than owners give.
+// TestRandomFaultsOfWorkersThatHoldLonger repeats the test with a longer maximum lease.
 func TestRandomFaultsOfWorkersThatHoldLonger(t *testing.T) {
 	for seed := range uint64(*workerSeeds) / 3 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -148,7 +147,8 @@
 	}
 }
 
-// playWorkerFaultsHolding plays a seed with a bound of leases of its own; 0 is the usual one.
+// playWorkerFaultsHolding simulates random faults drawn from the seed, clears them and lets the jobs
+// finish. A maxHold of 0 leaves the default maximum lease.
 func playWorkerFaultsHolding(seed uint64, without pool.Without, steady bool, maxHold time.Duration) *workerFaults {
 	f := &workerFaults{
 		World: simulation.NewWorld(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
@@ -192,8 +192,7 @@
 	}
 }
 
-// submitSome hands in some jobs, of which some have a task that crashes workers and some are
-// cancelled.
+// submitSome submits up to two jobs. Some have a task that crashes workers, and some are cancelled.
 func (f *workerFaults) submitSome() {
 	for range f.random.IntN(3) {
 		queue := batch
@@ -226,7 +225,7 @@
 	f.guilty = append(f.guilty, name)
 }
 
-// troubleWorkers lets something happen to workers that has nothing to do with tasks.
+// troubleWorkers injects a fault that no task causes into a random worker or its rack.
 func (f *workerFaults) troubleWorkers() {
 	worker := f.Workers[f.random.IntN(len(f.Workers))]
 	if worker.Dead {
@@ -252,7 +251,7 @@
 	}
 }
 
-// leave lets a worker drain and go, with what still runs there; another one takes its place.
+// leave drains a worker, then crashes it with its remaining runs and restarts it.
 func (f *workerFaults) leave(worker *simulation.Worker) {
 	if worker.Draining {
 		return
@@ -266,7 +265,7 @@
 	})
 }
 
-// troubleOwner lets something happen to the owner or the store.
+// troubleOwner injects a fault into the owner or the store.
 func (f *workerFaults) troubleOwner() {
 	switch f.random.IntN(12) {
 	case 0:
@@ -299,7 +298,7 @@
 	f.owner = f.Own()
 }
 
-// settle ends all troubles, kills all owners, and lets a new one finish the work.
+// settle clears all faults, kills the owner and lets a new one finish the jobs.
 func (f *workerFaults) settle() {
 	f.Store.AwayAll = false
 	clear(f.Store.Silent)
