--- a/internal/pool/writer_test.go
+++ b/internal/pool/writer_test.go
@@ -13,7 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// steppedLoop runs what is posted, and timers when the test lets time pass.
+// steppedLoop is a loop.Loop that runs posted functions immediately, and timers when the test
+// advances the clock.
 type steppedLoop struct {
 	now    time.Time
 	timers []*steppedTimer
@@ -33,7 +34,7 @@
 	return func() { timer.run = func() {} }
 }
 
-// pass lets time pass.
+// pass advances the clock and runs the timers that are due.
 func (l *steppedLoop) pass(d time.Duration) {
 	l.now = l.now.Add(d)
 	due := slices.Clone(l.timers)
@@ -45,7 +46,7 @@
 	}
 }
 
-// commitPorts keep the commits under way.
+// commitPorts holds commits in flight until the test answers them.
 type commitPorts struct {
 	Ports
 	open []openCommit
@@ -62,8 +63,8 @@
 	p.open = append(p.open, openCommit{transaction, done})
 }
 
-// answer lets the oldest commit under way succeed, and returns how many rows it had
-// beside the head row.
+// answer completes the oldest commit in flight successfully, and returns its number of rows
+// without the head row.
 func (p *commitPorts) answer() int {
 	first := p.open[0]
 	p.open = p.open[1:]
@@ -78,14 +79,14 @@
 func (noRecord) Observe(string, time.Duration) {}
 func (noRecord) Decided(string, ...any)        {}
 
-// newWriting returns a pool of which only the writer is used.
+// newWriting returns a pool for tests of its writer.
 func newWriting() (*Pool, *steppedLoop, *commitPorts) {
 	l := &steppedLoop{now: time.Now()}
 	ports := &commitPorts{}
 	return New(Options{Pool: "p"}, l, ports, noRecord{}, 1), l, ports
 }
 
-// jobOfBytes returns a job whose row has somewhat more than some bytes.
+// jobOfBytes returns a job whose row is slightly larger than the given size.
 func jobOfBytes(number, bytes int) *job {
 	return &job{id: fmt.Sprintf("%016x", number), next: taskgraph.State(strings.Repeat("x", bytes))}
 }
@@ -96,15 +97,16 @@
 	for number := range 9 {
 		p.persist(jobOfBytes(number, row))
 	}
-	require.Equal(t, 1, ports.answer(), "the first row goes at once")
-	require.Equal(t, 4, ports.answer(), "a fifth would exceed the batch")
+	require.Equal(t, 1, ports.answer(), "the first row is sent immediately")
+	require.Equal(t, 4, ports.answer(), "a fifth row would exceed the size limit")
 	require.Equal(t, 4, ports.answer())
 	require.Empty(t, ports.open)
 	p.persist(jobOfBytes(10, 2*batchBytes))
-	require.Equal(t, 1, ports.answer(), "a row that is larger goes alone")
+	require.Equal(t, 1, ports.answer(), "a row above the size limit is sent alone")
 }
 
-// TestRowsLeftOverGoAtOnce: they waited for the delay of an end that came meanwhile.
+// TestRowsLeftOverGoAtOnce: rows that did not fit into a batch must not wait for the delay of a run
+// result that was added meanwhile.
 func TestRowsLeftOverGoAtOnce(t *testing.T) {
 	p, l, ports := newWriting()
 	p.persist(jobOfBytes(0, 1))
@@ -115,14 +117,14 @@
 	p.persistEnd(jobOfBytes(1000, 1))
 	l.pass(time.Millisecond)
 	require.Equal(t, batchLimit, ports.answer())
-	require.Len(t, ports.open, 1, "the rest goes at once")
+	require.Len(t, ports.open, 1, "the remaining rows are sent immediately")
 	require.Equal(t, batchLimit, ports.answer())
-	require.Equal(t, 1, ports.answer(), "the end goes behind them")
+	require.Equal(t, 1, ports.answer(), "the run result is sent after them")
 	require.Empty(t, ports.open)
 }
 
-// TestFunctionsWaitForEarlierRowsOnly: they waited until no row was left, which under
-// steady load was never.
+// TestFunctionsWaitForEarlierRowsOnly: callbacks must not wait for rows added after them, or they
+// would never run under steady load.
 func TestFunctionsWaitForEarlierRowsOnly(t *testing.T) {
 	p, _, ports := newWriting()
 	ran := false
@@ -130,16 +132,16 @@
 	p.persist(jobOfBytes(1, 1))
 	p.afterWrite(0, func() { ran = true })
 	ports.answer()
-	require.False(t, ran, "its second row is under way")
+	require.False(t, ran, "the second row is still in flight")
 	for number := range 2 * batchLimit {
 		p.persist(jobOfBytes(number+2, 1))
 	}
 	ports.answer()
-	require.True(t, ran, "later rows do not matter")
+	require.True(t, ran, "the callback does not wait for later rows")
 }
 
-// TestLargeBatchGetsTheTimeItTakesToSend: copies for other parts of the store, sent before
-// the first one can have arrived, slow it down further.
+// TestLargeBatchGetsTheTimeItTakesToSend: the timeout of a batch must include its transfer time, or
+// copies for other partitions slow the first transfer down further.
 func TestLargeBatchGetsTheTimeItTakesToSend(t *testing.T) {
 	p, l, ports := newWriting()
 	p.persist(jobOfBytes(0, batchBytes))
