--- a/internal/pool/announce_test.go
+++ b/internal/pool/announce_test.go
@@ -48,7 +48,7 @@
 	w.Submit(spec(1, single(1)), urgent)
 	row := acceptedRow(w, jobID(1))
 	w.Run(5 * time.Minute)
-	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "the rows of the ended job are removed")
+	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "removed")
 	owner.Process.Post(func() { owner.TakeAnnounced(row) })
 	w.Run(5 * time.Second)
 	requireKept(t, w)
