--- a/internal/pool/batch.go
+++ b/internal/pool/batch.go
@@ -158,9 +158,9 @@
 	return "commit_no_answer"
 }
 
-// conditionFailed handles a failed condition on the head row. If the row holds this owner's
-// token, an earlier attempt was committed and its response lost; otherwise this owner was
-// replaced.
+// conditionFailed handles a failed condition on the head row. If the row was written by an earlier
+// attempt whose response was lost, the batch is written; if by another batch of this owner, the
+// batch is sent again. Otherwise this owner was replaced.
 func (w *writer) conditionFailed(b *batch, part int, result rows.Result) {
 	w.pool.noteStore()
 	for i := range result.Current {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -56,7 +56,7 @@
 	orderLatency time.Duration
 	// storeAnsweredAt is the time of the store's last response.
 	storeAnsweredAt time.Time
-	// storeBackAt is the time of the first response after the last outage of storeGap or more.
+	// storeBackAt is the time of the first response after the last outage longer than storeGap.
 	storeBackAt time.Time
 	// pressureUntil is when units of lower priority than pressurePriority, if they can wait, may
 	// be placed again.
