--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -2,8 +2,9 @@
 
 import "github.com/wheatroad/wheatroad/internal/fleet"
 
-// claimNextLife handles a worker row that names a later incarnation than the known one. If runs
-// may exist in the known incarnation, the named one has to answer before it replaces it.
+// claimNextLife handles a worker row that names another incarnation, which probably follows the
+// known one. If runs may exist in the known incarnation, the named one has to answer before it
+// replaces it.
 func (p *Pool) claimNextLife(w *worker, described *fleet.Worker) {
 	if len(w.members) == 0 && len(w.unwanted) == 0 {
 		p.noteRestart(w, described.Life, lifeByRow, 0)
--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -34,7 +34,7 @@
 	p.distrust(name)
 }
 
-// distrust stops new placements on a worker whose row has become invalid.
+// distrust stops new placements on a worker whose row is invalid or names another pool.
 func (p *Pool) distrust(name string) {
 	w := p.workers[name]
 	if w == nil || !w.listed {
