--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// The estimates in job specifications may be far off. Durations are therefore predicted for each
+// The estimates in job specs may be far off. Durations are therefore predicted for each
 // queue by a linear regression of the logarithm of the duration on that of the estimate.
 const (
 	// durationMemory bounds the total weight of past runs, in jobs, so that the model follows a
