--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -10,28 +10,28 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Minimum time between two cycles while unplaced units remain: cyclePause, and at least
-// cycleRest times the duration of the last cycle. This leaves three quarters of the processor
+// Minimum time between two cycles while unplaced units remain: minCyclePause, and at least
+// cyclePauseRatio times the duration of the last cycle. This leaves three quarters of the processor
 // to run ends, commands and pings when many units wait in a large pool.
 const (
-	cyclePause = 10 * time.Millisecond
-	cycleRest  = 3
+	minCyclePause   = 10 * time.Millisecond
+	cyclePauseRatio = 3
 )
 
-// pauseAfter returns the minimum pause after a cycle of the given duration that left units
+// minPauseAfter returns the minimum pause after a cycle of the given duration that left units
 // unplaced.
-func pauseAfter(cycleDuration time.Duration) time.Duration {
-	return max(cyclePause, cycleRest*cycleDuration)
+func minPauseAfter(cycleDuration time.Duration) time.Duration {
+	return max(minCyclePause, cyclePauseRatio*cycleDuration)
 }
 
-// wake schedules a scheduling cycle unless one is scheduled already.
-func (p *Pool) wake() {
-	if p.waking || !p.loaded || p.gone || p.releasing {
+// scheduleCycle schedules a scheduling cycle unless one is scheduled already.
+func (p *Pool) scheduleCycle() {
+	if p.cycleScheduled || !p.loaded || p.gone || p.releasing {
 		return
 	}
-	p.waking = true
-	pause := p.lastCycle.Add(pauseAfter(p.cycleTook)).Sub(p.loop.Now())
-	if !p.crowded || pause <= 0 {
+	p.cycleScheduled = true
+	pause := p.lastCycleEnd.Add(minPauseAfter(p.lastCycleDuration)).Sub(p.loop.Now())
+	if !p.hasBacklog || pause <= 0 {
 		p.loop.Post(p.runCycle)
 		return
 	}
@@ -39,22 +39,22 @@
 }
 
 func (p *Pool) runCycle() {
-	p.waking = false
+	p.cycleScheduled = false
 	if !p.gone && !p.releasing {
-		p.cycle()
+		p.runSchedulingCycle()
 	}
 }
 
-// cycle places waiting units in the order of compareUnits.
-func (p *Pool) cycle() {
+// runSchedulingCycle places waiting units in the order of compareUnits.
+func (p *Pool) runSchedulingCycle() {
 	startedAt := p.loop.Now()
 	waiting := p.waitingUnits()
-	p.crowded = false
+	p.hasBacklog = false
 	if len(waiting) == 0 || !p.accountsKnown() {
 		return
 	}
 	s := p.snapshot()
-	unplaceable := map[placementClass]bool{}
+	unplaceable := map[equivalenceClass]bool{}
 	for _, u := range waiting {
 		if u.state != unitWaiting || p.giveUpPoison(u) {
 			continue
@@ -63,17 +63,17 @@
 		if unplaceable[class] {
 			continue
 		}
-		if p.place(s, u) {
+		if p.placeUnit(s, u) {
 			continue
 		}
-		p.crowded = true
+		p.hasBacklog = true
 		if len(u.avoid) == 0 && !u.suspected() {
 			unplaceable[class] = true
 		}
 	}
-	p.lastCycle = p.loop.Now()
-	p.cycleTook = p.lastCycle.Sub(startedAt)
-	p.record.Observe("cycle", p.cycleTook)
+	p.lastCycleEnd = p.loop.Now()
+	p.lastCycleDuration = p.lastCycleEnd.Sub(startedAt)
+	p.record.Observe("cycle", p.lastCycleDuration)
 }
 
 // openUnits yields the units of jobs that have not ended, in unspecified order.
@@ -142,15 +142,15 @@
 	return u.job.Queue.Priority > 0 && u.slack(now) < 0
 }
 
-// place assigns a unit to workers. If it finds none it preempts other units or reserves
+// placeUnit assigns a unit to workers. If it finds none it preempts other units or reserves
 // resources for the unit, and returns false.
-func (p *Pool) place(s *snapshot, u *unit) bool {
+func (p *Pool) placeUnit(s *snapshot, u *unit) bool {
 	request := s.request(u)
-	if places := p.findPlace(s, u, request); places != nil {
+	if places := p.findPlacement(s, u, request); places != nil {
 		if p.lateAt(s, u, places) && p.preemptForSpeed(s, u, request) {
 			return false
 		}
-		p.beginAt(s, u, request, places)
+		p.assignTo(s, u, request, places)
 		return true
 	}
 	p.noteWait(s, u, request)
@@ -167,13 +167,13 @@
 	return false
 }
 
-func (p *Pool) beginAt(s *snapshot, u *unit, request *placement.Request, places []int) {
+func (p *Pool) assignTo(s *snapshot, u *unit, request *placement.Request, places []int) {
 	placement.Reserve(s.workers, places, request.Room)
 	workers := make([]*worker, len(places))
 	for i, place := range places {
 		workers[i] = s.owners[place]
 	}
-	p.begin(u, workers)
+	p.commitPlacement(u, workers)
 	if u.suspected() {
 		s.closeToOthers(places)
 	}
--- a/internal/pool/cycle_test.go
+++ b/internal/pool/cycle_test.go
@@ -15,7 +15,7 @@
 		crowded bool
 		want    time.Duration
 	}{
-		"short":            {time.Millisecond, true, cyclePause},
+		"short":            {time.Millisecond, true, minCyclePause},
 		"long":             {40 * time.Millisecond, true, 120 * time.Millisecond},
 		"no unplaced unit": {40 * time.Millisecond, false, 0},
 	}
@@ -23,14 +23,14 @@
 		t.Run(name, func(t *testing.T) {
 			p, clock, _ := newWriting()
 			p.loaded = true
-			p.lastCycle, p.cycleTook, p.crowded = clock.Now(), c.took, c.crowded
-			p.wake()
+			p.lastCycleEnd, p.lastCycleDuration, p.hasBacklog = clock.Now(), c.took, c.crowded
+			p.scheduleCycle()
 			if c.want > 0 {
 				clock.pass(c.want - time.Millisecond)
-				require.True(t, p.waking, "the cycle is scheduled but has not run")
+				require.True(t, p.cycleScheduled, "the cycle is scheduled but has not run")
 				clock.pass(time.Millisecond)
 			}
-			require.False(t, p.waking, "the cycle has run")
+			require.False(t, p.cycleScheduled, "the cycle has run")
 		})
 	}
 }
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -113,7 +113,7 @@
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
 	p.record.Decided("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
-	p.wake()
+	p.scheduleCycle()
 }
 
 // runsInEvacuatedZones returns the number of runs in evacuated zones. They continue: a restart would
--- a/internal/pool/findplace.go
+++ b/internal/pool/findplace.go
@@ -9,10 +9,10 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// findPlace returns workers with free resources for a unit, or nil.
-func (p *Pool) findPlace(s *snapshot, u *unit, request *placement.Request) []int {
+// findPlacement returns workers with free resources for a unit, or nil.
+func (p *Pool) findPlacement(s *snapshot, u *unit, request *placement.Request) []int {
 	if s.overdue(u) && !u.runsAlone() {
-		return p.findAnyPlace(s, u, request)
+		return p.findAnyPlacement(s, u, request)
 	}
 	visible := *request
 	visible.Limit = s.unreserved(u.estimate())
@@ -63,8 +63,8 @@
 	return placement.Fit(s.workers, s.racks.All, visible)
 }
 
-// findAnyPlace returns workers with free resources, ignoring reservations and headroom.
-func (p *Pool) findAnyPlace(s *snapshot, u *unit, request *placement.Request) []int {
+// findAnyPlacement returns workers with free resources, ignoring reservations and headroom.
+func (p *Pool) findAnyPlacement(s *snapshot, u *unit, request *placement.Request) []int {
 	for _, scope := range s.scopes(u) {
 		if places := placement.Fit(s.workers, scope, request); places != nil {
 			return places
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -182,7 +182,7 @@
 	p.accounted(w, reply, sentAt)
 	if first {
 		p.extendAtOnce(w)
-		p.wake()
+		p.scheduleCycle()
 	}
 	p.scheduleHold(w)
 	p.forgetIfIdle(w)
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -111,8 +111,8 @@
 	resumed bool
 	// stalls counts how often the unit was moved for lack of progress.
 	stalls int
-	// snapshotNumber is the unit's number in the snapshot of snapshotSerial.
-	snapshotNumber, snapshotSerial int
+	// snapshotIndex is the unit's number in the snapshot of snapshotGeneration.
+	snapshotIndex, snapshotGeneration int
 	// stopReason is set while the unit is being stopped.
 	stopReason string
 	// avoid holds the workers on which the unit has failed.
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -16,7 +16,7 @@
 	for k := 0; k < j.Spec.Times(); k++ {
 		due := j.Spec.Due(k)
 		if timeOfDay := p.loop.TimeOfDay(); !due.IsZero() && due.After(timeOfDay) {
-			p.loop.After(due.Sub(timeOfDay)+dueMargin, func() { p.advance(j); p.wake() })
+			p.loop.After(due.Sub(timeOfDay)+dueMargin, func() { p.advance(j); p.scheduleCycle() })
 			break
 		}
 		t := j.timeAt(k)
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -111,7 +111,7 @@
 	for _, m := range moved {
 		p.moveToLife(m, replacement)
 	}
-	p.wake()
+	p.scheduleCycle()
 	return replacement
 }
 
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// begin writes a unit's placement, and starts the unit once that is stored.
-func (p *Pool) begin(u *unit, places []*worker) {
+// commitPlacement writes a unit's placement, and starts the unit once that is stored.
+func (p *Pool) commitPlacement(u *unit, places []*worker) {
 	u.run++
 	u.state = unitCommitting
 	for i, m := range u.members {
@@ -73,7 +73,7 @@
 			p.clearMembers(u)
 			u.state = unitWaiting
 			p.persist(u.job)
-			p.wake()
+			p.scheduleCycle()
 		default:
 			p.startUnit(u)
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -35,23 +35,23 @@
 	jobs       map[string]*job
 	workers    map[string]*worker
 	// workerOrder caches the workers sorted by name; nil once the set changes.
-	workerOrder []*worker
-	memory      snapshotMemory
-	greetings   greetings
-	writer      writer
+	workerOrder     []*worker
+	snapshotBuffers snapshotBuffers
+	greetings       greetings
+	writer          writer
 	// storeRetries schedules the retries of store calls.
 	storeRetries *loop.Retries
 	// loaded is true once the pool's rows are read; no orders are sent before.
-	loaded    bool
-	gone      bool
-	releasing bool
-	waking    bool
-	// lastCycle is when the last scheduling cycle ended, and crowded is true if it left units
+	loaded         bool
+	gone           bool
+	releasing      bool
+	cycleScheduled bool
+	// lastCycleEnd is when the last scheduling cycle ended, and crowded is true if it left units
 	// unplaced.
-	lastCycle time.Time
-	crowded   bool
-	// cycleTook is the duration of the last cycle.
-	cycleTook time.Duration
+	lastCycleEnd time.Time
+	hasBacklog   bool
+	// lastCycleDuration is the duration of the last cycle.
+	lastCycleDuration time.Duration
 	// orderLatency is the moving average of the response time of starts.
 	orderLatency time.Duration
 	// storeAnsweredAt is the time of the store's last response.
@@ -185,7 +185,7 @@
 	p.checkUnits()
 	p.dropOldJobs()
 	p.refreshEstimates()
-	p.wake()
+	p.scheduleCycle()
 	p.loop.After(tickPeriod, p.tick)
 }
 
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -28,7 +28,7 @@
 		return
 	}
 	p.advance(j)
-	p.wake()
+	p.scheduleCycle()
 }
 
 // restore applies the progress that an earlier owner persisted for a job.
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -34,43 +34,43 @@
 	spare taskgraph.Amount
 }
 
-// placementClass groups units that one cycle either places or cannot place alike.
-type placementClass struct {
+// equivalenceClass groups units that one cycle either places or cannot place alike.
+type equivalenceClass struct {
 	step *step
 	gang bool
 }
 
-func classOf(u *unit) placementClass {
-	return placementClass{step: u.step, gang: u.spec().Gang}
+func classOf(u *unit) equivalenceClass {
+	return equivalenceClass{step: u.step, gang: u.spec().Gang}
 }
 
-// snapshotMemory keeps the buffers of the last snapshot for the next one, since allocating
+// snapshotBuffers keeps the buffers of the last snapshot for the next one, since allocating
 // them anew takes much of a cycle's time.
-type snapshotMemory struct {
+type snapshotBuffers struct {
 	workers []placement.Worker
 	owners  []*worker
 	units   []placement.Unit
 	running []*unit
-	// serial numbers the snapshots.
-	serial int
+	// generation numbers the snapshots.
+	generation int
 	// racks groups the workers by rack; nil once the set of workers has changed.
 	racks *placement.Racks
 }
 
 // snapshot returns the state of all workers and their runs. It is valid until the next call.
 func (p *Pool) snapshot() *snapshot {
-	memory := &p.memory
-	memory.serial++
+	memory := &p.snapshotBuffers
+	memory.generation++
 	s := &snapshot{
 		now: p.loop.Now(), reservations: reservationLimit, reserved: map[int]reservation{}, headrooms: make([][]bool, len(headroomShares)),
 		workers: memory.workers[:0], owners: memory.owners[:0], units: memory.units[:0], running: memory.running[:0],
 	}
 	zones, known := p.evacuated(), p.evacuationsKnown(s.now)
 	for _, w := range p.sortedWorkers() {
-		p.describeWorker(s, w, zones, known)
+		p.addWorker(s, w, zones, known)
 	}
 	memory.workers, memory.owners, memory.units, memory.running = s.workers, s.owners, s.units, s.running
-	s.usage = usageOf(s.owners, s.workers)
+	s.usage = utilizationOf(s.owners, s.workers)
 	if memory.racks == nil {
 		memory.racks = placement.NewRacks(s.workers)
 	}
@@ -79,13 +79,13 @@
 	return s
 }
 
-// describeWorker adds a worker and the units that use its resources.
-func (p *Pool) describeWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
+// addWorker adds a worker and the units that use its resources.
+func (p *Pool) addWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
 	workerIndex := len(s.workers)
 	entry := placement.Worker{
 		Rack: w.rack, Capacity: w.Capacity, Slow: p.slow(w), Free: w.Capacity, Usable: p.usable(w, s.now),
 		Closed:  zones.Contains(w.Zone),
-		Holders: formerHolders(s.workers),
+		Holders: reusedHolders(s.workers),
 	}
 	if !p.options.Without.Evacuations && (entry.Closed || !zonesKnown) {
 		entry.Usable = false
@@ -96,7 +96,7 @@
 		}
 		room := m.unit.spec().Room()
 		entry.Free = entry.Free.Minus(room)
-		index := p.numberUnit(s, m.unit)
+		index := p.unitIndex(s, m.unit)
 		s.units[index].Places = append(s.units[index].Places, workerIndex)
 		entry.Holders = append(entry.Holders, placement.Holder{Unit: index, Room: room})
 	}
@@ -105,39 +105,39 @@
 	s.owners = append(s.owners, w)
 }
 
-// formerHolders returns the next entry's list of holders in the previous snapshot, emptied
+// reusedHolders returns the next entry's list of holders in the previous snapshot, emptied
 // for reuse.
-func formerHolders(workers []placement.Worker) []placement.Holder {
+func reusedHolders(workers []placement.Worker) []placement.Holder {
 	if len(workers) == cap(workers) {
 		return nil
 	}
 	return workers[:len(workers)+1][len(workers)].Holders[:0]
 }
 
-// formerPlaces returns the next entry's list of places in the previous snapshot, emptied for
+// reusedPlaces returns the next entry's list of places in the previous snapshot, emptied for
 // reuse.
-func formerPlaces(units []placement.Unit) []int {
+func reusedPlaces(units []placement.Unit) []int {
 	if len(units) == cap(units) {
 		return nil
 	}
 	return units[:len(units)+1][len(units)].Places[:0]
 }
 
-// numberUnit returns the index of a unit in the snapshot and adds the unit if it is new.
-func (p *Pool) numberUnit(s *snapshot, u *unit) int {
-	if u.snapshotSerial == p.memory.serial {
-		return u.snapshotNumber
+// unitIndex returns the index of a unit in the snapshot and adds the unit if it is new.
+func (p *Pool) unitIndex(s *snapshot, u *unit) int {
+	if u.snapshotGeneration == p.snapshotBuffers.generation {
+		return u.snapshotIndex
 	}
-	u.snapshotSerial, u.snapshotNumber = p.memory.serial, len(s.units)
-	described := p.describeUnit(u, s.now)
-	described.Places = formerPlaces(s.units)
+	u.snapshotGeneration, u.snapshotIndex = p.snapshotBuffers.generation, len(s.units)
+	described := p.placementUnit(u, s.now)
+	described.Places = reusedPlaces(s.units)
 	s.units = append(s.units, described)
 	s.running = append(s.running, u)
-	return u.snapshotNumber
+	return u.snapshotIndex
 }
 
-// usageOf returns the utilization of the most used resource on usable workers.
-func usageOf(owners []*worker, workers []placement.Worker) float64 {
+// utilizationOf returns the utilization of the most used resource on usable workers.
+func utilizationOf(owners []*worker, workers []placement.Worker) float64 {
 	var total, free taskgraph.Amount
 	for i := range workers {
 		if workers[i].Usable {
@@ -145,10 +145,10 @@
 			free = free.Plus(workers[i].Free)
 		}
 	}
-	return max(takenShare(total.CPU, free.CPU), takenShare(total.MemoryMB, free.MemoryMB), takenShare(total.GPUs, free.GPUs))
+	return max(usedShare(total.CPU, free.CPU), usedShare(total.MemoryMB, free.MemoryMB), usedShare(total.GPUs, free.GPUs))
 }
 
-func takenShare(total, free int) float64 {
+func usedShare(total, free int) float64 {
 	if total == 0 {
 		return 0
 	}
@@ -160,8 +160,8 @@
 	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.roomKnown(w, now) && !w.leaving() && now.After(w.penaltyUntil)
 }
 
-// describeUnit returns the placement view of a unit that uses resources.
-func (p *Pool) describeUnit(u *unit, now time.Time) placement.Unit {
+// placementUnit returns the placement view of a unit that uses resources.
+func (p *Pool) placementUnit(u *unit, now time.Time) placement.Unit {
 	described := placement.Unit{Room: u.spec().Room(), Remaining: p.remaining(u, now), Loss: -1, Priority: u.job.Queue.Priority}
 	switch {
 	case u.state == unitStopping || u.state == unitEnded:
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -12,7 +12,7 @@
 func (p *Pool) memberEnded(m *member, outcome fleet.How) {
 	u := m.unit
 	p.release(m)
-	p.wake()
+	p.scheduleCycle()
 	if u.state == unitActive && outcome != fleet.Done && u.active() > 0 {
 		p.stopUnit(u, "member "+string(outcome))
 		return
@@ -32,7 +32,7 @@
 	u.state = unitWaiting
 	u.readyAt = p.loop.Now()
 	p.persistEnd(u.job)
-	p.wake()
+	p.scheduleCycle()
 }
 
 // unitDone marks a unit as ended after its work is done, learns from its run, and completes its
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -76,7 +76,7 @@
 	w.claimed = nil
 	if rack := described.Rack(); w.rack != rack {
 		w.rack = rack
-		p.memory.racks = nil
+		p.snapshotBuffers.racks = nil
 	}
 	w.listed, w.missing, w.departing = true, false, false
 	w.coldUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
@@ -85,7 +85,7 @@
 		p.emptyLeaving(w)
 	}
 	p.greet(w)
-	p.wake()
+	p.scheduleCycle()
 }
 
 // unlistedWorker adds a worker of which only the incarnation is known.
@@ -103,7 +103,7 @@
 // workersChanged discards what was derived from the previous set of workers.
 func (p *Pool) workersChanged() {
 	p.workerOrder = nil
-	p.memory.racks = nil
+	p.snapshotBuffers.racks = nil
 }
 
 // unlist handles the deletion of a worker row. Rows that expired during a store outage are
