--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -116,7 +116,7 @@
 	if a.job.Queue.Priority != b.job.Queue.Priority {
 		return a.job.Queue.Priority - b.job.Queue.Priority
 	}
-	if late := a.late(now); timelyFirst && late != b.late(now) {
+	if late := a.missesObjective(now); timelyFirst && late != b.missesObjective(now) {
 		if late {
 			return 1
 		}
@@ -137,8 +137,8 @@
 	return a.index - b.index
 }
 
-// late reports whether a unit can no longer meet its objective; false for priority 0.
-func (u *unit) late(now time.Time) bool {
+// missesObjective reports whether a unit can no longer meet its objective; false for priority 0.
+func (u *unit) missesObjective(now time.Time) bool {
 	return u.job.Queue.Priority > 0 && u.slack(now) < 0
 }
 
@@ -147,7 +147,7 @@
 func (p *Pool) placeUnit(s *snapshot, u *unit) bool {
 	request := s.request(u)
 	if places := p.findPlacement(s, u, request); places != nil {
-		if p.lateAt(s, u, places) && p.preemptForSpeed(s, u, request) {
+		if p.missesObjectiveOn(s, u, places) && p.preemptForFastWorkers(s, u, request) {
 			return false
 		}
 		p.assignTo(s, u, request, places)
@@ -158,11 +158,11 @@
 		s.reserveAlone(u, request)
 		return false
 	}
-	if !u.likelyPoison() && p.pressing(s, u) && p.preemptFor(s, u, request) {
+	if !u.likelyPoison() && p.mayPreempt(s, u) && p.preemptFor(s, u, request) {
 		return false
 	}
 	if !p.options.Off[mechanism.Reservations] {
-		s.reserveFor(u, request, s.earliest(u, request))
+		s.reserve(u, request, s.earliestPlacement(u, request))
 	}
 	return false
 }
@@ -171,7 +171,7 @@
 	placement.Reserve(s.workers, places, request.Room)
 	workers := make([]*worker, len(places))
 	for i, place := range places {
-		workers[i] = s.owners[place]
+		workers[i] = s.poolWorkers[place]
 	}
 	p.commitPlacement(u, workers)
 	if u.suspected() {
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -10,17 +10,17 @@
 // Where urgent units miss their objective on slow workers, deferrable tasks run first on idle workers
 // of unknown speed. Otherwise the headroom for urgent units would consist of unmeasured workers.
 
-// exploreShare is the share of measured workers that must be too slow for urgent units before
+// minSlowShareToExplore is the share of measured workers that must be too slow for urgent units before
 // the others are explored.
-const exploreShare = 0.1
+const minSlowShareToExplore = 0.1
 
-// findUnexplored returns an idle worker of unknown speed for a deferrable task, or nil.
-func (p *Pool) findUnexplored(s *snapshot, u *unit, visible *placement.Request) []int {
+// findUnmeasuredWorker returns an idle worker of unknown speed for a deferrable task, or nil.
+func (p *Pool) findUnmeasuredWorker(s *snapshot, u *unit, visible *placement.Request) []int {
 	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.doubtful() {
 		return nil
 	}
 	return placement.Fit(s.workers, s.racks.All, narrowed(visible, func(i int) bool {
-		w := s.owners[i]
+		w := s.poolWorkers[i]
 		return len(w.members) == 0 && !p.speedKnown(w) && !w.cold(s.now)
 	}))
 }
@@ -31,11 +31,11 @@
 		return false
 	}
 	p.medianTime(now)
-	return p.tooSlowShare >= exploreShare
+	return p.tooSlowShare >= minSlowShareToExplore
 }
 
-// leastStretch returns the smallest stretch above 1 of the pool's queues; false if there is none.
-func (p *Pool) leastStretch() (float64, bool) {
+// minStretch returns the smallest stretch above 1 of the pool's queues; false if there is none.
+func (p *Pool) minStretch() (float64, bool) {
 	least, found := 0.0, false
 	current := p.options.Catalog()
 	if current == nil {
--- a/internal/pool/findplace.go
+++ b/internal/pool/findplace.go
@@ -11,36 +11,36 @@
 
 // findPlacement returns workers with free resources for a unit, or nil.
 func (p *Pool) findPlacement(s *snapshot, u *unit, request *placement.Request) []int {
-	if s.overdue(u) && !u.runsAlone() {
+	if s.starved(u) && !u.runsAlone() {
 		return p.findAnyPlacement(s, u, request)
 	}
 	visible := *request
-	visible.Limit = s.unreserved(u.estimate())
-	if p.patient(s, u) {
-		if p.underPressure(s, u) {
+	visible.Limit = s.reservationLimiter(u.estimate())
+	if p.deferrable(s, u) {
+		if p.inPreemptionBackoff(s, u) {
 			return nil
 		}
-		if places := p.findUnexplored(s, u, &visible); places != nil {
+		if places := p.findUnmeasuredWorker(s, u, &visible); places != nil {
 			return places
 		}
 		if !p.options.Off[mechanism.Headroom] {
-			visible.Allowed = s.outsideHeadroom(request.Allowed, u.job.Queue.Priority)
+			visible.Allowed = s.excludeHeadroom(request.Allowed, u.job.Queue.Priority)
 		}
 	}
 	if u.doubtful() {
 		return p.findTrialPlace(s, u, &visible)
 	}
 	for _, preferred := range p.preferences(s, u) {
-		if places := p.fitByScope(s, u, narrowed(&visible, preferred), &visible); places != nil {
+		if places := p.fitWithLocality(s, u, narrowed(&visible, preferred), &visible); places != nil {
 			return places
 		}
 	}
-	return p.fitByScope(s, u, &visible, &visible)
+	return p.fitWithLocality(s, u, &visible, &visible)
 }
 
-// fitByScope prefers workers that satisfy the unit's locality, and takes any once the unit has
+// fitWithLocality prefers workers that satisfy the unit's locality, and takes any once the unit has
 // waited long enough for it. It places within visible; all decides whether waiting can help.
-func (p *Pool) fitByScope(s *snapshot, u *unit, visible, all *placement.Request) []int {
+func (p *Pool) fitWithLocality(s *snapshot, u *unit, visible, all *placement.Request) []int {
 	spec := u.spec()
 	if rack := spec.PreferredRack; rack != "" {
 		if places := placement.Fit(s.workers, s.racks.Members[rack], visible); places != nil {
@@ -52,7 +52,7 @@
 			return places
 		}
 	}
-	if p.bound(s, u, all) {
+	if p.waitsForLocality(s, u, all) {
 		return nil
 	}
 	if len(u.members) > 1 && spec.Gang {
@@ -65,7 +65,7 @@
 
 // findAnyPlacement returns workers with free resources, ignoring reservations and headroom.
 func (p *Pool) findAnyPlacement(s *snapshot, u *unit, request *placement.Request) []int {
-	for _, scope := range s.scopes(u) {
+	for _, scope := range s.localityGroups(u) {
 		if places := placement.Fit(s.workers, scope, request); places != nil {
 			return places
 		}
@@ -76,25 +76,25 @@
 	return placement.Fit(s.workers, s.racks.All, request)
 }
 
-// overdue reports whether a unit has waited too long while much of the pool is free. It is
+// starved reports whether a unit has waited too long while much of the pool is free. It is
 // then placed anywhere, to prevent starvation.
-func (s *snapshot) overdue(u *unit) bool {
-	return s.usage < idleUsage && s.now.Sub(u.readyAt) > idlePatience
+func (s *snapshot) starved(u *unit) bool {
+	return s.utilization < idleUtilization && s.now.Sub(u.readyAt) > starvationTimeout
 }
 
-// bound reports whether a unit still waits for locality. It waits no longer than the extra
+// waitsForLocality reports whether a unit still waits for locality. It waits no longer than the extra
 // time that a remote run takes.
-func (p *Pool) bound(s *snapshot, u *unit, request *placement.Request) bool {
-	if p.options.Off[mechanism.NearPlaces] || !s.hasNearPlace(u, request) {
+func (p *Pool) waitsForLocality(s *snapshot, u *unit, request *placement.Request) bool {
+	if p.options.Off[mechanism.NearPlaces] || !s.hasLocalPlacement(u, request) {
 		return false
 	}
 	maxWait := (p.options.Bounds.RemoteFactor - 1) * float64(u.estimate())
 	return s.now.Sub(u.readyAt) < time.Duration(maxWait)
 }
 
-// hasNearPlace reports whether the unit's locality could be satisfied by workers whose
+// hasLocalPlacement reports whether the unit's locality could be satisfied by workers whose
 // capacity suffices, whatever they run now.
-func (s *snapshot) hasNearPlace(u *unit, request *placement.Request) bool {
+func (s *snapshot) hasLocalPlacement(u *unit, request *placement.Request) bool {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
 		return placement.Holds(s.workers, members, request)
@@ -110,28 +110,28 @@
 	return false
 }
 
-// patient reports whether a unit has enough slack to leave the emptiest racks to urgent jobs.
-func (p *Pool) patient(s *snapshot, u *unit) bool {
+// deferrable reports whether a unit has enough slack to leave the emptiest racks to urgent jobs.
+func (p *Pool) deferrable(s *snapshot, u *unit) bool {
 	return u.job.Queue.Priority > 0 && u.spec().PreferredRack == "" &&
-		u.slack(s.now) > time.Duration(patientShare*float64(u.job.objective))
+		u.slack(s.now) > time.Duration(deferrableSlackShare*float64(u.job.objective))
 }
 
-// underPressure reports whether a deferrable unit waits because a unit of higher priority has
+// inPreemptionBackoff reports whether a deferrable unit waits because a unit of higher priority has
 // just preempted others.
-func (p *Pool) underPressure(s *snapshot, u *unit) bool {
-	return !p.options.Off[mechanism.Pressure] && u.job.Queue.Priority > p.pressurePriority && s.now.Before(p.pressureUntil)
+func (p *Pool) inPreemptionBackoff(s *snapshot, u *unit) bool {
+	return !p.options.Off[mechanism.Pressure] && u.job.Queue.Priority > p.preemptionBackoffPriority && s.now.Before(p.preemptionBackoffUntil)
 }
 
-// outsideHeadroom restricts allowed to workers outside the headroom of a priority.
-func (s *snapshot) outsideHeadroom(allowed func(int) bool, priority int) func(int) bool {
-	excluded := s.headroom(min(priority, len(headroomShares)-1))
+// excludeHeadroom restricts allowed to workers outside the headroom of a priority.
+func (s *snapshot) excludeHeadroom(allowed func(int) bool, priority int) func(int) bool {
+	excluded := s.headroomFor(min(priority, len(headroomShares)-1))
 	return func(i int) bool { return !excluded[i] && (allowed == nil || allowed(i)) }
 }
 
-// headroom marks the workers of the emptiest racks, which deferrable units of a priority don't
+// headroomFor marks the workers of the emptiest racks, which deferrable units of a priority don't
 // use. The lower the priority, the more racks these are.
-func (s *snapshot) headroom(priority int) []bool {
-	if excluded := s.headrooms[priority]; excluded != nil {
+func (s *snapshot) headroomFor(priority int) []bool {
+	if excluded := s.headroomWorkers[priority]; excluded != nil {
 		return excluded
 	}
 	excluded := make([]bool, len(s.workers))
@@ -143,27 +143,27 @@
 			}
 		}
 	}
-	s.headrooms[priority] = excluded
+	s.headroomWorkers[priority] = excluded
 	return excluded
 }
 
-// unreserved returns a limit that hides reserved resources from units whose estimate exceeds
+// reservationLimiter returns a limit that hides reserved resources from units whose estimate exceeds
 // the time until the reservation starts; nil if nothing is reserved.
-func (s *snapshot) unreserved(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
-	if len(s.reserved) == 0 {
+func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
+	if len(s.reservations) == 0 {
 		return nil
 	}
 	return func(i int, free taskgraph.Amount) taskgraph.Amount {
-		reserved, found := s.reserved[i]
-		if !found || estimate <= reserved.after {
+		reserved, found := s.reservations[i]
+		if !found || estimate <= reserved.startsIn {
 			return free
 		}
-		return free.Least(reserved.spare)
+		return free.Least(reserved.unreserved)
 	}
 }
 
-// scopes returns the groups of workers of which one should hold the whole unit.
-func (s *snapshot) scopes(u *unit) [][]int {
+// localityGroups returns the groups of workers of which one should hold the whole unit.
+func (s *snapshot) localityGroups(u *unit) [][]int {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
 		return [][]int{members}
@@ -178,15 +178,15 @@
 	return [][]int{s.racks.All}
 }
 
-// earliest returns the earliest future placement of a unit; nil if there is none, or if the
+// earliestPlacement returns the earliestPlacement future placement of a unit; nil if there is none, or if the
 // cycle has no reservations left and the unit's priority is not 0.
-func (s *snapshot) earliest(u *unit, request *placement.Request) *placement.Promise {
-	if s.reservations == 0 && u.job.Queue.Priority > 0 {
+func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.Promise {
+	if s.reservationsLeft == 0 && u.job.Queue.Priority > 0 {
 		return nil
 	}
 	var best *placement.Promise
 	limit := time.Duration(math.MaxInt64)
-	for _, scope := range s.scopes(u) {
+	for _, scope := range s.localityGroups(u) {
 		if found := placement.EarliestFit(s.workers, scope, s.units, request, limit); found != nil {
 			best = found
 			limit = found.After
@@ -195,22 +195,22 @@
 	return best
 }
 
-// reserveFor reserves the resources of a future placement for a unit.
-func (s *snapshot) reserveFor(u *unit, request *placement.Request, promise *placement.Promise) {
+// reserve reserves the resources of a future placement for a unit.
+func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.Promise) {
 	if promise == nil {
 		return
 	}
 	if u.job.Queue.Priority > 0 {
-		s.reservations--
+		s.reservationsLeft--
 	}
 	for i, spare := range promise.Spare {
-		existing, found := s.reserved[i]
+		existing, found := s.reservations[i]
 		if found {
-			spare = spare.Least(existing.spare)
+			spare = spare.Least(existing.unreserved)
 		}
-		if !found || promise.After < existing.after {
-			existing.after = promise.After
+		if !found || promise.After < existing.startsIn {
+			existing.startsIn = promise.After
 		}
-		s.reserved[i] = reservation{after: existing.after, spare: spare}
+		s.reservations[i] = reservation{startsIn: existing.startsIn, unreserved: spare}
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -58,10 +58,10 @@
 	storeAnsweredAt time.Time
 	// storeBackAt is the time of the first response after the last outage longer than storeGap.
 	storeBackAt time.Time
-	// pressureUntil is when units of lower priority than pressurePriority, if they can wait, may
+	// preemptionBackoffUntil is when units of lower priority than pressurePriority, if they can wait, may
 	// be placed again.
-	pressureUntil    time.Time
-	pressurePriority int
+	preemptionBackoffUntil    time.Time
+	preemptionBackoffPriority int
 	// medianLogTime is the median of the workers' relative task durations, as a logarithm,
 	// computed at medianAt.
 	medianLogTime float64
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -8,14 +8,14 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// timelyGains has, by priority, the gain of a unit that meets its objective, in core-seconds
+// onTimeGains has, by priority, the gain of a unit that meets its objective, in core-seconds
 // of other units' work that may be lost for it: a base, and a share of the unit's own work.
 // The last entry holds for all lower priorities too.
-var timelyGains = []struct{ base, perWork float64 }{{600, 6}, {400, 0.5}, {200, 0.1}}
+var onTimeGains = []struct{ base, perWork float64 }{{600, 6}, {400, 0.5}, {200, 0.1}}
 
-// stopLoss returns the cost of stopping a unit in core-seconds: the work lost, and the unit's
+// preemptionCost returns the cost of stopping a unit in core-seconds: the work lost, and the unit's
 // gain if the stop makes it miss its objective.
-func (p *Pool) stopLoss(u *unit, now time.Time) float64 {
+func (p *Pool) preemptionCost(u *unit, now time.Time) float64 {
 	lost := now.Sub(u.startedAt)
 	restart := u.estimate()
 	if u.spec().Checkpoints {
@@ -24,14 +24,14 @@
 	}
 	loss := u.spec().Amount.Cores() * float64(len(u.members)) * lost.Seconds()
 	timeToEnd := u.wantedAt().Sub(now) - u.job.tails[u.step.index] + u.estimate()
-	if timeToEnd > p.remaining(u, now) && timeToEnd < restart+restartMargin {
-		loss += timelyGain(u)
+	if timeToEnd > p.remaining(u, now) && timeToEnd < restart+assumedRequeueWait {
+		loss += onTimeGain(u)
 	}
 	return loss
 }
 
-// restartMargin is the assumed time until a stopped unit runs again.
-const restartMargin = 2 * time.Second
+// assumedRequeueWait is the assumed time until a stopped unit runs again.
+const assumedRequeueWait = 2 * time.Second
 
 // preemptFor stops the cheapest units so that a unit can start, and reserves their resources
 // for it. It returns false if no preemption frees enough resources, or if it costs more than
@@ -41,7 +41,7 @@
 	if places == nil {
 		return false
 	}
-	if loss > preemptionGain(u, s.now) && !p.mustBegin(s, u) {
+	if loss > startGain(u, s.now) && !p.guaranteeDue(s, u) {
 		return false
 	}
 	p.preempt(s, u, request, places, victims)
@@ -50,10 +50,10 @@
 
 // preempt stops the victims and reserves the workers on which the unit will start.
 func (p *Pool) preempt(s *snapshot, u *unit, request *placement.Request, places, victims []int) {
-	s.promise(victims, places, request.Room)
+	s.reallocate(victims, places, request.Room)
 	if len(victims) > 0 {
-		p.pressurePriority = u.job.Queue.Priority
-		p.pressureUntil = s.now.Add(pressurePeriod)
+		p.preemptionBackoffPriority = u.job.Queue.Priority
+		p.preemptionBackoffUntil = s.now.Add(preemptionBackoff)
 	}
 	for _, index := range victims {
 		p.stopUnit(s.running[index], "preempted")
@@ -63,23 +63,23 @@
 // choosePreemption returns the cheapest preemption on the unit's preferred workers if it costs
 // no more than it gains, or else the cheapest one on any workers.
 func (p *Pool) choosePreemption(s *snapshot, u *unit, request *placement.Request) (places, victims []int, loss float64) {
-	gain := preemptionGain(u, s.now)
+	gain := startGain(u, s.now)
 	for _, preferred := range p.preferences(s, u) {
-		places, victims, loss = bestPreemption(s, s.scopes(u), narrowed(request, preferred))
+		places, victims, loss = cheapestPreemption(s, s.localityGroups(u), narrowed(request, preferred))
 		if places != nil && loss <= gain {
 			return places, victims, loss
 		}
 	}
-	places, victims, loss = bestPreemption(s, s.scopes(u), request)
+	places, victims, loss = cheapestPreemption(s, s.localityGroups(u), request)
 	if places != nil {
 		return places, victims, loss
 	}
-	return bestPreemption(s, [][]int{s.racks.All}, request)
+	return cheapestPreemption(s, [][]int{s.racks.All}, request)
 }
 
-// promise reserves the victims' resources at places. The victims' other resources stay in use
+// reallocate reserves the victims' resources at places. The victims' other resources stay in use
 // until they have stopped, so no other unit of this cycle gets them.
-func (s *snapshot) promise(victims, places []int, room taskgraph.Amount) {
+func (s *snapshot) reallocate(victims, places []int, room taskgraph.Amount) {
 	freeBefore := map[int]taskgraph.Amount{}
 	for _, index := range victims {
 		for _, i := range s.units[index].Places {
@@ -97,33 +97,33 @@
 	}
 }
 
-// pressing reports whether a unit may preempt others: always with priority 0, and as a gang
+// mayPreempt reports whether a unit may preempt others: always with priority 0, and as a gang
 // of another priority while little of its slack is left.
-func (p *Pool) pressing(s *snapshot, u *unit) bool {
+func (p *Pool) mayPreempt(s *snapshot, u *unit) bool {
 	if u.job.Queue.Priority == 0 {
 		return true
 	}
 	slack := u.slack(s.now)
-	return !p.options.Off[mechanism.PressingGangs] && len(u.members) > 1 && slack > 0 && slack < time.Duration(pressingShare*float64(u.job.objective))
+	return !p.options.Off[mechanism.PressingGangs] && len(u.members) > 1 && slack > 0 && slack < time.Duration(preemptionSlackShare*float64(u.job.objective))
 }
 
-// mustBegin reports whether the tenant's guarantee requires the unit to start now.
-func (p *Pool) mustBegin(s *snapshot, u *unit) bool {
-	latest := u.job.acceptedAt.Add(p.options.Bounds.Reclaim - p.options.Bounds.StopTimeout - reclaimMargin)
-	return s.now.After(latest.Add(-tickPeriod)) && p.guaranteed(u.job)
+// guaranteeDue reports whether the tenant's guarantee requires the unit to start now.
+func (p *Pool) guaranteeDue(s *snapshot, u *unit) bool {
+	latest := u.job.acceptedAt.Add(p.options.Bounds.Reclaim - p.options.Bounds.StopTimeout - guaranteeMargin)
+	return s.now.After(latest.Add(-tickPeriod)) && p.withinGuarantee(u.job)
 }
 
-// preemptionGain returns the gain of starting a unit, in core-seconds.
-func preemptionGain(u *unit, now time.Time) float64 {
+// startGain returns the gain of starting a unit, in core-seconds.
+func startGain(u *unit, now time.Time) float64 {
 	if u.slack(now) <= 0 {
-		return gainLate * u.work()
+		return lateStartGain * u.work()
 	}
-	return timelyGain(u)
+	return onTimeGain(u)
 }
 
-// timelyGain returns the gain of a unit that meets its objective, in core-seconds.
-func timelyGain(u *unit) float64 {
-	gain := timelyGains[min(u.job.Queue.Priority, len(timelyGains)-1)]
+// onTimeGain returns the gain of a unit that meets its objective, in core-seconds.
+func onTimeGain(u *unit) float64 {
+	gain := onTimeGains[min(u.job.Queue.Priority, len(onTimeGains)-1)]
 	return gain.base + gain.perWork*u.work()
 }
 
@@ -133,7 +133,7 @@
 	return spec.Amount.Cores() * float64(len(u.members)) * u.estimate().Seconds()
 }
 
-func bestPreemption(s *snapshot, scopes [][]int, request *placement.Request) (places, victims []int, lowestLoss float64) {
+func cheapestPreemption(s *snapshot, scopes [][]int, request *placement.Request) (places, victims []int, lowestLoss float64) {
 	for _, scope := range scopes {
 		foundPlaces, foundVictims, loss := placement.Preempt(s.workers, scope, s.units, request)
 		if foundPlaces != nil && (places == nil || loss < lowestLoss) {
@@ -143,9 +143,9 @@
 	return places, victims, lowestLoss
 }
 
-// guaranteed reports whether the job has priority 0 and the accelerators of all its tenant's jobs
+// withinGuarantee reports whether the job has priority 0 and the accelerators of all its tenant's jobs
 // of priority 0 are within the tenant's guarantee.
-func (p *Pool) guaranteed(j *job) bool {
+func (p *Pool) withinGuarantee(j *job) bool {
 	if j.Queue.Priority != 0 {
 		return false
 	}
@@ -160,25 +160,25 @@
 	return demand.GPUs <= p.options.Catalog().Guarantee(j.Tenant).GPUs
 }
 
-// lateAt reports whether an urgent unit that can still meet its objective would miss it on the given
+// missesObjectiveOn reports whether an urgent unit that can still meet its objective would miss it on the given
 // workers because of their speed.
-func (p *Pool) lateAt(s *snapshot, u *unit, places []int) bool {
+func (p *Pool) missesObjectiveOn(s *snapshot, u *unit, places []int) bool {
 	if u.job.Queue.Priority > 0 || u.likelyPoison() || u.runsAlone() {
 		return false
 	}
 	slack, slowest := u.slack(s.now), 1.0
 	for _, i := range places {
-		slowest = max(slowest, p.slowness(s.owners[i], s.now))
+		slowest = max(slowest, p.slowness(s.poolWorkers[i], s.now))
 	}
 	return slack > 0 && time.Duration((slowest-1)*float64(u.estimate())) > slack
 }
 
-// preemptForSpeed preempts units on workers that are not slow, for a unit that would miss its objective on
+// preemptForFastWorkers preempts units on workers that are not slow, for a unit that would miss its objective on
 // the free ones, if it can then meet it and the gain exceeds the cost.
-func (p *Pool) preemptForSpeed(s *snapshot, u *unit, request *placement.Request) bool {
-	fast := narrowed(request, func(i int) bool { return !s.workers[i].Slow && !s.owners[i].reliability.suspect() })
-	places, victims, loss := bestPreemption(s, s.scopes(u), fast)
-	if places == nil || loss > timelyGain(u) || loss > 0 && u.slack(s.now) < p.options.Bounds.StopTimeout {
+func (p *Pool) preemptForFastWorkers(s *snapshot, u *unit, request *placement.Request) bool {
+	fast := narrowed(request, func(i int) bool { return !s.workers[i].Slow && !s.poolWorkers[i].reliability.suspect() })
+	places, victims, loss := cheapestPreemption(s, s.localityGroups(u), fast)
+	if places == nil || loss > onTimeGain(u) || loss > 0 && u.slack(s.now) < p.options.Bounds.StopTimeout {
 		return false
 	}
 	p.record.Count("preemptions", "speed")
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -99,11 +99,11 @@
 // not lose another attempt to a failing worker.
 func (p *Pool) preferences(s *snapshot, u *unit) []func(i int) bool {
 	notFailing := func(i int) bool {
-		return p.options.Off[mechanism.TrustedWorkers] || !s.owners[i].reliability.suspect()
+		return p.options.Off[mechanism.TrustedWorkers] || !s.poolWorkers[i].reliability.suspect()
 	}
 	fast := func(i int) bool { return notFailing(i) && !s.workers[i].Slow }
-	measuredFast := func(i int) bool { return fast(i) && p.speedKnown(s.owners[i]) }
-	healthy := func(i int) bool { return s.owners[i].reliability.proven(s.now) }
+	measuredFast := func(i int) bool { return fast(i) && p.speedKnown(s.poolWorkers[i]) }
+	healthy := func(i int) bool { return s.poolWorkers[i].reliability.proven(s.now) }
 	gang := u.spec().Gang && len(u.members) > 1
 	switch {
 	case u.lastAttempt() && !p.options.Off[mechanism.TrustedWorkers]:
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -11,27 +11,27 @@
 // snapshot is the state of the pool that one scheduling cycle works on. Workers and units are
 // identified by their indexes in it.
 type snapshot struct {
-	now     time.Time
-	workers []placement.Worker
-	owners  []*worker
-	racks   *placement.Racks
-	units   []placement.Unit
-	running []*unit
-	// usage is the utilization of the pool's most used resource.
-	usage float64
-	// headrooms has, by priority, the workers that are kept free of deferrable units.
-	headrooms [][]bool
-	// reservations is how many more units may reserve resources in this cycle.
-	reservations int
-	// reserved has the resources reserved for waiting units, by worker.
-	reserved map[int]reservation
+	now         time.Time
+	workers     []placement.Worker
+	poolWorkers []*worker
+	racks       *placement.Racks
+	units       []placement.Unit
+	running     []*unit
+	// utilization is the utilization of the pool's most used resource.
+	utilization float64
+	// headroomWorkers has, by priority, the workers that are kept free of deferrable units.
+	headroomWorkers [][]bool
+	// reservationsLeft is how many more units may reserve resources in this cycle.
+	reservationsLeft int
+	// reservations has the resources reservations for waiting units, by worker.
+	reservations map[int]reservation
 }
 
 // reservation is a reservation of resources on one worker. It starts after a duration.
 type reservation struct {
-	after time.Duration
-	// spare has the resources that other units may use past the start.
-	spare taskgraph.Amount
+	startsIn time.Duration
+	// unreserved has the resources that other units may use past the start.
+	unreserved taskgraph.Amount
 }
 
 // equivalenceClass groups units that one cycle either places or cannot place alike.
@@ -62,15 +62,15 @@
 	memory := &p.snapshotBuffers
 	memory.generation++
 	s := &snapshot{
-		now: p.loop.Now(), reservations: reservationLimit, reserved: map[int]reservation{}, headrooms: make([][]bool, len(headroomShares)),
-		workers: memory.workers[:0], owners: memory.owners[:0], units: memory.units[:0], running: memory.running[:0],
+		now: p.loop.Now(), reservationsLeft: reservationLimit, reservations: map[int]reservation{}, headroomWorkers: make([][]bool, len(headroomShares)),
+		workers: memory.workers[:0], poolWorkers: memory.owners[:0], units: memory.units[:0], running: memory.running[:0],
 	}
 	zones, known := p.evacuated(), p.evacuationsKnown(s.now)
 	for _, w := range p.sortedWorkers() {
 		p.addWorker(s, w, zones, known)
 	}
-	memory.workers, memory.owners, memory.units, memory.running = s.workers, s.owners, s.units, s.running
-	s.usage = utilizationOf(s.owners, s.workers)
+	memory.workers, memory.owners, memory.units, memory.running = s.workers, s.poolWorkers, s.units, s.running
+	s.utilization = utilizationOf(s.poolWorkers, s.workers)
 	if memory.racks == nil {
 		memory.racks = placement.NewRacks(s.workers)
 	}
@@ -102,7 +102,7 @@
 	}
 	entry.Free = w.withoutUnwanted(entry.Free, s.now)
 	s.workers = append(s.workers, entry)
-	s.owners = append(s.owners, w)
+	s.poolWorkers = append(s.poolWorkers, w)
 }
 
 // reusedHolders returns the next entry's list of holders in the previous snapshot, emptied
@@ -168,7 +168,7 @@
 		described.Remaining = min(described.Remaining, p.options.Bounds.StopTimeout)
 		described.Loss = 0
 	case u.state == unitActive && u.job.Queue.Priority > 0 && !u.spec().LongRunning:
-		described.Loss = max(leastLoss, p.stopLoss(u, now))
+		described.Loss = max(minPreemptionCost, p.preemptionCost(u, now))
 	}
 	return described
 }
@@ -179,14 +179,14 @@
 	request := &placement.Request{Room: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
 	if len(u.avoid) > 0 || spec.RequiredLabel != "" {
 		request.Allowed = func(i int) bool {
-			w := s.owners[i]
+			w := s.poolWorkers[i]
 			return !u.avoid[w.ID] && w.HasLabel(spec.RequiredLabel)
 		}
 	}
 	if spec.MaxPerWorker > 0 {
 		request.Present = func(i int) int {
 			count := 0
-			for _, m := range s.owners[i].members {
+			for _, m := range s.poolWorkers[i].members {
 				if m.unit.step == u.step {
 					count++
 				}
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -135,7 +135,7 @@
 // shareOfTooSlow returns the share of workers, given their sorted log times, on which jobs of the queue
 // with the smallest stretch miss their objective.
 func (p *Pool) shareOfTooSlow(logTimes []float64) float64 {
-	stretch, found := p.leastStretch()
+	stretch, found := p.minStretch()
 	if !found {
 		return 0
 	}
--- a/internal/pool/trial.go
+++ b/internal/pool/trial.go
@@ -81,14 +81,14 @@
 		return placement.Fit(s.workers, s.racks.All, s.onEmptyWorkers(visible))
 	}
 	for _, preferred := range s.trialPlaces(u) {
-		if places := p.fitByScope(s, u, narrowed(visible, preferred), visible); places != nil {
+		if places := p.fitWithLocality(s, u, narrowed(visible, preferred), visible); places != nil {
 			return places
 		}
 	}
 	if u.suspected() && s.now.Sub(u.readyAt) < trialPatience {
 		return nil
 	}
-	return p.fitByScope(s, u, visible, visible)
+	return p.fitWithLocality(s, u, visible, visible)
 }
 
 // onEmptyWorkers restricts a request to workers without runs. In a search for a future placement
@@ -109,21 +109,21 @@
 
 // reserveAlone reserves the workers that become empty first, with all their resources.
 func (s *snapshot) reserveAlone(u *unit, request *placement.Request) {
-	promise := s.earliest(u, s.onEmptyWorkers(request))
+	promise := s.earliestPlacement(u, s.onEmptyWorkers(request))
 	if promise == nil {
 		return
 	}
 	for i := range promise.Spare {
 		promise.Spare[i] = taskgraph.Amount{}
 	}
-	s.reserveFor(u, request, promise)
+	s.reserve(u, request, promise)
 }
 
 // trialPlaces returns the preferred workers of a unit with unexplained losses, best first.
 func (s *snapshot) trialPlaces(u *unit) []func(i int) bool {
-	empty := func(i int) bool { return len(s.owners[i].members) == 0 }
+	empty := func(i int) bool { return len(s.poolWorkers[i].members) == 0 }
 	withoutDoubtful := func(i int) bool {
-		for _, m := range s.owners[i].members {
+		for _, m := range s.poolWorkers[i].members {
 			if m.unit.doubtful() {
 				return false
 			}
--- a/internal/pool/waiting.go
+++ b/internal/pool/waiting.go
@@ -20,14 +20,14 @@
 	// waitEvacuated: only evacuated zones have enough free resources, or the set of evacuated
 	// zones is not fresh.
 	waitEvacuated waitReason = "zone evacuated"
-	// waitPressure: a unit of higher priority has just preempted others.
-	waitPressure waitReason = "pressure"
+	// waitPreemptionBackoff: a unit of higher priority has just preempted others.
+	waitPreemptionBackoff waitReason = "pressure"
 	// waitReserved: the free resources are reserved for other units.
 	waitReserved waitReason = "reserved"
 	// waitHeadroom: the free resources are on racks that are kept for more urgent jobs.
 	waitHeadroom waitReason = "headroom"
-	// waitNear: free resources don't satisfy the unit's locality.
-	waitNear waitReason = "no near place"
+	// waitLocality: free resources don't satisfy the unit's locality.
+	waitLocality waitReason = "no near place"
 )
 
 // waitLookPeriod is the minimum time between two updates of a step's wait reason. It takes
@@ -51,21 +51,21 @@
 		return waitRoom
 	}
 	visible := *request
-	visible.Limit = s.unreserved(u.estimate())
+	visible.Limit = s.reservationLimiter(u.estimate())
 	if placement.Fit(s.workers, s.racks.All, &visible) == nil {
 		return waitReserved
 	}
-	if !p.patient(s, u) {
-		return waitNear
+	if !p.deferrable(s, u) {
+		return waitLocality
 	}
-	if p.underPressure(s, u) {
-		return waitPressure
+	if p.inPreemptionBackoff(s, u) {
+		return waitPreemptionBackoff
 	}
-	visible.Allowed = s.outsideHeadroom(request.Allowed, u.job.Queue.Priority)
+	visible.Allowed = s.excludeHeadroom(request.Allowed, u.job.Queue.Priority)
 	if placement.Fit(s.workers, s.racks.All, &visible) == nil {
 		return waitHeadroom
 	}
-	return waitNear
+	return waitLocality
 }
 
 // withoutEvacuations returns the snapshot's workers as if no zone were evacuated.
@@ -75,7 +75,7 @@
 	}
 	workers := slices.Clone(s.workers)
 	for i := range workers {
-		workers[i].Usable = p.usable(s.owners[i], s.now)
+		workers[i].Usable = p.usable(s.poolWorkers[i], s.now)
 	}
 	return workers
 }
