--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -153,9 +153,9 @@
 		p.assignTo(s, u, request, places)
 		return true
 	}
-	p.noteWait(s, u, request)
-	if u.runsAlone() {
-		s.reserveAlone(u, request)
+	p.updateWaitReason(s, u, request)
+	if u.needsEmptyWorkers() {
+		s.reserveEmptyWorkers(u, request)
 		return false
 	}
 	if !u.likelyPoison() && p.mayPreempt(s, u) && p.preemptFor(s, u, request) {
@@ -175,6 +175,6 @@
 	}
 	p.commitPlacement(u, workers)
 	if u.suspected() {
-		s.closeToOthers(places)
+		s.excludeWorkers(places)
 	}
 }
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -16,7 +16,7 @@
 
 // findUnmeasuredWorker returns an idle worker of unknown speed for a deferrable task, or nil.
 func (p *Pool) findUnmeasuredWorker(s *snapshot, u *unit, visible *placement.Request) []int {
-	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.doubtful() {
+	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.hasUnexplainedLosses() {
 		return nil
 	}
 	return placement.Fit(s.workers, s.racks.All, narrowed(visible, func(i int) bool {
--- a/internal/pool/findplace.go
+++ b/internal/pool/findplace.go
@@ -11,7 +11,7 @@
 
 // findPlacement returns workers with free resources for a unit, or nil.
 func (p *Pool) findPlacement(s *snapshot, u *unit, request *placement.Request) []int {
-	if s.starved(u) && !u.runsAlone() {
+	if s.starved(u) && !u.needsEmptyWorkers() {
 		return p.findAnyPlacement(s, u, request)
 	}
 	visible := *request
@@ -27,8 +27,8 @@
 			visible.Allowed = s.excludeHeadroom(request.Allowed, u.job.Queue.Priority)
 		}
 	}
-	if u.doubtful() {
-		return p.findTrialPlace(s, u, &visible)
+	if u.hasUnexplainedLosses() {
+		return p.findIsolatedPlacement(s, u, &visible)
 	}
 	for _, preferred := range p.preferences(s, u) {
 		if places := p.fitWithLocality(s, u, narrowed(&visible, preferred), &visible); places != nil {
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -43,7 +43,7 @@
 	case memberUncertain:
 		return m.confirmedBefore
 	case memberRunning:
-		open := m.doubtful || m.inUnknownLife || m.startTries != nil && m.startTries.open > 0
+		open := m.startUnanswered || m.inUnknownLife || m.startCall != nil && m.startCall.pending > 0
 		return (!open || without.OpenStarts) && !m.stopTried && m.sentAt.Before(sentAt)
 	}
 	return false
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -80,10 +80,10 @@
 	units    []*unit
 	ended    int
 	complete bool
-	// waitsFor is why the step's units could not be placed at waitSeenAt, the last time that
+	// waitReason is why the step's units could not be placed at waitSeenAt, the last time that
 	// was checked.
-	waitsFor   waitReason
-	waitSeenAt time.Time
+	waitReason   waitReason
+	waitReasonAt time.Time
 	// cohort compares the durations of the step's tasks.
 	cohort speeds.Cohort
 }
@@ -138,9 +138,9 @@
 	stopSent     bool
 	stopAnswered bool
 	stopTimer    func()
-	// doubtful is true once a start of the present run got no response: the order may still
+	// startUnanswered is true once a start of the present run got no response: the order may still
 	// be executed, whatever the response to a later attempt.
-	doubtful bool
+	startUnanswered bool
 	// inUnknownLife is true if the start may have been answered by an unknown incarnation of the
 	// worker; the next run report shows which.
 	inUnknownLife bool
@@ -149,9 +149,9 @@
 	// formerLife is the worker's incarnation in which the present run was last known, if the
 	// worker has restarted since.
 	formerLife fleet.Life
-	// startTries are the attempts of the present run's latest start; nil before it.
-	startTries *tries
-	sentAt     time.Time
+	// startCall are the attempts of the present run's latest start; nil before it.
+	startCall *hedgedCall
+	sentAt    time.Time
 	// startDeadline is the deadline of the present run's start order, in milliseconds of the
 	// worker's clock; 0 before it is sent.
 	startDeadline int64
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -13,8 +13,8 @@
 func (p *Pool) assign(m *member, w *worker) {
 	m.worker = w
 	m.state = memberNone
-	m.stopTried, m.stopSent, m.stopAnswered, m.doubtful = false, false, false, false
-	m.startTries = nil
+	m.stopTried, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
+	m.startCall = nil
 	m.confirmedBefore, m.formerLife = false, fleet.Life{}
 	m.percent, m.percentAt, m.listedAt = 0, time.Time{}, time.Time{}
 	m.sentAt = time.Time{}
@@ -59,7 +59,7 @@
 		u.job.next = taskgraph.Running
 	}
 	p.record.Decided("placed", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", run, "tasks", len(u.members),
-		"waited_ms", p.loop.Now().Sub(u.readyAt).Milliseconds(), "waited_for", string(u.waitedFor()), "estimate_ms", u.spec().EstimateMillis,
+		"waited_ms", p.loop.Now().Sub(u.readyAt).Milliseconds(), "waited_for", string(u.lastWaitReason()), "estimate_ms", u.spec().EstimateMillis,
 		"cores", u.spec().Amount.Cores()*float64(len(u.members)), "slack_ms", u.slack(p.loop.Now()).Milliseconds(), "slowness", u.slowness,
 		"workers", workerIDs(places))
 	p.persist(u.job)
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -163,7 +163,7 @@
 // missesObjectiveOn reports whether an urgent unit that can still meet its objective would miss it on the given
 // workers because of their speed.
 func (p *Pool) missesObjectiveOn(s *snapshot, u *unit, places []int) bool {
-	if u.job.Queue.Priority > 0 || u.likelyPoison() || u.runsAlone() {
+	if u.job.Queue.Priority > 0 || u.likelyPoison() || u.needsEmptyWorkers() {
 		return false
 	}
 	slack, slowest := u.slack(s.now), 1.0
--- a/internal/pool/presence.go
+++ b/internal/pool/presence.go
@@ -25,7 +25,7 @@
 		return neverThere
 	case m.wasConfirmed():
 		return surelyThere
-	case u.startedHere && !m.doubtful:
+	case u.startedHere && !m.startUnanswered:
 		return neverThere
 	}
 	return perhapsThere
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -91,7 +91,7 @@
 		entry.Usable = false
 	}
 	for _, m := range w.members {
-		if m.unit.onTrial(s.now) {
+		if m.unit.isolated(s.now) {
 			entry.Usable = false
 		}
 		room := m.unit.spec().Room()
@@ -157,7 +157,7 @@
 
 // usable reports whether a worker may take new work.
 func (p *Pool) usable(w *worker, now time.Time) bool {
-	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.roomKnown(w, now) && !w.leaving() && now.After(w.penaltyUntil)
+	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.usageKnown(w, now) && !w.leaving() && now.After(w.penaltyUntil)
 }
 
 // placementUnit returns the placement view of a unit that uses resources.
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -49,17 +49,17 @@
 	m.state = memberStarting
 	m.sentAt = now
 	run := u.run
-	m.startTries = p.sendTwice(&repeatedOrder{
-		name:     "start",
-		current:  func() bool { return !p.gone && m.worker == w && u.run == run },
-		wanted:   func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
-		send:     func(done func(fleet.Reply, error)) { p.ports.Start(&w.Worker, order, done) },
-		answered: func(sent *tries, reply fleet.Reply, err error) { p.startAnswered(m, sent, reply, err) },
+	m.startCall = p.sendHedged(&hedgedOrder{
+		name:        "start",
+		isCurrent:   func() bool { return !p.gone && m.worker == w && u.run == run },
+		shouldRetry: func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
+		send:        func(done func(fleet.Reply, error)) { p.ports.Start(&w.Worker, order, done) },
+		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.startAnswered(m, sent, reply, err) },
 	})
 }
 
 // startAnswered handles the result of one try of a start.
-func (p *Pool) startAnswered(m *member, sent *tries, reply fleet.Reply, err error) {
+func (p *Pool) startAnswered(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	reason := fleet.ReasonOf(err)
 	lost := err != nil && reason == fleet.NoAnswer
 	if err != nil && reply.ClockMillis > 0 {
@@ -72,22 +72,22 @@
 	switch {
 	case sent.answered:
 		// The other try settled the start, but this one may still be carried out.
-		m.doubtful = m.doubtful || lost
+		m.startUnanswered = m.startUnanswered || lost
 	case err == nil:
 		sent.answered = true
 		p.started(m, reply)
-	case sent.open == 0 || reason == fleet.Fenced || reason == fleet.OtherInstance:
+	case sent.pending == 0 || reason == fleet.Fenced || reason == fleet.OtherInstance:
 		sent.answered = true
 		p.startFailed(m, err)
 	default:
-		m.doubtful = m.doubtful || lost
+		m.startUnanswered = m.startUnanswered || lost
 	}
 }
 
 func (p *Pool) started(m *member, reply fleet.Reply) {
 	latency := p.loop.Now().Sub(m.sentAt)
 	p.record.Observe("start_order", latency)
-	p.orderLatency += (latency - p.orderLatency) / orderLatencyMemory
+	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
 	m.inUnknownLife = p.heard(m.worker, reply.ClockMillis)
 	if m.state == memberStarting || m.state == memberUncertain {
 		m.state = memberRunning
@@ -106,8 +106,8 @@
 	if p.orderFailed(w, err) {
 		return
 	}
-	m.doubtful = m.doubtful || reason == fleet.NoAnswer
-	if m.doubtful {
+	m.startUnanswered = m.startUnanswered || reason == fleet.NoAnswer
+	if m.startUnanswered {
 		if reason == fleet.NoAnswer && p.wantsAnotherStart(m) {
 			p.startAgain(m)
 			return
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -35,17 +35,17 @@
 	m.stopTried, m.stopSent = true, true
 	u, w, run := m.unit, m.worker, m.unit.run
 	order := fleet.Stop{Task: m.name(), Run: run, Token: p.token}
-	p.sendTwice(&repeatedOrder{
-		name:     "stop",
-		current:  func() bool { return !p.gone && m.worker == w && u.run == run },
-		wanted:   func() bool { return m.stopSent },
-		send:     func(done func(fleet.Reply, error)) { p.ports.Stop(&w.Worker, order, done) },
-		answered: func(sent *tries, reply fleet.Reply, err error) { p.stopAnswered(m, sent, reply, err) },
+	p.sendHedged(&hedgedOrder{
+		name:        "stop",
+		isCurrent:   func() bool { return !p.gone && m.worker == w && u.run == run },
+		shouldRetry: func() bool { return m.stopSent },
+		send:        func(done func(fleet.Reply, error)) { p.ports.Stop(&w.Worker, order, done) },
+		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.stopAnswered(m, sent, reply, err) },
 	})
 }
 
 // stopAnswered handles the result of one try of a stop.
-func (p *Pool) stopAnswered(m *member, sent *tries, reply fleet.Reply, err error) {
+func (p *Pool) stopAnswered(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	u, w, run := m.unit, m.worker, m.unit.run
 	switch {
 	case sent.answered:
@@ -57,7 +57,7 @@
 		if m.state != memberRunning {
 			p.look(w)
 		}
-	case sent.open > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
+	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
 		// The other try is still in flight.
 	case p.orderFailed(w, err):
 	default:
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -69,7 +69,7 @@
 	summary.EvacuatedZones, summary.EvacuationsKnown = zones.Zones(), p.evacuationsKnown(now)
 	summary.EvacuationsMillis, summary.RunsThere = now.Sub(zones.AsOf).Milliseconds(), p.runsInEvacuatedZones()
 	for u := range p.openUnits() {
-		if u.state == unitWaiting && u.waitedFor() == waitEvacuated {
+		if u.state == unitWaiting && u.lastWaitReason() == waitEvacuated {
 			summary.WaitingForZones++
 		}
 		if u.suspected() {
--- a/internal/pool/trial.go
+++ b/internal/pool/trial.go
@@ -12,19 +12,19 @@
 // Placement of units whose earlier runs ended with the loss of a worker. Their next run is
 // isolated, so that another loss can be attributed to the unit and affects few other runs.
 const (
-	// trialPeriod is how long after its start a suspected unit gets no new neighbors. Most
+	// isolationPeriod is how long after its start a suspected unit gets no new neighbors. Most
 	// tasks that crash workers do so at once.
-	trialPeriod = time.Second
-	// trialPatience is how long a suspected unit waits for a worker without another one.
-	trialPatience = 500 * time.Millisecond
-	// aloneLosses is the number of lost workers from which a unit needs empty workers, whatever
+	isolationPeriod = time.Second
+	// isolationWait is how long a suspected unit waits for a worker without another one.
+	isolationWait = 500 * time.Millisecond
+	// isolationLosses is the number of lost workers from which a unit needs empty workers, whatever
 	// its odds. The platform allows two more starts after three losses by a task that crashes
 	// its workers, so both must be conclusive.
-	aloneLosses = 3
+	isolationLosses = 3
 )
 
-// judged reports whether the verdict on any member of the unit is one of verdicts.
-func (u *unit) judged(verdicts ...poison.Verdict) bool {
+// hasVerdict reports whether the verdict on any member of the unit is one of verdicts.
+func (u *unit) hasVerdict(verdicts ...poison.Verdict) bool {
 	for _, m := range u.suspects() {
 		if slices.Contains(verdicts, m.losses.Verdict()) {
 			return true
@@ -35,18 +35,18 @@
 
 // suspected reports whether a member of the unit is suspected or known to crash workers.
 func (u *unit) suspected() bool {
-	return u.judged(poison.Suspected, poison.PoisonByOdds, poison.PoisonByLimit)
+	return u.hasVerdict(poison.Suspected, poison.PoisonByOdds, poison.PoisonByLimit)
 }
 
-// doubtful reports whether workers were lost while they ran the unit, without another known cause.
-func (u *unit) doubtful() bool { return u.suspected() || u.judged(poison.Doubtful) }
+// hasUnexplainedLosses reports whether workers were lost while they ran the unit, without another known cause.
+func (u *unit) hasUnexplainedLosses() bool { return u.suspected() || u.hasVerdict(poison.Doubtful) }
 
-// runsAlone reports whether the unit's next run must show whether it crashes its workers. It then
+// needsEmptyWorkers reports whether the unit's next run must show whether it crashes its workers. It then
 // waits for empty workers, and nothing else is placed there until it has ended, since a loss beside
 // another suspected unit proves nothing.
-func (u *unit) runsAlone() bool {
+func (u *unit) needsEmptyWorkers() bool {
 	for _, m := range u.suspects() {
-		if m.losses.Count() >= aloneLosses || m.losses.Count() > 1 && m.losses.Suspicious() {
+		if m.losses.Count() >= isolationLosses || m.losses.Count() > 1 && m.losses.Suspicious() {
 			return true
 		}
 	}
@@ -64,36 +64,36 @@
 	return false
 }
 
-// onTrial reports whether nothing else may be placed beside the unit: it is suspected, and its
+// isolated reports whether nothing else may be placed beside the unit: it is suspected, and its
 // start is under way or recent, or it needs empty workers.
-func (u *unit) onTrial(now time.Time) bool {
+func (u *unit) isolated(now time.Time) bool {
 	if u.lossGroup == nil || !u.suspected() {
 		return false
 	}
-	isolated := u.state == unitActive && (now.Sub(u.startedAt) < trialPeriod || u.runsAlone())
+	isolated := u.state == unitActive && (now.Sub(u.startedAt) < isolationPeriod || u.needsEmptyWorkers())
 	return u.state == unitCommitting || isolated
 }
 
-// findTrialPlace returns workers for a unit with unexplained worker losses, as isolated as
+// findIsolatedPlacement returns workers for a unit with unexplained worker losses, as isolated as
 // possible, or nil.
-func (p *Pool) findTrialPlace(s *snapshot, u *unit, visible *placement.Request) []int {
-	if u.runsAlone() {
-		return placement.Fit(s.workers, s.racks.All, s.onEmptyWorkers(visible))
+func (p *Pool) findIsolatedPlacement(s *snapshot, u *unit, visible *placement.Request) []int {
+	if u.needsEmptyWorkers() {
+		return placement.Fit(s.workers, s.racks.All, s.restrictToEmpty(visible))
 	}
-	for _, preferred := range s.trialPlaces(u) {
+	for _, preferred := range s.isolationPreferences(u) {
 		if places := p.fitWithLocality(s, u, narrowed(visible, preferred), visible); places != nil {
 			return places
 		}
 	}
-	if u.suspected() && s.now.Sub(u.readyAt) < trialPatience {
+	if u.suspected() && s.now.Sub(u.readyAt) < isolationWait {
 		return nil
 	}
 	return p.fitWithLocality(s, u, visible, visible)
 }
 
-// onEmptyWorkers restricts a request to workers without runs. In a search for a future placement
+// restrictToEmpty restricts a request to workers without runs. In a search for a future placement
 // these are the workers that will have none.
-func (s *snapshot) onEmptyWorkers(request *placement.Request) *placement.Request {
+func (s *snapshot) restrictToEmpty(request *placement.Request) *placement.Request {
 	restricted := *request
 	restricted.Limit = func(i int, free taskgraph.Amount) taskgraph.Amount {
 		if free != s.workers[i].Capacity {
@@ -107,9 +107,9 @@
 	return &restricted
 }
 
-// reserveAlone reserves the workers that become empty first, with all their resources.
-func (s *snapshot) reserveAlone(u *unit, request *placement.Request) {
-	promise := s.earliestPlacement(u, s.onEmptyWorkers(request))
+// reserveEmptyWorkers reserves the workers that become empty first, with all their resources.
+func (s *snapshot) reserveEmptyWorkers(u *unit, request *placement.Request) {
+	promise := s.earliestPlacement(u, s.restrictToEmpty(request))
 	if promise == nil {
 		return
 	}
@@ -119,12 +119,12 @@
 	s.reserve(u, request, promise)
 }
 
-// trialPlaces returns the preferred workers of a unit with unexplained losses, best first.
-func (s *snapshot) trialPlaces(u *unit) []func(i int) bool {
+// isolationPreferences returns the preferred workers of a unit with unexplained losses, best first.
+func (s *snapshot) isolationPreferences(u *unit) []func(i int) bool {
 	empty := func(i int) bool { return len(s.poolWorkers[i].members) == 0 }
 	withoutDoubtful := func(i int) bool {
 		for _, m := range s.poolWorkers[i].members {
-			if m.unit.doubtful() {
+			if m.unit.hasUnexplainedLosses() {
 				return false
 			}
 		}
@@ -136,8 +136,8 @@
 	return []func(int) bool{withoutDoubtful}
 }
 
-// closeToOthers makes workers unusable for the rest of the cycle.
-func (s *snapshot) closeToOthers(places []int) {
+// excludeWorkers makes workers unusable for the rest of the cycle.
+func (s *snapshot) excludeWorkers(places []int) {
 	for _, place := range places {
 		s.workers[place].Usable = false
 	}
--- a/internal/pool/tries.go
+++ b/internal/pool/tries.go
@@ -6,65 +6,65 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// Commands to workers are hedged: without a response within secondTryLeast, or within
-// secondTryRatio times the recent average latency if that is longer, a second copy is sent
+// Commands to workers are hedged: without a response within minHedgeDelay, or within
+// hedgeDelayRatio times the recent average latency if that is longer, a second copy is sent
 // while the first is pending. Workers handle starts and stops idempotently.
 const (
-	secondTryLeast = 60 * time.Millisecond
-	secondTryRatio = 4
-	// orderLatencyMemory is the number of commands over which the latency is averaged.
-	orderLatencyMemory = 32
+	minHedgeDelay   = 60 * time.Millisecond
+	hedgeDelayRatio = 4
+	// orderLatencySamples is the number of commands over which the latency is averaged.
+	orderLatencySamples = 32
 )
 
-// secondTryAfter returns the time without a response after which a command is sent again.
-func (p *Pool) secondTryAfter() time.Duration {
-	delay := max(secondTryLeast, secondTryRatio*p.orderLatency)
+// hedgeDelay returns the time without a response after which a command is sent again.
+func (p *Pool) hedgeDelay() time.Duration {
+	delay := max(minHedgeDelay, hedgeDelayRatio*p.orderLatency)
 	if p.options.Late != nil {
 		delay += p.options.Late()
 	}
 	return delay
 }
 
-// tries is the state of one hedged command.
-type tries struct {
-	// open is the number of copies without a response or failure.
-	open int
+// hedgedCall is the state of one hedged command.
+type hedgedCall struct {
+	// pending is the number of copies without a response or failure.
+	pending int
 	// answered is true once the command's outcome is known or all copies failed.
 	answered bool
 }
 
-// unanswered reports whether the first copy is pending and no other was sent.
-func (t *tries) unanswered() bool { return t.open == 1 && !t.answered }
+// awaitingFirst reports whether the first copy is pending and no other was sent.
+func (t *hedgedCall) awaitingFirst() bool { return t.pending == 1 && !t.answered }
 
-// repeatedOrder is a hedged command to a worker.
-type repeatedOrder struct {
+// hedgedOrder is a hedged command to a worker.
+type hedgedOrder struct {
 	// name is the command's name in counters.
 	name string
-	// current reports whether the command still concerns its member's latest run, and wanted
+	// isCurrent reports whether the command still concerns its member's latest run, and shouldRetry
 	// whether a second copy is still useful.
-	current, wanted func() bool
-	send            func(done func(fleet.Reply, error))
-	// answered handles the response to one copy, or its failure.
-	answered func(sent *tries, reply fleet.Reply, err error)
+	isCurrent, shouldRetry func() bool
+	send                   func(done func(fleet.Reply, error))
+	// onResult handles the response to one copy, or its failure.
+	onResult func(sent *hedgedCall, reply fleet.Reply, err error)
 }
 
-// sendTwice sends a command, and a second copy if there is no response after secondTryAfter. It
+// sendHedged sends a command, and a second copy if there is no response after secondTryAfter. It
 // returns the state of the hedged command.
-func (p *Pool) sendTwice(order *repeatedOrder) *tries {
-	state := &tries{}
+func (p *Pool) sendHedged(order *hedgedOrder) *hedgedCall {
+	state := &hedgedCall{}
 	sendCopy := func() {
 		p.record.Count("worker_orders", order.name)
-		state.open++
+		state.pending++
 		order.send(func(reply fleet.Reply, err error) {
-			state.open--
-			if order.current() {
-				order.answered(state, reply, err)
+			state.pending--
+			if order.isCurrent() {
+				order.onResult(state, reply, err)
 			}
 		})
 	}
 	sendCopy()
-	p.loop.After(p.secondTryAfter(), func() {
-		if order.current() && order.wanted() && state.unanswered() {
+	p.loop.After(p.hedgeDelay(), func() {
+		if order.isCurrent() && order.shouldRetry() && state.awaitingFirst() {
 			p.record.Count("retries", order.name+"_unanswered")
 			sendCopy()
 		}
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -77,10 +77,10 @@
 	return free
 }
 
-// roomKnown reports whether everything that occupies capacity on a worker is known, for workers
+// usageKnown reports whether everything that occupies capacity on a worker is known, for workers
 // that do not enforce their capacity. Runs that the former owner was stopping at the first contact
 // are in no report; they end within the time of a stop.
-func (p *Pool) roomKnown(w *worker, now time.Time) bool {
+func (p *Pool) usageKnown(w *worker, now time.Time) bool {
 	if p.options.Without.AccountAge || p.guarded() {
 		return true
 	}
--- a/internal/pool/waiting.go
+++ b/internal/pool/waiting.go
@@ -13,10 +13,10 @@
 
 // Wait reasons. The first one that applies, in the order of findWaitReason, is kept.
 const (
-	// waitNothing: the unit was placed at the first attempt.
-	waitNothing waitReason = ""
-	// waitRoom: no usable workers have enough free resources.
-	waitRoom waitReason = "no room"
+	// waitNone: the unit was placed at the first attempt.
+	waitNone waitReason = ""
+	// waitResources: no usable workers have enough free resources.
+	waitResources waitReason = "no room"
 	// waitEvacuated: only evacuated zones have enough free resources, or the set of evacuated
 	// zones is not fresh.
 	waitEvacuated waitReason = "zone evacuated"
@@ -30,25 +30,25 @@
 	waitLocality waitReason = "no near place"
 )
 
-// waitLookPeriod is the minimum time between two updates of a step's wait reason. It takes
+// waitReasonPeriod is the minimum time between two updates of a step's wait reason. It takes
 // several searches for a placement, and only logs need it.
-const waitLookPeriod = 250 * time.Millisecond
+const waitReasonPeriod = 250 * time.Millisecond
 
-// noteWait updates the wait reason of the step of a unit that could not be placed.
-func (p *Pool) noteWait(s *snapshot, u *unit, request *placement.Request) {
-	if u.step.waitsFor != waitNothing && s.now.Sub(u.step.waitSeenAt) < waitLookPeriod {
+// updateWaitReason updates the wait reason of the step of a unit that could not be placed.
+func (p *Pool) updateWaitReason(s *snapshot, u *unit, request *placement.Request) {
+	if u.step.waitReason != waitNone && s.now.Sub(u.step.waitReasonAt) < waitReasonPeriod {
 		return
 	}
-	u.step.waitSeenAt = s.now
-	u.step.waitsFor = p.findWaitReason(s, u, request)
+	u.step.waitReasonAt = s.now
+	u.step.waitReason = p.findWaitReason(s, u, request)
 }
 
 func (p *Pool) findWaitReason(s *snapshot, u *unit, request *placement.Request) waitReason {
 	if placement.Fit(s.workers, s.racks.All, request) == nil {
-		if placement.Fit(p.withoutEvacuations(s), s.racks.All, request) != nil {
+		if placement.Fit(p.workersIgnoringEvacuations(s), s.racks.All, request) != nil {
 			return waitEvacuated
 		}
-		return waitRoom
+		return waitResources
 	}
 	visible := *request
 	visible.Limit = s.reservationLimiter(u.estimate())
@@ -68,8 +68,8 @@
 	return waitLocality
 }
 
-// withoutEvacuations returns the snapshot's workers as if no zone were evacuated.
-func (p *Pool) withoutEvacuations(s *snapshot) []placement.Worker {
+// workersIgnoringEvacuations returns the snapshot's workers as if no zone were evacuated.
+func (p *Pool) workersIgnoringEvacuations(s *snapshot) []placement.Worker {
 	if len(p.evacuated().Zones()) == 0 && p.evacuationsKnown(s.now) {
 		return s.workers
 	}
@@ -80,12 +80,12 @@
 	return workers
 }
 
-// waitedFor returns the last wait reason since the unit became ready.
-func (u *unit) waitedFor() waitReason {
-	if u.step.waitSeenAt.Before(u.readyAt) {
-		return waitNothing
+// lastWaitReason returns the last wait reason since the unit became ready.
+func (u *unit) lastWaitReason() waitReason {
+	if u.step.waitReasonAt.Before(u.readyAt) {
+		return waitNone
 	}
-	return u.step.waitsFor
+	return u.step.waitReason
 }
 
 // unsavedWork returns the work of one member's run that its end loses, in core-seconds.
