--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -157,9 +157,9 @@
 		if u.startedHere {
 			w.reliability.noteSound(u.startedAt)
 		}
-		p.unitDone(u)
+		p.completeUnit(u)
 	case fleet.Failed:
-		p.unitFailed(u, w)
+		p.recordUnitFailure(u, w)
 	}
 	p.memberEnded(m, end.How)
 }
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		p.hasBacklog = true
-		if len(u.avoid) == 0 && !u.suspected() {
+		if len(u.excludedWorkers) == 0 && !u.suspected() {
 			unplaceable[class] = true
 		}
 	}
@@ -83,7 +83,7 @@
 			if j.next.Final() {
 				continue
 			}
-			for _, t := range j.times {
+			for _, t := range j.repetitions {
 				for _, s := range t.steps {
 					for _, u := range s.units {
 						if !yield(u) {
@@ -128,8 +128,8 @@
 	if order := strings.Compare(a.job.id, b.job.id); order != 0 {
 		return order
 	}
-	if a.time.number != b.time.number {
-		return a.time.number - b.time.number
+	if a.repetition.number != b.repetition.number {
+		return a.repetition.number - b.repetition.number
 	}
 	if a.step.index != b.step.index {
 		return a.step.index - b.step.index
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -131,9 +131,9 @@
 			j.estimates[i] = model.predict(j.estimates[i])
 		}
 	}
-	j.tails = j.Spec.Tails(j.estimates)
+	j.criticalPaths = j.Spec.Tails(j.estimates)
 	longest := time.Duration(0)
-	for _, tail := range j.tails {
+	for _, tail := range j.criticalPaths {
 		longest = max(longest, tail)
 	}
 	j.objective = j.Queue.Objective(longest)
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -48,9 +48,9 @@
 	estimates []time.Duration
 	// objective is the target duration of one repetition of the job.
 	objective time.Duration
-	// tails are the critical-path durations from each step to the end of the job.
-	tails []time.Duration
-	times []*jobTime
+	// criticalPaths are the critical-path durations from each step to the end of the job.
+	criticalPaths []time.Duration
+	repetitions   []*repetition
 	// state is the persisted state, and next the state once pending writes are committed.
 	state taskgraph.State
 	next  taskgraph.State
@@ -64,8 +64,8 @@
 	dirty   bool
 }
 
-// jobTime is one repetition of a job.
-type jobTime struct {
+// repetition is one repetition of a job.
+type repetition struct {
 	number int
 	due    time.Time
 	steps  []*step
@@ -90,11 +90,11 @@
 
 // unit is the unit of placement: a single task, or all tasks of a gang.
 type unit struct {
-	job   *job
-	time  *jobTime
-	step  *step
-	index int
-	state unitState
+	job        *job
+	repetition *repetition
+	step       *step
+	index      int
+	state      unitState
 	// run numbers the runs from 1; 0 before the first.
 	run        int
 	failures   int
@@ -115,8 +115,8 @@
 	snapshotIndex, snapshotGeneration int
 	// stopReason is set while the unit is being stopped.
 	stopReason string
-	// avoid holds the workers on which the unit has failed.
-	avoid map[string]bool
+	// excludedWorkers holds the workers on which the unit has failed.
+	excludedWorkers map[string]bool
 	// slowness is the slowdown of the unit's slowest worker relative to the median worker.
 	slowness float64
 	// comparedRun is the latest run whose members' speeds were compared.
@@ -172,13 +172,13 @@
 
 func (m *member) name() taskgraph.TaskName {
 	u := m.unit
-	return taskgraph.TaskName{Job: u.job.id, Time: u.time.number, Step: u.step.index, Index: m.index}
+	return taskgraph.TaskName{Job: u.job.id, Time: u.repetition.number, Step: u.step.index, Index: m.index}
 }
 
 func (u *unit) spec() *taskgraph.Step { return u.step.spec }
 
-// active returns the number of members that may be running.
-func (u *unit) active() int {
+// activeMembers returns the number of members that may be running.
+func (u *unit) activeMembers() int {
 	count := 0
 	for _, m := range u.members {
 		if m.worker != nil {
@@ -195,11 +195,11 @@
 	}
 }
 
-// wantedAt returns the target completion time of the unit's repetition.
-func (u *unit) wantedAt() time.Time {
+// deadline returns the target completion time of the unit's repetition.
+func (u *unit) deadline() time.Time {
 	begin := u.job.acceptedAt
-	if !u.time.due.IsZero() {
-		begin = u.time.due
+	if !u.repetition.due.IsZero() {
+		begin = u.repetition.due
 	}
 	return begin.Add(u.job.objective)
 }
@@ -207,20 +207,20 @@
 // slack returns how long the unit's start may be delayed without missing the target
 // completion time; negative if it is missed already.
 func (u *unit) slack(now time.Time) time.Duration {
-	return u.wantedAt().Sub(now) - u.job.tails[u.step.index]
+	return u.deadline().Sub(now) - u.job.criticalPaths[u.step.index]
 }
 
 // timeAt returns repetition k, creating it and those before it if needed.
-func (j *job) timeAt(k int) *jobTime {
-	for len(j.times) <= k {
-		number := len(j.times)
-		created := &jobTime{number: number, due: j.Spec.Due(number)}
+func (j *job) timeAt(k int) *repetition {
+	for len(j.repetitions) <= k {
+		number := len(j.repetitions)
+		created := &repetition{number: number, due: j.Spec.Due(number)}
 		for i := range j.Spec.Steps {
 			created.steps = append(created.steps, &step{spec: &j.Spec.Steps[i], index: i})
 		}
-		j.times = append(j.times, created)
+		j.repetitions = append(j.repetitions, created)
 	}
-	return j.times[k]
+	return j.repetitions[k]
 }
 
 // unitCount returns 1 for a gang, and otherwise the number of tasks.
@@ -231,10 +231,10 @@
 	return s.spec.Count
 }
 
-func (s *step) createUnits(j *job, t *jobTime, now time.Time) {
+func (s *step) createUnits(j *job, t *repetition, now time.Time) {
 	s.units = make([]*unit, s.unitCount())
 	for i := range s.units {
-		created := &unit{job: j, time: t, step: s, index: i, readyAt: now}
+		created := &unit{job: j, repetition: t, step: s, index: i, readyAt: now}
 		if s.spec.Gang {
 			for index := range s.spec.Count {
 				created.members = append(created.members, &member{unit: created, index: index})
@@ -248,10 +248,10 @@
 
 // memberOf returns the member of a task name, or nil if it does not exist.
 func (j *job) memberOf(name taskgraph.TaskName) *member {
-	if name.Time >= len(j.times) || name.Step >= len(j.Spec.Steps) {
+	if name.Time >= len(j.repetitions) || name.Step >= len(j.Spec.Steps) {
 		return nil
 	}
-	s := j.times[name.Time].steps[name.Step]
+	s := j.repetitions[name.Time].steps[name.Step]
 	if s.units == nil || name.Index >= s.spec.Count {
 		return nil
 	}
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -21,7 +21,7 @@
 		}
 		t := j.timeAt(k)
 		for _, s := range t.steps {
-			if s.units == nil && !s.complete && t.earlierEnded(s) {
+			if s.units == nil && !s.complete && t.dependenciesComplete(s) {
 				s.createUnits(j, t, now)
 			}
 		}
@@ -31,7 +31,7 @@
 // dueMargin delays a scheduled start so that a slow clock does not make it early.
 const dueMargin = 5 * time.Millisecond
 
-func (t *jobTime) earlierEnded(s *step) bool {
+func (t *repetition) dependenciesComplete(s *step) bool {
 	for _, earlier := range s.spec.After {
 		if !t.steps[earlier].complete {
 			return false
@@ -59,7 +59,7 @@
 func (p *Pool) finishJob(j *job, state taskgraph.State) {
 	j.next = state
 	j.endedAt = p.loop.TimeOfDay()
-	for _, t := range j.times {
+	for _, t := range j.repetitions {
 		for _, s := range t.steps {
 			for _, u := range s.units {
 				p.dropUnit(u, string(state))
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -66,7 +66,7 @@
 	p.afterWrite(0, func() {
 		switch {
 		case u.state != unitCommitting || u.run != run:
-		case u.active() < len(u.members), !p.placeHolds(u):
+		case u.activeMembers() < len(u.members), !p.placeHolds(u):
 			// A worker was lost before any start was sent, or the write took so long that the
 			// placement is no longer valid.
 			p.record.Count("start_failures", "place_lost")
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -23,7 +23,7 @@
 		restart = p.remaining(u, now)
 	}
 	loss := u.spec().Amount.Cores() * float64(len(u.members)) * lost.Seconds()
-	timeToEnd := u.wantedAt().Sub(now) - u.job.tails[u.step.index] + u.estimate()
+	timeToEnd := u.deadline().Sub(now) - u.job.criticalPaths[u.step.index] + u.estimate()
 	if timeToEnd > p.remaining(u, now) && timeToEnd < restart+assumedRequeueWait {
 		loss += onTimeGain(u)
 	}
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -14,7 +14,7 @@
 	if j.next.Final() {
 		encode = (*step).leftovers
 	}
-	for _, t := range j.times {
+	for _, t := range j.repetitions {
 		for _, s := range t.steps {
 			if encoded, found := encode(s, t.number); found {
 				record.Steps = append(record.Steps, encoded)
@@ -47,7 +47,7 @@
 func (s *step) leftovers(number int) (stepProgress, bool) {
 	record := stepProgress{Time: number, Step: s.index}
 	for _, u := range s.units {
-		if u.active() == 0 {
+		if u.activeMembers() == 0 {
 			continue
 		}
 		if unitRecord := u.progress(); len(unitRecord.Addresses) > 0 {
@@ -59,7 +59,7 @@
 
 func (u *unit) progress() unitProgress {
 	record := unitProgress{Index: u.index, Run: u.run, Failures: u.failures, Checkpoint: u.checkpoint, Losses: u.keptLosses()}
-	if u.active() > 0 {
+	if u.activeMembers() > 0 {
 		record.Workers = make([]string, len(u.members))
 		for i, m := range u.members {
 			if m.worker == nil {
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func (p *Pool) restoreStep(j *job, t *jobTime, s *step, saved *stepProgress) {
+func (p *Pool) restoreStep(j *job, t *repetition, s *step, saved *stepProgress) {
 	j.begun, j.ordered = true, true
 	if saved.Complete {
 		s.complete = true
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -177,10 +177,10 @@
 func (s *snapshot) request(u *unit) *placement.Request {
 	spec := u.spec()
 	request := &placement.Request{Room: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
-	if len(u.avoid) > 0 || spec.RequiredLabel != "" {
+	if len(u.excludedWorkers) > 0 || spec.RequiredLabel != "" {
 		request.Allowed = func(i int) bool {
 			w := s.poolWorkers[i]
-			return !u.avoid[w.ID] && w.HasLabel(spec.RequiredLabel)
+			return !u.excludedWorkers[w.ID] && w.HasLabel(spec.RequiredLabel)
 		}
 	}
 	if spec.MaxPerWorker > 0 {
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -139,19 +139,19 @@
 	u.stalls++
 	if u.seemsSlow() {
 		// The workers are not the cause, and there may be no others.
-		u.avoid = nil
+		u.excludedWorkers = nil
 		p.stopUnit(u, "stands still")
 		return
 	}
-	if u.avoid == nil {
-		u.avoid = map[string]bool{}
+	if u.excludedWorkers == nil {
+		u.excludedWorkers = map[string]bool{}
 	}
 	now := p.loop.Now()
 	for _, m := range u.members {
 		if m.worker == nil || p.stalledFor(m) == 0 {
 			continue
 		}
-		u.avoid[m.worker.ID] = true
+		u.excludedWorkers[m.worker.ID] = true
 		if !u.spec().Gang || p.quickStalls() {
 			p.leaveAlone(m.worker, "a run stands still", now)
 		}
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -23,7 +23,7 @@
 			p.sendStop(m)
 		}
 	}
-	p.settle(u)
+	p.requeueIfIdle(u)
 }
 
 // sendStop sends a stop until the worker answers it. The stop also blocks a start of the run that
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -13,16 +13,16 @@
 	u := m.unit
 	p.release(m)
 	p.scheduleCycle()
-	if u.state == unitActive && outcome != fleet.Done && u.active() > 0 {
+	if u.state == unitActive && outcome != fleet.Done && u.activeMembers() > 0 {
 		p.stopUnit(u, "member "+string(outcome))
 		return
 	}
-	p.settle(u)
+	p.requeueIfIdle(u)
 }
 
-// settle requeues a unit that has no active members, or ends it if its job has ended.
-func (p *Pool) settle(u *unit) {
-	if u.active() > 0 || (u.state != unitActive && u.state != unitStopping) {
+// requeueIfIdle requeues a unit that has no active members, or ends it if its job has ended.
+func (p *Pool) requeueIfIdle(u *unit) {
+	if u.activeMembers() > 0 || (u.state != unitActive && u.state != unitStopping) {
 		return
 	}
 	if u.job.next.Final() {
@@ -35,9 +35,9 @@
 	p.scheduleCycle()
 }
 
-// unitDone marks a unit as ended after its work is done, learns from its run, and completes its
+// completeUnit marks a unit as ended after its work is done, learns from its run, and completes its
 // step and job if it was their last unit.
-func (p *Pool) unitDone(u *unit) {
+func (p *Pool) completeUnit(u *unit) {
 	if u.state == unitEnded || u.job.next.Final() {
 		return
 	}
@@ -53,18 +53,18 @@
 	j := u.job
 	if s.ended == len(s.units) {
 		s.complete = true
-		u.time.ended++
+		u.repetition.ended++
 		p.advance(j)
-		p.completeIfAll(j)
+		p.completeJobIfDone(j)
 	}
 	p.persistEnd(j)
 }
 
-func (p *Pool) completeIfAll(j *job) {
-	if len(j.times) < j.Spec.Times() {
+func (p *Pool) completeJobIfDone(j *job) {
+	if len(j.repetitions) < j.Spec.Times() {
 		return
 	}
-	for _, t := range j.times {
+	for _, t := range j.repetitions {
 		if t.ended < len(t.steps) {
 			return
 		}
@@ -72,17 +72,17 @@
 	p.finishJob(j, taskgraph.Completed)
 }
 
-// unitFailed counts a failed run, excludes its worker for the unit, and fails the job if no
+// recordUnitFailure counts a failed run, excludes its worker for the unit, and fails the job if no
 // attempts are left.
-func (p *Pool) unitFailed(u *unit, w *worker) {
+func (p *Pool) recordUnitFailure(u *unit, w *worker) {
 	if u.state == unitEnded || u.job.next.Final() {
 		return
 	}
 	u.failures++
-	if u.avoid == nil {
-		u.avoid = map[string]bool{}
+	if u.excludedWorkers == nil {
+		u.excludedWorkers = map[string]bool{}
 	}
-	u.avoid[w.ID] = true
+	u.excludedWorkers[w.ID] = true
 	p.strike(w, u)
 	p.persistEnd(u.job)
 	if u.failures >= max(1, u.job.Queue.MaxAttempts) && !u.spec().LongRunning {
