--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -84,9 +84,9 @@
 	return false
 }
 
-// look polls a worker without waiting, in addition to a poll that may be in flight.
-func (p *Pool) look(w *worker) {
-	w.lookedAt = p.loop.Now()
+// pollNow polls a worker without waiting, in addition to a poll that may be in flight.
+func (p *Pool) pollNow(w *worker) {
+	w.polledAt = p.loop.Now()
 	if !w.holding {
 		p.hold(w)
 		return
@@ -118,7 +118,7 @@
 		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
 		// identifies the incarnation; the answer to a start does not.
 		w.deadline = clock + p.options.Bounds.MaxHold.Milliseconds()
-		p.look(w)
+		p.pollNow(w)
 	}
 	if w.unanswered > 0 {
 		p.record.Decided("worker answers again", "worker", w.ID, "unanswered", w.unanswered)
--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -10,26 +10,26 @@
 // Detection of stragglers: members of a gang that are much slower than the others, which wait
 // for them.
 const (
-	// laggardRatio is the ratio of a run's projected duration to the one that its worker's known speed
+	// stragglerRatio is the ratio of a run's projected duration to the one that its worker's known speed
 	// explains, from which the member is a straggler.
-	laggardRatio = 2.5
-	// fastestLead bounds the median worker's duration as a multiple of that of the fastest workers
+	stragglerRatio = 2.5
+	// maxMedianSlowness bounds the median worker's duration as a multiple of that of the fastest workers
 	// while most speeds are unknown.
-	fastestLead = 2
-	// moveOverhead is the time that a restart takes besides the repeated work: the stop, which
+	maxMedianSlowness = 2
+	// restartOverhead is the time that a restart takes besides the repeated work: the stop, which
 	// takes up to 0.9 s on the platform, and the start.
-	moveOverhead = 1200 * time.Millisecond
-	// moveRatio is how many times longer than a restart the rest of the run must take.
-	moveRatio = 1.5
-	// projectionAge is the minimum age of a run for a projection from its progress.
-	projectionAge = 500 * time.Millisecond
-	// leastProgressShare is assumed for progress that is reported as 0 percent.
-	leastProgressShare = 0.005
+	restartOverhead = 1200 * time.Millisecond
+	// restartRatio is how many times longer than a restart the rest of the run must take.
+	restartRatio = 1.5
+	// minProjectionAge is the minimum age of a run for a projection from its progress.
+	minProjectionAge = 500 * time.Millisecond
+	// minProgressShare is assumed for progress that is reported as 0 percent.
+	minProgressShare = 0.005
 )
 
-// checkLaggards detects stragglers in a gang and excludes their workers from new work. It restarts the
+// checkStragglers detects stragglers in a gang and excludes their workers from new work. It restarts the
 // gang if waiting for the slowest member would take longer than a restart.
-func (p *Pool) checkLaggards(u *unit, now time.Time) {
+func (p *Pool) checkStragglers(u *unit, now time.Time) {
 	if len(u.members) < 2 || !u.startedHere || u.resumed || u.runningSince.IsZero() {
 		return
 	}
@@ -38,41 +38,41 @@
 	if p.options.Off[mechanism.Laggards] {
 		return
 	}
-	medianDuration, known := p.soundTime(u, now)
+	medianDuration, known := p.medianWorkerDuration(u, now)
 	if !known {
 		return
 	}
 	slowest := time.Duration(0)
 	for _, m := range u.members {
-		projected, ok := m.projectedTime()
+		projected, ok := m.projectedDuration()
 		expected := float64(medianDuration) * max(1, p.slowness(m.worker, now))
-		if !ok || float64(projected) < laggardRatio*expected {
+		if !ok || float64(projected) < stragglerRatio*expected {
 			continue
 		}
 		if !m.worker.cold(now) {
-			m.worker.slowUntil = now.Add(slowPeriod)
+			m.worker.slowUntil = now.Add(slowExclusionPeriod)
 		}
 		p.leaveAlone(m.worker, "a run is much slower than its gang", now)
 		slowest = max(slowest, projected)
 	}
 	timeLeft := u.runningSince.Add(slowest).Sub(now)
-	if float64(timeLeft) > moveRatio*float64(medianDuration+moveOverhead) {
+	if float64(timeLeft) > restartRatio*float64(medianDuration+restartOverhead) {
 		p.stopUnit(u, "slow member")
 	}
 }
 
-// slowPeriod is how long gangs avoid the worker of a straggler. It is twice the exclusion period,
+// slowExclusionPeriod is how long gangs avoid the worker of a straggler. It is twice the exclusion period,
 // so that single tasks run there first.
-const slowPeriod = 2 * penalty
+const slowExclusionPeriod = 2 * penalty
 
-// soundTime returns the projected duration of a member on the median worker, and false while less than
+// medianWorkerDuration returns the projected duration of a member on the median worker, and false while less than
 // half of the members or fewer than two have a projection. It is the lower quartile of the members on
 // workers of known speed, which is robust against many stragglers. If most speeds are unknown it is the
 // median of all members, at most fastestLead times their lower quartile.
-func (p *Pool) soundTime(u *unit, now time.Time) (time.Duration, bool) {
+func (p *Pool) medianWorkerDuration(u *unit, now time.Time) (time.Duration, bool) {
 	var projections, corrected []time.Duration
 	for _, m := range u.members {
-		projected, ok := m.projectedTime()
+		projected, ok := m.projectedDuration()
 		if !ok {
 			continue
 		}
@@ -89,23 +89,23 @@
 		return corrected[(len(corrected)-1)/4], true
 	}
 	slices.Sort(projections)
-	return min(projections[(len(projections)-1)/2], fastestLead*projections[(len(projections)-1)/4]), true
+	return min(projections[(len(projections)-1)/2], maxMedianSlowness*projections[(len(projections)-1)/4]), true
 }
 
-// projectedTime returns the total duration of a member's run at its speed so far, and false if
+// projectedDuration returns the total duration of a member's run at its speed so far, and false if
 // the run is too young for a projection.
-func (m *member) projectedTime() (time.Duration, bool) {
+func (m *member) projectedDuration() (time.Duration, bool) {
 	if m.state != memberRunning || m.worker == nil || m.percentAt.IsZero() {
 		return 0, false
 	}
 	reportedAt := m.listedAt
-	if m.percent >= nearEnd {
+	if m.percent >= nearEndPercent {
 		reportedAt = m.percentAt
 	}
 	elapsed := reportedAt.Sub(m.unit.runningSince)
-	if elapsed < projectionAge {
+	if elapsed < minProjectionAge {
 		return 0, false
 	}
-	share := max(leastProgressShare, float64(m.percent)/100)
+	share := max(minProgressShare, float64(m.percent)/100)
 	return time.Duration(float64(elapsed) / share), true
 }
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -12,34 +12,34 @@
 	// A run is stalled once its progress has not changed for stallPeriod and for stallShare of
 	// its estimate. Progress is reported in whole percent, so a run that takes eight times its
 	// estimate still progresses within that time.
-	stallPeriod = time.Second
-	stallShare  = 0.08
-	// nearEnd is the progress in percent from which a member of a gang may be waiting for the
+	stallPeriod        = time.Second
+	stallEstimateShare = 0.08
+	// nearEndPercent is the progress in percent from which a member of a gang may be waiting for the
 	// others.
-	nearEnd = 95
-	// stallLimit, or stallLimitShare of the estimate if that is longer, bounds the wait for a
+	nearEndPercent = 95
+	// maxStallTimeout, or stallLimitShare of the estimate if that is longer, bounds the wait for a
 	// stalled run, however much a restart loses.
-	stallLimit      = 8 * time.Second
-	stallLimitShare = 0.4
-	// stallDoublings bounds the doublings of these times, one for each stall of the unit. Work
+	maxStallTimeout      = 8 * time.Second
+	maxStallTimeoutShare = 0.4
+	// maxStallDoublings bounds the doublings of these times, one for each stall of the unit. Work
 	// that takes far longer than its estimate looks stalled on any worker. The longest wait is
 	// 34 minutes, one percent of two days.
-	stallDoublings = 8
-	// ownStalls is the number of stalls from which the unit's own work counts as slow.
-	ownStalls = 2
-	// gangPatience is the share of the gang timeout after which a gang with unanswered starts
+	maxStallDoublings = 8
+	// slowWorkStalls is the number of stalls from which the unit's own work counts as slow.
+	slowWorkStalls = 2
+	// gangStartTimeoutShare is the share of the gang timeout after which a gang with unanswered starts
 	// is stopped.
-	gangPatience = 0.6
-	// firstLook is the age of a run from which its worker is polled if it reports no progress,
+	gangStartTimeoutShare = 0.6
+	// firstPollDelay is the age of a run from which its worker is polled if it reports no progress,
 	// and lookPause the minimum time between polls.
-	firstLook = 600 * time.Millisecond
-	lookPause = 400 * time.Millisecond
+	firstPollDelay = 600 * time.Millisecond
+	pollInterval   = 400 * time.Millisecond
 )
 
 // checkUnits stops units with unanswered starts, and checks active runs for stalls and stragglers.
 func (p *Pool) checkUnits() {
 	now := p.loop.Now()
-	startTimeout := time.Duration(gangPatience * float64(p.options.Bounds.GangTimeout))
+	startTimeout := time.Duration(gangStartTimeoutShare * float64(p.options.Bounds.GangTimeout))
 	for _, w := range p.sortedWorkers() {
 		for _, m := range w.members {
 			u := m.unit
@@ -50,7 +50,7 @@
 			default:
 				p.checkProgress(m, now)
 				if m == u.members[0] && u.state == unitActive {
-					p.checkLaggards(u, now)
+					p.checkStragglers(u, now)
 				}
 			}
 		}
@@ -61,38 +61,38 @@
 // of a young run for its progress.
 func (p *Pool) checkProgress(m *member, now time.Time) {
 	stalled := p.stalledFor(m)
-	if stalled > 0 && p.quickStalls() && !m.unit.seemsSlow() {
+	if stalled > 0 && p.adaptiveStallTimeout() && !m.unit.slowByItself() {
 		p.leaveAlone(m.worker, "a run stands still", now)
 	}
-	if stalled > 0 && stalled >= p.stallPatience(m) {
-		p.stopStanding(m.unit)
+	if stalled > 0 && stalled >= p.stallTimeout(m) {
+		p.restartStalled(m.unit)
 		return
 	}
-	if p.wantsLook(m, now) && now.Sub(m.worker.lookedAt) > lookPause {
-		p.look(m.worker)
+	if p.needsPoll(m, now) && now.Sub(m.worker.polledAt) > pollInterval {
+		p.pollNow(m.worker)
 	}
 }
 
-// wantsLook reports whether a run's worker should be polled: while the run shows no progress, and
+// needsPoll reports whether a run's worker should be polled: while the run shows no progress, and
 // for gangs until each member can be compared with the others.
-func (p *Pool) wantsLook(m *member, now time.Time) bool {
+func (p *Pool) needsPoll(m *member, now time.Time) bool {
 	u := m.unit
-	if m.state != memberRunning || !u.startedHere || u.runningSince.IsZero() || u.spec().LongRunning || now.Sub(u.runningSince) < firstLook {
+	if m.state != memberRunning || !u.startedHere || u.runningSince.IsZero() || u.spec().LongRunning || now.Sub(u.runningSince) < firstPollDelay {
 		return false
 	}
-	if p.quickStalls() && m.percent == 0 {
+	if p.adaptiveStallTimeout() && m.percent == 0 {
 		return true
 	}
-	return !p.options.Off[mechanism.Laggards] && len(u.members) > 1 && m.listedAt.Sub(u.runningSince) < projectionAge
+	return !p.options.Off[mechanism.Laggards] && len(u.members) > 1 && m.listedAt.Sub(u.runningSince) < minProjectionAge
 }
 
-func (p *Pool) quickStalls() bool { return !p.options.Off[mechanism.QuickStalls] }
+func (p *Pool) adaptiveStallTimeout() bool { return !p.options.Off[mechanism.QuickStalls] }
 
 // stalledFor returns for how long a run has been stalled according to its worker's reports; 0 if it
 // makes progress, may wait for other members of its gang, or has no reports yet.
 func (p *Pool) stalledFor(m *member) time.Duration {
 	u := m.unit
-	if m.state != memberRunning || u.spec().LongRunning || m.percentAt.IsZero() || m.percent >= nearEnd {
+	if m.state != memberRunning || u.spec().LongRunning || m.percentAt.IsZero() || m.percent >= nearEndPercent {
 		return 0
 	}
 	if u.startedHere && u.runningSince.IsZero() {
@@ -102,7 +102,7 @@
 	if u.startedHere && (m.percent == 0 || u.runningSince.After(since)) {
 		since = u.runningSince
 	}
-	limit := max(stallPeriod, time.Duration(stallShare*float64(u.estimate()))) << min(u.stalls, stallDoublings)
+	limit := max(stallPeriod, time.Duration(stallEstimateShare*float64(u.estimate()))) << min(u.stalls, maxStallDoublings)
 	if u.resumed {
 		limit += restoreAllowance
 	}
@@ -112,17 +112,17 @@
 	return 0
 }
 
-// stallPatience returns how long a run may be stalled before its unit is restarted.
-func (p *Pool) stallPatience(m *member) time.Duration {
-	limit := max(stallLimit, time.Duration(stallLimitShare*float64(m.unit.estimate()))) << min(m.unit.stalls, stallDoublings)
-	if !p.quickStalls() {
+// stallTimeout returns how long a run may be stalled before its unit is restarted.
+func (p *Pool) stallTimeout(m *member) time.Duration {
+	limit := max(maxStallTimeout, time.Duration(maxStallTimeoutShare*float64(m.unit.estimate()))) << min(m.unit.stalls, maxStallDoublings)
+	if !p.adaptiveStallTimeout() {
 		return limit
 	}
-	return min(limit, p.workAtStake(m))
+	return min(limit, p.unsavedTime(m))
 }
 
-// workAtStake returns how much of a run's time a restart loses.
-func (p *Pool) workAtStake(m *member) time.Duration {
+// unsavedTime returns how much of a run's time a restart loses.
+func (p *Pool) unsavedTime(m *member) time.Duration {
 	runTime := m.percentAt.Sub(m.unit.startedAt)
 	if m.unit.spec().Checkpoints {
 		return min(runTime, p.options.Bounds.CheckpointInterval)
@@ -130,14 +130,14 @@
 	return runTime
 }
 
-// seemsSlow reports whether the unit itself is slow rather than its workers, since it stalled on
+// slowByItself reports whether the unit itself is slow rather than its workers, since it stalled on
 // several sets of workers.
-func (u *unit) seemsSlow() bool { return u.stalls >= ownStalls }
+func (u *unit) slowByItself() bool { return u.stalls >= slowWorkStalls }
 
-// stopStanding stops a stalled unit to restart it, and excludes the workers on which it stalled.
-func (p *Pool) stopStanding(u *unit) {
+// restartStalled stops a stalled unit to restart it, and excludes the workers on which it stalled.
+func (p *Pool) restartStalled(u *unit) {
 	u.stalls++
-	if u.seemsSlow() {
+	if u.slowByItself() {
 		// The workers are not the cause, and there may be no others.
 		u.excludedWorkers = nil
 		p.stopUnit(u, "stands still")
@@ -152,7 +152,7 @@
 			continue
 		}
 		u.excludedWorkers[m.worker.ID] = true
-		if !u.spec().Gang || p.quickStalls() {
+		if !u.spec().Gang || p.adaptiveStallTimeout() {
 			p.leaveAlone(m.worker, "a run stands still", now)
 		}
 	}
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -118,7 +118,7 @@
 	if reason == fleet.NoRoom {
 		// The worker runs something that this owner does not know of.
 		w.penaltyUntil = p.loop.Now().Add(roomPenalty)
-		p.look(w)
+		p.pollNow(w)
 	}
 	// The start was refused, so nothing runs.
 	p.memberEnded(m, fleet.Stopped)
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -55,7 +55,7 @@
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 		if m.state != memberRunning {
-			p.look(w)
+			p.pollNow(w)
 		}
 	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
 		// The other try is still in flight.
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -54,8 +54,8 @@
 	// deadline is the latest lease deadline sent, on the worker's clock.
 	deadline int64
 	ends     endNumbers
-	// lookedAt is when the worker was last polled in addition to a waiting poll.
-	lookedAt time.Time
+	// polledAt is when the worker was last polled in addition to a waiting poll.
+	polledAt time.Time
 	// holding is true while a poll is in flight.
 	holding   bool
 	holdTimer func()
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -185,7 +185,7 @@
 	for _, w := range p.sortedWorkers() {
 		for _, m := range w.members {
 			if m.stopAnswered && now.Sub(m.sentAt) > p.options.Bounds.StopTimeout+stopMargin {
-				p.look(w)
+				p.pollNow(w)
 				break
 			}
 		}
