--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -60,15 +60,15 @@
 func (p *Pool) memberListed(m *member, entry *fleet.Running, now time.Time) {
 	if m.state != memberRunning {
 		m.state = memberRunning
-		m.unit.noteRunning(now)
+		m.unit.updateRunningSince(now)
 		p.noteConfirmedStart(m.unit)
 	}
 	m.listedAt = now
 	m.inUnknownLife = false
 	if entry.Percent > 0 && m.unit.startedHere && !m.unit.resumed {
-		m.worker.reliability.noteSound(m.unit.startedAt)
+		m.worker.reliability.recordProgress(m.unit.startedAt)
 	}
-	p.noteRate(m, entry.Percent, now)
+	p.updateRunTime(m, entry.Percent, now)
 	if entry.Percent != m.percent || m.percentAt.IsZero() {
 		m.percent, m.percentAt = entry.Percent, now
 	}
@@ -155,7 +155,7 @@
 	switch end.How {
 	case fleet.Done:
 		if u.startedHere {
-			w.reliability.noteSound(u.startedAt)
+			w.reliability.recordProgress(u.startedAt)
 		}
 		p.completeUnit(u)
 	case fleet.Failed:
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -7,17 +7,17 @@
 // least 3 s and a heartbeat after the change.
 const accountAge = 2500 * time.Millisecond
 
-// accountsKnown reports whether the workers' capacities are fresh enough for placement; always
+// capacitiesFresh reports whether the workers' capacities are fresh enough for placement; always
 // true if the workers enforce them.
-func (p *Pool) accountsKnown() bool {
-	if p.options.Without.AccountAge || p.guarded() {
+func (p *Pool) capacitiesFresh() bool {
+	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
 		return true
 	}
 	return p.loop.Now().Sub(p.workersAsOf) <= accountAge
 }
 
-// guarded reports whether the pool's workers refuse starts that exceed their capacity.
-func (p *Pool) guarded() bool {
+// workersEnforceCapacity reports whether the pool's workers refuse starts that exceed their capacity.
+func (p *Pool) workersEnforceCapacity() bool {
 	current := p.options.Catalog()
 	if current == nil {
 		return false
@@ -30,9 +30,9 @@
 	return false
 }
 
-// holdsItsMembers reports whether all members and unwanted runs on the worker fit into its present
+// fitsMembers reports whether all members and unwanted runs on the worker fit into its present
 // capacity.
-func (w *worker) holdsItsMembers(now time.Time) bool {
+func (w *worker) fitsMembers(now time.Time) bool {
 	free := w.Capacity
 	for _, m := range w.members {
 		free = free.Minus(m.unit.spec().Room())
--- a/internal/pool/claim.go
+++ b/internal/pool/claim.go
@@ -22,7 +22,7 @@
 				return
 			}
 			version = listing.Rows[i].Version
-			p.takeDurations(current)
+			p.mergeDurations(current)
 		}
 		w.claimAt(part, version, done)
 	})
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -50,7 +50,7 @@
 	startedAt := p.loop.Now()
 	waiting := p.waitingUnits()
 	p.hasBacklog = false
-	if len(waiting) == 0 || !p.accountsKnown() {
+	if len(waiting) == 0 || !p.capacitiesFresh() {
 		return
 	}
 	s := p.snapshot()
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -10,18 +10,18 @@
 // The estimates in job specs may be far off. Durations are therefore predicted for each
 // queue by a linear regression of the logarithm of the duration on that of the estimate.
 const (
-	// durationMemory bounds the total weight of past runs, in jobs, so that the model follows a
+	// maxDurationWeight bounds the total weight of past runs, in jobs, so that the model follows a
 	// changing workload.
-	durationMemory = 60.0
-	// priorJobs is the weight, in jobs, of the prior that estimates are right on average.
+	maxDurationWeight = 60.0
+	// priorLevelWeight is the weight, in jobs, of the prior that estimates are right on average.
 	// priorSpread is the weight of the prior that durations are proportional to estimates, in
 	// squared logarithms.
-	priorJobs   = 3.0
-	priorSpread = 2.0
-	// priorSquares is the prior variance of the prediction error, with the weight of priorJobs.
+	priorLevelWeight = 3.0
+	priorSlopeWeight = 2.0
+	// priorVariance is the prior variance of the prediction error, with the weight of priorJobs.
 	// mostSquare bounds the squared error that one run adds, against outliers.
-	priorSquares = 0.25
-	mostSquare   = 1.0
+	priorVariance   = 0.25
+	maxSquaredError = 1.0
 )
 
 // durationModel is the regression of one queue: weighted sums over the logarithms of estimates
@@ -42,13 +42,13 @@
 	if estimate <= 0 || duration <= 0 {
 		return
 	}
-	if total := d.Weight + weight; total > durationMemory {
-		scale := durationMemory / total
+	if total := d.Weight + weight; total > maxDurationWeight {
+		scale := maxDurationWeight / total
 		d.Weight, d.X, d.Y, d.XX, d.XY, d.Squares = d.Weight*scale, d.X*scale, d.Y*scale, d.XX*scale, d.XY*scale, d.Squares*scale
 	}
 	x, y := math.Log(estimate.Seconds()), math.Log(duration.Seconds())
 	predictionError := y - math.Log(d.predict(estimate).Seconds())
-	d.Squares += weight * min(mostSquare, predictionError*predictionError)
+	d.Squares += weight * min(maxSquaredError, predictionError*predictionError)
 	d.Weight += weight
 	d.X += weight * x
 	d.Y += weight * y
@@ -64,19 +64,19 @@
 	meanX, meanY := d.X/d.Weight, d.Y/d.Weight
 	spreadX := max(0, d.XX-d.Weight*meanX*meanX)
 	spreadXY := d.XY - d.Weight*meanX*meanY
-	slope := (spreadXY + priorSpread) / (spreadX + priorSpread)
-	level := meanX + (meanY-meanX)*d.Weight/(d.Weight+priorJobs)
+	slope := (spreadXY + priorSlopeWeight) / (spreadX + priorSlopeWeight)
+	level := meanX + (meanY-meanX)*d.Weight/(d.Weight+priorLevelWeight)
 	predicted := level + slope*(math.Log(estimate.Seconds())-meanX)
 	return time.Duration(math.Exp(predicted) * float64(time.Second))
 }
 
 // variance returns the variance of the logarithmic prediction error.
 func (d *durationModel) variance() float64 {
-	return (d.Squares + priorSquares*priorJobs) / (d.Weight + priorJobs)
+	return (d.Squares + priorVariance*priorLevelWeight) / (d.Weight + priorLevelWeight)
 }
 
-// learnDuration updates the queue's model from a completed unit.
-func (p *Pool) learnDuration(u *unit) {
+// updateDurationModel updates the queue's model from a completed unit.
+func (p *Pool) updateDurationModel(u *unit) {
 	if !u.startedHere || u.resumed || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
 		return
 	}
@@ -90,9 +90,9 @@
 	model.learn(u.spec().Estimate(), duration, 1/float64(len(u.step.units)))
 }
 
-// takeDurations takes over the models of an earlier owner. Of several head rows it keeps, for
+// mergeDurations takes over the models of an earlier owner. Of several head rows it keeps, for
 // each queue, the model with the largest weight.
-func (p *Pool) takeDurations(earlier head) {
+func (p *Pool) mergeDurations(earlier head) {
 	if p.options.Off[mechanism.LearnedDurations] {
 		return
 	}
@@ -104,16 +104,16 @@
 	}
 }
 
-// estimatePeriod is the minimum time between two updates of the estimates of open jobs.
-const estimatePeriod = time.Second
+// estimateRefreshInterval is the minimum time between two updates of the estimates of open jobs.
+const estimateRefreshInterval = time.Second
 
 // refreshEstimates updates the estimates of open jobs from the queues' models.
 func (p *Pool) refreshEstimates() {
 	now := p.loop.Now()
-	if now.Sub(p.estimatedAt) < estimatePeriod {
+	if now.Sub(p.estimatesRefreshedAt) < estimateRefreshInterval {
 		return
 	}
-	p.estimatedAt = now
+	p.estimatesRefreshedAt = now
 	for _, j := range p.jobs {
 		if !j.next.Final() {
 			p.estimateJob(j)
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -19,7 +19,7 @@
 	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.hasUnexplainedLosses() {
 		return nil
 	}
-	return placement.Fit(s.workers, s.racks.All, narrowed(visible, func(i int) bool {
+	return placement.Fit(s.workers, s.racks.All, restrict(visible, func(i int) bool {
 		w := s.poolWorkers[i]
 		return len(w.members) == 0 && !p.speedKnown(w) && !w.cold(s.now)
 	}))
@@ -30,7 +30,7 @@
 	if p.options.Off[mechanism.LearnedSpeeds] {
 		return false
 	}
-	p.medianTime(now)
+	p.currentMedianLogRunTime(now)
 	return p.tooSlowShare >= minSlowShareToExplore
 }
 
--- a/internal/pool/findplace.go
+++ b/internal/pool/findplace.go
@@ -30,8 +30,8 @@
 	if u.hasUnexplainedLosses() {
 		return p.findIsolatedPlacement(s, u, &visible)
 	}
-	for _, preferred := range p.preferences(s, u) {
-		if places := p.fitWithLocality(s, u, narrowed(&visible, preferred), &visible); places != nil {
+	for _, preferred := range p.workerPreferences(s, u) {
+		if places := p.fitWithLocality(s, u, restrict(&visible, preferred), &visible); places != nil {
 			return places
 		}
 	}
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -119,8 +119,8 @@
 	excludedWorkers map[string]bool
 	// slowness is the slowdown of the unit's slowest worker relative to the median worker.
 	slowness float64
-	// comparedRun is the latest run whose members' speeds were compared.
-	comparedRun int
+	// measuredRun is the latest run whose members' speeds were compared.
+	measuredRun int
 	// lossGroup holds the crash histories of the members; nil if no worker was lost.
 	lossGroup *poison.Group
 }
@@ -162,12 +162,12 @@
 	listedAt  time.Time
 	// losses is the history of workers lost while the member ran there; nil if there are none.
 	losses *poison.History
-	// logTime is the logarithm of the run's projected duration in seconds, estimated at
+	// logRunTime is the logarithm of the run's projected duration in seconds, estimated at
 	// timedPercent of its progress; 0 before the first estimate.
-	logTime      float64
-	timedPercent int
-	// inCohort is the member's entry in the step's cohort.
-	inCohort speeds.Member
+	logRunTime     float64
+	runTimePercent int
+	// cohortEntry is the member's entry in the step's cohort.
+	cohortEntry speeds.Member
 }
 
 func (m *member) name() taskgraph.TaskName {
--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -34,7 +34,7 @@
 		return
 	}
 	// Deferred, so that the speeds learned from this run do not hide its stragglers.
-	defer p.learnFromGang(u)
+	defer p.updateSpeedsFromGang(u)
 	if p.options.Off[mechanism.Laggards] {
 		return
 	}
@@ -52,7 +52,7 @@
 		if !m.worker.cold(now) {
 			m.worker.slowUntil = now.Add(slowExclusionPeriod)
 		}
-		p.leaveAlone(m.worker, "a run is much slower than its gang", now)
+		p.excludeWorker(m.worker, "a run is much slower than its gang", now)
 		slowest = max(slowest, projected)
 	}
 	timeLeft := u.runningSince.Add(slowest).Sub(now)
@@ -63,7 +63,7 @@
 
 // slowExclusionPeriod is how long gangs avoid the worker of a straggler. It is twice the exclusion period,
 // so that single tasks run there first.
-const slowExclusionPeriod = 2 * penalty
+const slowExclusionPeriod = 2 * exclusionPeriod
 
 // medianWorkerDuration returns the projected duration of a member on the median worker, and false while less than
 // half of the members or fewer than two have a projection. It is the lower quartile of the members on
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -40,8 +40,8 @@
 	return suspects
 }
 
-// keptLosses returns the losses in the form stored in the unit's row.
-func (u *unit) keptLosses() []memberLosses {
+// encodeLosses returns the losses in the form stored in the unit's row.
+func (u *unit) encodeLosses() []memberLosses {
 	var kept []memberLosses
 	for _, m := range u.suspects() {
 		kept = append(kept, memberLosses{Member: m.index, Records: m.losses.Records()})
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -20,8 +20,8 @@
 	m.sentAt = time.Time{}
 	m.startDeadline = 0
 	m.inUnknownLife = false
-	m.timedPercent = 0
-	m.unit.step.cohort.Forget(&m.inCohort)
+	m.runTimePercent = 0
+	m.unit.step.cohort.Forget(&m.cohortEntry)
 	w.members = append(w.members, m)
 }
 
@@ -52,7 +52,7 @@
 	for i, m := range u.members {
 		p.assign(m, places[i])
 	}
-	u.slowness = p.slowestOf(u)
+	u.slowness = p.maxSlowness(u)
 	run := u.run
 	if !u.job.begun {
 		u.job.begun = true
@@ -82,11 +82,11 @@
 
 // placeHolds reports whether a unit whose placement is stored may still be started there.
 func (p *Pool) placeHolds(u *unit) bool {
-	if !p.mayStart(p.loop.Now()) || !p.accountsKnown() {
+	if !p.mayStart(p.loop.Now()) || !p.capacitiesFresh() {
 		return false
 	}
 	for _, m := range u.members {
-		if !m.worker.holdsItsMembers(p.loop.Now()) {
+		if !m.worker.fitsMembers(p.loop.Now()) {
 			return false
 		}
 		if !p.options.Without.StartZones && !p.mayStartOn(m.worker, p.loop.Now()) {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -76,8 +76,8 @@
 	dropping bool
 	// durations holds the learned duration model of each queue; estimatedAt is when the models
 	// were last applied to open jobs.
-	durations   map[string]*durationModel
-	estimatedAt time.Time
+	durations            map[string]*durationModel
+	estimatesRefreshedAt time.Time
 	// jobsVersion is the store version up to which the job feed was read.
 	jobsVersion int64
 	// lossLedger correlates losses of workers, to find tasks that crash workers.
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -64,8 +64,8 @@
 // no more than it gains, or else the cheapest one on any workers.
 func (p *Pool) choosePreemption(s *snapshot, u *unit, request *placement.Request) (places, victims []int, loss float64) {
 	gain := startGain(u, s.now)
-	for _, preferred := range p.preferences(s, u) {
-		places, victims, loss = cheapestPreemption(s, s.localityGroups(u), narrowed(request, preferred))
+	for _, preferred := range p.workerPreferences(s, u) {
+		places, victims, loss = cheapestPreemption(s, s.localityGroups(u), restrict(request, preferred))
 		if places != nil && loss <= gain {
 			return places, victims, loss
 		}
@@ -176,7 +176,7 @@
 // preemptForFastWorkers preempts units on workers that are not slow, for a unit that would miss its objective on
 // the free ones, if it can then meet it and the gain exceeds the cost.
 func (p *Pool) preemptForFastWorkers(s *snapshot, u *unit, request *placement.Request) bool {
-	fast := narrowed(request, func(i int) bool { return !s.workers[i].Slow && !s.poolWorkers[i].reliability.suspect() })
+	fast := restrict(request, func(i int) bool { return !s.workers[i].Slow && !s.poolWorkers[i].reliability.failsEarly() })
 	places, victims, loss := cheapestPreemption(s, s.localityGroups(u), fast)
 	if places == nil || loss > onTimeGain(u) || loss > 0 && u.slack(s.now) < p.options.Bounds.StopTimeout {
 		return false
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -12,7 +12,7 @@
 	}
 	encode := (*step).progress
 	if j.next.Final() {
-		encode = (*step).leftovers
+		encode = (*step).activeProgress
 	}
 	for _, t := range j.repetitions {
 		for _, s := range t.steps {
@@ -42,9 +42,9 @@
 	return record, s.ended > 0 || len(record.Units) > 0
 }
 
-// leftovers returns the record of an ended job's units that may still run on workers without a
+// activeProgress returns the record of an ended job's units that may still run on workers without a
 // row, which the next owner could not find otherwise.
-func (s *step) leftovers(number int) (stepProgress, bool) {
+func (s *step) activeProgress(number int) (stepProgress, bool) {
 	record := stepProgress{Time: number, Step: s.index}
 	for _, u := range s.units {
 		if u.activeMembers() == 0 {
@@ -58,35 +58,35 @@
 }
 
 func (u *unit) progress() unitProgress {
-	record := unitProgress{Index: u.index, Run: u.run, Failures: u.failures, Checkpoint: u.checkpoint, Losses: u.keptLosses()}
+	record := unitProgress{Index: u.index, Run: u.run, Failures: u.failures, Checkpoint: u.checkpoint, Losses: u.encodeLosses()}
 	if u.activeMembers() > 0 {
 		record.Workers = make([]string, len(u.members))
 		for i, m := range u.members {
 			if m.worker == nil {
 				continue
 			}
-			record.noteLife(i, m.worker.Life)
+			record.setIncarnation(i, m.worker.Life)
 			if m.wasConfirmed() {
-				record.noteConfirmed(i)
+				record.setConfirmed(i)
 			}
 			if !m.worker.listed {
-				record.noteAddress(&m.worker.Worker)
+				record.setAddress(&m.worker.Worker)
 			}
 		}
 	}
 	return record
 }
 
-// noteConfirmed marks a member's run as confirmed.
-func (r *unitProgress) noteConfirmed(member int) {
+// setConfirmed marks a member's run as confirmed.
+func (r *unitProgress) setConfirmed(member int) {
 	if r.Confirmed == nil {
 		r.Confirmed = newBitset(len(r.Workers))
 	}
 	bitset(r.Confirmed).set(member)
 }
 
-// noteLife records the worker incarnation on which a member may run.
-func (r *unitProgress) noteLife(member int, life fleet.Life) {
+// setIncarnation records the worker incarnation on which a member may run.
+func (r *unitProgress) setIncarnation(member int, life fleet.Life) {
 	r.Workers[member] = life.ID
 	if life.Born == 0 {
 		return
@@ -97,7 +97,7 @@
 	r.Born[member] = life.Born
 }
 
-func (r *unitProgress) noteAddress(w *fleet.Worker) {
+func (r *unitProgress) setAddress(w *fleet.Worker) {
 	if r.Addresses == nil {
 		r.Addresses = map[string]string{}
 	}
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -83,7 +83,7 @@
 func (p *Pool) addWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
 	workerIndex := len(s.workers)
 	entry := placement.Worker{
-		Rack: w.rack, Capacity: w.Capacity, Slow: p.slow(w), Free: w.Capacity, Usable: p.usable(w, s.now),
+		Rack: w.rack, Capacity: w.Capacity, Slow: p.avoidedByGangs(w), Free: w.Capacity, Usable: p.usable(w, s.now),
 		Closed:  zones.Contains(w.Zone),
 		Holders: reusedHolders(s.workers),
 	}
@@ -157,7 +157,7 @@
 
 // usable reports whether a worker may take new work.
 func (p *Pool) usable(w *worker, now time.Time) bool {
-	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.usageKnown(w, now) && !w.leaving() && now.After(w.penaltyUntil)
+	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.usageKnown(w, now) && !w.leaving() && now.After(w.excludedUntil)
 }
 
 // placementUnit returns the placement view of a unit that uses resources.
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -62,7 +62,7 @@
 func (p *Pool) checkProgress(m *member, now time.Time) {
 	stalled := p.stalledFor(m)
 	if stalled > 0 && p.adaptiveStallTimeout() && !m.unit.slowByItself() {
-		p.leaveAlone(m.worker, "a run stands still", now)
+		p.excludeWorker(m.worker, "a run stands still", now)
 	}
 	if stalled > 0 && stalled >= p.stallTimeout(m) {
 		p.restartStalled(m.unit)
@@ -153,14 +153,14 @@
 		}
 		u.excludedWorkers[m.worker.ID] = true
 		if !u.spec().Gang || p.adaptiveStallTimeout() {
-			p.leaveAlone(m.worker, "a run stands still", now)
+			p.excludeWorker(m.worker, "a run stands still", now)
 		}
 	}
 	p.stopUnit(u, "stands still")
 }
 
-// noteRunning sets runningSince once the starts of all members are confirmed.
-func (u *unit) noteRunning(now time.Time) {
+// updateRunningSince sets runningSince once the starts of all members are confirmed.
+func (u *unit) updateRunningSince(now time.Time) {
 	if !u.runningSince.IsZero() {
 		return
 	}
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -92,7 +92,7 @@
 	if m.state == memberStarting || m.state == memberUncertain {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
-		m.unit.noteRunning(m.sentAt)
+		m.unit.updateRunningSince(m.sentAt)
 		p.noteConfirmedStart(m.unit)
 	}
 	p.hold(m.worker)
@@ -117,7 +117,7 @@
 	}
 	if reason == fleet.NoRoom {
 		// The worker runs something that this owner does not know of.
-		w.penaltyUntil = p.loop.Now().Add(roomPenalty)
+		w.excludedUntil = p.loop.Now().Add(roomPenalty)
 		p.pollNow(w)
 	}
 	// The start was refused, so nothing runs.
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -83,7 +83,7 @@
 		if !p.usable(w, now) {
 			summary.Unusable++
 		}
-		if p.slow(w) {
+		if p.avoidedByGangs(w) {
 			summary.Slow++
 		}
 		if w.unanswered > 0 {
--- a/internal/pool/trial.go
+++ b/internal/pool/trial.go
@@ -81,7 +81,7 @@
 		return placement.Fit(s.workers, s.racks.All, s.restrictToEmpty(visible))
 	}
 	for _, preferred := range s.isolationPreferences(u) {
-		if places := p.fitWithLocality(s, u, narrowed(visible, preferred), visible); places != nil {
+		if places := p.fitWithLocality(s, u, restrict(visible, preferred), visible); places != nil {
 			return places
 		}
 	}
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -45,9 +45,9 @@
 		return
 	}
 	u.state = unitEnded
-	p.learnFromGang(u)
-	p.noteTaskDone(u)
-	p.learnDuration(u)
+	p.updateSpeedsFromGang(u)
+	p.updateSpeedFromEndedTask(u)
+	p.updateDurationModel(u)
 	s := u.step
 	s.ended++
 	j := u.job
@@ -83,7 +83,7 @@
 		u.excludedWorkers = map[string]bool{}
 	}
 	u.excludedWorkers[w.ID] = true
-	p.strike(w, u)
+	p.recordRunFailure(w, u)
 	p.persistEnd(u.job)
 	if u.failures >= max(1, u.job.Queue.MaxAttempts) && !u.spec().LongRunning {
 		p.finishJob(u.job, taskgraph.Failed)
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -81,7 +81,7 @@
 // that do not enforce their capacity. Runs that the former owner was stopping at the first contact
 // are in no report; they end within the time of a stop.
 func (p *Pool) usageKnown(w *worker, now time.Time) bool {
-	if p.options.Without.AccountAge || p.guarded() {
+	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
 		return true
 	}
 	return now.Sub(w.greetedAt) > p.options.Bounds.StopTimeout+stopMargin
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -10,12 +10,12 @@
 // machineRecord holds what is known of a worker's machine. It survives restarts of the worker,
 // because a machine that fails or slows its runs keeps doing so.
 type machineRecord struct {
-	// penaltyUntil is until when the worker gets no new work, and slowUntil until when it gets no
+	// excludedUntil is until when the worker gets no new work, and slowUntil until when it gets no
 	// gangs.
-	penaltyUntil time.Time
-	slowUntil    time.Time
-	speed        speeds.Estimate
-	reliability  reliability
+	excludedUntil time.Time
+	slowUntil     time.Time
+	speed         speeds.Estimate
+	reliability   reliability
 	// restarts counts the restarts of the worker under its identifier since this owner's first
 	// contact.
 	restarts int
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -166,7 +166,7 @@
 	case fleet.NoAnswer, fleet.Unreachable:
 		p.unheard(w)
 	case fleet.Unhealthy:
-		w.penaltyUntil = p.loop.Now().Add(penalty)
+		w.excludedUntil = p.loop.Now().Add(exclusionPeriod)
 	}
 	return false
 }
