--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -63,14 +63,14 @@
 		m.unit.updateRunningSince(now)
 		p.noteConfirmedStart(m.unit)
 	}
-	m.listedAt = now
+	m.reportedAt = now
 	m.inUnknownLife = false
 	if entry.Percent > 0 && m.unit.startedHere && !m.unit.resumed {
 		m.worker.reliability.recordProgress(m.unit.startedAt)
 	}
 	p.updateRunTime(m, entry.Percent, now)
-	if entry.Percent != m.percent || m.percentAt.IsZero() {
-		m.percent, m.percentAt = entry.Percent, now
+	if entry.Percent != m.percent || m.percentChangedAt.IsZero() {
+		m.percent, m.percentChangedAt = entry.Percent, now
 	}
 	if entry.Checkpoint != "" {
 		m.unit.checkpoint = entry.Checkpoint
--- a/internal/pool/announce.go
+++ b/internal/pool/announce.go
@@ -8,7 +8,7 @@
 // Rows at or below the feed's version are ignored: the feed has delivered them already, and
 // a job whose rows have been removed since would run again.
 func (p *Pool) TakeAnnounced(row rows.Row) {
-	if p.gone || !p.loaded || row.Version <= p.jobsVersion {
+	if p.closed || !p.loaded || row.Version <= p.jobsVersion {
 		return
 	}
 	p.record.Count("announcements", "taken")
--- a/internal/pool/batch.go
+++ b/internal/pool/batch.go
@@ -104,7 +104,7 @@
 		answered = true
 		b.open--
 		switch {
-		case w.pool.gone:
+		case w.pool.closed:
 		case err != nil:
 			w.retry(b, err)
 		case result.Committed:
@@ -116,7 +116,7 @@
 		}
 	})
 	w.pool.loop.After(partPatience+rows.SendTime(transaction), func() {
-		if !w.pool.gone && !answered && !b.written && b.open < progressParts {
+		if !w.pool.closed && !answered && !b.written && b.open < progressParts {
 			w.pool.record.Count("retries", "commit_slow")
 			w.part = (part + 1) % progressParts
 			w.send(b)
@@ -142,7 +142,7 @@
 		pause = nextPause(pause)
 	}
 	w.pool.storeRetries.After(pause, func() {
-		if !w.pool.gone {
+		if !w.pool.closed {
 			w.send(b)
 		}
 	})
@@ -162,7 +162,7 @@
 // attempt whose response was lost, the batch is written; if by another batch of this owner, the
 // batch is sent again. Otherwise this owner was replaced.
 func (w *writer) conditionFailed(b *batch, part int, result rows.Result) {
-	w.pool.noteStore()
+	w.pool.recordStoreAnswer()
 	for i := range result.Current {
 		row := &result.Current[i]
 		var current head
@@ -187,7 +187,7 @@
 		return
 	}
 	b.written = true
-	w.pool.noteStore()
+	w.pool.recordStoreAnswer()
 	w.pool.record.Observe("store_commit", w.pool.storeAnsweredAt.Sub(b.sentAt))
 	w.sending = false
 	for i, j := range b.jobs {
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// accountAge is the maximum age of the workers' rows for a start on workers that do not enforce
+// maxCapacityAge is the maximum age of the workers' rows for a start on workers that do not enforce
 // their capacity. Feeds are polled each second; the platform counts a reduced capacity from at
 // least 3 s and a heartbeat after the change.
-const accountAge = 2500 * time.Millisecond
+const maxCapacityAge = 2500 * time.Millisecond
 
 // capacitiesFresh reports whether the workers' capacities are fresh enough for placement; always
 // true if the workers enforce them.
@@ -13,7 +13,7 @@
 	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
 		return true
 	}
-	return p.loop.Now().Sub(p.workersAsOf) <= accountAge
+	return p.loop.Now().Sub(p.workersAsOf) <= maxCapacityAge
 }
 
 // workersEnforceCapacity reports whether the pool's workers refuse starts that exceed their capacity.
--- a/internal/pool/claim.go
+++ b/internal/pool/claim.go
@@ -36,7 +36,7 @@
 		Puts:       []rows.Put{{Key: key, Value: w.pool.head("claim")}},
 	}, func(result rows.Result, err error) {
 		switch {
-		case w.pool.gone:
+		case w.pool.closed:
 		case err == nil && result.Committed:
 			w.headVersions[part] = result.Version
 			w.pool.Confirm(sentAt)
--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -24,7 +24,7 @@
 	claimed, sentAt := w.claimed, p.loop.Now()
 	p.record.Count("worker_orders", "ask_life")
 	p.ports.Hold(claimed, fleet.Hold{Token: p.token}, func(reply fleet.Reply, err error) {
-		if p.gone || p.workers[w.ID] != w {
+		if p.closed || p.workers[w.ID] != w {
 			return
 		}
 		w.asking = false
@@ -52,7 +52,7 @@
 		p.Abandon("fenced by worker " + w.ID)
 	case fleet.NoAnswer, fleet.Unreachable, fleet.Unhealthy:
 		p.loop.After(holdRetry, func() {
-			if !p.gone && p.workers[w.ID] == w {
+			if !p.closed && p.workers[w.ID] == w {
 				p.askClaimed(w)
 			}
 		})
--- a/internal/pool/confirmation.go
+++ b/internal/pool/confirmation.go
@@ -43,10 +43,10 @@
 	p.confirming = true
 	p.ports.Scan(NodeTable, p.options.Pool, LeaseRow, func(listing rows.Listing, err error) {
 		p.confirming = false
-		if p.gone || err != nil {
+		if p.closed || err != nil {
 			return
 		}
-		p.noteStore()
+		p.recordStoreAnswer()
 		for i := range listing.Rows {
 			if listing.Rows[i].Key == LeaseKey(p.options.Pool) && listing.Rows[i].Version != p.token {
 				p.Abandon("lease taken")
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -26,7 +26,7 @@
 
 // scheduleCycle schedules a scheduling cycle unless one is scheduled already.
 func (p *Pool) scheduleCycle() {
-	if p.cycleScheduled || !p.loaded || p.gone || p.releasing {
+	if p.cycleScheduled || !p.loaded || p.closed || p.releasing {
 		return
 	}
 	p.cycleScheduled = true
@@ -40,7 +40,7 @@
 
 func (p *Pool) runCycle() {
 	p.cycleScheduled = false
-	if !p.gone && !p.releasing {
+	if !p.closed && !p.releasing {
 		p.runSchedulingCycle()
 	}
 }
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -12,19 +12,19 @@
 // zones that is not older than evacuationAge. With a delay of at most startAhead until the start
 // is carried out, it stays within the bound.
 const (
-	// evacuationAgeMost bounds evacuationAge. It is several responses of a node's feed, which come
+	// maxEvacuationAge bounds evacuationAge. It is several responses of a node's feed, which come
 	// every 0.3 s.
-	evacuationAgeMost = 2 * time.Second
+	maxEvacuationAge = 2 * time.Second
 	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
-	// evacuationReadAgeMost bounds the age from which the owner reads the rows itself, for example
+	// maxEvacuationReadAge bounds the age from which the owner reads the rows itself, for example
 	// because its node's feed is silent or the store refuses the node.
-	evacuationReadAgeMost = 800 * time.Millisecond
+	maxEvacuationReadAge = 800 * time.Millisecond
 )
 
-// startAhead returns how far a start's deadline lies ahead of the worker's clock. No start is
+// maxStartDelay returns how far a start's deadline lies ahead of the worker's clock. No start is
 // carried out later.
-func (p *Pool) startAhead() time.Duration {
+func (p *Pool) maxStartDelay() time.Duration {
 	ahead := startLimit
 	if p.options.Late != nil {
 		ahead += p.options.Late()
@@ -35,37 +35,37 @@
 	return ahead
 }
 
-// evacuationAge returns the maximum age of the set of evacuated zones for a start; 0 if it is
+// evacuationAgeLimit returns the maximum age of the set of evacuated zones for a start; 0 if it is
 // unlimited.
-func (p *Pool) evacuationAge() time.Duration {
+func (p *Pool) evacuationAgeLimit() time.Duration {
 	bound := p.options.Bounds.Evacuation
 	if bound <= 0 || p.options.Without.EvacuationAge {
 		return 0
 	}
-	return min(evacuationAgeMost, bound-p.startAhead()-evacuationMargin)
+	return min(maxEvacuationAge, bound-p.maxStartDelay()-evacuationMargin)
 }
 
-// evacuationReadAge returns the age of the set from which the owner reads it again. At most half of
+// evacuationReadAgeLimit returns the age of the set from which the owner reads it again. At most half of
 // evacuationAge, so that the other half is left for the read.
-func (p *Pool) evacuationReadAge() time.Duration {
-	if limit := p.evacuationAge(); limit > 0 {
-		return min(evacuationReadAgeMost, limit/2)
+func (p *Pool) evacuationReadAgeLimit() time.Duration {
+	if limit := p.evacuationAgeLimit(); limit > 0 {
+		return min(maxEvacuationReadAge, limit/2)
 	}
-	return evacuationReadAgeMost
+	return maxEvacuationReadAge
 }
 
-// evacuated returns the newest known set of evacuated zones.
-func (p *Pool) evacuated() evacuation.Set {
+// evacuatedZones returns the newest known set of evacuatedZones zones.
+func (p *Pool) evacuatedZones() evacuation.Set {
 	if p.options.Evacuated == nil {
 		return p.evacuatedRead
 	}
 	return p.evacuatedRead.Newest(p.options.Evacuated())
 }
 
-// evacuationsKnown reports whether the set of evacuated zones is fresh enough for starts.
-func (p *Pool) evacuationsKnown(now time.Time) bool {
-	limit := p.evacuationAge()
-	return limit == 0 || now.Sub(p.evacuated().AsOf) <= limit
+// evacuationsFresh reports whether the set of evacuated zones is fresh enough for starts.
+func (p *Pool) evacuationsFresh(now time.Time) bool {
+	limit := p.evacuationAgeLimit()
+	return limit == 0 || now.Sub(p.evacuatedZones().AsOf) <= limit
 }
 
 // mayStartOn reports whether a run may start on a worker: its zone is known not to be evacuated.
@@ -73,7 +73,7 @@
 	if p.options.Without.Evacuations {
 		return true
 	}
-	return p.evacuationsKnown(now) && !p.evacuated().Contains(w.Zone)
+	return p.evacuationsFresh(now) && !p.evacuatedZones().Contains(w.Zone)
 }
 
 // checkEvacuations handles changes of the evacuated zones, and reads the operators' rows if the set
@@ -81,17 +81,17 @@
 func (p *Pool) checkEvacuations() {
 	p.NoteEvacuations()
 	askedAt := p.loop.Now()
-	if p.readingEvacuations || askedAt.Sub(p.evacuated().AsOf) < p.evacuationReadAge() {
+	if p.readingEvacuations || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
 		return
 	}
 	p.readingEvacuations = true
 	table, prefix := p.ports.EvacuationRows()
 	p.ports.Scan(table, "", prefix, func(listing rows.Listing, err error) {
 		p.readingEvacuations = false
-		if p.gone || err != nil {
+		if p.closed || err != nil {
 			return
 		}
-		p.noteStore()
+		p.recordStoreAnswer()
 		read := evacuation.Of(evacuation.Changes(listing.Rows, p.ports.EvacuatedZone), listing.Version, askedAt)
 		p.evacuatedRead = p.evacuatedRead.Newest(read)
 		p.NoteEvacuations()
@@ -101,15 +101,15 @@
 // NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change and
 // schedules a cycle.
 func (p *Pool) NoteEvacuations() {
-	if p.gone {
+	if p.closed {
 		return
 	}
-	current := p.evacuated()
-	known := p.evacuationsKnown(p.loop.Now())
-	if current.SameZones(p.evacuatedNoted) && known == p.evacuationsWereKnown {
+	current := p.evacuatedZones()
+	known := p.evacuationsFresh(p.loop.Now())
+	if current.SameZones(p.reportedEvacuations) && known == p.evacuationsWereFresh {
 		return
 	}
-	p.evacuatedNoted, p.evacuationsWereKnown = current, known
+	p.reportedEvacuations, p.evacuationsWereFresh = current, known
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
 	p.record.Decided("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
@@ -120,7 +120,7 @@
 // lose work and take resources from others while a zone is missing.
 func (p *Pool) runsInEvacuatedZones() int {
 	count := 0
-	zones := p.evacuated()
+	zones := p.evacuatedZones()
 	for _, w := range p.workers {
 		if zones.Contains(w.Zone) {
 			count += len(w.members)
--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -37,7 +37,7 @@
 // distrust stops new placements on a worker whose row is invalid or names another pool.
 func (p *Pool) distrust(name string) {
 	w := p.workers[name]
-	if w == nil || !w.listed {
+	if w == nil || !w.hasRow {
 		return
 	}
 	w.claimed = nil
--- a/internal/pool/greet.go
+++ b/internal/pool/greet.go
@@ -62,7 +62,7 @@
 	}
 	w.greeting = false
 	p.greetings.open--
-	if !p.gone {
+	if !p.closed {
 		p.greetNext()
 	}
 }
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -15,7 +15,7 @@
 
 // hold polls a worker for its report and renews its lease, unless a poll is already in flight.
 func (p *Pool) hold(w *worker) {
-	if w.holding || p.gone || p.workers[w.ID] != w {
+	if w.holding || p.closed || p.workers[w.ID] != w {
 		return
 	}
 	if w.holdTimer != nil {
@@ -35,7 +35,7 @@
 	p.record.Count("worker_orders", "hold")
 	p.ports.Hold(&w.Worker, order, func(reply fleet.Reply, err error) {
 		p.greetingEnded(w)
-		if p.gone || p.workers[w.ID] != w {
+		if p.closed || p.workers[w.ID] != w {
 			return
 		}
 		w.holding = false
@@ -94,7 +94,7 @@
 	sentAt := p.loop.Now()
 	p.record.Count("worker_orders", "look")
 	p.ports.Hold(&w.Worker, fleet.Hold{Token: p.token}, func(reply fleet.Reply, err error) {
-		if p.gone || p.workers[w.ID] != w {
+		if p.closed || p.workers[w.ID] != w {
 			return
 		}
 		if err != nil {
@@ -124,7 +124,7 @@
 		p.record.Decided("worker answers again", "worker", w.ID, "unanswered", w.unanswered)
 	}
 	w.unanswered = 0
-	w.departing = w.departing || (!w.listed && !w.missing)
+	w.departing = w.departing || (!w.hasRow && !w.missing)
 	return jumped
 }
 
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -157,9 +157,9 @@
 	startDeadline int64
 	// percent is the last reported progress, percentAt when it last changed, and listedAt
 	// when the run was last reported.
-	percent   int
-	percentAt time.Time
-	listedAt  time.Time
+	percent          int
+	percentChangedAt time.Time
+	reportedAt       time.Time
 	// losses is the history of workers lost while the member ran there; nil if there are none.
 	losses *poison.History
 	// logRunTime is the logarithm of the run's projected duration in seconds, estimated at
--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -95,12 +95,12 @@
 // projectedDuration returns the total duration of a member's run at its speed so far, and false if
 // the run is too young for a projection.
 func (m *member) projectedDuration() (time.Duration, bool) {
-	if m.state != memberRunning || m.worker == nil || m.percentAt.IsZero() {
+	if m.state != memberRunning || m.worker == nil || m.percentChangedAt.IsZero() {
 		return 0, false
 	}
-	reportedAt := m.listedAt
+	reportedAt := m.reportedAt
 	if m.percent >= nearEndPercent {
-		reportedAt = m.percentAt
+		reportedAt = m.percentChangedAt
 	}
 	elapsed := reportedAt.Sub(m.unit.runningSince)
 	if elapsed < minProjectionAge {
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -47,7 +47,7 @@
 			p.record.Decided("lease ran out", "worker", w.ID, "runs", len(w.members))
 			p.loseRuns(w, lostWithLease)
 			p.forgetIfIdle(w)
-		} else if silent && !w.listed && p.lapsed(w) {
+		} else if silent && !w.hasRow && p.lapsed(w) {
 			p.forgetIfIdle(w)
 		}
 	}
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -109,7 +109,7 @@
 				return
 			}
 			p.dropping = false
-			if p.gone || failed {
+			if p.closed || failed {
 				return
 			}
 			delete(p.jobs, id)
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -106,7 +106,7 @@
 // addressTaken reports whether another worker is listed at the worker's address.
 func (p *Pool) addressTaken(w *worker) bool {
 	for _, other := range p.workers {
-		if other != w && other.listed && other.Address == w.Address && w.Address != "" {
+		if other != w && other.hasRow && other.Address == w.Address && w.Address != "" {
 			return true
 		}
 	}
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -16,7 +16,7 @@
 	m.stopTried, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
 	m.startCall = nil
 	m.confirmedBefore, m.formerLife = false, fleet.Life{}
-	m.percent, m.percentAt, m.listedAt = 0, time.Time{}, time.Time{}
+	m.percent, m.percentChangedAt, m.reportedAt = 0, time.Time{}, time.Time{}
 	m.sentAt = time.Time{}
 	m.startDeadline = 0
 	m.inUnknownLife = false
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -43,7 +43,7 @@
 	storeRetries *loop.Retries
 	// loaded is true once the pool's rows are read; no orders are sent before.
 	loaded         bool
-	gone           bool
+	closed         bool
 	releasing      bool
 	cycleScheduled bool
 	// lastCycleEnd is when the last scheduling cycle ended, and crowded is true if it left units
@@ -90,10 +90,10 @@
 	confirming  bool
 	// workersAsOf is the time as of which the worker rows are known.
 	workersAsOf time.Time
-	// evacuatedRead holds the evacuated zones as read by this owner, evacuatedNoted those last
+	// evacuatedRead holds the evacuated zones as read by this owner, reportedEvacuations those last
 	// logged, and evacuationsWereKnown whether they were recent enough for starts.
-	evacuatedRead, evacuatedNoted            evacuation.Set
-	evacuationsWereKnown, readingEvacuations bool
+	evacuatedRead, reportedEvacuations       evacuation.Set
+	evacuationsWereFresh, readingEvacuations bool
 	foreign                                  foreignRows
 	// earlyCancels holds cancellations that were read before their job.
 	earlyCancels map[string]bool
@@ -139,8 +139,8 @@
 // StoreAge returns the time since the store's last response to this owner.
 func (p *Pool) StoreAge() time.Duration { return p.loop.Now().Sub(p.storeAnsweredAt) }
 
-// noteStore records a response of the store.
-func (p *Pool) noteStore() {
+// recordStoreAnswer records a response of the store.
+func (p *Pool) recordStoreAnswer() {
 	now := p.loop.Now()
 	if now.Sub(p.storeAnsweredAt) > storeGap {
 		p.storeBackAt = now
@@ -151,7 +151,7 @@
 // StoreBack retries pending store calls immediately. It is called when the store is available
 // again.
 func (p *Pool) StoreBack() {
-	if !p.gone {
+	if !p.closed {
 		p.storeRetries.Now()
 	}
 }
@@ -162,10 +162,10 @@
 
 // Abandon stops the owner immediately. Runs continue on their workers.
 func (p *Pool) Abandon(reason string) {
-	if p.gone {
+	if p.closed {
 		return
 	}
-	p.gone = true
+	p.closed = true
 	p.record.Count("takeovers", "lost")
 	p.record.Decided("pool lost", "pool", p.options.Pool, "token", p.token, "reason", reason)
 	p.options.Ended(reason)
@@ -173,7 +173,7 @@
 
 // tick runs the periodic checks.
 func (p *Pool) tick() {
-	if p.gone {
+	if p.closed {
 		return
 	}
 	p.checkConfirmation()
@@ -234,7 +234,7 @@
 // Release clears the owner in the lease row once all writes are done. Runs continue under the
 // next owner.
 func (p *Pool) Release() {
-	if p.gone || p.releasing {
+	if p.closed || p.releasing {
 		return
 	}
 	p.releasing = true
@@ -242,7 +242,7 @@
 }
 
 func (p *Pool) releaseWhenIdle() {
-	if p.gone {
+	if p.closed {
 		return
 	}
 	if p.writer.busy() {
@@ -254,7 +254,7 @@
 		Conditions: []rows.Condition{{Key: LeaseKey(p.options.Pool), Version: p.token}},
 		Puts:       []rows.Put{{Key: LeaseKey(p.options.Pool), Value: mustEncode(Lease{})}},
 	}, func(_ rows.Result, err error) {
-		if p.gone {
+		if p.closed {
 			return
 		}
 		if err != nil {
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -69,7 +69,7 @@
 			if m.wasConfirmed() {
 				record.setConfirmed(i)
 			}
-			if !m.worker.listed {
+			if !m.worker.hasRow {
 				record.setAddress(&m.worker.Worker)
 			}
 		}
--- a/internal/pool/read.go
+++ b/internal/pool/read.go
@@ -23,7 +23,7 @@
 
 func (p *Pool) scanUntil(table, part, prefix string, pause time.Duration, done func(rows.Listing)) {
 	p.ports.Scan(table, part, prefix, func(listing rows.Listing, err error) {
-		if p.gone {
+		if p.closed {
 			return
 		}
 		if err != nil {
@@ -31,7 +31,7 @@
 			p.storeRetries.After(pause, func() { p.scanUntil(table, part, prefix, nextPause(pause), done) })
 			return
 		}
-		p.noteStore()
+		p.recordStoreAnswer()
 		done(listing)
 	})
 }
@@ -56,14 +56,14 @@
 // follow reads a table's change feed until the pool stops. If the store has compacted the
 // history after the given version, it calls again, which has to read the whole table.
 func (p *Pool) follow(table string, after int64, pause time.Duration, apply func(rows.Row), again func()) {
-	if p.gone {
+	if p.closed {
 		return
 	}
 	p.passed(table, after)
 	askedAt := p.loop.Now()
 	p.ports.Feed(table, after, func(listing rows.Listing, err error) {
 		switch {
-		case p.gone:
+		case p.closed:
 		case errors.Is(err, rows.ErrHistoryGone):
 			p.record.Count("feed_gaps", table)
 			p.record.Decided("feed read anew", "table", table, "after", after)
@@ -72,7 +72,7 @@
 			p.record.Count("retries", "feed")
 			p.storeRetries.After(pause, func() { p.follow(table, after, nextPause(pause), apply, again) })
 		default:
-			p.noteStore()
+			p.recordStoreAnswer()
 			for i := range listing.Rows {
 				apply(listing.Rows[i])
 			}
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -65,7 +65,7 @@
 		now: p.loop.Now(), reservationsLeft: reservationLimit, reservations: map[int]reservation{}, headroomWorkers: make([][]bool, len(headroomShares)),
 		workers: memory.workers[:0], poolWorkers: memory.owners[:0], units: memory.units[:0], running: memory.running[:0],
 	}
-	zones, known := p.evacuated(), p.evacuationsKnown(s.now)
+	zones, known := p.evacuatedZones(), p.evacuationsFresh(s.now)
 	for _, w := range p.sortedWorkers() {
 		p.addWorker(s, w, zones, known)
 	}
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -83,7 +83,7 @@
 	if p.adaptiveStallTimeout() && m.percent == 0 {
 		return true
 	}
-	return !p.options.Off[mechanism.Laggards] && len(u.members) > 1 && m.listedAt.Sub(u.runningSince) < minProjectionAge
+	return !p.options.Off[mechanism.Laggards] && len(u.members) > 1 && m.reportedAt.Sub(u.runningSince) < minProjectionAge
 }
 
 func (p *Pool) adaptiveStallTimeout() bool { return !p.options.Off[mechanism.QuickStalls] }
@@ -92,13 +92,13 @@
 // makes progress, may wait for other members of its gang, or has no reports yet.
 func (p *Pool) stalledFor(m *member) time.Duration {
 	u := m.unit
-	if m.state != memberRunning || u.spec().LongRunning || m.percentAt.IsZero() || m.percent >= nearEndPercent {
+	if m.state != memberRunning || u.spec().LongRunning || m.percentChangedAt.IsZero() || m.percent >= nearEndPercent {
 		return 0
 	}
 	if u.startedHere && u.runningSince.IsZero() {
 		return 0
 	}
-	since := m.percentAt
+	since := m.percentChangedAt
 	if u.startedHere && (m.percent == 0 || u.runningSince.After(since)) {
 		since = u.runningSince
 	}
@@ -106,7 +106,7 @@
 	if u.resumed {
 		limit += restoreAllowance
 	}
-	if stalled := m.listedAt.Sub(since); stalled >= limit {
+	if stalled := m.reportedAt.Sub(since); stalled >= limit {
 		return stalled
 	}
 	return 0
@@ -123,7 +123,7 @@
 
 // unsavedTime returns how much of a run's time a restart loses.
 func (p *Pool) unsavedTime(m *member) time.Duration {
-	runTime := m.percentAt.Sub(m.unit.startedAt)
+	runTime := m.percentChangedAt.Sub(m.unit.startedAt)
 	if m.unit.spec().Checkpoints {
 		return min(runTime, p.options.Bounds.CheckpointInterval)
 	}
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -39,7 +39,7 @@
 	now := p.loop.Now()
 	if m.startDeadline == 0 {
 		// Retries keep the deadline of the first start.
-		m.startDeadline = w.clockNow(now) + min(p.startAhead(), p.leaseLeft(now)).Milliseconds()
+		m.startDeadline = w.clockNow(now) + min(p.maxStartDelay(), p.leaseLeft(now)).Milliseconds()
 	}
 	order := fleet.Start{
 		Task: m.name(), Run: u.run, Payload: u.job.Spec.Payload,
@@ -51,7 +51,7 @@
 	run := u.run
 	m.startCall = p.sendHedged(&hedgedOrder{
 		name:        "start",
-		isCurrent:   func() bool { return !p.gone && m.worker == w && u.run == run },
+		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
 		send:        func(done func(fleet.Reply, error)) { p.ports.Start(&w.Worker, order, done) },
 		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.startAnswered(m, sent, reply, err) },
@@ -149,7 +149,7 @@
 	w, u, run := m.worker, m.unit, m.unit.run
 	p.record.Count("retries", "start")
 	p.loop.After(startRetry, func() {
-		if p.gone || m.worker != w || u.run != run || u.state != unitActive || m.state != memberStarting {
+		if p.closed || m.worker != w || u.run != run || u.state != unitActive || m.state != memberStarting {
 			return
 		}
 		if p.mayStartOn(w, p.loop.Now()) {
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -37,7 +37,7 @@
 	order := fleet.Stop{Task: m.name(), Run: run, Token: p.token}
 	p.sendHedged(&hedgedOrder{
 		name:        "stop",
-		isCurrent:   func() bool { return !p.gone && m.worker == w && u.run == run },
+		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.stopSent },
 		send:        func(done func(fleet.Reply, error)) { p.ports.Stop(&w.Worker, order, done) },
 		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.stopAnswered(m, sent, reply, err) },
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -65,8 +65,8 @@
 	}
 	now := p.loop.Now()
 	summary.ConfirmedMillis = now.Sub(p.confirmedAt).Milliseconds()
-	zones := p.evacuated()
-	summary.EvacuatedZones, summary.EvacuationsKnown = zones.Zones(), p.evacuationsKnown(now)
+	zones := p.evacuatedZones()
+	summary.EvacuatedZones, summary.EvacuationsKnown = zones.Zones(), p.evacuationsFresh(now)
 	summary.EvacuationsMillis, summary.RunsThere = now.Sub(zones.AsOf).Milliseconds(), p.runsInEvacuatedZones()
 	for u := range p.openUnits() {
 		if u.state == unitWaiting && u.lastWaitReason() == waitEvacuated {
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -95,14 +95,14 @@
 	estimate := u.estimate()
 	elapsed := now.Sub(u.startedAt)
 	m := u.members[0]
-	if m.percent > 0 && m.percent < 100 && !m.percentAt.IsZero() {
+	if m.percent > 0 && m.percent < 100 && !m.percentChangedAt.IsZero() {
 		done := float64(m.percent) / 100
-		since := m.percentAt.Sub(u.startedAt)
+		since := m.percentChangedAt.Sub(u.startedAt)
 		total := time.Duration(float64(since) / done)
 		if u.checkpoint == "" {
 			return max(0, total-elapsed)
 		}
-		return max(0, time.Duration(float64(estimate)*(1-done))-now.Sub(m.percentAt))
+		return max(0, time.Duration(float64(estimate)*(1-done))-now.Sub(m.percentChangedAt))
 	}
 	return max(estimate/10, estimate-elapsed)
 }
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -40,7 +40,7 @@
 	p.record.Count("worker_orders", "stop_stranger")
 	p.record.Decided("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.Born)
 	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
-		if !p.gone && err != nil {
+		if !p.closed && err != nil {
 			p.orderFailed(w, err)
 		}
 	})
--- a/internal/pool/waiting.go
+++ b/internal/pool/waiting.go
@@ -70,7 +70,7 @@
 
 // workersIgnoringEvacuations returns the snapshot's workers as if no zone were evacuated.
 func (p *Pool) workersIgnoringEvacuations(s *snapshot) []placement.Worker {
-	if len(p.evacuated().Zones()) == 0 && p.evacuationsKnown(s.now) {
+	if len(p.evacuatedZones().Zones()) == 0 && p.evacuationsFresh(s.now) {
 		return s.workers
 	}
 	workers := slices.Clone(s.workers)
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -30,8 +30,8 @@
 	// nil. asking is true while it is being polled.
 	claimed *fleet.Worker
 	asking  bool
-	// listed is false once the worker's row is gone.
-	listed bool
+	// hasRow is false once the worker's row is gone.
+	hasRow bool
 	// departing is true once the worker has answered after its row was deleted: it is shutting down
 	// as planned and still serves for a while.
 	departing bool
@@ -69,4 +69,4 @@
 }
 
 // leaving reports whether the worker is draining or no longer listed.
-func (w *worker) leaving() bool { return w.Draining || !w.listed }
+func (w *worker) leaving() bool { return w.Draining || !w.hasRow }
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -66,7 +66,7 @@
 
 // describe applies the content of a worker row to the known incarnation.
 func (p *Pool) describe(w *worker, described *fleet.Worker) {
-	if !w.listed {
+	if !w.hasRow {
 		p.lossLedger.Replaced(described.Address, described.Life.String())
 	}
 	wasDraining := w.Draining
@@ -78,7 +78,7 @@
 		w.rack = rack
 		p.snapshotBuffers.racks = nil
 	}
-	w.listed, w.missing, w.departing = true, false, false
+	w.hasRow, w.missing, w.departing = true, false, false
 	w.coldUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
 	if w.Draining && !wasDraining {
 		p.record.Decided("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
@@ -117,7 +117,7 @@
 	}
 	w.missing = true
 	p.loop.After(remaining, func() {
-		if !p.gone && w.missing && p.workers[w.ID] == w {
+		if !p.closed && w.missing && p.workers[w.ID] == w {
 			p.unlistNow(w)
 		}
 	})
@@ -128,10 +128,10 @@
 
 // unlistNow marks a worker as no longer listed. Its runs may continue.
 func (p *Pool) unlistNow(w *worker) {
-	if w.listed {
+	if w.hasRow {
 		p.record.Decided("worker gone from the list", "worker", w.ID, "runs", len(w.members))
 	}
-	w.listed = false
+	w.hasRow = false
 	for _, m := range w.members {
 		// From now on the progress rows must contain the worker's address.
 		p.persist(m.unit.job)
@@ -144,7 +144,7 @@
 		p.claimNextLife(w, w.claimed)
 		return
 	}
-	if !w.listed && len(w.members) == 0 {
+	if !w.hasRow && len(w.members) == 0 {
 		if w.holdTimer != nil {
 			w.holdTimer()
 		}
@@ -175,7 +175,7 @@
 func (p *Pool) workerDead(w *worker, reason string) {
 	p.record.Decided("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
 	p.loseRuns(w, lostWithInstance)
-	w.listed = false
+	w.hasRow = false
 	p.forgetIfIdle(w)
 }
 
--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -116,7 +116,7 @@
 }
 
 func (w *writer) flush() {
-	if w.pool.gone {
+	if w.pool.closed {
 		return
 	}
 	w.dueAt = time.Time{}
