--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -36,7 +36,7 @@
 	if reply.MoreEnded {
 		return
 	}
-	p.loseFormerMembers(w, listed)
+	p.markConfirmedBeforeLost(w, listed)
 	for _, m := range w.members {
 		if !listed[m] {
 			p.memberNotListed(m, sentAt)
@@ -64,8 +64,8 @@
 		p.noteConfirmedStart(m.unit)
 	}
 	m.reportedAt = now
-	m.inUnknownLife = false
-	if entry.Percent > 0 && m.unit.startedHere && !m.unit.resumed {
+	m.incarnationUnknown = false
+	if entry.Percent > 0 && m.unit.startedByThisOwner && !m.unit.resumed {
 		m.worker.reliability.recordProgress(m.unit.startedAt)
 	}
 	p.updateRunTime(m, entry.Percent, now)
@@ -83,7 +83,7 @@
 	case m.stopAnswered:
 		// A completed stop is reported as an end; if none was reported in time, there was no run.
 		if sentAt.Sub(m.sentAt) > p.options.Bounds.StopTimeout {
-			m.endedWithFormerLife()
+			m.recordUnexplainedLoss()
 			p.memberEnded(m, fleet.Stopped)
 		}
 	case m.stopTried && m.state == memberRunning && !p.options.Without.StopWait:
@@ -114,7 +114,7 @@
 	u, w := m.unit, m.worker
 	p.record.Count("attempts", "unlisted")
 	p.record.Decided("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born,
-		"ran_ms", u.ranMillis(p.loop.Now()), "acknowledged_end", w.ends.acknowledged)
+		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.ends.acknowledged)
 }
 
 // takeEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
@@ -151,10 +151,10 @@
 	p.record.Count("attempts", string(end.How))
 	now := p.loop.Now()
 	p.record.Decided("run ended", "job", u.job.id, "task", end.Task.String(), "run", end.Run, "worker", w.ID, "born", w.Born, "how", string(end.How),
-		"reason", u.stopReason, "ran_ms", u.ranMillis(now), "slowness", u.slowness, "unsaved_core_s", p.unsavedWork(u, end.How, now.Sub(u.startedAt)))
+		"reason", u.stopReason, "ran_ms", u.runMillis(now), "slowness", u.slowness, "unsaved_core_s", p.unsavedWork(u, end.How, now.Sub(u.startedAt)))
 	switch end.How {
 	case fleet.Done:
-		if u.startedHere {
+		if u.startedByThisOwner {
 			w.reliability.recordProgress(u.startedAt)
 		}
 		p.completeUnit(u)
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -77,7 +77,7 @@
 
 // updateDurationModel updates the queue's model from a completed unit.
 func (p *Pool) updateDurationModel(u *unit) {
-	if !u.startedHere || u.resumed || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
+	if !u.startedByThisOwner || u.resumed || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
 		return
 	}
 	model := p.durations[u.job.Queue.Name]
--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -40,7 +40,7 @@
 	if w == nil || !w.hasRow {
 		return
 	}
-	w.claimed = nil
+	w.claimedIncarnation = nil
 	// The worker did not announce its departure, so losing it counts as unplanned.
 	w.missing = true
 	p.unlistNow(w)
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -10,9 +10,9 @@
 // Runs that were placed in a former incarnation of their worker: those that certainly ended with it
 // are lost at once, the others are looked up in the next incarnation.
 
-// loseFormerRuns marks as lost the runs that were confirmed in the former incarnation before the
+// markFormerRunsLost marks as lost the runs that were confirmed in the former incarnation before the
 // report of the next one was requested, and that this report does not contain.
-func (p *Pool) loseFormerRuns(w *worker, reply fleet.Reply, sentAt time.Time) {
+func (p *Pool) markFormerRunsLost(w *worker, reply fleet.Reply, sentAt time.Time) {
 	listed := namesOf(reply.Running)
 	for i := range reply.Ended {
 		listed[runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
@@ -21,46 +21,46 @@
 	w.members = nil
 	var kept []*member
 	for _, m := range all {
-		if m.overWithLife(sentAt, p.options.Without) && !listed[runName{task: m.name(), run: m.unit.run}] {
+		if m.endedWithIncarnation(sentAt, p.options.Without) && !listed[runName{task: m.name(), run: m.unit.run}] {
 			w.members = append(w.members, m)
 		} else {
 			kept = append(kept, m)
 		}
 	}
-	p.loseRuns(w, lostWithLife)
+	p.loseRuns(w, lostWorkerRestarted)
 	w.members = append(w.members, kept...)
 }
 
-// overWithLife reports whether the member's run has certainly ended if it is missing from the
+// endedWithIncarnation reports whether the member's run has certainly ended if it is missing from the
 // report of the worker's next incarnation that was requested at sentAt. An unanswered start of this
 // owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner is
 // fenced there by the request. A run that is being stopped is missing from reports, so it counts as
 // ended only if an earlier owner had it confirmed in the former incarnation.
-func (m *member) overWithLife(sentAt time.Time, without Without) bool {
+func (m *member) endedWithIncarnation(sentAt time.Time, without Without) bool {
 	switch m.state {
 	case memberNone:
 		return true
 	case memberUncertain:
 		return m.confirmedBefore
 	case memberRunning:
-		open := m.startUnanswered || m.inUnknownLife || m.startCall != nil && m.startCall.pending > 0
+		open := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
 		return (!open || without.OpenStarts) && !m.stopTried && m.sentAt.Before(sentAt)
 	}
 	return false
 }
 
-// loseFormerMembers marks as lost the members whose runs an earlier owner had confirmed in a former
+// markConfirmedBeforeLost marks as lost the members whose runs an earlier owner had confirmed in a former
 // incarnation of the worker, if the first report of the present one does not list them.
-func (p *Pool) loseFormerMembers(w *worker, listed map[*member]bool) {
+func (p *Pool) markConfirmedBeforeLost(w *worker, listed map[*member]bool) {
 	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
-		if m.formerLife.ID == "" || m.state != memberUncertain || !m.sentAt.IsZero() || listed[m] {
+		if m.formerIncarnation.ID == "" || m.state != memberUncertain || !m.sentAt.IsZero() || listed[m] {
 			continue
 		}
-		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerLife })
+		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerIncarnation })
 		if index < 0 {
 			index = len(formers)
-			formers = append(formers, &worker{Worker: fleet.Worker{Life: m.formerLife, Address: w.Address}})
+			formers = append(formers, &worker{Worker: fleet.Worker{Life: m.formerIncarnation, Address: w.Address}})
 		}
 		former := formers[index]
 		w.members = slices.DeleteFunc(w.members, func(other *member) bool { return other == m })
@@ -68,26 +68,26 @@
 		m.worker, m.confirmedBefore = former, true
 	}
 	for _, former := range formers {
-		p.loseRuns(former, lostWithLife)
+		p.loseRuns(former, lostWorkerRestarted)
 	}
 }
 
-// leaveLife records that the member's run was last known in an incarnation that has ended. The next
+// leaveIncarnation records that the member's run was last known in an incarnation that has ended. The next
 // incarnation has not confirmed the run yet.
-func (m *member) leaveLife(life fleet.Life) {
+func (m *member) leaveIncarnation(life fleet.Life) {
 	if m.wasConfirmed() {
-		m.formerLife = life
+		m.formerIncarnation = life
 	}
 	m.confirmedBefore = false
 }
 
-// endedWithFormerLife records the loss of the worker's former incarnation for a run that is not in
+// recordUnexplainedLoss records the loss of the worker's former incarnation for a run that is not in
 // the next one. The loss is unexplained, since the time at which the run ended is unknown.
-func (m *member) endedWithFormerLife() {
-	if m.formerLife.ID == "" {
+func (m *member) recordUnexplainedLoss() {
+	if m.formerIncarnation.ID == "" {
 		return
 	}
 	if history := m.lossHistory(); history != nil {
-		history.AddUnexplained(m.formerLife.String())
+		history.AddUnexplained(m.formerIncarnation.String())
 	}
 }
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -43,7 +43,7 @@
 			p.holdFailed(w, err)
 			return
 		}
-		if p.answeredByAnotherLife(w, reply, now) {
+		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
 		w.ends.answered(order.LastSeen)
@@ -101,7 +101,7 @@
 			p.orderFailed(w, err)
 			return
 		}
-		if p.answeredByAnotherLife(w, reply, sentAt) {
+		if p.handleOtherIncarnation(w, reply, sentAt) {
 			return
 		}
 		p.accounted(w, reply, sentAt)
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -105,8 +105,8 @@
 	// runningSince is when all members of the latest run were known to be running; zero before
 	// that.
 	runningSince time.Time
-	// startedHere is true if this owner started the latest run.
-	startedHere bool
+	// startedByThisOwner is true if this owner started the latest run.
+	startedByThisOwner bool
 	// resumed is true if the latest run was started from a checkpoint.
 	resumed bool
 	// stalls counts how often the unit was moved for lack of progress.
@@ -141,14 +141,14 @@
 	// startUnanswered is true once a start of the present run got no response: the order may still
 	// be executed, whatever the response to a later attempt.
 	startUnanswered bool
-	// inUnknownLife is true if the start may have been answered by an unknown incarnation of the
+	// incarnationUnknown is true if the start may have been answered by an unknown incarnation of the
 	// worker; the next run report shows which.
-	inUnknownLife bool
+	incarnationUnknown bool
 	// confirmedBefore is true if the present run was confirmed to an earlier owner.
 	confirmedBefore bool
-	// formerLife is the worker's incarnation in which the present run was last known, if the
+	// formerIncarnation is the worker's incarnation in which the present run was last known, if the
 	// worker has restarted since.
-	formerLife fleet.Life
+	formerIncarnation fleet.Life
 	// startCall are the attempts of the present run's latest start; nil before it.
 	startCall *hedgedCall
 	sentAt    time.Time
--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -30,7 +30,7 @@
 // checkStragglers detects stragglers in a gang and excludes their workers from new work. It restarts the
 // gang if waiting for the slowest member would take longer than a restart.
 func (p *Pool) checkStragglers(u *unit, now time.Time) {
-	if len(u.members) < 2 || !u.startedHere || u.resumed || u.runningSince.IsZero() {
+	if len(u.members) < 2 || !u.startedByThisOwner || u.resumed || u.runningSince.IsZero() {
 		return
 	}
 	// Deferred, so that the speeds learned from this run do not hide its stragglers.
@@ -50,7 +50,7 @@
 			continue
 		}
 		if !m.worker.cold(now) {
-			m.worker.slowUntil = now.Add(slowExclusionPeriod)
+			m.worker.gangsExcludedUntil = now.Add(slowExclusionPeriod)
 		}
 		p.excludeWorker(m.worker, "a run is much slower than its gang", now)
 		slowest = max(slowest, projected)
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -45,7 +45,7 @@
 		silent := w.unanswered > 0 || (!w.greeted && p.loaded)
 		if silent && len(w.members) > 0 && p.lapsed(w) {
 			p.record.Decided("lease ran out", "worker", w.ID, "runs", len(w.members))
-			p.loseRuns(w, lostWithLease)
+			p.loseRuns(w, lostLeaseExpired)
 			p.forgetIfIdle(w)
 		} else if silent && !w.hasRow && p.lapsed(w) {
 			p.forgetIfIdle(w)
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -10,71 +10,71 @@
 // the machine record. A worker row that names another incarnation is only a hint, since it may have
 // been written by someone else: runs are not given up until the worker itself has answered.
 
-// lifeEvidence says how the owner learned that a worker has restarted.
-type lifeEvidence string
+// restartEvidence says how the owner learned that a worker has restarted.
+type restartEvidence string
 
 const (
-	// lifeByRow: the row named another incarnation, and no run was known in the former one.
-	lifeByRow lifeEvidence = "row"
-	// lifeByClaim: the row named another incarnation, and that one answered.
-	lifeByClaim lifeEvidence = "row and answer"
-	// lifeByAnswer: another incarnation answered at the address of the former one.
-	lifeByAnswer lifeEvidence = "answer"
-	// lifeByProgress: the progress rows of an earlier owner name a later incarnation than the
+	// restartSeenInRow: the row named another incarnation, and no run was known in the former one.
+	restartSeenInRow restartEvidence = "row"
+	// restartConfirmedByReply: the row named another incarnation, and that one answered.
+	restartConfirmedByReply restartEvidence = "row and answer"
+	// restartSeenInReply: another incarnation answered at the address of the former one.
+	restartSeenInReply restartEvidence = "answer"
+	// restartSeenInProgress: the progress rows of an earlier owner name a later incarnation than the
 	// worker's row.
-	lifeByProgress lifeEvidence = "progress row"
+	restartSeenInProgress restartEvidence = "progress row"
 )
 
-// lifeOrder says how a reported incarnation relates to the known one.
-type lifeOrder int
+// incarnationOrder says how a reported incarnation relates to the known one.
+type incarnationOrder int
 
 const (
-	// sameLife: the same incarnation, or one of the two start times is unknown.
-	sameLife lifeOrder = iota
-	// laterLife: if the report is true, the known incarnation has ended.
-	laterLife
-	// earlierLife: the report is stale or false.
-	earlierLife
+	// sameIncarnation: the same incarnation, or one of the two start times is unknown.
+	sameIncarnation incarnationOrder = iota
+	// laterIncarnation: if the report is true, the known incarnation has ended.
+	laterIncarnation
+	// earlierIncarnation: the report is stale or false.
+	earlierIncarnation
 )
 
-// orderOf compares a reported start time with that of the known incarnation.
-func (p *Pool) orderOf(w *worker, born int64) lifeOrder {
+// compareIncarnation compares a reported start time with that of the known incarnation.
+func (p *Pool) compareIncarnation(w *worker, born int64) incarnationOrder {
 	switch {
 	case p.options.Without.Lives, w.Born == 0, born == 0, born == w.Born:
-		return sameLife
+		return sameIncarnation
 	case born > w.Born:
-		return laterLife
+		return laterIncarnation
 	}
-	return earlierLife
+	return earlierIncarnation
 }
 
-// follows reports whether the incarnation that answered a request sent at askedAt succeeds the
+// isSuccessor reports whether the incarnation that answered a request sent at askedAt succeeds the
 // known one. Start times are wall-clock times, and the clock may be set back between two
 // incarnations. So an answer to a request that was sent after the known incarnation's last report
 // counts as that of a successor, even if its start time is earlier.
-func (p *Pool) follows(w *worker, born int64, askedAt time.Time) bool {
-	switch p.orderOf(w, born) {
-	case laterLife:
+func (p *Pool) isSuccessor(w *worker, born int64, askedAt time.Time) bool {
+	switch p.compareIncarnation(w, born) {
+	case laterIncarnation:
 		return true
-	case earlierLife:
+	case earlierIncarnation:
 		return w.greeted && askedAt.After(w.ends.accountAt)
 	}
 	return false
 }
 
-// restarted handles the report of an incarnation that succeeds the known one; the report was
+// handleRestart handles the report of an incarnation that succeeds the known one; the report was
 // requested at sentAt. Runs that were certainly in the former incarnation are lost; any other start
 // that was sent may still reach the new one.
-func (p *Pool) restarted(w *worker, reply fleet.Reply, evidence lifeEvidence, sentAt time.Time) {
-	claimed := w.claimed
+func (p *Pool) handleRestart(w *worker, reply fleet.Reply, evidence restartEvidence, sentAt time.Time) {
+	claimed := w.claimedIncarnation
 	next := w.Worker
 	if claimed != nil {
 		next = *claimed
 	}
 	next.Born = reply.Born
-	p.noteRestart(w, next.Life, evidence, len(w.members))
-	p.loseFormerRuns(w, reply, sentAt)
-	replacement := p.replaceLife(w, next)
+	p.recordRestart(w, next.Life, evidence, len(w.members))
+	p.markFormerRunsLost(w, reply, sentAt)
+	replacement := p.replaceIncarnation(w, next)
 	replacement.greeted, replacement.greetedAt = true, p.loop.Now()
 	if claimed != nil {
 		p.describe(replacement, claimed)
@@ -88,15 +88,15 @@
 	p.holdAnswered(replacement, reply, sentAt)
 }
 
-// noteRestart counts and logs a worker's restart.
-func (p *Pool) noteRestart(w *worker, next fleet.Life, evidence lifeEvidence, runs int) {
+// recordRestart counts and logs a worker's restart.
+func (p *Pool) recordRestart(w *worker, next fleet.Life, evidence restartEvidence, runs int) {
 	p.record.Count("worker_restarts", string(evidence))
 	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(evidence), "runs", runs)
 }
 
-// replaceLife switches to the next incarnation of a worker. It keeps the remaining members and the
+// replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members and the
 // machine record; the row of the new incarnation has not been read yet.
-func (p *Pool) replaceLife(w *worker, next fleet.Worker) *worker {
+func (p *Pool) replaceIncarnation(w *worker, next fleet.Worker) *worker {
 	if w.holdTimer != nil {
 		w.holdTimer()
 	}
@@ -109,18 +109,18 @@
 	moved := w.members
 	w.members = nil
 	for _, m := range moved {
-		p.moveToLife(m, replacement)
+		p.moveToIncarnation(m, replacement)
 	}
 	p.scheduleCycle()
 	return replacement
 }
 
-// moveToLife moves a member to the next incarnation of its worker, whose report will show whether
+// moveToIncarnation moves a member to the next incarnation of its worker, whose report will show whether
 // the run is there. If the run is not listed, it is stopped there before the task is placed again,
 // because the start or a copy of it may still arrive. Answers to requests in flight are ignored
 // from here on.
-func (p *Pool) moveToLife(m *member, replacement *worker) {
-	m.leaveLife(m.worker.Life)
+func (p *Pool) moveToIncarnation(m *member, replacement *worker) {
+	m.leaveIncarnation(m.worker.Life)
 	m.worker = replacement
 	replacement.members = append(replacement.members, m)
 	m.stopSent, m.stopAnswered = false, false
@@ -138,17 +138,17 @@
 	}
 }
 
-// answeredByAnotherLife handles a reply that is not from the known incarnation. It returns false if
+// handleOtherIncarnation handles a reply that is not from the known incarnation. It returns false if
 // the reply is from the known one.
-func (p *Pool) answeredByAnotherLife(w *worker, reply fleet.Reply, sentAt time.Time) bool {
+func (p *Pool) handleOtherIncarnation(w *worker, reply fleet.Reply, sentAt time.Time) bool {
 	if w.Born == 0 {
 		w.Born = reply.Born
 	}
 	switch {
-	case p.follows(w, reply.Born, sentAt):
-		p.restarted(w, reply, lifeByAnswer, sentAt)
+	case p.isSuccessor(w, reply.Born, sentAt):
+		p.handleRestart(w, reply, restartSeenInReply, sentAt)
 		return true
-	case p.orderOf(w, reply.Born) == earlierLife:
+	case p.compareIncarnation(w, reply.Born) == earlierIncarnation:
 		if w.greeted {
 			// Replies on different connections may arrive out of order.
 			p.record.Count("refusals", "worker_answer_stale")
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -5,9 +5,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// historiesLimit bounds the members of one unit whose losses are stored in its row. When more are
+// maxLossHistories bounds the members of one unit whose losses are stored in its row. When more are
 // lost, a shared cause such as a rack failure is likely.
-const historiesLimit = 16
+const maxLossHistories = 16
 
 // lossHistory returns the member's loss history and creates it if necessary. It returns nil if too
 // many members of the unit have one.
@@ -16,7 +16,7 @@
 	if m.losses != nil {
 		return m.losses
 	}
-	if len(u.suspects()) >= historiesLimit {
+	if len(u.suspects()) >= maxLossHistories {
 		return nil
 	}
 	if u.lossGroup == nil {
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -11,12 +11,12 @@
 type lossReason string
 
 const (
-	// lostWithInstance: another instance answers at the worker's address.
-	lostWithInstance lossReason = "worker replaced"
-	// lostWithLife: the worker has restarted and runs nothing from before.
-	lostWithLife lossReason = "worker restarted"
-	// lostWithLease: the worker did not respond until its lease had expired.
-	lostWithLease lossReason = "lease ran out"
+	// lostInstanceReplaced: another instance answers at the worker's address.
+	lostInstanceReplaced lossReason = "worker replaced"
+	// lostWorkerRestarted: the worker has restarted and runs nothing from before.
+	lostWorkerRestarted lossReason = "worker restarted"
+	// lostLeaseExpired: the worker did not respond until its lease had expired.
+	lostLeaseExpired lossReason = "lease ran out"
 )
 
 // loseRuns marks all members as lost on a worker that no longer runs anything and will report no
@@ -25,7 +25,7 @@
 	lost := w.members
 	p.recordLoss(w, reason)
 	for _, m := range lost {
-		p.noteLostRun(m, reason)
+		p.recordLostRun(m, reason)
 		p.memberEnded(m, fleet.Lapsed)
 	}
 	for _, m := range lost {
@@ -33,22 +33,22 @@
 	}
 }
 
-// noteLostRun counts and logs a run that was lost with its worker. A member whose placement is
+// recordLostRun counts and logs a run that was lost with its worker. A member whose placement is
 // still being written has no run.
-func (p *Pool) noteLostRun(m *member, reason lossReason) {
+func (p *Pool) recordLostRun(m *member, reason lossReason) {
 	u, w := m.unit, m.worker
 	if m.state == memberNone {
 		return
 	}
 	p.record.Count("attempts", "lost")
 	p.record.Decided("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason),
-		"confirmed", m.state == memberRunning, "ran_ms", u.ranMillis(w.lastAlive(p.loop.Now())))
+		"confirmed", m.state == memberRunning, "ran_ms", u.runMillis(w.lastAlive(p.loop.Now())))
 }
 
-// ranMillis returns how long the unit's run had been running at a given time, for logs. It is 0 if
+// runMillis returns how long the unit's run had been running at a given time, for logs. It is 0 if
 // an earlier owner started the run.
-func (u *unit) ranMillis(at time.Time) int64 {
-	if !u.startedHere {
+func (u *unit) runMillis(at time.Time) int64 {
+	if !u.startedByThisOwner {
 		return 0
 	}
 	return max(0, at.Sub(u.startedAt).Milliseconds())
@@ -78,7 +78,7 @@
 	loss := poison.Loss{
 		Worker: w.Life.String(), Address: w.Address, At: at,
 		Unwatched: !w.greeted,
-		Replaced:  reason != lostWithLease || p.addressTaken(w),
+		Replaced:  reason != lostLeaseExpired || p.addressTaken(w),
 	}
 	for _, m := range w.members {
 		m.addLoss(&loss, m.presenceAt(at))
@@ -99,7 +99,7 @@
 	case ran == perhapsThere:
 		history.AddUnexplained(loss.Worker)
 	default:
-		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.ageAt(loss.At), AgeAssumed: !m.unit.startedHere})
+		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.runAgeAt(loss.At), AgeAssumed: !m.unit.startedByThisOwner})
 	}
 }
 
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -15,11 +15,11 @@
 	m.state = memberNone
 	m.stopTried, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
 	m.startCall = nil
-	m.confirmedBefore, m.formerLife = false, fleet.Life{}
+	m.confirmedBefore, m.formerIncarnation = false, fleet.Life{}
 	m.percent, m.percentChangedAt, m.reportedAt = 0, time.Time{}, time.Time{}
 	m.sentAt = time.Time{}
 	m.startDeadline = 0
-	m.inUnknownLife = false
+	m.incarnationUnknown = false
 	m.runTimePercent = 0
 	m.unit.step.cohort.Forget(&m.cohortEntry)
 	w.members = append(w.members, m)
--- a/internal/pool/presence.go
+++ b/internal/pool/presence.go
@@ -21,11 +21,11 @@
 func (m *member) presenceAt(at time.Time) presence {
 	u := m.unit
 	switch {
-	case m.state == memberNone, u.startedHere && at.Before(u.startedAt):
+	case m.state == memberNone, u.startedByThisOwner && at.Before(u.startedAt):
 		return neverThere
 	case m.wasConfirmed():
 		return surelyThere
-	case u.startedHere && !m.startUnanswered:
+	case u.startedByThisOwner && !m.startUnanswered:
 		return neverThere
 	}
 	return perhapsThere
@@ -33,7 +33,7 @@
 
 // wasConfirmed reports whether the worker has confirmed the run to this owner or an earlier one.
 func (m *member) wasConfirmed() bool {
-	return m.state == memberRunning && !m.inUnknownLife || m.confirmedBefore
+	return m.state == memberRunning && !m.incarnationUnknown || m.confirmedBefore
 }
 
 // confirmationDelay is how long the write of a confirmed start may be delayed to share a
@@ -48,10 +48,10 @@
 // age of runs that crash their worker at once and a typical duration.
 const unknownAge = 2 * time.Second
 
-// ageAt returns the age of the unit's run at a given time.
-func (u *unit) ageAt(at time.Time) time.Duration {
+// runAgeAt returns the age of the unit's run at a given time.
+func (u *unit) runAgeAt(at time.Time) time.Duration {
 	age := at.Sub(u.startedAt)
-	if !u.startedHere {
+	if !u.startedByThisOwner {
 		return max(unknownAge, age)
 	}
 	return age
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -91,7 +91,7 @@
 	if u.resumed {
 		limit += restoreAllowance
 	}
-	return u.startedHere && now.Sub(u.startedAt) < limit
+	return u.startedByThisOwner && now.Sub(u.startedAt) < limit
 }
 
 // workerPreferences returns the preferred workers of a unit, the narrowest choice first. A gang is as
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -77,8 +77,8 @@
 		p.assign(m, p.workerOfRow(life, saved.Addresses[id]))
 		m.state = memberUncertain
 		m.confirmedBefore = bitset(saved.Confirmed).has(i)
-		if p.orderOf(m.worker, life.Born) == earlierLife {
-			m.leaveLife(life)
+		if p.compareIncarnation(m.worker, life.Born) == earlierIncarnation {
+			m.leaveIncarnation(life)
 		}
 		u.state = unitActive
 	}
@@ -98,7 +98,7 @@
 		w.Address = address
 		return w
 	}
-	if p.orderOf(known, life.Born) != laterLife {
+	if p.compareIncarnation(known, life.Born) != laterIncarnation {
 		return known
 	}
 	next := known.Worker
@@ -106,8 +106,8 @@
 	if address != "" {
 		next.Address = address
 	}
-	p.noteRestart(known, life, lifeByProgress, len(known.members))
-	return p.replaceLife(known, next)
+	p.recordRestart(known, life, restartSeenInProgress, len(known.members))
+	return p.replaceIncarnation(known, next)
 }
 
 // meetLeftovers adds workers without a row of their own that may still run tasks of an ended job.
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -46,7 +46,7 @@
 
 // measuresSpeed reports whether the duration of the unit's run depends only on its work and its workers.
 func (u *unit) measuresSpeed() bool {
-	return u.startedHere && !u.resumed && !u.spec().LongRunning && !u.runsRemotely()
+	return u.startedByThisOwner && !u.resumed && !u.spec().LongRunning && !u.runsRemotely()
 }
 
 // runsRemotely reports whether a member runs outside the unit's preferred rack, which takes longer.
@@ -146,7 +146,7 @@
 // avoidedByGangs reports whether gangs avoid a worker because it is slower than most.
 func (p *Pool) avoidedByGangs(w *worker) bool {
 	now := p.loop.Now()
-	if now.Before(w.slowUntil) || w.cold(now) {
+	if now.Before(w.gangsExcludedUntil) || w.cold(now) {
 		return true
 	}
 	return !p.options.Off[mechanism.LearnedSpeeds] && w.speed.Exceeds(p.currentMedianLogRunTime(now), slowRatio)
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -77,7 +77,7 @@
 // for gangs until each member can be compared with the others.
 func (p *Pool) needsPoll(m *member, now time.Time) bool {
 	u := m.unit
-	if m.state != memberRunning || !u.startedHere || u.runningSince.IsZero() || u.spec().LongRunning || now.Sub(u.runningSince) < firstPollDelay {
+	if m.state != memberRunning || !u.startedByThisOwner || u.runningSince.IsZero() || u.spec().LongRunning || now.Sub(u.runningSince) < firstPollDelay {
 		return false
 	}
 	if p.adaptiveStallTimeout() && m.percent == 0 {
@@ -95,11 +95,11 @@
 	if m.state != memberRunning || u.spec().LongRunning || m.percentChangedAt.IsZero() || m.percent >= nearEndPercent {
 		return 0
 	}
-	if u.startedHere && u.runningSince.IsZero() {
+	if u.startedByThisOwner && u.runningSince.IsZero() {
 		return 0
 	}
 	since := m.percentChangedAt
-	if u.startedHere && (m.percent == 0 || u.runningSince.After(since)) {
+	if u.startedByThisOwner && (m.percent == 0 || u.runningSince.After(since)) {
 		since = u.runningSince
 	}
 	limit := max(stallPeriod, time.Duration(stallEstimateShare*float64(u.estimate()))) << min(u.stalls, maxStallDoublings)
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -21,7 +21,7 @@
 func (p *Pool) startUnit(u *unit) {
 	u.state = unitActive
 	u.startedAt = p.loop.Now()
-	u.startedHere = true
+	u.startedByThisOwner = true
 	u.runningSince = time.Time{}
 	u.stopReason = ""
 	u.resumed = u.checkpoint != ""
@@ -88,7 +88,7 @@
 	latency := p.loop.Now().Sub(m.sentAt)
 	p.record.Observe("start_order", latency)
 	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
-	m.inUnknownLife = p.heard(m.worker, reply.ClockMillis)
+	m.incarnationUnknown = p.heard(m.worker, reply.ClockMillis)
 	if m.state == memberStarting || m.state == memberUncertain {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -12,10 +12,10 @@
 type machineRecord struct {
 	// excludedUntil is until when the worker gets no new work, and slowUntil until when it gets no
 	// gangs.
-	excludedUntil time.Time
-	slowUntil     time.Time
-	speed         speeds.Estimate
-	reliability   reliability
+	excludedUntil      time.Time
+	gangsExcludedUntil time.Time
+	speed              speeds.Estimate
+	reliability        reliability
 	// restarts counts the restarts of the worker under its identifier since this owner's first
 	// contact.
 	restarts int
@@ -26,10 +26,10 @@
 	fleet.Worker
 	machineRecord
 	rack string
-	// claimed is another incarnation that the worker's row names and that has not answered yet, or
+	// claimedIncarnation is another incarnation that the worker's row names and that has not answered yet, or
 	// nil. asking is true while it is being polled.
-	claimed *fleet.Worker
-	asking  bool
+	claimedIncarnation *fleet.Worker
+	verifying          bool
 	// hasRow is false once the worker's row is gone.
 	hasRow bool
 	// departing is true once the worker has answered after its row was deleted: it is shutting down
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -52,12 +52,12 @@
 	if w == nil {
 		w = p.unlistedWorker(described.Life)
 	}
-	switch order := p.orderOf(w, described.Born); {
-	case order == laterLife, order == earlierLife && w.unanswered > 0:
+	switch order := p.compareIncarnation(w, described.Born); {
+	case order == laterIncarnation, order == earlierIncarnation && w.unanswered > 0:
 		// If the known incarnation does not respond, an earlier start time may come from a clock
 		// that was set back.
-		p.claimNextLife(w, described)
-	case order == earlierLife:
+		p.verifyNextIncarnation(w, described)
+	case order == earlierIncarnation:
 		p.record.Count("refusals", "worker_row_stale")
 	default:
 		p.describe(w, described)
@@ -73,7 +73,7 @@
 	born := max(w.Born, described.Born)
 	w.Worker = *described
 	w.Born = born
-	w.claimed = nil
+	w.claimedIncarnation = nil
 	if rack := described.Rack(); w.rack != rack {
 		w.rack = rack
 		p.snapshotBuffers.racks = nil
@@ -109,7 +109,7 @@
 // unlist handles the deletion of a worker row. Rows that expired during a store outage are
 // rewritten soon after it; until then the worker counts as listed.
 func (p *Pool) unlist(w *worker) {
-	w.claimed = nil
+	w.claimedIncarnation = nil
 	remaining := p.storeBackAt.Add(lapsedRowGrace).Sub(p.loop.Now())
 	if remaining <= 0 || w.Draining {
 		p.unlistNow(w)
@@ -140,8 +140,8 @@
 }
 
 func (p *Pool) forgetIfIdle(w *worker) {
-	if w.claimed != nil && len(w.members) == 0 {
-		p.claimNextLife(w, w.claimed)
+	if w.claimedIncarnation != nil && len(w.members) == 0 {
+		p.verifyNextIncarnation(w, w.claimedIncarnation)
 		return
 	}
 	if !w.hasRow && len(w.members) == 0 {
@@ -174,7 +174,7 @@
 // workerDead marks all runs on a worker as lost after another instance has replaced it.
 func (p *Pool) workerDead(w *worker, reason string) {
 	p.record.Decided("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
-	p.loseRuns(w, lostWithInstance)
+	p.loseRuns(w, lostInstanceReplaced)
 	w.hasRow = false
 	p.forgetIfIdle(w)
 }
