--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -128,18 +128,18 @@
 			p.takeEnd(w, m, end)
 		}
 	}
-	if w.ends.known(highest) {
+	if w.ends.handled(highest) {
 		return
 	}
 	w.ends.writing = highest
 	if p.options.Without.EndRows {
-		w.ends.written(highest)
+		w.ends.markWritten(highest)
 	}
 	takenAt := p.loop.Now()
 	p.afterWrite(p.writer.delayOfEnds(), func() {
 		p.record.Observe("end_noted", p.loop.Now().Sub(takenAt))
-		w.ends.written(highest)
-		p.hold(w)
+		w.ends.markWritten(highest)
+		p.poll(w)
 	})
 }
 
--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -51,7 +51,7 @@
 	case fleet.Fenced:
 		p.Abandon("fenced by worker " + w.ID)
 	case fleet.NoAnswer, fleet.Unreachable, fleet.Unhealthy:
-		p.loop.After(holdRetry, func() {
+		p.loop.After(pollRetryDelay, func() {
 			if !p.closed && p.workers[w.ID] == w {
 				p.queryClaimedIncarnation(w)
 			}
--- a/internal/pool/greet.go
+++ b/internal/pool/greet.go
@@ -1,68 +1,68 @@
 package pool
 
-// greetLimit bounds the queued polls in flight. Each may open a connection; a new owner that polls
+// maxQueuedPollsInFlight bounds the queued polls in flight. Each may open a connection; a new owner that polls
 // thousands of workers at once reads the answers too late and takes the workers for unresponsive.
-const greetLimit = 128
+const maxQueuedPollsInFlight = 128
 
-// greetings is the queue of first contacts with workers, which fence former owners there, and of
+// pollQueue is the queue of first contacts with workers, which fence former owners there, and of
 // polls of idle workers.
-type greetings struct {
-	waiting []*worker
-	open    int
+type pollQueue struct {
+	workers  []*worker
+	inFlight int
 }
 
-// greetAll polls every worker, first those that have runs according to the rows, since their leases
+// contactAll polls every worker, first those that have runs according to the rows, since their leases
 // are running.
-func (p *Pool) greetAll() {
+func (p *Pool) contactAll() {
 	for _, w := range p.sortedWorkers() {
 		if len(w.members) > 0 {
-			p.greet(w)
+			p.enqueueFirstContact(w)
 		}
 	}
 	for _, w := range p.sortedWorkers() {
-		p.greet(w)
+		p.enqueueFirstContact(w)
 	}
 }
 
-// greet queues the first contact with a worker.
-func (p *Pool) greet(w *worker) {
-	if p.loaded && !w.greeted {
-		p.askSoon(w)
+// enqueueFirstContact queues the first contact with a worker.
+func (p *Pool) enqueueFirstContact(w *worker) {
+	if p.loaded && !w.contacted {
+		p.enqueuePoll(w)
 	}
 }
 
-// askSoon queues a poll of a worker.
-func (p *Pool) askSoon(w *worker) {
-	if w.toGreet || w.Address == "" {
+// enqueuePoll queues a poll of a worker.
+func (p *Pool) enqueuePoll(w *worker) {
+	if w.pollQueued || w.Address == "" {
 		return
 	}
-	w.toGreet = true
-	p.greetings.waiting = append(p.greetings.waiting, w)
-	p.greetNext()
+	w.pollQueued = true
+	p.pollQueue.workers = append(p.pollQueue.workers, w)
+	p.sendQueuedPolls()
 }
 
-func (p *Pool) greetNext() {
-	for p.greetings.open < greetLimit && len(p.greetings.waiting) > 0 {
-		w := p.greetings.waiting[0]
-		p.greetings.waiting = p.greetings.waiting[1:]
-		w.toGreet = false
-		if w.holding || p.workers[w.ID] != w {
+func (p *Pool) sendQueuedPolls() {
+	for p.pollQueue.inFlight < maxQueuedPollsInFlight && len(p.pollQueue.workers) > 0 {
+		w := p.pollQueue.workers[0]
+		p.pollQueue.workers = p.pollQueue.workers[1:]
+		w.pollQueued = false
+		if w.pollInFlight || p.workers[w.ID] != w {
 			continue
 		}
-		w.greeting = true
-		p.greetings.open++
-		p.hold(w)
+		w.queuedPollInFlight = true
+		p.pollQueue.inFlight++
+		p.poll(w)
 	}
 }
 
-// greetingEnded frees the slot of a queued poll, whatever its result.
-func (p *Pool) greetingEnded(w *worker) {
-	if !w.greeting {
+// queuedPollDone frees the slot of a queued poll, whatever its result.
+func (p *Pool) queuedPollDone(w *worker) {
+	if !w.queuedPollInFlight {
 		return
 	}
-	w.greeting = false
-	p.greetings.open--
+	w.queuedPollInFlight = false
+	p.pollQueue.inFlight--
 	if !p.closed {
-		p.greetNext()
+		p.sendQueuedPolls()
 	}
 }
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// holdPeriod is how long a poll waits at the worker for a run to end.
-	holdPeriod = 2 * time.Second
-	// holdRetry is the delay after a poll without an answer.
-	holdRetry = 300 * time.Millisecond
+	// pollWait is how long a poll waits at the worker for a run to end.
+	pollWait = 2 * time.Second
+	// pollRetryDelay is the delay after a poll without an answer.
+	pollRetryDelay = 300 * time.Millisecond
 )
 
-// hold polls a worker for its report and renews its lease, unless a poll is already in flight.
-func (p *Pool) hold(w *worker) {
-	if w.holding || p.closed || p.workers[w.ID] != w {
+// poll polls a worker for its report and renews its lease, unless a poll is already in flight.
+func (p *Pool) poll(w *worker) {
+	if w.pollInFlight || p.closed || p.workers[w.ID] != w {
 		return
 	}
-	if w.holdTimer != nil {
-		w.holdTimer()
-		w.holdTimer = nil
+	if w.cancelPollTimer != nil {
+		w.cancelPollTimer()
+		w.cancelPollTimer = nil
 	}
-	w.holding = true
+	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Hold{Token: p.token, LastSeen: w.ends.toSend(now, p.options.Without)}
-	if w.greeted && w.unanswered == 0 {
-		order.Wait = p.holdWait(w, order.LastSeen)
+	order := fleet.Hold{Token: p.token, LastSeen: w.ends.acknowledgeable(now, p.options.Without)}
+	if w.contacted && w.unansweredCalls == 0 {
+		order.Wait = p.pollWaitFor(w, order.LastSeen)
 		if extension := min(leaseExtension, p.options.Bounds.MaxHold, p.leaseLeft(now)); extension > 0 {
 			order.DeadlineMillis = w.clockNow(now) + extension.Milliseconds()
 			w.deadline = max(w.deadline, order.DeadlineMillis)
@@ -34,48 +34,48 @@
 	}
 	p.record.Count("worker_orders", "hold")
 	p.ports.Hold(&w.Worker, order, func(reply fleet.Reply, err error) {
-		p.greetingEnded(w)
+		p.queuedPollDone(w)
 		if p.closed || p.workers[w.ID] != w {
 			return
 		}
-		w.holding = false
+		w.pollInFlight = false
 		if err != nil {
-			p.holdFailed(w, err)
+			p.handlePollError(w, err)
 			return
 		}
 		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
-		w.ends.answered(order.LastSeen)
-		p.holdAnswered(w, reply, now)
+		w.ends.acknowledge(order.LastSeen)
+		p.handlePollReply(w, reply, now)
 	})
 }
 
-// holdWait returns how long the next poll waits at the worker. It is 0 while a report is needed
+// pollWaitFor returns how long the next poll waits at the worker. It is 0 while a report is needed
 // soon, such as the one that must precede an acknowledgement that this poll does not carry.
-func (p *Pool) holdWait(w *worker, acknowledged int64) time.Duration {
+func (p *Pool) pollWaitFor(w *worker, acknowledged int64) time.Duration {
 	if w.ends.writing > 0 || w.ends.due > acknowledged || len(w.members) == 0 {
 		return 0
 	}
-	if w.uncertain() {
+	if w.hasUnconfirmedStart() {
 		return 0
 	}
 	if p.loop.Now().Before(w.lossyUntil) {
-		return lossyHoldPeriod
+		return lossyPollWait
 	}
-	return holdPeriod
+	return pollWait
 }
 
 // A worker that left a call unanswered may do so again, and an end reported in a lost answer is
-// noticed only with the next poll. For lossyPeriod, about as long as such faults last, polls wait
-// only for lossyHoldPeriod.
+// noticed only with the next poll. For lossyDuration, about as long as such faults last, polls wait
+// only for lossyPollWait.
 const (
-	lossyPeriod     = 6 * time.Second
-	lossyHoldPeriod = 400 * time.Millisecond
+	lossyDuration = 6 * time.Second
+	lossyPollWait = 400 * time.Millisecond
 )
 
-// uncertain reports whether the start of any member is unanswered.
-func (w *worker) uncertain() bool {
+// hasUnconfirmedStart reports whether the start of any member is unanswered.
+func (w *worker) hasUnconfirmedStart() bool {
 	for _, m := range w.members {
 		if m.state == memberUncertain {
 			return true
@@ -87,8 +87,8 @@
 // pollNow polls a worker without waiting, in addition to a poll that may be in flight.
 func (p *Pool) pollNow(w *worker) {
 	w.polledAt = p.loop.Now()
-	if !w.holding {
-		p.hold(w)
+	if !w.pollInFlight {
+		p.poll(w)
 		return
 	}
 	sentAt := p.loop.Now()
@@ -104,15 +104,15 @@
 		if p.handleOtherIncarnation(w, reply, sentAt) {
 			return
 		}
-		p.accounted(w, reply, sentAt)
+		p.handleReport(w, reply, sentAt)
 	})
 }
 
-// heard records a reply of a worker. It returns true if the worker's clock deviates from its
+// noteReply records a reply of a worker. It returns true if the worker's clock deviates from its
 // estimate, in which case another incarnation may have answered.
-func (p *Pool) heard(w *worker, clock int64) (jumped bool) {
+func (p *Pool) noteReply(w *worker, clock int64) (jumped bool) {
 	now := p.loop.Now()
-	jumped = p.noteClockJump(w, clock, now)
+	jumped = p.checkClockJump(w, clock, now)
 	w.clock, w.clockAt = clock, now
 	if jumped {
 		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
@@ -120,36 +120,36 @@
 		w.deadline = clock + p.options.Bounds.MaxHold.Milliseconds()
 		p.pollNow(w)
 	}
-	if w.unanswered > 0 {
-		p.record.Decided("worker answers again", "worker", w.ID, "unanswered", w.unanswered)
+	if w.unansweredCalls > 0 {
+		p.record.Decided("worker answers again", "worker", w.ID, "unanswered", w.unansweredCalls)
 	}
-	w.unanswered = 0
+	w.unansweredCalls = 0
 	w.departing = w.departing || (!w.hasRow && !w.missing)
 	return jumped
 }
 
-// accounted handles a report of the known incarnation that was requested at sentAt.
-func (p *Pool) accounted(w *worker, reply fleet.Reply, sentAt time.Time) {
-	p.heard(w, reply.ClockMillis)
-	w.ends.accountAt = p.loop.Now()
+// handleReport handles a report of the known incarnation that was requested at sentAt.
+func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
+	p.noteReply(w, reply.ClockMillis)
+	w.ends.reportAt = p.loop.Now()
 	if p.lossLedger.Alive(w.Life.String()) {
 		p.record.Decided("worker lives after all", "worker", w.ID)
 	}
 	p.takeAccount(w, reply, sentAt)
 }
 
-// clockJump is the deviation of a worker's clock from its estimate, beyond drift, that counts as a
+// clockJumpThreshold is the deviation of a worker's clock from its estimate, beyond drift, that counts as a
 // jump. It far exceeds the delay and reordering of replies.
-const clockJump = 10 * time.Second
+const clockJumpThreshold = 10 * time.Second
 
-// noteClockJump reports and logs whether a worker's clock deviates from its estimate by more than
+// checkClockJump reports and logs whether a worker's clock deviates from its estimate by more than
 // clockJump.
-func (p *Pool) noteClockJump(w *worker, clock int64, now time.Time) bool {
+func (p *Pool) checkClockJump(w *worker, clock int64, now time.Time) bool {
 	if w.clock == 0 {
 		return false
 	}
 	expected := w.clockNow(now)
-	allowed := clockJump + time.Duration(2*clockDrift*float64(now.Sub(w.clockAt)))
+	allowed := clockJumpThreshold + time.Duration(2*clockDrift*float64(now.Sub(w.clockAt)))
 	difference := time.Duration(clock-expected) * time.Millisecond
 	if difference.Abs() <= allowed {
 		return false
@@ -158,92 +158,92 @@
 	return true
 }
 
-// unheard records a call without an answer.
-func (p *Pool) unheard(w *worker) {
-	first := w.unanswered == 0
-	w.unanswered++
+// noteNoReply records a call without an answer.
+func (p *Pool) noteNoReply(w *worker) {
+	first := w.unansweredCalls == 0
+	w.unansweredCalls++
 	if first {
-		w.silentAt = p.loop.Now()
+		w.unresponsiveSince = p.loop.Now()
 		p.record.Decided("worker does not answer", "worker", w.ID, "runs", len(w.members))
-		p.noteSilence()
+		p.pollIdleWorkers()
 	}
-	w.lossyUntil = p.loop.Now().Add(lossyPeriod)
+	w.lossyUntil = p.loop.Now().Add(lossyDuration)
 	// Without this poll nothing would contact the worker again once its runs are lost, and it would
 	// stay unused.
-	p.holdLater(w, quickHold)
+	p.pollAfter(w, quickPollDelay)
 }
 
-// holdAnswered handles the reply to a poll that was sent at sentAt.
-func (p *Pool) holdAnswered(w *worker, reply fleet.Reply, sentAt time.Time) {
-	first := !w.greeted
+// handlePollReply handles the reply to a poll that was sent at sentAt.
+func (p *Pool) handlePollReply(w *worker, reply fleet.Reply, sentAt time.Time) {
+	first := !w.contacted
 	if first {
-		w.greeted, w.greetedAt = true, p.loop.Now()
+		w.contacted, w.contactedAt = true, p.loop.Now()
 	}
-	p.accounted(w, reply, sentAt)
+	p.handleReport(w, reply, sentAt)
 	if first {
-		p.extendAtOnce(w)
+		p.renewLeaseNow(w)
 		p.scheduleCycle()
 	}
-	p.scheduleHold(w)
+	p.schedulePoll(w)
 	p.forgetIfIdle(w)
 }
 
-// extendAtOnce renews the lease of runs on a worker after the first contact.
-func (p *Pool) extendAtOnce(w *worker) {
+// renewLeaseNow renews the lease of runs on a worker after the first contact.
+func (p *Pool) renewLeaseNow(w *worker) {
 	if len(w.members) > 0 {
-		p.hold(w)
+		p.poll(w)
 	}
 }
 
-// scheduleHold keeps polling while anything runs on the worker, and acknowledges ended runs once
+// schedulePoll keeps polling while anything runs on the worker, and acknowledges ended runs once
 // they are written.
-func (p *Pool) scheduleHold(w *worker) {
+func (p *Pool) schedulePoll(w *worker) {
 	if w.ends.due > 0 {
-		p.hold(w)
+		p.poll(w)
 		return
 	}
 	if w.ends.pending() {
 		// The poll after the write acknowledges; until then the lease must be renewed.
-		p.holdLater(w, holdRetry)
+		p.pollAfter(w, pollRetryDelay)
 		return
 	}
 	if len(w.members) == 0 && len(w.unwanted) == 0 {
 		return
 	}
-	if w.uncertain() {
-		p.holdLater(w, quickHold)
+	if w.hasUnconfirmedStart() {
+		p.pollAfter(w, quickPollDelay)
 		return
 	}
 	if len(w.members) == 0 {
-		p.holdLater(w, holdRetry)
+		p.pollAfter(w, pollRetryDelay)
 		return
 	}
-	p.hold(w)
+	p.poll(w)
 }
 
-// quickHold is the delay between two polls of a worker whose state is uncertain.
-const quickHold = 100 * time.Millisecond
+// quickPollDelay is the delay between two polls of a worker whose state is uncertain.
+const quickPollDelay = 100 * time.Millisecond
 
-func (p *Pool) holdLater(w *worker, pause time.Duration) {
-	if w.holding {
+func (p *Pool) pollAfter(w *worker, pause time.Duration) {
+	if w.pollInFlight {
 		return
 	}
-	if w.holdTimer != nil {
-		w.holdTimer()
+	if w.cancelPollTimer != nil {
+		w.cancelPollTimer()
 	}
-	w.holdTimer = p.loop.After(pause, func() {
-		w.holdTimer = nil
-		p.hold(w)
+	w.cancelPollTimer = p.loop.After(pause, func() {
+		w.cancelPollTimer = nil
+		p.poll(w)
 	})
 }
 
-func (p *Pool) holdFailed(w *worker, err error) {
+func (p *Pool) handlePollError(w *worker, err error) {
 	if p.orderFailed(w, err) {
 		return
 	}
-	pause := holdRetry
-	if w.unanswered == 1 {
-		pause = quickHold
+	pause := pollRetryDelay
+	if w.unansweredCalls == 1 {
+		pause = quickPollDelay
 	}
-	p.holdLater(w, pause)
+	p.pollAfter(w, pause)
 }
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -42,7 +42,7 @@
 // expired.
 func (p *Pool) checkWorkers() {
 	for _, w := range p.sortedWorkers() {
-		silent := w.unanswered > 0 || (!w.greeted && p.loaded)
+		silent := w.unansweredCalls > 0 || (!w.contacted && p.loaded)
 		if silent && len(w.members) > 0 && p.lapsed(w) {
 			p.record.Decided("lease ran out", "worker", w.ID, "runs", len(w.members))
 			p.loseRuns(w, lostLeaseExpired)
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -57,7 +57,7 @@
 	case laterIncarnation:
 		return true
 	case earlierIncarnation:
-		return w.greeted && askedAt.After(w.ends.accountAt)
+		return w.contacted && askedAt.After(w.ends.reportAt)
 	}
 	return false
 }
@@ -75,7 +75,7 @@
 	p.recordRestart(w, next.Life, evidence, len(w.members))
 	p.markFormerRunsLost(w, reply, sentAt)
 	replacement := p.replaceIncarnation(w, next)
-	replacement.greeted, replacement.greetedAt = true, p.loop.Now()
+	replacement.contacted, replacement.contactedAt = true, p.loop.Now()
 	if claimed != nil {
 		p.describe(replacement, claimed)
 		// The row may name an incarnation later than the one that answered.
@@ -85,7 +85,7 @@
 		// Orders addressed to the former incarnation carried lease deadlines on its clock.
 		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxHold.Milliseconds()
 	}
-	p.holdAnswered(replacement, reply, sentAt)
+	p.handlePollReply(replacement, reply, sentAt)
 }
 
 // recordRestart counts and logs a worker's restart.
@@ -97,8 +97,8 @@
 // replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members and the
 // machine record; the row of the new incarnation has not been read yet.
 func (p *Pool) replaceIncarnation(w *worker, next fleet.Worker) *worker {
-	if w.holdTimer != nil {
-		w.holdTimer()
+	if w.cancelPollTimer != nil {
+		w.cancelPollTimer()
 	}
 	replacement := p.unlistedWorker(next.Life)
 	replacement.Worker, replacement.rack = next, next.Rack()
@@ -149,10 +149,10 @@
 		p.handleRestart(w, reply, restartSeenInReply, sentAt)
 		return true
 	case p.compareIncarnation(w, reply.Born) == earlierIncarnation:
-		if w.greeted {
+		if w.contacted {
 			// Replies on different connections may arrive out of order.
 			p.record.Count("refusals", "worker_answer_stale")
-			p.holdLater(w, quickHold)
+			p.pollAfter(w, quickPollDelay)
 			return true
 		}
 		// Only a row named the known incarnation, and the row was false.
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -56,8 +56,8 @@
 
 // lastAlive returns the time at which the worker stopped responding, or now if it responds.
 func (w *worker) lastAlive(now time.Time) time.Time {
-	if w.unanswered > 0 {
-		return w.silentAt
+	if w.unansweredCalls > 0 {
+		return w.unresponsiveSince
 	}
 	return now
 }
@@ -77,7 +77,7 @@
 	at := w.lastAlive(p.loop.Now())
 	loss := poison.Loss{
 		Worker: w.Life.String(), Address: w.Address, At: at,
-		Unwatched: !w.greeted,
+		Unwatched: !w.contacted,
 		Replaced:  reason != lostLeaseExpired || p.addressTaken(w),
 	}
 	for _, m := range w.members {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -37,7 +37,7 @@
 	// workerOrder caches the workers sorted by name; nil once the set changes.
 	workerOrder     []*worker
 	snapshotBuffers snapshotBuffers
-	greetings       greetings
+	pollQueue       pollQueue
 	writer          writer
 	// storeRetries schedules the retries of store calls.
 	storeRetries *loop.Retries
@@ -68,8 +68,8 @@
 	medianAt      time.Time
 	// tooSlowShare is the fraction of workers of known speed that are too slow for urgent units.
 	tooSlowShare float64
-	// silences detects that many workers become unresponsive at once.
-	silences silences
+	// unresponsive detects that many workers become unresponsive at once.
+	unresponsive unresponsiveWorkers
 	// taskSpread is the variation of task durations within a step.
 	taskSpread speeds.Spread
 	// dropping is true while the rows of an expired job are being removed.
--- a/internal/pool/read.go
+++ b/internal/pool/read.go
@@ -179,7 +179,7 @@
 	p.loaded = true
 	p.record.Observe("takeover", p.loop.Now().Sub(p.acquiredAt))
 	p.record.Decided("rows read", "pool", p.options.Pool, "jobs", len(p.jobs), "version", jobs.Version)
-	p.greetAll()
+	p.contactAll()
 	p.scheduleCycle()
 }
 
--- a/internal/pool/silence.go
+++ b/internal/pool/silence.go
@@ -8,41 +8,41 @@
 // silencePause.
 
 const (
-	// silenceLeast is how many workers have to stop responding within silenceWindow.
-	silenceLeast  = 3
-	silenceWindow = time.Second
-	silencePause  = 2 * time.Second
+	// unresponsiveThreshold is how many workers have to stop responding within silenceWindow.
+	unresponsiveThreshold = 3
+	unresponsiveWindow    = time.Second
+	idlePollInterval      = 2 * time.Second
 )
 
-// silences holds the latest silenceLeast times at which a worker stopped responding.
-type silences struct {
-	times   [silenceLeast]time.Time
-	next    int
-	askedAt time.Time
+// unresponsiveWorkers holds the latest silenceLeast times at which a worker stopped responding.
+type unresponsiveWorkers struct {
+	recent   [unresponsiveThreshold]time.Time
+	next     int
+	polledAt time.Time
 }
 
-// note records that a worker stopped responding. It returns true if all idle workers should be
+// add records that a worker stopped responding. It returns true if all idle workers should be
 // polled.
-func (s *silences) note(now time.Time) bool {
-	s.times[s.next] = now
-	s.next = (s.next + 1) % silenceLeast
+func (s *unresponsiveWorkers) add(now time.Time) bool {
+	s.recent[s.next] = now
+	s.next = (s.next + 1) % unresponsiveThreshold
 	// The next slot to be overwritten holds the earliest time.
-	if now.Sub(s.times[s.next]) > silenceWindow || now.Sub(s.askedAt) < silencePause {
+	if now.Sub(s.recent[s.next]) > unresponsiveWindow || now.Sub(s.polledAt) < idlePollInterval {
 		return false
 	}
-	s.askedAt = now
+	s.polledAt = now
 	return true
 }
 
-// noteSilence polls all idle workers if many workers have stopped responding at once.
-func (p *Pool) noteSilence() {
-	if !p.loaded || !p.silences.note(p.loop.Now()) {
+// pollIdleWorkers polls all idle workers if many workers have stopped responding at once.
+func (p *Pool) pollIdleWorkers() {
+	if !p.loaded || !p.unresponsive.add(p.loop.Now()) {
 		return
 	}
 	asked := 0
 	for _, w := range p.sortedWorkers() {
-		if w.greeted && len(w.members) == 0 && w.unanswered == 0 && !w.holding {
-			p.askSoon(w)
+		if w.contacted && len(w.members) == 0 && w.unansweredCalls == 0 && !w.pollInFlight {
+			p.enqueuePoll(w)
 			asked++
 		}
 	}
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -64,10 +64,10 @@
 	lost := err != nil && reason == fleet.NoAnswer
 	if err != nil && reply.ClockMillis > 0 {
 		// A refusal also carries the worker's clock, which explains a start refused as late.
-		p.heard(m.worker, reply.ClockMillis)
+		p.noteReply(m.worker, reply.ClockMillis)
 	}
 	if lost {
-		m.worker.lossyUntil = p.loop.Now().Add(lossyPeriod)
+		m.worker.lossyUntil = p.loop.Now().Add(lossyDuration)
 	}
 	switch {
 	case sent.answered:
@@ -88,14 +88,14 @@
 	latency := p.loop.Now().Sub(m.sentAt)
 	p.record.Observe("start_order", latency)
 	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
-	m.incarnationUnknown = p.heard(m.worker, reply.ClockMillis)
+	m.incarnationUnknown = p.noteReply(m.worker, reply.ClockMillis)
 	if m.state == memberStarting || m.state == memberUncertain {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
 		m.unit.updateRunningSince(m.sentAt)
 		p.noteConfirmedStart(m.unit)
 	}
-	p.hold(m.worker)
+	p.poll(m.worker)
 }
 
 func (p *Pool) startFailed(m *member, err error) {
@@ -129,7 +129,7 @@
 func (p *Pool) barStart(m *member) {
 	m.state = memberUncertain
 	m.sentAt = p.loop.Now()
-	p.hold(m.worker)
+	p.poll(m.worker)
 	p.sendStop(m)
 	if len(m.unit.members) > 1 {
 		// The gang can no longer start completely: the other members need not wait.
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -51,7 +51,7 @@
 	case sent.answered:
 	case err == nil:
 		sent.answered = true
-		p.heard(w, reply.ClockMillis)
+		p.noteReply(w, reply.ClockMillis)
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 		if m.state != memberRunning {
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -86,7 +86,7 @@
 		if p.avoidedByGangs(w) {
 			summary.Slow++
 		}
-		if w.unanswered > 0 {
+		if w.unansweredCalls > 0 {
 			summary.Silent++
 		}
 	}
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -84,5 +84,5 @@
 	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
 		return true
 	}
-	return now.Sub(w.greetedAt) > p.options.Bounds.StopTimeout+stopMargin
+	return now.Sub(w.contactedAt) > p.options.Bounds.StopTimeout+stopMargin
 }
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -37,13 +37,13 @@
 	departing bool
 	// missing is true while the row is gone but may only have expired during a store outage.
 	missing bool
-	// greeted is true once the worker has answered a request with this owner's token.
-	greeted bool
-	// greetedAt is when the worker first did so.
-	greetedAt time.Time
-	// toGreet is true while a poll is queued, and greeting while a poll from the queue is in
+	// contacted is true once the worker has answered a request with this owner's token.
+	contacted bool
+	// contactedAt is when the worker first did so.
+	contactedAt time.Time
+	// pollQueued is true while a poll is queued, and queuedPollInFlight while a poll from the queue is in
 	// flight.
-	toGreet, greeting bool
+	pollQueued, queuedPollInFlight bool
 	// members are the members that may run here, in order of assignment.
 	members []*member
 	// unwanted holds the runs that the worker lists and this owner did not expect.
@@ -53,15 +53,15 @@
 	clockAt time.Time
 	// deadline is the latest lease deadline sent, on the worker's clock.
 	deadline int64
-	ends     endNumbers
+	ends     endAcknowledgements
 	// polledAt is when the worker was last polled in addition to a waiting poll.
 	polledAt time.Time
-	// holding is true while a poll is in flight.
-	holding   bool
-	holdTimer func()
-	// unanswered counts the calls without an answer since the last reply.
-	unanswered int
-	silentAt   time.Time
+	// pollInFlight is true while a poll is in flight.
+	pollInFlight    bool
+	cancelPollTimer func()
+	// unansweredCalls counts the calls without an answer since the last reply.
+	unansweredCalls   int
+	unresponsiveSince time.Time
 	// lossyUntil is until when polls of the worker are kept short, because its answers get lost.
 	lossyUntil time.Time
 	// coldUntil is until when the worker is slow after its start.
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -53,7 +53,7 @@
 		w = p.unlistedWorker(described.Life)
 	}
 	switch order := p.compareIncarnation(w, described.Born); {
-	case order == laterIncarnation, order == earlierIncarnation && w.unanswered > 0:
+	case order == laterIncarnation, order == earlierIncarnation && w.unansweredCalls > 0:
 		// If the known incarnation does not respond, an earlier start time may come from a clock
 		// that was set back.
 		p.verifyNextIncarnation(w, described)
@@ -84,7 +84,7 @@
 		p.record.Decided("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
 		p.emptyLeaving(w)
 	}
-	p.greet(w)
+	p.enqueueFirstContact(w)
 	p.scheduleCycle()
 }
 
@@ -145,8 +145,8 @@
 		return
 	}
 	if !w.hasRow && len(w.members) == 0 {
-		if w.holdTimer != nil {
-			w.holdTimer()
+		if w.cancelPollTimer != nil {
+			w.cancelPollTimer()
 		}
 		delete(p.workers, w.ID)
 		p.workersChanged()
@@ -164,7 +164,7 @@
 		p.workerDead(w, "another instance answers")
 		return true
 	case fleet.NoAnswer, fleet.Unreachable:
-		p.unheard(w)
+		p.noteNoReply(w)
 	case fleet.Unhealthy:
 		w.excludedUntil = p.loop.Now().Add(exclusionPeriod)
 	}
