--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -21,13 +21,13 @@
 // been applied.
 func (p *Pool) compare(w *worker, reply fleet.Reply, sentAt time.Time) {
 	now := p.loop.Now()
-	p.settleUnwanted(w, reply)
+	p.updateUnexpected(w, reply)
 	listed := map[*member]bool{}
 	for i := range reply.Running {
 		entry := &reply.Running[i]
 		m := p.memberAt(w, entry.Task, entry.Run)
 		if m == nil {
-			p.stopUnwanted(w, entry.Task, entry.Run)
+			p.stopUnexpected(w, entry.Task, entry.Run)
 			continue
 		}
 		listed[m] = true
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -37,6 +37,6 @@
 	for _, m := range w.members {
 		free = free.Minus(m.unit.spec().Room())
 	}
-	free = w.withoutUnwanted(free, now)
+	free = w.subtractUnexpected(free, now)
 	return free.CPU >= 0 && free.MemoryMB >= 0 && free.GPUs >= 0
 }
--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -6,7 +6,7 @@
 // known one. If runs may exist in the known incarnation, the named one has to answer before it
 // replaces it.
 func (p *Pool) verifyNextIncarnation(w *worker, described *fleet.Worker) {
-	if len(w.members) == 0 && len(w.unwanted) == 0 {
+	if len(w.members) == 0 && len(w.unexpected) == 0 {
 		p.recordRestart(w, described.Life, restartSeenInRow, 0)
 		p.describe(p.replaceIncarnation(w, *described), described)
 		return
--- a/internal/pool/confirmation.go
+++ b/internal/pool/confirmation.go
@@ -30,7 +30,7 @@
 
 // mayStart reports whether the remaining lease is long enough to start a run.
 func (p *Pool) mayStart(now time.Time) bool {
-	return p.leaseLeft(now) >= min(startLimit, p.options.Bounds.MaxHold/2)
+	return p.leaseLeft(now) >= min(startTimeout, p.options.Bounds.MaxHold/2)
 }
 
 // checkConfirmation reads the lease row if the last confirmation of ownership is older than
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -25,7 +25,7 @@
 // maxStartDelay returns how far a start's deadline lies ahead of the worker's clock. No start is
 // carried out later.
 func (p *Pool) maxStartDelay() time.Duration {
-	ahead := startLimit
+	ahead := startTimeout
 	if p.options.Late != nil {
 		ahead += p.options.Late()
 	}
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -13,15 +13,15 @@
 // markFormerRunsLost marks as lost the runs that were confirmed in the former incarnation before the
 // report of the next one was requested, and that this report does not contain.
 func (p *Pool) markFormerRunsLost(w *worker, reply fleet.Reply, sentAt time.Time) {
-	listed := namesOf(reply.Running)
+	listed := runIDs(reply.Running)
 	for i := range reply.Ended {
-		listed[runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
+		listed[runID{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
 	}
 	all := w.members
 	w.members = nil
 	var kept []*member
 	for _, m := range all {
-		if m.endedWithIncarnation(sentAt, p.options.Without) && !listed[runName{task: m.name(), run: m.unit.run}] {
+		if m.endedWithIncarnation(sentAt, p.options.Without) && !listed[runID{task: m.name(), run: m.unit.run}] {
 			w.members = append(w.members, m)
 		} else {
 			kept = append(kept, m)
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -207,7 +207,7 @@
 		p.pollAfter(w, pollRetryDelay)
 		return
 	}
-	if len(w.members) == 0 && len(w.unwanted) == 0 {
+	if len(w.members) == 0 && len(w.unexpected) == 0 {
 		return
 	}
 	if w.hasUnconfirmedStart() {
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -75,7 +75,7 @@
 func (p *Pool) dropUnit(u *unit, reason string) {
 	switch u.state {
 	case unitWaiting, unitCommitting:
-		p.clearMembers(u)
+		p.unassignAll(u)
 		u.state = unitEnded
 	case unitActive:
 		p.stopUnit(u, reason)
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -25,8 +25,8 @@
 	w.members = append(w.members, m)
 }
 
-// release frees the capacity that a member has reserved.
-func (p *Pool) release(m *member) {
+// unassign frees the capacity that a member has reserved.
+func (p *Pool) unassign(m *member) {
 	if m.stopTimer != nil {
 		m.stopTimer()
 		m.stopTimer = nil
@@ -39,9 +39,9 @@
 	m.stopTried, m.stopSent, m.stopAnswered = false, false, false
 }
 
-func (p *Pool) clearMembers(u *unit) {
+func (p *Pool) unassignAll(u *unit) {
 	for _, m := range u.members {
-		p.release(m)
+		p.unassign(m)
 	}
 }
 
@@ -66,11 +66,11 @@
 	p.afterWrite(0, func() {
 		switch {
 		case u.state != unitCommitting || u.run != run:
-		case u.activeMembers() < len(u.members), !p.placeHolds(u):
+		case u.activeMembers() < len(u.members), !p.placementValid(u):
 			// A worker was lost before any start was sent, or the write took so long that the
 			// placement is no longer valid.
 			p.record.Count("start_failures", "place_lost")
-			p.clearMembers(u)
+			p.unassignAll(u)
 			u.state = unitWaiting
 			p.persist(u.job)
 			p.scheduleCycle()
@@ -80,8 +80,8 @@
 	})
 }
 
-// placeHolds reports whether a unit whose placement is stored may still be started there.
-func (p *Pool) placeHolds(u *unit) bool {
+// placementValid reports whether a unit whose placement is stored may still be started there.
+func (p *Pool) placementValid(u *unit) bool {
 	if !p.mayStart(p.loop.Now()) || !p.capacitiesFresh() {
 		return false
 	}
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -100,7 +100,7 @@
 		s.units[index].Places = append(s.units[index].Places, workerIndex)
 		entry.Holders = append(entry.Holders, placement.Holder{Unit: index, Room: room})
 	}
-	entry.Free = w.withoutUnwanted(entry.Free, s.now)
+	entry.Free = w.subtractUnexpected(entry.Free, s.now)
 	s.workers = append(s.workers, entry)
 	s.poolWorkers = append(s.poolWorkers, w)
 }
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// startLimit is the time from sending a start to its deadline on the worker's clock. A worker
+	// startTimeout is the time from sending a start to its deadline on the worker's clock. A worker
 	// that does not answer cannot have started the run after it; until then the gang waits. The
 	// poll after an answer renews the lease.
-	startLimit = 2 * time.Second
-	// startRetry is the delay before an unanswered start is sent again.
-	startRetry = 50 * time.Millisecond
-	// startPatience is how long an unanswered start is retried.
-	startPatience = 1200 * time.Millisecond
+	startTimeout = 2 * time.Second
+	// startRetryDelay is the delay before an unanswered start is sent again.
+	startRetryDelay = 50 * time.Millisecond
+	// startRetryWindow is how long an unanswered start is retried.
+	startRetryWindow = 1200 * time.Millisecond
 )
 
 // startUnit sends a start for every member.
@@ -54,12 +54,12 @@
 		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
 		send:        func(done func(fleet.Reply, error)) { p.ports.Start(&w.Worker, order, done) },
-		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.startAnswered(m, sent, reply, err) },
+		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.handleStartReply(m, sent, reply, err) },
 	})
 }
 
-// startAnswered handles the result of one try of a start.
-func (p *Pool) startAnswered(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
+// handleStartReply handles the result of one try of a start.
+func (p *Pool) handleStartReply(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	reason := fleet.ReasonOf(err)
 	lost := err != nil && reason == fleet.NoAnswer
 	if err != nil && reply.ClockMillis > 0 {
@@ -75,16 +75,16 @@
 		m.startUnanswered = m.startUnanswered || lost
 	case err == nil:
 		sent.answered = true
-		p.started(m, reply)
+		p.handleStartConfirmed(m, reply)
 	case sent.pending == 0 || reason == fleet.Fenced || reason == fleet.OtherInstance:
 		sent.answered = true
-		p.startFailed(m, err)
+		p.handleStartError(m, err)
 	default:
 		m.startUnanswered = m.startUnanswered || lost
 	}
 }
 
-func (p *Pool) started(m *member, reply fleet.Reply) {
+func (p *Pool) handleStartConfirmed(m *member, reply fleet.Reply) {
 	latency := p.loop.Now().Sub(m.sentAt)
 	p.record.Observe("start_order", latency)
 	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
@@ -98,7 +98,7 @@
 	p.poll(m.worker)
 }
 
-func (p *Pool) startFailed(m *member, err error) {
+func (p *Pool) handleStartError(m *member, err error) {
 	w, u := m.worker, m.unit
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
@@ -108,25 +108,25 @@
 	}
 	m.startUnanswered = m.startUnanswered || reason == fleet.NoAnswer
 	if m.startUnanswered {
-		if reason == fleet.NoAnswer && p.wantsAnotherStart(m) {
-			p.startAgain(m)
+		if reason == fleet.NoAnswer && p.mayRetryStart(m) {
+			p.retryStart(m)
 			return
 		}
-		p.barStart(m)
+		p.blockStart(m)
 		return
 	}
 	if reason == fleet.NoRoom {
 		// The worker runs something that this owner does not know of.
-		w.excludedUntil = p.loop.Now().Add(roomPenalty)
+		w.excludedUntil = p.loop.Now().Add(noRoomExclusionPeriod)
 		p.pollNow(w)
 	}
 	// The start was refused, so nothing runs.
 	p.memberEnded(m, fleet.Stopped)
 }
 
-// barStart sends a stop so that a start that may still be in flight is not carried out, and polls
+// blockStart sends a stop so that a start that may still be in flight is not carried out, and polls
 // the worker for the state of the run.
-func (p *Pool) barStart(m *member) {
+func (p *Pool) blockStart(m *member) {
 	m.state = memberUncertain
 	m.sentAt = p.loop.Now()
 	p.poll(m.worker)
@@ -137,18 +137,18 @@
 	}
 }
 
-// wantsAnotherStart reports whether an unanswered start may be sent again.
-func (p *Pool) wantsAnotherStart(m *member) bool {
+// mayRetryStart reports whether an unanswered start may be sent again.
+func (p *Pool) mayRetryStart(m *member) bool {
 	now := p.loop.Now()
-	return m.unit.state == unitActive && now.Sub(m.unit.startedAt) < startPatience && !m.stopSent && p.mayStartOn(m.worker, now)
+	return m.unit.state == unitActive && now.Sub(m.unit.startedAt) < startRetryWindow && !m.stopSent && p.mayStartOn(m.worker, now)
 }
 
-// startAgain sends a start again after startRetry. Starts are idempotent: the worker starts a run
+// retryStart sends a start again after startRetry. Starts are idempotent: the worker starts a run
 // only once.
-func (p *Pool) startAgain(m *member) {
+func (p *Pool) retryStart(m *member) {
 	w, u, run := m.worker, m.unit, m.unit.run
 	p.record.Count("retries", "start")
-	p.loop.After(startRetry, func() {
+	p.loop.After(startRetryDelay, func() {
 		if p.closed || m.worker != w || u.run != run || u.state != unitActive || m.state != memberStarting {
 			return
 		}
@@ -156,9 +156,9 @@
 			p.sendStart(m)
 			return
 		}
-		p.barStart(m)
+		p.blockStart(m)
 	})
 }
 
-// roomPenalty is how long a worker that refused a start for lack of capacity gets no new work.
-const roomPenalty = 500 * time.Millisecond
+// noRoomExclusionPeriod is how long a worker that refused a start for lack of capacity gets no new work.
+const noRoomExclusionPeriod = 500 * time.Millisecond
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -6,8 +6,8 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// stopRetry is the delay before a stop is sent again after all its tries have failed.
-const stopRetry = 200 * time.Millisecond
+// stopRetryDelay is the delay before a stop is sent again after all its tries have failed.
+const stopRetryDelay = 200 * time.Millisecond
 
 // stopUnit sends a stop for every member.
 func (p *Pool) stopUnit(u *unit, reason string) {
@@ -40,12 +40,12 @@
 		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.stopSent },
 		send:        func(done func(fleet.Reply, error)) { p.ports.Stop(&w.Worker, order, done) },
-		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.stopAnswered(m, sent, reply, err) },
+		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.handleStopReply(m, sent, reply, err) },
 	})
 }
 
-// stopAnswered handles the result of one try of a stop.
-func (p *Pool) stopAnswered(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
+// handleStopReply handles the result of one try of a stop.
+func (p *Pool) handleStopReply(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	u, w, run := m.unit, m.worker, m.unit.run
 	switch {
 	case sent.answered:
@@ -62,7 +62,7 @@
 	case p.orderFailed(w, err):
 	default:
 		sent.answered = true
-		m.stopTimer = p.loop.After(stopRetry, func() {
+		m.stopTimer = p.loop.After(stopRetryDelay, func() {
 			m.stopTimer = nil
 			m.stopSent = false
 			if m.worker == w && u.run == run {
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -11,7 +11,7 @@
 // is done, and otherwise requeues the unit once no member is active.
 func (p *Pool) memberEnded(m *member, outcome fleet.How) {
 	u := m.unit
-	p.release(m)
+	p.unassign(m)
 	p.scheduleCycle()
 	if u.state == unitActive && outcome != fleet.Done && u.activeMembers() > 0 {
 		p.stopUnit(u, "member "+string(outcome))
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -7,36 +7,36 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// runName identifies one run of a task.
-type runName struct {
+// runID identifies one run of a task.
+type runID struct {
 	task taskgraph.TaskName
 	run  int
 }
 
-// unwantedRun is a run that a worker listed and that this owner did not expect there. It occupies
+// unexpectedRun is a run that a worker listed and that this owner did not expect there. It occupies
 // capacity until it has ended.
-type unwantedRun struct {
+type unexpectedRun struct {
 	room taskgraph.Amount
-	// endsBy is the time by which the run has certainly ended; zero while the worker lists it.
-	endsBy time.Time
+	// endedBy is the time by which the run has certainly ended; zero while the worker lists it.
+	endedBy time.Time
 }
 
-// namesOf returns the identifiers of the runs that a worker lists as running.
-func namesOf(running []fleet.Running) map[runName]bool {
-	names := make(map[runName]bool, len(running))
+// runIDs returns the identifiers of the runs that a worker lists as running.
+func runIDs(running []fleet.Running) map[runID]bool {
+	names := make(map[runID]bool, len(running))
 	for i := range running {
-		names[runName{task: running[i].Task, run: running[i].Run}] = true
+		names[runID{task: running[i].Task, run: running[i].Run}] = true
 	}
 	return names
 }
 
-// stopUnwanted stops a run that should not be on a worker.
-func (p *Pool) stopUnwanted(w *worker, name taskgraph.TaskName, run int) {
+// stopUnexpected stops a run that should not be on a worker.
+func (p *Pool) stopUnexpected(w *worker, name taskgraph.TaskName, run int) {
 	room := taskgraph.Amount{}
 	if j := p.jobs[name.Job]; j != nil && name.Step < len(j.Spec.Steps) {
 		room = j.Spec.Steps[name.Step].Room()
 	}
-	w.unwanted[runName{task: name, run: run}] = unwantedRun{room: room}
+	w.unexpected[runID{task: name, run: run}] = unexpectedRun{room: room}
 	p.record.Count("worker_orders", "stop_stranger")
 	p.record.Decided("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.Born)
 	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
@@ -46,31 +46,31 @@
 	})
 }
 
-// settleUnwanted updates the unexpected runs of a worker from its report. A run that is neither
+// updateUnexpected updates the unexpected runs of a worker from its report. A run that is neither
 // listed nor reported as ended is being stopped, because reports omit runs in that state; it is
 // removed after the time of a stop.
-func (p *Pool) settleUnwanted(w *worker, reply fleet.Reply) {
+func (p *Pool) updateUnexpected(w *worker, reply fleet.Reply) {
 	for i := range reply.Ended {
-		delete(w.unwanted, runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run})
+		delete(w.unexpected, runID{task: reply.Ended[i].Task, run: reply.Ended[i].Run})
 	}
-	listed := namesOf(reply.Running)
+	listed := runIDs(reply.Running)
 	now := p.loop.Now()
-	for name, run := range w.unwanted {
+	for name, run := range w.unexpected {
 		switch {
 		case listed[name]:
-		case run.endsBy.IsZero():
-			run.endsBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
-			w.unwanted[name] = run
-		case now.After(run.endsBy):
-			delete(w.unwanted, name)
+		case run.endedBy.IsZero():
+			run.endedBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
+			w.unexpected[name] = run
+		case now.After(run.endedBy):
+			delete(w.unexpected, name)
 		}
 	}
 }
 
-// withoutUnwanted subtracts the capacity of a worker's unexpected runs from its free capacity.
-func (w *worker) withoutUnwanted(free taskgraph.Amount, now time.Time) taskgraph.Amount {
-	for _, run := range w.unwanted {
-		if run.endsBy.IsZero() || now.Before(run.endsBy) {
+// subtractUnexpected subtracts the capacity of a worker's unexpected runs from its free capacity.
+func (w *worker) subtractUnexpected(free taskgraph.Amount, now time.Time) taskgraph.Amount {
+	for _, run := range w.unexpected {
+		if run.endedBy.IsZero() || now.Before(run.endedBy) {
 			free = free.Minus(run.room)
 		}
 	}
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -46,8 +46,8 @@
 	pollQueued, queuedPollInFlight bool
 	// members are the members that may run here, in order of assignment.
 	members []*member
-	// unwanted holds the runs that the worker lists and this owner did not expect.
-	unwanted map[runName]unwantedRun
+	// unexpected holds the runs that the worker lists and this owner did not expect.
+	unexpected map[runID]unexpectedRun
 	// clock is the worker's clock in milliseconds at clockAt.
 	clock   int64
 	clockAt time.Time
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -91,9 +91,9 @@
 // unlistedWorker adds a worker of which only the incarnation is known.
 func (p *Pool) unlistedWorker(life fleet.Life) *worker {
 	w := &worker{
-		Worker:   fleet.Worker{Life: life},
-		unwanted: map[runName]unwantedRun{},
-		clockAt:  p.loop.Now(),
+		Worker:     fleet.Worker{Life: life},
+		unexpected: map[runID]unexpectedRun{},
+		clockAt:    p.loop.Now(),
 	}
 	p.workers[life.ID] = w
 	p.workersChanged()
