--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -7,31 +7,31 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// takeAccount applies a worker's report of running and ended runs. An owner that is releasing its
+// applyReport applies a worker's report of running and ended runs. An owner that is releasing its
 // pool leaves that to the next one, since each recorded end would delay the release by a write.
-func (p *Pool) takeAccount(w *worker, reply fleet.Reply, sentAt time.Time) {
+func (p *Pool) applyReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	if p.releasing {
 		return
 	}
-	p.takeEnds(w, reply.Ended)
-	p.compare(w, reply, sentAt)
+	p.applyEnds(w, reply.Ended)
+	p.reconcile(w, reply, sentAt)
 }
 
-// compare reconciles the members on a worker with the runs that it lists. Ended runs have already
+// reconcile reconciles the members on a worker with the runs that it lists. Ended runs have already
 // been applied.
-func (p *Pool) compare(w *worker, reply fleet.Reply, sentAt time.Time) {
+func (p *Pool) reconcile(w *worker, reply fleet.Reply, sentAt time.Time) {
 	now := p.loop.Now()
 	p.updateUnexpected(w, reply)
 	listed := map[*member]bool{}
 	for i := range reply.Running {
 		entry := &reply.Running[i]
-		m := p.memberAt(w, entry.Task, entry.Run)
+		m := p.memberOnWorker(w, entry.Task, entry.Run)
 		if m == nil {
 			p.stopUnexpected(w, entry.Task, entry.Run)
 			continue
 		}
 		listed[m] = true
-		p.memberListed(m, entry, now)
+		p.reconcileListed(m, entry, now)
 	}
 	if reply.MoreEnded {
 		return
@@ -39,13 +39,13 @@
 	p.markConfirmedBeforeLost(w, listed)
 	for _, m := range w.members {
 		if !listed[m] {
-			p.memberNotListed(m, sentAt)
+			p.reconcileUnlisted(m, sentAt)
 		}
 	}
 }
 
-// memberAt returns the member whose given run is on a worker, or nil.
-func (p *Pool) memberAt(w *worker, name taskgraph.TaskName, run int) *member {
+// memberOnWorker returns the member whose given run is on a worker, or nil.
+func (p *Pool) memberOnWorker(w *worker, name taskgraph.TaskName, run int) *member {
 	j := p.jobs[name.Job]
 	if j == nil {
 		return nil
@@ -57,11 +57,11 @@
 	return m
 }
 
-func (p *Pool) memberListed(m *member, entry *fleet.Running, now time.Time) {
+func (p *Pool) reconcileListed(m *member, entry *fleet.Running, now time.Time) {
 	if m.state != memberRunning {
 		m.state = memberRunning
 		m.unit.updateRunningSince(now)
-		p.noteConfirmedStart(m.unit)
+		p.scheduleConfirmationWrite(m.unit)
 	}
 	m.reportedAt = now
 	m.incarnationUnknown = false
@@ -77,8 +77,8 @@
 	}
 }
 
-// memberNotListed reconciles a member whose run the worker lists neither as running nor as ended.
-func (p *Pool) memberNotListed(m *member, sentAt time.Time) {
+// reconcileUnlisted reconciles a member whose run the worker lists neither as running nor as ended.
+func (p *Pool) reconcileUnlisted(m *member, sentAt time.Time) {
 	switch {
 	case m.stopAnswered:
 		// A completed stop is reported as an end; if none was reported in time, there was no run.
@@ -103,47 +103,47 @@
 		// The start may still be carried out; a stop blocks it.
 		p.sendStop(m)
 	case m.state == memberRunning && m.sentAt.Before(sentAt):
-		p.noteUnlistedRun(m)
+		p.recordUnlistedRun(m)
 		p.memberEnded(m, fleet.Lapsed)
 	}
 }
 
-// noteUnlistedRun counts and logs a confirmed run that ended with an unknown outcome: the worker
+// recordUnlistedRun counts and logs a confirmed run that ended with an unknown outcome: the worker
 // lists it neither as running nor as ended.
-func (p *Pool) noteUnlistedRun(m *member) {
+func (p *Pool) recordUnlistedRun(m *member) {
 	u, w := m.unit, m.worker
 	p.record.Count("attempts", "unlisted")
 	p.record.Decided("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born,
-		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.ends.acknowledged)
+		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.endAcks.acknowledged)
 }
 
-// takeEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
+// applyEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
 // Ends are matched by run rather than by number, because a list may be received twice.
-func (p *Pool) takeEnds(w *worker, ends []fleet.Ended) {
+func (p *Pool) applyEnds(w *worker, ends []fleet.Ended) {
 	var highest int64
 	for i := range ends {
 		end := &ends[i]
 		highest = max(highest, end.Number)
-		if m := p.memberAt(w, end.Task, end.Run); m != nil {
-			p.takeEnd(w, m, end)
+		if m := p.memberOnWorker(w, end.Task, end.Run); m != nil {
+			p.applyEnd(w, m, end)
 		}
 	}
-	if w.ends.handled(highest) {
+	if w.endAcks.handled(highest) {
 		return
 	}
-	w.ends.writing = highest
+	w.endAcks.writing = highest
 	if p.options.Without.EndRows {
-		w.ends.markWritten(highest)
+		w.endAcks.markWritten(highest)
 	}
 	takenAt := p.loop.Now()
 	p.afterWrite(p.writer.delayOfEnds(), func() {
 		p.record.Observe("end_noted", p.loop.Now().Sub(takenAt))
-		w.ends.markWritten(highest)
+		w.endAcks.markWritten(highest)
 		p.poll(w)
 	})
 }
 
-func (p *Pool) takeEnd(w *worker, m *member, end *fleet.Ended) {
+func (p *Pool) applyEnd(w *worker, m *member, end *fleet.Ended) {
 	u := m.unit
 	if end.Checkpoint != "" {
 		u.checkpoint = end.Checkpoint
--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -8,7 +8,7 @@
 func (p *Pool) verifyNextIncarnation(w *worker, described *fleet.Worker) {
 	if len(w.members) == 0 && len(w.unexpected) == 0 {
 		p.recordRestart(w, described.Life, restartSeenInRow, 0)
-		p.describe(p.replaceIncarnation(w, *described), described)
+		p.updateFromRow(p.replaceIncarnation(w, *described), described)
 		return
 	}
 	w.claimedIncarnation = described
@@ -66,5 +66,5 @@
 func (p *Pool) rejectClaimedIncarnation(w *worker) {
 	p.record.Count("refusals", "worker_row_refuted")
 	w.claimedIncarnation = nil
-	p.unlistNow(w)
+	p.markUnlisted(w)
 }
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -56,7 +56,7 @@
 	s := p.snapshot()
 	unplaceable := map[equivalenceClass]bool{}
 	for _, u := range waiting {
-		if u.state != unitWaiting || p.giveUpPoison(u) {
+		if u.state != unitWaiting || p.failPoisonJob(u) {
 			continue
 		}
 		class := classOf(u)
--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -42,8 +42,8 @@
 	}
 	w.claimedIncarnation = nil
 	// The worker did not announce its departure, so losing it counts as unplanned.
-	w.missing = true
-	p.unlistNow(w)
+	w.rowMissing = true
+	p.markUnlisted(w)
 }
 
 // tellForeignRows logs the number of invalid worker rows when it has changed.
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -27,7 +27,7 @@
 			kept = append(kept, m)
 		}
 	}
-	p.loseRuns(w, lostWorkerRestarted)
+	p.markRunsLost(w, lostWorkerRestarted)
 	w.members = append(w.members, kept...)
 }
 
@@ -68,7 +68,7 @@
 		m.worker, m.confirmedBefore = former, true
 	}
 	for _, former := range formers {
-		p.loseRuns(former, lostWorkerRestarted)
+		p.markRunsLost(former, lostWorkerRestarted)
 	}
 }
 
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -24,11 +24,11 @@
 	}
 	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Hold{Token: p.token, LastSeen: w.ends.acknowledgeable(now, p.options.Without)}
+	order := fleet.Hold{Token: p.token, LastSeen: w.endAcks.acknowledgeable(now, p.options.Without)}
 	if w.contacted && w.unansweredCalls == 0 {
 		order.Wait = p.pollWaitFor(w, order.LastSeen)
-		if extension := min(leaseExtension, p.options.Bounds.MaxHold, p.leaseLeft(now)); extension > 0 {
-			order.DeadlineMillis = w.clockNow(now) + extension.Milliseconds()
+		if extension := min(leaseDuration, p.options.Bounds.MaxHold, p.leaseLeft(now)); extension > 0 {
+			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
 			w.deadline = max(w.deadline, order.DeadlineMillis)
 		}
 	}
@@ -46,7 +46,7 @@
 		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
-		w.ends.acknowledge(order.LastSeen)
+		w.endAcks.acknowledge(order.LastSeen)
 		p.handlePollReply(w, reply, now)
 	})
 }
@@ -54,7 +54,7 @@
 // pollWaitFor returns how long the next poll waits at the worker. It is 0 while a report is needed
 // soon, such as the one that must precede an acknowledgement that this poll does not carry.
 func (p *Pool) pollWaitFor(w *worker, acknowledged int64) time.Duration {
-	if w.ends.writing > 0 || w.ends.due > acknowledged || len(w.members) == 0 {
+	if w.endAcks.writing > 0 || w.endAcks.due > acknowledged || len(w.members) == 0 {
 		return 0
 	}
 	if w.hasUnconfirmedStart() {
@@ -98,7 +98,7 @@
 			return
 		}
 		if err != nil {
-			p.orderFailed(w, err)
+			p.handleOrderError(w, err)
 			return
 		}
 		if p.handleOtherIncarnation(w, reply, sentAt) {
@@ -124,18 +124,18 @@
 		p.record.Decided("worker answers again", "worker", w.ID, "unanswered", w.unansweredCalls)
 	}
 	w.unansweredCalls = 0
-	w.departing = w.departing || (!w.hasRow && !w.missing)
+	w.leftWithoutDrain = w.leftWithoutDrain || (!w.hasRow && !w.rowMissing)
 	return jumped
 }
 
 // handleReport handles a report of the known incarnation that was requested at sentAt.
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	p.noteReply(w, reply.ClockMillis)
-	w.ends.reportAt = p.loop.Now()
+	w.endAcks.reportAt = p.loop.Now()
 	if p.lossLedger.Alive(w.Life.String()) {
 		p.record.Decided("worker lives after all", "worker", w.ID)
 	}
-	p.takeAccount(w, reply, sentAt)
+	p.applyReport(w, reply, sentAt)
 }
 
 // clockJumpThreshold is the deviation of a worker's clock from its estimate, beyond drift, that counts as a
@@ -148,7 +148,7 @@
 	if w.clock == 0 {
 		return false
 	}
-	expected := w.clockNow(now)
+	expected := w.estimatedClock(now)
 	allowed := clockJumpThreshold + time.Duration(2*clockDrift*float64(now.Sub(w.clockAt)))
 	difference := time.Duration(clock-expected) * time.Millisecond
 	if difference.Abs() <= allowed {
@@ -185,7 +185,7 @@
 		p.scheduleCycle()
 	}
 	p.schedulePoll(w)
-	p.forgetIfIdle(w)
+	p.removeIfIdle(w)
 }
 
 // renewLeaseNow renews the lease of runs on a worker after the first contact.
@@ -198,11 +198,11 @@
 // schedulePoll keeps polling while anything runs on the worker, and acknowledges ended runs once
 // they are written.
 func (p *Pool) schedulePoll(w *worker) {
-	if w.ends.due > 0 {
+	if w.endAcks.due > 0 {
 		p.poll(w)
 		return
 	}
-	if w.ends.pending() {
+	if w.endAcks.pending() {
 		// The poll after the write acknowledges; until then the lease must be renewed.
 		p.pollAfter(w, pollRetryDelay)
 		return
@@ -238,7 +238,7 @@
 }
 
 func (p *Pool) handlePollError(w *worker, err error) {
-	if p.orderFailed(w, err) {
+	if p.handleOrderError(w, err) {
 		return
 	}
 	pause := pollRetryDelay
--- a/internal/pool/leaving.go
+++ b/internal/pool/leaving.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// checkLeaving continues to move long-running tasks off draining workers.
-func (p *Pool) checkLeaving() {
+// checkDrains continues to move long-running tasks off draining workers.
+func (p *Pool) checkDrains() {
 	for _, w := range p.sortedWorkers() {
 		if !w.Draining {
 			continue
 		}
 		for _, m := range w.members {
 			if m.unit.spec().LongRunning {
-				p.emptyLeaving(w)
+				p.drainWorker(w)
 				break
 			}
 		}
 	}
 }
 
-// emptyLeaving stops the runs that will not end before a draining worker shuts down. Long-running
+// drainWorker stops the runs that will not end before a draining worker shuts down. Long-running
 // tasks move a few at a time, so that no more of a step are down than its spec allows.
-func (p *Pool) emptyLeaving(w *worker) {
+func (p *Pool) drainWorker(w *worker) {
 	now := p.loop.Now()
 	left := time.Duration(w.RemainingMillis) * time.Millisecond
 	for _, m := range w.members {
@@ -28,23 +28,23 @@
 			continue
 		}
 		if u.spec().LongRunning {
-			if u.step.awayCount() < u.spec().AllowedMisses {
+			if u.step.notReadyCount() < u.spec().AllowedMisses {
 				p.stopUnit(u, "worker leaves")
 			}
 			continue
 		}
-		if p.remaining(u, now) > left-leaveMargin {
+		if p.remaining(u, now) > left-drainMargin {
 			p.stopUnit(u, "worker leaves")
 		}
 	}
 }
 
-// awayCount returns the number of long-running tasks of a step that are not ready.
-func (s *step) awayCount() int {
+// notReadyCount returns the number of long-running tasks of a step that are not ready.
+func (s *step) notReadyCount() int {
 	count := 0
 	for _, u := range s.units {
 		for _, m := range u.members {
-			if u.state != unitActive || m.state != memberRunning || m.percent < atWork {
+			if u.state != unitActive || m.state != memberRunning || m.percent < readyPercent {
 				count++
 			}
 		}
@@ -52,8 +52,8 @@
 	return count
 }
 
-// atWork is the progress, in percent, from which a long-running task is ready.
-const atWork = 100
+// readyPercent is the progress, in percent, from which a long-running task is ready.
+const readyPercent = 100
 
-// leaveMargin is the least time between a run's expected end and the shutdown of its worker.
-const leaveMargin = 500 * time.Millisecond
+// drainMargin is the least time between a run's expected end and the shutdown of its worker.
+const drainMargin = 500 * time.Millisecond
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -7,8 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// advance creates the units of all steps that may start.
-func (p *Pool) advance(j *job) {
+// createReadyUnits creates the units of all steps that may start.
+func (p *Pool) createReadyUnits(j *job) {
 	if j.next.Final() {
 		return
 	}
@@ -16,7 +16,7 @@
 	for k := 0; k < j.Spec.Times(); k++ {
 		due := j.Spec.Due(k)
 		if timeOfDay := p.loop.TimeOfDay(); !due.IsZero() && due.After(timeOfDay) {
-			p.loop.After(due.Sub(timeOfDay)+dueMargin, func() { p.advance(j); p.scheduleCycle() })
+			p.loop.After(due.Sub(timeOfDay)+dueTimeMargin, func() { p.createReadyUnits(j); p.scheduleCycle() })
 			break
 		}
 		t := j.timeAt(k)
@@ -28,8 +28,8 @@
 	}
 }
 
-// dueMargin delays a scheduled start so that a slow clock does not make it early.
-const dueMargin = 5 * time.Millisecond
+// dueTimeMargin delays a scheduled start so that a slow clock does not make it early.
+const dueTimeMargin = 5 * time.Millisecond
 
 func (t *repetition) dependenciesComplete(s *step) bool {
 	for _, earlier := range s.spec.After {
@@ -62,7 +62,7 @@
 	for _, t := range j.repetitions {
 		for _, s := range t.steps {
 			for _, u := range s.units {
-				p.dropUnit(u, string(state))
+				p.cancelUnit(u, string(state))
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	p.persist(j)
 }
 
-func (p *Pool) dropUnit(u *unit, reason string) {
+func (p *Pool) cancelUnit(u *unit, reason string) {
 	switch u.state {
 	case unitWaiting, unitCommitting:
 		p.unassignAll(u)
@@ -82,22 +82,22 @@
 	}
 }
 
-// dropOldJobs deletes the rows of one job whose retention has expired. The progress row is deleted
+// removeExpiredJobs deletes the rows of one job whose retention has expired. The progress row is deleted
 // last, so that the job cannot appear to be new.
-func (p *Pool) dropOldJobs() {
+func (p *Pool) removeExpiredJobs() {
 	if p.dropping || p.releasing {
 		return
 	}
 	limit := p.loop.TimeOfDay().Add(-p.options.Bounds.StatusRetention - retentionMargin)
 	for id, j := range p.jobs {
 		if j.state.Final() && j.endedAt.Before(limit) {
-			p.dropJob(id)
+			p.removeJobRows(id)
 			return
 		}
 	}
 }
 
-func (p *Pool) dropJob(id string) {
+func (p *Pool) removeJobRows(id string) {
 	p.dropping = true
 	parts := JobParts(p.options.Pool, id)
 	pending, failed := len(parts), false
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -57,7 +57,7 @@
 	case laterIncarnation:
 		return true
 	case earlierIncarnation:
-		return w.contacted && askedAt.After(w.ends.reportAt)
+		return w.contacted && askedAt.After(w.endAcks.reportAt)
 	}
 	return false
 }
@@ -77,7 +77,7 @@
 	replacement := p.replaceIncarnation(w, next)
 	replacement.contacted, replacement.contactedAt = true, p.loop.Now()
 	if claimed != nil {
-		p.describe(replacement, claimed)
+		p.updateFromRow(replacement, claimed)
 		// The row may name an incarnation later than the one that answered.
 		replacement.Born = reply.Born
 	}
@@ -100,11 +100,11 @@
 	if w.cancelPollTimer != nil {
 		w.cancelPollTimer()
 	}
-	replacement := p.unlistedWorker(next.Life)
+	replacement := p.addUnlistedWorker(next.Life)
 	replacement.Worker, replacement.rack = next, next.Rack()
 	replacement.Draining = false
-	replacement.missing = true
-	replacement.machineRecord = w.machineRecord
+	replacement.rowMissing = true
+	replacement.machineState = w.machineState
 	replacement.restarts++
 	moved := w.members
 	w.members = nil
@@ -158,7 +158,7 @@
 		// Only a row named the known incarnation, and the row was false.
 		p.record.Count("refusals", "worker_row_refuted")
 		w.Born = reply.Born
-		p.unlistNow(w)
+		p.markUnlisted(w)
 		return p.workers[w.ID] != w
 	}
 	return false
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// giveUpPoison fails the unit's job if one of its tasks crashes the workers that run it, since each
+// failPoisonJob fails the unit's job if one of its tasks crashes the workers that run it, since each
 // further start would crash another worker. It returns true if it failed the job.
-func (p *Pool) giveUpPoison(u *unit) bool {
+func (p *Pool) failPoisonJob(u *unit) bool {
 	if p.options.Without.LossRecords || u.job.next.Final() {
 		return false
 	}
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -19,17 +19,17 @@
 	lostLeaseExpired lossReason = "lease ran out"
 )
 
-// loseRuns marks all members as lost on a worker that no longer runs anything and will report no
+// markRunsLost marks all members as lost on a worker that no longer runs anything and will report no
 // ends. One of the runs may have crashed the worker.
-func (p *Pool) loseRuns(w *worker, reason lossReason) {
+func (p *Pool) markRunsLost(w *worker, reason lossReason) {
 	lost := w.members
-	p.recordLoss(w, reason)
+	p.recordWorkerLoss(w, reason)
 	for _, m := range lost {
 		p.recordLostRun(m, reason)
 		p.memberEnded(m, fleet.Lapsed)
 	}
 	for _, m := range lost {
-		p.giveUpPoison(m.unit)
+		p.failPoisonJob(m.unit)
 	}
 }
 
@@ -42,7 +42,7 @@
 	}
 	p.record.Count("attempts", "lost")
 	p.record.Decided("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason),
-		"confirmed", m.state == memberRunning, "ran_ms", u.runMillis(w.lastAlive(p.loop.Now())))
+		"confirmed", m.state == memberRunning, "ran_ms", u.runMillis(w.lastResponsive(p.loop.Now())))
 }
 
 // runMillis returns how long the unit's run had been running at a given time, for logs. It is 0 if
@@ -54,18 +54,18 @@
 	return max(0, at.Sub(u.startedAt).Milliseconds())
 }
 
-// lastAlive returns the time at which the worker stopped responding, or now if it responds.
-func (w *worker) lastAlive(now time.Time) time.Time {
+// lastResponsive returns the time at which the worker stopped responding, or now if it responds.
+func (w *worker) lastResponsive(now time.Time) time.Time {
 	if w.unansweredCalls > 0 {
 		return w.unresponsiveSince
 	}
 	return now
 }
 
-// recordLoss records a lost worker against the tasks that ran there. A task that crashes its
+// recordWorkerLoss records a lost worker against the tasks that ran there. A task that crashes its
 // workers is never reported as failed, so without this record it would be restarted forever.
-func (p *Pool) recordLoss(w *worker, reason lossReason) {
-	if w.Draining || w.departing {
+func (p *Pool) recordWorkerLoss(w *worker, reason lossReason) {
+	if w.Draining || w.leftWithoutDrain {
 		// The worker left as planned, with the runs that were not moved in time.
 		for _, m := range w.members {
 			if m.losses.Count() > 0 {
@@ -74,29 +74,29 @@
 		}
 		return
 	}
-	at := w.lastAlive(p.loop.Now())
+	at := w.lastResponsive(p.loop.Now())
 	loss := poison.Loss{
 		Worker: w.Life.String(), Address: w.Address, At: at,
 		Unwatched: !w.contacted,
 		Replaced:  reason != lostLeaseExpired || p.addressTaken(w),
 	}
 	for _, m := range w.members {
-		m.addLoss(&loss, m.presenceAt(at))
+		m.addSuspect(&loss, m.runPresenceAt(at))
 	}
 	p.lossLedger.SetWorkers(len(p.workers))
 	p.lossLedger.Lost(loss)
 }
 
-// addLoss adds the member to the suspects of a loss if its run was on the worker.
-func (m *member) addLoss(loss *poison.Loss, ran presence) {
-	if ran == neverThere {
+// addSuspect adds the member to the suspects of a loss if its run was on the worker.
+func (m *member) addSuspect(loss *poison.Loss, ran runPresence) {
+	if ran == notStarted {
 		return
 	}
 	history := m.lossHistory()
 	switch {
 	case history == nil:
 		// Losses of this many members at once have a cause outside the unit.
-	case ran == perhapsThere:
+	case ran == possiblyStarted:
 		history.AddUnexplained(loss.Worker)
 	default:
 		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.runAgeAt(loss.At), AgeAssumed: !m.unit.startedByThisOwner})
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -72,7 +72,7 @@
 
 // cold reports whether the worker is still slow after its start. It is healthy: single tasks may
 // run there, and gangs avoid it since they are as slow as their slowest member.
-func (w *worker) cold(now time.Time) bool { return now.Before(w.coldUntil) }
+func (w *worker) cold(now time.Time) bool { return now.Before(w.coldStartUntil) }
 
 // excludeWorker excludes a worker from new work for the duration of penalty, unless it is cold.
 func (p *Pool) excludeWorker(w *worker, reason string, now time.Time) {
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -27,7 +27,7 @@
 		p.applyCancel(id)
 		return
 	}
-	p.advance(j)
+	p.createReadyUnits(j)
 	p.scheduleCycle()
 }
 
@@ -94,7 +94,7 @@
 func (p *Pool) workerOfRow(life fleet.Life, address string) *worker {
 	known := p.workers[life.ID]
 	if known == nil {
-		w := p.unlistedWorker(life)
+		w := p.addUnlistedWorker(life)
 		w.Address = address
 		return w
 	}
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -157,7 +157,7 @@
 
 // usable reports whether a worker may take new work.
 func (p *Pool) usable(w *worker, now time.Time) bool {
-	return w.contacted && w.unansweredCalls == 0 && w.claimedIncarnation == nil && p.usageKnown(w, now) && !w.leaving() && now.After(w.excludedUntil)
+	return w.contacted && w.unansweredCalls == 0 && w.claimedIncarnation == nil && p.usageKnown(w, now) && !w.drainingOrUnlisted() && now.After(w.excludedUntil)
 }
 
 // placementUnit returns the placement view of a unit that uses resources.
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -27,7 +27,7 @@
 // updateRunTime updates a run's projected duration from the progress that its worker reported.
 func (p *Pool) updateRunTime(m *member, percent int, now time.Time) {
 	u := m.unit
-	if percent < minSpeedPercent || percent >= atWork || u.runningSince.IsZero() || !u.measuresSpeed() {
+	if percent < minSpeedPercent || percent >= readyPercent || u.runningSince.IsZero() || !u.measuresSpeed() {
 		return
 	}
 	elapsed := now.Sub(u.runningSince)
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -39,7 +39,7 @@
 	now := p.loop.Now()
 	if m.startDeadline == 0 {
 		// Retries keep the deadline of the first start.
-		m.startDeadline = w.clockNow(now) + min(p.maxStartDelay(), p.leaseLeft(now)).Milliseconds()
+		m.startDeadline = w.estimatedClock(now) + min(p.maxStartDelay(), p.leaseLeft(now)).Milliseconds()
 	}
 	order := fleet.Start{
 		Task: m.name(), Run: u.run, Payload: u.job.Spec.Payload,
@@ -93,7 +93,7 @@
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
 		m.unit.updateRunningSince(m.sentAt)
-		p.noteConfirmedStart(m.unit)
+		p.scheduleConfirmationWrite(m.unit)
 	}
 	p.poll(m.worker)
 }
@@ -103,7 +103,7 @@
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
 	p.record.Decided("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason))
-	if p.orderFailed(w, err) {
+	if p.handleOrderError(w, err) {
 		return
 	}
 	m.startUnanswered = m.startUnanswered || reason == fleet.NoAnswer
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -59,7 +59,7 @@
 		}
 	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
 		// The other try is still in flight.
-	case p.orderFailed(w, err):
+	case p.handleOrderError(w, err):
 	default:
 		sent.answered = true
 		m.stopTimer = p.loop.After(stopRetryDelay, func() {
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -54,7 +54,7 @@
 	if s.ended == len(s.units) {
 		s.complete = true
 		u.repetition.ended++
-		p.advance(j)
+		p.createReadyUnits(j)
 		p.completeJobIfDone(j)
 	}
 	p.persistEnd(j)
--- a/internal/pool/unwantedruns.go
+++ b/internal/pool/unwantedruns.go
@@ -41,7 +41,7 @@
 	p.record.Decided("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.Born)
 	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
 		if !p.closed && err != nil {
-			p.orderFailed(w, err)
+			p.handleOrderError(w, err)
 		}
 	})
 }
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -7,9 +7,9 @@
 	"github.com/wheatroad/wheatroad/internal/speeds"
 )
 
-// machineRecord holds what is known of a worker's machine. It survives restarts of the worker,
+// machineState holds what is known of a worker's machine. It survives restarts of the worker,
 // because a machine that fails or slows its runs keeps doing so.
-type machineRecord struct {
+type machineState struct {
 	// excludedUntil is until when the worker gets no new work, and slowUntil until when it gets no
 	// gangs.
 	excludedUntil      time.Time
@@ -24,7 +24,7 @@
 // worker is one incarnation of a worker, with its state as known to this owner.
 type worker struct {
 	fleet.Worker
-	machineRecord
+	machineState
 	rack string
 	// claimedIncarnation is another incarnation that the worker's row names and that has not answered yet, or
 	// nil. asking is true while it is being polled.
@@ -32,11 +32,11 @@
 	verifying          bool
 	// hasRow is false once the worker's row is gone.
 	hasRow bool
-	// departing is true once the worker has answered after its row was deleted: it is shutting down
+	// leftWithoutDrain is true once the worker has answered after its row was deleted: it is shutting down
 	// as planned and still serves for a while.
-	departing bool
-	// missing is true while the row is gone but may only have expired during a store outage.
-	missing bool
+	leftWithoutDrain bool
+	// rowMissing is true while the row is gone but may only have expired during a store outage.
+	rowMissing bool
 	// contacted is true once the worker has answered a request with this owner's token.
 	contacted bool
 	// contactedAt is when the worker first did so.
@@ -53,7 +53,7 @@
 	clockAt time.Time
 	// deadline is the latest lease deadline sent, on the worker's clock.
 	deadline int64
-	ends     endAcknowledgements
+	endAcks  endAcknowledgements
 	// polledAt is when the worker was last polled in addition to a waiting poll.
 	polledAt time.Time
 	// pollInFlight is true while a poll is in flight.
@@ -64,9 +64,9 @@
 	unresponsiveSince time.Time
 	// lossyUntil is until when polls of the worker are kept short, because its answers get lost.
 	lossyUntil time.Time
-	// coldUntil is until when the worker is slow after its start.
-	coldUntil time.Time
+	// coldStartUntil is until when the worker is slow after its start.
+	coldStartUntil time.Time
 }
 
-// leaving reports whether the worker is draining or no longer listed.
-func (w *worker) leaving() bool { return w.Draining || !w.hasRow }
+// drainingOrUnlisted reports whether the worker is draining or no longer listed.
+func (w *worker) drainingOrUnlisted() bool { return w.Draining || !w.hasRow }
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -8,8 +8,8 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// readWorkers lists the worker rows, then follows their feed.
-func (p *Pool) readWorkers() {
+// loadWorkers lists the worker rows, then follows their feed.
+func (p *Pool) loadWorkers() {
 	table := p.ports.WorkerTable()
 	askedAt := p.loop.Now()
 	p.scanAll(table, "", retryPause, func(listing rows.Listing) {
@@ -20,12 +20,12 @@
 		}
 		for id, w := range p.workers {
 			if !listed[id] {
-				p.unlist(w)
+				p.handleRowGone(w)
 			}
 		}
 		maps.DeleteFunc(p.foreign.faults, func(name string, _ fleet.RowFault) bool { return !listed[name] })
 		p.noteListing(table, askedAt)
-		p.follow(table, listing.Version, retryPause, p.applyWorkerRow, p.readWorkers)
+		p.follow(table, listing.Version, retryPause, p.applyWorkerRow, p.loadWorkers)
 	})
 }
 
@@ -35,7 +35,7 @@
 	if row.Gone {
 		delete(p.foreign.faults, row.Name)
 		if w != nil {
-			p.unlist(w)
+			p.handleRowGone(w)
 		}
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	if w == nil {
-		w = p.unlistedWorker(described.Life)
+		w = p.addUnlistedWorker(described.Life)
 	}
 	switch order := p.compareIncarnation(w, described.Born); {
 	case order == laterIncarnation, order == earlierIncarnation && w.unansweredCalls > 0:
@@ -60,12 +60,12 @@
 	case order == earlierIncarnation:
 		p.record.Count("refusals", "worker_row_stale")
 	default:
-		p.describe(w, described)
+		p.updateFromRow(w, described)
 	}
 }
 
-// describe applies the content of a worker row to the known incarnation.
-func (p *Pool) describe(w *worker, described *fleet.Worker) {
+// updateFromRow applies the content of a worker row to the known incarnation.
+func (p *Pool) updateFromRow(w *worker, described *fleet.Worker) {
 	if !w.hasRow {
 		p.lossLedger.Replaced(described.Address, described.Life.String())
 	}
@@ -78,56 +78,56 @@
 		w.rack = rack
 		p.snapshotBuffers.racks = nil
 	}
-	w.hasRow, w.missing, w.departing = true, false, false
-	w.coldUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
+	w.hasRow, w.rowMissing, w.leftWithoutDrain = true, false, false
+	w.coldStartUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
 	if w.Draining && !wasDraining {
 		p.record.Decided("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
-		p.emptyLeaving(w)
+		p.drainWorker(w)
 	}
 	p.enqueueFirstContact(w)
 	p.scheduleCycle()
 }
 
-// unlistedWorker adds a worker of which only the incarnation is known.
-func (p *Pool) unlistedWorker(life fleet.Life) *worker {
+// addUnlistedWorker adds a worker of which only the incarnation is known.
+func (p *Pool) addUnlistedWorker(life fleet.Life) *worker {
 	w := &worker{
 		Worker:     fleet.Worker{Life: life},
 		unexpected: map[runID]unexpectedRun{},
 		clockAt:    p.loop.Now(),
 	}
 	p.workers[life.ID] = w
-	p.workersChanged()
+	p.invalidateWorkerCaches()
 	return w
 }
 
-// workersChanged discards what was derived from the previous set of workers.
-func (p *Pool) workersChanged() {
+// invalidateWorkerCaches discards what was derived from the previous set of workers.
+func (p *Pool) invalidateWorkerCaches() {
 	p.workerOrder = nil
 	p.snapshotBuffers.racks = nil
 }
 
-// unlist handles the deletion of a worker row. Rows that expired during a store outage are
+// handleRowGone handles the deletion of a worker row. Rows that expired during a store outage are
 // rewritten soon after it; until then the worker counts as listed.
-func (p *Pool) unlist(w *worker) {
+func (p *Pool) handleRowGone(w *worker) {
 	w.claimedIncarnation = nil
-	remaining := p.storeBackAt.Add(lapsedRowGrace).Sub(p.loop.Now())
+	remaining := p.storeBackAt.Add(missingRowGrace).Sub(p.loop.Now())
 	if remaining <= 0 || w.Draining {
-		p.unlistNow(w)
+		p.markUnlisted(w)
 		return
 	}
-	w.missing = true
+	w.rowMissing = true
 	p.loop.After(remaining, func() {
-		if !p.closed && w.missing && p.workers[w.ID] == w {
-			p.unlistNow(w)
+		if !p.closed && w.rowMissing && p.workers[w.ID] == w {
+			p.markUnlisted(w)
 		}
 	})
 }
 
-// lapsedRowGrace is how long a row may be missing after the store is available again.
-const lapsedRowGrace = 2500 * time.Millisecond
+// missingRowGrace is how long a row may be missing after the store is available again.
+const missingRowGrace = 2500 * time.Millisecond
 
-// unlistNow marks a worker as no longer listed. Its runs may continue.
-func (p *Pool) unlistNow(w *worker) {
+// markUnlisted marks a worker as no longer listed. Its runs may continue.
+func (p *Pool) markUnlisted(w *worker) {
 	if w.hasRow {
 		p.record.Decided("worker gone from the list", "worker", w.ID, "runs", len(w.members))
 	}
@@ -136,10 +136,10 @@
 		// From now on the progress rows must contain the worker's address.
 		p.persist(m.unit.job)
 	}
-	p.forgetIfIdle(w)
+	p.removeIfIdle(w)
 }
 
-func (p *Pool) forgetIfIdle(w *worker) {
+func (p *Pool) removeIfIdle(w *worker) {
 	if w.claimedIncarnation != nil && len(w.members) == 0 {
 		p.verifyNextIncarnation(w, w.claimedIncarnation)
 		return
@@ -149,19 +149,19 @@
 			w.cancelPollTimer()
 		}
 		delete(p.workers, w.ID)
-		p.workersChanged()
+		p.invalidateWorkerCaches()
 	}
 }
 
-// orderFailed handles what all failed requests to workers have in common. It returns true if the
+// handleOrderError handles what all failed requests to workers have in common. It returns true if the
 // worker was replaced or this owner has lost the pool.
-func (p *Pool) orderFailed(w *worker, err error) bool {
+func (p *Pool) handleOrderError(w *worker, err error) bool {
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
 		p.Abandon("fenced by worker " + w.ID)
 		return true
 	case fleet.OtherInstance:
-		p.workerDead(w, "another instance answers")
+		p.handleWorkerReplaced(w, "another instance answers")
 		return true
 	case fleet.NoAnswer, fleet.Unreachable:
 		p.noteNoReply(w)
@@ -171,16 +171,16 @@
 	return false
 }
 
-// workerDead marks all runs on a worker as lost after another instance has replaced it.
-func (p *Pool) workerDead(w *worker, reason string) {
+// handleWorkerReplaced marks all runs on a worker as lost after another instance has replaced it.
+func (p *Pool) handleWorkerReplaced(w *worker, reason string) {
 	p.record.Decided("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
-	p.loseRuns(w, lostInstanceReplaced)
+	p.markRunsLost(w, lostInstanceReplaced)
 	w.hasRow = false
-	p.forgetIfIdle(w)
+	p.removeIfIdle(w)
 }
 
-// checkStops polls workers with stops that should have completed.
-func (p *Pool) checkStops() {
+// pollOverdueStops polls workers with stops that should have completed.
+func (p *Pool) pollOverdueStops() {
 	now := p.loop.Now()
 	for _, w := range p.sortedWorkers() {
 		for _, m := range w.members {
