--- a/internal/pool/account.go
+++ b/internal/pool/account.go
@@ -50,7 +50,7 @@
 	if j == nil {
 		return nil
 	}
-	m := j.memberOf(name)
+	m := j.member(name)
 	if m == nil || m.worker != w || m.unit.run != run {
 		return nil
 	}
@@ -65,7 +65,7 @@
 	}
 	m.reportedAt = now
 	m.incarnationUnknown = false
-	if entry.Percent > 0 && m.unit.startedByThisOwner && !m.unit.resumed {
+	if entry.Percent > 0 && m.unit.startedByThisOwner && !m.unit.fromCheckpoint {
 		m.worker.reliability.recordProgress(m.unit.startedAt)
 	}
 	p.updateRunTime(m, entry.Percent, now)
@@ -86,20 +86,20 @@
 			m.recordUnexplainedLoss()
 			p.memberEnded(m, fleet.Stopped)
 		}
-	case m.stopTried && m.state == memberRunning && !p.options.Without.StopWait:
+	case m.stopAttempted && m.state == memberRunning && !p.options.Without.StopWait:
 		// The worker may be carrying out a stop whose answer was lost: a run that is being stopped
 		// is not listed but may still run. A run whose start was never confirmed may still arrive,
 		// and is gone only once a stop is answered.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
-	case m.state == memberUncertain && m.sentAt.IsZero() && p.options.Without.StopWait:
+	case m.state == memberUnconfirmed && m.sentAt.IsZero() && p.options.Without.StopWait:
 		p.memberEnded(m, fleet.Lapsed)
-	case m.state == memberUncertain && m.sentAt.IsZero():
+	case m.state == memberUnconfirmed && m.sentAt.IsZero():
 		// The worker has seen this owner's token, so a pending start of an earlier owner is fenced.
 		// A stop of that owner may still be in progress.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
-	case m.state == memberUncertain && m.sentAt.Before(sentAt):
+	case m.state == memberUnconfirmed && m.sentAt.Before(sentAt):
 		// The start may still be carried out; a stop blocks it.
 		p.sendStop(m)
 	case m.state == memberRunning && m.sentAt.Before(sentAt):
@@ -136,7 +136,7 @@
 		w.endAcks.markWritten(highest)
 	}
 	takenAt := p.loop.Now()
-	p.afterWrite(p.writer.delayOfEnds(), func() {
+	p.afterPersist(p.writer.delayOfEnds(), func() {
 		p.record.Observe("end_noted", p.loop.Now().Sub(takenAt))
 		w.endAcks.markWritten(highest)
 		p.poll(w)
--- a/internal/pool/batch.go
+++ b/internal/pool/batch.go
@@ -13,26 +13,26 @@
 // Limits of one batch. The store allows 100 entries and 1 MB of encoded size per
 // transaction.
 const (
-	batchLimit = 80
-	batchBytes = 700 << 10
+	maxBatchRows  = 80
+	maxBatchBytes = 700 << 10
 )
 
 // batch is a set of rows that is written in one transaction, with the callbacks that wait
 // for the write.
 type batch struct {
-	serial   int
-	jobs     []*job
-	progress []Progress
-	values   [][]byte
-	removes  []string
-	after    []func()
-	// left is true if dirty rows did not fit. They are overdue, so the next batch is sent
+	serial    int
+	jobs      []*job
+	progress  []Progress
+	values    [][]byte
+	removals  []string
+	callbacks []func()
+	// hasRemainder is true if dirty rows did not fit. They are overdue, so the next batch is sent
 	// without a delay.
-	left   bool
-	sentAt time.Time
-	// failures counts failed attempts, and open counts attempts in flight.
-	failures int
-	open     int
+	hasRemainder bool
+	sentAt       time.Time
+	// failedAttempts counts failed attempts, and open counts attempts in flight.
+	failedAttempts int
+	inFlight       int
 	// written is true once an attempt is known to be committed.
 	written bool
 }
@@ -41,37 +41,37 @@
 	w.serial++
 	b := &batch{serial: w.serial, sentAt: w.pool.loop.Now()}
 	bytes := 0
-	for len(w.dirty) > 0 && len(b.jobs) < batchLimit {
+	for len(w.dirty) > 0 && len(b.jobs) < maxBatchRows {
 		j := w.dirty[0]
 		progress := j.progress()
 		progress.Token, progress.Serial = w.pool.token, b.serial
 		value := mustEncode(progress)
 		bytes += len(value)
-		if bytes > batchBytes && len(b.jobs) > 0 {
+		if bytes > maxBatchBytes && len(b.jobs) > 0 {
 			break
 		}
 		w.dirty = w.dirty[1:]
-		w.taken++
+		w.batched++
 		j.dirty = false
 		b.jobs = append(b.jobs, j)
 		b.progress = append(b.progress, progress)
 		b.values = append(b.values, value)
 	}
-	b.left = len(w.dirty) > 0
-	b.after = w.takeAfter()
-	if !b.left {
-		count := min(len(w.removes), batchLimit-len(b.jobs))
-		b.removes, w.removes = w.removes[:count], w.removes[count:]
+	b.hasRemainder = len(w.dirty) > 0
+	b.callbacks = w.readyCallbacks()
+	if !b.hasRemainder {
+		count := min(len(w.removals), maxBatchRows-len(b.jobs))
+		b.removals, w.removals = w.removals[:count], w.removals[count:]
 	}
 	return b
 }
 
 // transaction builds the transaction that writes a batch to a partition.
 func (w *writer) transaction(b *batch, part int) rows.Transaction {
-	partition := progressPart(w.pool.options.Pool, part)
+	partition := progressPartition(w.pool.options.Pool, part)
 	transaction := rows.Transaction{
 		Conditions: []rows.Condition{{Key: headKey(partition), Version: w.headVersions[part]}},
-		Puts:       []rows.Put{{Key: headKey(partition), Value: w.pool.head(strconv.Itoa(b.serial))}},
+		Puts:       []rows.Put{{Key: headKey(partition), Value: w.pool.encodeHead(strconv.Itoa(b.serial))}},
 	}
 	if w.pool.options.Without.HeadCondition {
 		transaction.Conditions = nil
@@ -79,30 +79,30 @@
 	for i, j := range b.jobs {
 		transaction.Puts = append(transaction.Puts, rows.Put{Key: progressKey(partition, j.id), Value: b.values[i]})
 	}
-	for _, id := range b.removes {
+	for _, id := range b.removals {
 		transaction.Removes = append(transaction.Removes, progressKey(partition, id))
 	}
 	return transaction
 }
 
-// head encodes this owner's head row.
-func (p *Pool) head(nonce string) []byte {
-	return mustEncode(head{Token: p.token, Nonce: p.options.Incarnation + "." + nonce, Durations: p.durations})
+// encodeHead encodes this owner's encodeHead row.
+func (p *Pool) encodeHead(nonce string) []byte {
+	return mustEncode(headRecord{Token: p.token, Nonce: p.options.Incarnation + "." + nonce, Durations: p.durations})
 }
 
-// partPatience is the time after which a batch without a response is also sent to the next
+// partitionTimeout is the time after which a batch without a response is also sent to the next
 // partition, in addition to the time that sending takes.
-const partPatience = 600 * time.Millisecond
+const partitionTimeout = 600 * time.Millisecond
 
 func (w *writer) send(b *batch) {
-	part := w.part
+	part := w.partition
 	answered := false
-	b.open++
+	b.inFlight++
 	transaction := w.transaction(b, part)
 	sentAt := w.pool.loop.Now()
 	w.pool.ports.Commit(transaction, func(result rows.Result, err error) {
 		answered = true
-		b.open--
+		b.inFlight--
 		switch {
 		case w.pool.closed:
 		case err != nil:
@@ -115,10 +115,10 @@
 			w.conditionFailed(b, part, result)
 		}
 	})
-	w.pool.loop.After(partPatience+rows.SendTime(transaction), func() {
-		if !w.pool.closed && !answered && !b.written && b.open < progressParts {
+	w.pool.loop.After(partitionTimeout+rows.SendTime(transaction), func() {
+		if !w.pool.closed && !answered && !b.written && b.inFlight < progressPartitions {
 			w.pool.record.Count("retries", "commit_slow")
-			w.part = (part + 1) % progressParts
+			w.partition = (part + 1) % progressPartitions
 			w.send(b)
 		}
 	})
@@ -128,18 +128,18 @@
 // failed. The rows are the same in each, so any number of attempts may take effect.
 func (w *writer) retry(b *batch, err error) {
 	w.pool.record.Count("retries", commitRetryReason(err))
-	b.failures++
-	if b.written || b.open > 0 {
+	b.failedAttempts++
+	if b.written || b.inFlight > 0 {
 		return
 	}
-	w.part = (w.part + 1) % progressParts
-	if b.failures%progressParts != 0 {
+	w.partition = (w.partition + 1) % progressPartitions
+	if b.failedAttempts%progressPartitions != 0 {
 		w.send(b)
 		return
 	}
-	pause := retryPause
-	for range min(b.failures/progressParts, retryDoublings) {
-		pause = nextPause(pause)
+	pause := retryDelay
+	for range min(b.failedAttempts/progressPartitions, maxBackoffDoublings) {
+		pause = nextRetryDelay(pause)
 	}
 	w.pool.storeRetries.After(pause, func() {
 		if !w.pool.closed {
@@ -148,8 +148,8 @@
 	})
 }
 
-// retryDoublings limits the exponential backoff between attempts.
-const retryDoublings = 4
+// maxBackoffDoublings limits the exponential backoff between attempts.
+const maxBackoffDoublings = 4
 
 func commitRetryReason(err error) string {
 	if errors.Is(err, rows.ErrRefused) {
@@ -165,7 +165,7 @@
 	w.pool.recordStoreAnswer()
 	for i := range result.Current {
 		row := &result.Current[i]
-		var current head
+		var current headRecord
 		if row.Name != headRow || json.Unmarshal(row.Value, &current) != nil || current.Token != w.pool.token {
 			continue
 		}
@@ -188,17 +188,17 @@
 	}
 	b.written = true
 	w.pool.recordStoreAnswer()
-	w.pool.record.Observe("store_commit", w.pool.storeAnsweredAt.Sub(b.sentAt))
+	w.pool.record.Observe("store_commit", w.pool.lastStoreAnswerAt.Sub(b.sentAt))
 	w.sending = false
 	for i, j := range b.jobs {
 		j.state = b.progress[i].State
 	}
-	w.runAfter(b.after)
-	waiting := len(w.dirty) > 0 || len(w.removes) > 0 || len(w.after) > 0
-	if b.left || waiting && w.dueAt.IsZero() {
+	w.runCallbacks(b.callbacks)
+	waiting := len(w.dirty) > 0 || len(w.removals) > 0 || len(w.callbacks) > 0
+	if b.hasRemainder || waiting && w.dueAt.IsZero() {
 		w.dueAt = w.pool.loop.Now()
 	}
 	if !w.dueAt.IsZero() {
-		w.arm()
+		w.scheduleFlush()
 	}
 }
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -13,7 +13,7 @@
 	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
 		return true
 	}
-	return p.loop.Now().Sub(p.workersAsOf) <= maxCapacityAge
+	return p.loop.Now().Sub(p.workersReadAt) <= maxCapacityAge
 }
 
 // workersEnforceCapacity reports whether the pool's workers refuse starts that exceed their capacity.
--- a/internal/pool/claim.go
+++ b/internal/pool/claim.go
@@ -6,14 +6,14 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// claim fences former owners from a progress partition by replacing its head row.
-func (w *writer) claim(part int, done func()) {
+// fencePartition fences former owners from a progress partition by replacing its head row.
+func (w *writer) fencePartition(part int, done func()) {
 	p := w.pool
-	partition := progressPart(p.options.Pool, part)
+	partition := progressPartition(p.options.Pool, part)
 	p.scanPrefix(ProgressTable, partition, headRow, func(listing rows.Listing) {
 		version := rows.Absent
 		for i := range listing.Rows {
-			var current head
+			var current headRecord
 			if listing.Rows[i].Name != headRow || json.Unmarshal(listing.Rows[i].Value, &current) != nil {
 				continue
 			}
@@ -24,16 +24,16 @@
 			version = listing.Rows[i].Version
 			p.mergeDurations(current)
 		}
-		w.claimAt(part, version, done)
+		w.fencePartitionAt(part, version, done)
 	})
 }
 
-func (w *writer) claimAt(part int, version int64, done func()) {
-	key := headKey(progressPart(w.pool.options.Pool, part))
+func (w *writer) fencePartitionAt(part int, version int64, done func()) {
+	key := headKey(progressPartition(w.pool.options.Pool, part))
 	sentAt := w.pool.loop.Now()
 	w.pool.ports.Commit(rows.Transaction{
 		Conditions: []rows.Condition{{Key: key, Version: version}},
-		Puts:       []rows.Put{{Key: key, Value: w.pool.head("claim")}},
+		Puts:       []rows.Put{{Key: key, Value: w.pool.encodeHead("claim")}},
 	}, func(result rows.Result, err error) {
 		switch {
 		case w.pool.closed:
@@ -43,7 +43,7 @@
 			done()
 		default:
 			w.pool.record.Count("retries", "claim")
-			w.pool.storeRetries.After(retryPause, func() { w.claim(part, done) })
+			w.pool.storeRetries.After(retryDelay, func() { w.fencePartition(part, done) })
 		}
 	})
 }
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		p.hasBacklog = true
-		if len(u.excludedWorkers) == 0 && !u.suspected() {
+		if len(u.excludedWorkers) == 0 && !u.suspectedOfCrashes() {
 			unplaceable[class] = true
 		}
 	}
@@ -80,7 +80,7 @@
 func (p *Pool) openUnits() iter.Seq[*unit] {
 	return func(yield func(*unit) bool) {
 		for _, j := range p.jobs {
-			if j.next.Final() {
+			if j.pendingState.Final() {
 				continue
 			}
 			for _, t := range j.repetitions {
@@ -174,7 +174,7 @@
 		workers[i] = s.poolWorkers[place]
 	}
 	p.commitPlacement(u, workers)
-	if u.suspected() {
+	if u.suspectedOfCrashes() {
 		s.excludeWorkers(places)
 	}
 }
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -77,7 +77,7 @@
 
 // updateDurationModel updates the queue's model from a completed unit.
 func (p *Pool) updateDurationModel(u *unit) {
-	if !u.startedByThisOwner || u.resumed || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
+	if !u.startedByThisOwner || u.fromCheckpoint || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
 		return
 	}
 	model := p.durations[u.job.Queue.Name]
@@ -92,7 +92,7 @@
 
 // mergeDurations takes over the models of an earlier owner. Of several head rows it keeps, for
 // each queue, the model with the largest weight.
-func (p *Pool) mergeDurations(earlier head) {
+func (p *Pool) mergeDurations(earlier headRecord) {
 	if p.options.Off[mechanism.LearnedDurations] {
 		return
 	}
@@ -115,7 +115,7 @@
 	}
 	p.estimatesRefreshedAt = now
 	for _, j := range p.jobs {
-		if !j.next.Final() {
+		if !j.pendingState.Final() {
 			p.estimateJob(j)
 		}
 	}
--- a/internal/pool/durations_test.go
+++ b/internal/pool/durations_test.go
@@ -58,9 +58,9 @@
 // several head rows.
 func TestDurationsOutlastATakeover(t *testing.T) {
 	p := &Pool{durations: map[string]*durationModel{}}
-	p.mergeDurations(head{Token: 4})
-	p.mergeDurations(head{Token: 4, Durations: map[string]*durationModel{"q": {Weight: 9}, "none": nil}})
-	p.mergeDurations(head{Token: 3, Durations: map[string]*durationModel{"q": {Weight: 2}}})
+	p.mergeDurations(headRecord{Token: 4})
+	p.mergeDurations(headRecord{Token: 4, Durations: map[string]*durationModel{"q": {Weight: 9}, "none": nil}})
+	p.mergeDurations(headRecord{Token: 3, Durations: map[string]*durationModel{"q": {Weight: 2}}})
 	require.Equal(t, 9.0, p.durations["q"].Weight)
 	require.NotContains(t, p.durations, "none")
 }
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -57,9 +57,9 @@
 // evacuatedZones returns the newest known set of evacuatedZones zones.
 func (p *Pool) evacuatedZones() evacuation.Set {
 	if p.options.Evacuated == nil {
-		return p.evacuatedRead
+		return p.evacuationsRead
 	}
-	return p.evacuatedRead.Newest(p.options.Evacuated())
+	return p.evacuationsRead.Newest(p.options.Evacuated())
 }
 
 // evacuationsFresh reports whether the set of evacuated zones is fresh enough for starts.
@@ -81,19 +81,19 @@
 func (p *Pool) checkEvacuations() {
 	p.NoteEvacuations()
 	askedAt := p.loop.Now()
-	if p.readingEvacuations || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
+	if p.evacuationReadInFlight || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
 		return
 	}
-	p.readingEvacuations = true
+	p.evacuationReadInFlight = true
 	table, prefix := p.ports.EvacuationRows()
 	p.ports.Scan(table, "", prefix, func(listing rows.Listing, err error) {
-		p.readingEvacuations = false
+		p.evacuationReadInFlight = false
 		if p.closed || err != nil {
 			return
 		}
 		p.recordStoreAnswer()
 		read := evacuation.Of(evacuation.Changes(listing.Rows, p.ports.EvacuatedZone), listing.Version, askedAt)
-		p.evacuatedRead = p.evacuatedRead.Newest(read)
+		p.evacuationsRead = p.evacuationsRead.Newest(read)
 		p.NoteEvacuations()
 	})
 }
--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -8,34 +8,34 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// foreignRows tracks invalid worker rows.
-type foreignRows struct {
+// invalidWorkerRows tracks invalid worker rows.
+type invalidWorkerRows struct {
 	// faults holds the fault of each invalid row by row name.
 	faults map[string]fleet.RowFault
-	// told is the count that was last logged, at toldAt.
-	told   int
-	toldAt time.Time
+	// loggedCount is the count that was last logged, at toldAt.
+	loggedCount int
+	loggedAt    time.Time
 }
 
-// foreignRowsPause limits the rate of log lines about invalid rows: there may be thousands, and
+// invalidRowsLogInterval limits the rate of log lines about invalid rows: there may be thousands, and
 // they may change with each heartbeat.
-const foreignRowsPause = 10 * time.Second
+const invalidRowsLogInterval = 10 * time.Second
 
-// takeForeignRow records an invalid worker row. Runs on the worker of that name continue, but
+// handleInvalidWorkerRow records an invalid worker row. Runs on the worker of that name continue, but
 // nothing is started there until its row is valid again.
-func (p *Pool) takeForeignRow(name string, err error) {
+func (p *Pool) handleInvalidWorkerRow(name string, err error) {
 	fault := fleet.RowUnreadable
 	var rowError *fleet.RowError
 	if errors.As(err, &rowError) {
 		fault = rowError.Fault
 	}
 	p.record.Count("foreign_rows", string(fault))
-	p.foreign.faults[name] = fault
-	p.distrust(name)
+	p.invalidRows.faults[name] = fault
+	p.suspendPlacement(name)
 }
 
-// distrust stops new placements on a worker whose row is invalid or names another pool.
-func (p *Pool) distrust(name string) {
+// suspendPlacement stops new placements on a worker whose row is invalid or names another pool.
+func (p *Pool) suspendPlacement(name string) {
 	w := p.workers[name]
 	if w == nil || !w.hasRow {
 		return
@@ -46,20 +46,20 @@
 	p.markUnlisted(w)
 }
 
-// tellForeignRows logs the number of invalid worker rows when it has changed.
-func (p *Pool) tellForeignRows() {
-	now, count := p.loop.Now(), len(p.foreign.faults)
-	if count == p.foreign.told || now.Sub(p.foreign.toldAt) < foreignRowsPause {
+// logInvalidWorkerRows logs the number of invalid worker rows when it has changed.
+func (p *Pool) logInvalidWorkerRows() {
+	now, count := p.loop.Now(), len(p.invalidRows.faults)
+	if count == p.invalidRows.loggedCount || now.Sub(p.invalidRows.loggedAt) < invalidRowsLogInterval {
 		return
 	}
-	p.foreign.told, p.foreign.toldAt = count, now
+	p.invalidRows.loggedCount, p.invalidRows.loggedAt = count, now
 	p.record.Set("foreign_rows", int64(count))
-	name, fault := p.foreign.example()
+	name, fault := p.invalidRows.example()
 	p.record.Decided("rows of another writer", "rows", count, "example", name, "fault", string(fault))
 }
 
 // example returns the invalid row with the lowest name.
-func (f *foreignRows) example() (string, fleet.RowFault) {
+func (f *invalidWorkerRows) example() (string, fleet.RowFault) {
 	first := ""
 	for name := range f.faults {
 		if first == "" || name < first {
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -40,11 +40,11 @@
 	switch m.state {
 	case memberNone:
 		return true
-	case memberUncertain:
+	case memberUnconfirmed:
 		return m.confirmedBefore
 	case memberRunning:
 		open := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
-		return (!open || without.OpenStarts) && !m.stopTried && m.sentAt.Before(sentAt)
+		return (!open || without.OpenStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
 	}
 	return false
 }
@@ -54,7 +54,7 @@
 func (p *Pool) markConfirmedBeforeLost(w *worker, listed map[*member]bool) {
 	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
-		if m.formerIncarnation.ID == "" || m.state != memberUncertain || !m.sentAt.IsZero() || listed[m] {
+		if m.formerIncarnation.ID == "" || m.state != memberUnconfirmed || !m.sentAt.IsZero() || listed[m] {
 			continue
 		}
 		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerIncarnation })
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -27,7 +27,7 @@
 	order := fleet.Hold{Token: p.token, LastSeen: w.endAcks.acknowledgeable(now, p.options.Without)}
 	if w.contacted && w.unansweredCalls == 0 {
 		order.Wait = p.pollWaitFor(w, order.LastSeen)
-		if extension := min(leaseDuration, p.options.Bounds.MaxHold, p.leaseLeft(now)); extension > 0 {
+		if extension := min(leaseDuration, p.options.Bounds.MaxHold, p.remainingLease(now)); extension > 0 {
 			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
 			w.deadline = max(w.deadline, order.DeadlineMillis)
 		}
@@ -77,7 +77,7 @@
 // hasUnconfirmedStart reports whether the start of any member is unanswered.
 func (w *worker) hasUnconfirmedStart() bool {
 	for _, m := range w.members {
-		if m.state == memberUncertain {
+		if m.state == memberUnconfirmed {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	p.noteReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
-	if p.lossLedger.Alive(w.Life.String()) {
+	if p.lossTracker.Alive(w.Life.String()) {
 		p.record.Decided("worker lives after all", "worker", w.ID)
 	}
 	p.applyReport(w, reply, sentAt)
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -33,8 +33,8 @@
 	memberNone memberState = iota
 	// memberStarting members have a start order in flight.
 	memberStarting
-	// memberUncertain members may run: their start got no response, or they were restored.
-	memberUncertain
+	// memberUnconfirmed members may run: their start got no response, or they were restored.
+	memberUnconfirmed
 	memberRunning
 )
 
@@ -52,16 +52,16 @@
 	criticalPaths []time.Duration
 	repetitions   []*repetition
 	// state is the persisted state, and next the state once pending writes are committed.
-	state taskgraph.State
-	next  taskgraph.State
+	state        taskgraph.State
+	pendingState taskgraph.State
 	// endedAt is wall-clock time, unlike acceptedAt.
 	endedAt   time.Time
 	cancelled bool
-	// begun is true once a task of the job was placed, by any owner.
-	begun bool
-	// ordered is true once a start order was sent; assumed for restored jobs.
-	ordered bool
-	dirty   bool
+	// started is true once a task of the job was placed, by any owner.
+	started bool
+	// startSent is true once a start order was sent; assumed for restored jobs.
+	startSent bool
+	dirty     bool
 }
 
 // repetition is one repetition of a job.
@@ -107,8 +107,8 @@
 	runningSince time.Time
 	// startedByThisOwner is true if this owner started the latest run.
 	startedByThisOwner bool
-	// resumed is true if the latest run was started from a checkpoint.
-	resumed bool
+	// fromCheckpoint is true if the latest run was started from a checkpoint.
+	fromCheckpoint bool
 	// stalls counts how often the unit was moved for lack of progress.
 	stalls int
 	// snapshotIndex is the unit's number in the snapshot of snapshotGeneration.
@@ -132,12 +132,12 @@
 	state memberState
 	// worker is where a run of the member may exist, or nil.
 	worker *worker
-	// stopTried is true once a stop of the present run was sent, whatever its outcome;
+	// stopAttempted is true once a stop of the present run was sent, whatever its outcome;
 	// stopSent and stopAnswered are the state of the current stop order.
-	stopTried    bool
-	stopSent     bool
-	stopAnswered bool
-	stopTimer    func()
+	stopAttempted bool
+	stopSent      bool
+	stopAnswered  bool
+	stopTimer     func()
 	// startUnanswered is true once a start of the present run got no response: the order may still
 	// be executed, whatever the response to a later attempt.
 	startUnanswered bool
@@ -191,7 +191,7 @@
 func newJob(id string, accepted Accepted, acceptedAt time.Time) *job {
 	return &job{
 		id: id, Accepted: accepted, acceptedAt: acceptedAt,
-		state: taskgraph.Queued, next: taskgraph.Queued,
+		state: taskgraph.Queued, pendingState: taskgraph.Queued,
 	}
 }
 
@@ -210,8 +210,8 @@
 	return u.deadline().Sub(now) - u.job.criticalPaths[u.step.index]
 }
 
-// timeAt returns repetition k, creating it and those before it if needed.
-func (j *job) timeAt(k int) *repetition {
+// repetitionAt returns repetition k, creating it and those before it if needed.
+func (j *job) repetitionAt(k int) *repetition {
 	for len(j.repetitions) <= k {
 		number := len(j.repetitions)
 		created := &repetition{number: number, due: j.Spec.Due(number)}
@@ -246,8 +246,8 @@
 	}
 }
 
-// memberOf returns the member of a task name, or nil if it does not exist.
-func (j *job) memberOf(name taskgraph.TaskName) *member {
+// member returns the member of a task name, or nil if it does not exist.
+func (j *job) member(name taskgraph.TaskName) *member {
 	if name.Time >= len(j.repetitions) || name.Step >= len(j.Spec.Steps) {
 		return nil
 	}
--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -30,7 +30,7 @@
 // checkStragglers detects stragglers in a gang and excludes their workers from new work. It restarts the
 // gang if waiting for the slowest member would take longer than a restart.
 func (p *Pool) checkStragglers(u *unit, now time.Time) {
-	if len(u.members) < 2 || !u.startedByThisOwner || u.resumed || u.runningSince.IsZero() {
+	if len(u.members) < 2 || !u.startedByThisOwner || u.fromCheckpoint || u.runningSince.IsZero() {
 		return
 	}
 	// Deferred, so that the speeds learned from this run do not hide its stragglers.
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -30,8 +30,8 @@
 		// This owner granted no lease. The former owner may have granted some until this one had
 		// claimed the progress rows.
 		since := w.clockAt
-		if p.claimedAt.After(since) && !p.options.Without.ClaimWait {
-			since = p.claimedAt
+		if p.progressFencedAt.After(since) && !p.options.Without.ClaimWait {
+			since = p.progressFencedAt
 		}
 		return p.loop.Now().Sub(since) > time.Duration(float64(p.options.Bounds.MaxHold)*(1+clockDrift))+leaseExpiryMargin
 	}
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -9,7 +9,7 @@
 
 // createReadyUnits creates the units of all steps that may start.
 func (p *Pool) createReadyUnits(j *job) {
-	if j.next.Final() {
+	if j.pendingState.Final() {
 		return
 	}
 	now := p.loop.Now()
@@ -19,7 +19,7 @@
 			p.loop.After(due.Sub(timeOfDay)+dueTimeMargin, func() { p.createReadyUnits(j); p.scheduleCycle() })
 			break
 		}
-		t := j.timeAt(k)
+		t := j.repetitionAt(k)
 		for _, s := range t.steps {
 			if s.units == nil && !s.complete && t.dependenciesComplete(s) {
 				s.createUnits(j, t, now)
@@ -44,10 +44,10 @@
 func (p *Pool) applyCancel(id string) {
 	j := p.jobs[id]
 	if j == nil {
-		p.earlyCancels[id] = true
+		p.pendingCancels[id] = true
 		return
 	}
-	if j.cancelled || j.next.Final() {
+	if j.cancelled || j.pendingState.Final() {
 		return
 	}
 	j.cancelled = true
@@ -57,7 +57,7 @@
 
 // finishJob puts a job into its final state and stops its remaining runs.
 func (p *Pool) finishJob(j *job, state taskgraph.State) {
-	j.next = state
+	j.pendingState = state
 	j.endedAt = p.loop.TimeOfDay()
 	for _, t := range j.repetitions {
 		for _, s := range t.steps {
@@ -85,7 +85,7 @@
 // removeExpiredJobs deletes the rows of one job whose retention has expired. The progress row is deleted
 // last, so that the job cannot appear to be new.
 func (p *Pool) removeExpiredJobs() {
-	if p.dropping || p.releasing {
+	if p.removingExpiredJob || p.releasing {
 		return
 	}
 	limit := p.loop.TimeOfDay().Add(-p.options.Bounds.StatusRetention - retentionMargin)
@@ -98,7 +98,7 @@
 }
 
 func (p *Pool) removeJobRows(id string) {
-	p.dropping = true
+	p.removingExpiredJob = true
 	parts := JobParts(p.options.Pool, id)
 	pending, failed := len(parts), false
 	for _, part := range parts {
@@ -108,7 +108,7 @@
 			if pending--; pending > 0 {
 				return
 			}
-			p.dropping = false
+			p.removingExpiredJob = false
 			if p.closed || failed {
 				return
 			}
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -129,11 +129,11 @@
 		m.stopTimer = nil
 	}
 	if m.state == memberStarting || m.state == memberRunning {
-		m.state = memberUncertain
+		m.state = memberUnconfirmed
 		m.sentAt = p.loop.Now()
 	}
 	p.persist(m.unit.job)
-	if m.stopTried {
+	if m.stopAttempted {
 		p.sendStop(m)
 	}
 }
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -59,7 +59,7 @@
 		for _, m := range u.members {
 			if m.index == losses.Member {
 				m.losses = u.lossGroup.NewHistory(losses.Records)
-				p.lossLedger.Restore(m.losses)
+				p.lossTracker.Restore(m.losses)
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 // failPoisonJob fails the unit's job if one of its tasks crashes the workers that run it, since each
 // further start would crash another worker. It returns true if it failed the job.
 func (p *Pool) failPoisonJob(u *unit) bool {
-	if p.options.Without.LossRecords || u.job.next.Final() {
+	if p.options.Without.LossRecords || u.job.pendingState.Final() {
 		return false
 	}
 	for _, m := range u.suspects() {
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -83,8 +83,8 @@
 	for _, m := range w.members {
 		m.addSuspect(&loss, m.runPresenceAt(at))
 	}
-	p.lossLedger.SetWorkers(len(p.workers))
-	p.lossLedger.Lost(loss)
+	p.lossTracker.SetWorkers(len(p.workers))
+	p.lossTracker.Lost(loss)
 }
 
 // addSuspect adds the member to the suspects of a loss if its run was on the worker.
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -13,7 +13,7 @@
 func (p *Pool) assign(m *member, w *worker) {
 	m.worker = w
 	m.state = memberNone
-	m.stopTried, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
+	m.stopAttempted, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
 	m.startCall = nil
 	m.confirmedBefore, m.formerIncarnation = false, fleet.Life{}
 	m.percent, m.percentChangedAt, m.reportedAt = 0, time.Time{}, time.Time{}
@@ -36,7 +36,7 @@
 	}
 	m.worker = nil
 	m.state = memberNone
-	m.stopTried, m.stopSent, m.stopAnswered = false, false, false
+	m.stopAttempted, m.stopSent, m.stopAnswered = false, false, false
 }
 
 func (p *Pool) unassignAll(u *unit) {
@@ -54,16 +54,16 @@
 	}
 	u.slowness = p.maxSlowness(u)
 	run := u.run
-	if !u.job.begun {
-		u.job.begun = true
-		u.job.next = taskgraph.Running
+	if !u.job.started {
+		u.job.started = true
+		u.job.pendingState = taskgraph.Running
 	}
 	p.record.Decided("placed", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", run, "tasks", len(u.members),
 		"waited_ms", p.loop.Now().Sub(u.readyAt).Milliseconds(), "waited_for", string(u.lastWaitReason()), "estimate_ms", u.spec().EstimateMillis,
 		"cores", u.spec().Amount.Cores()*float64(len(u.members)), "slack_ms", u.slack(p.loop.Now()).Milliseconds(), "slowness", u.slowness,
 		"workers", workerIDs(places))
 	p.persist(u.job)
-	p.afterWrite(0, func() {
+	p.afterPersist(0, func() {
 		switch {
 		case u.state != unitCommitting || u.run != run:
 		case u.activeMembers() < len(u.members), !p.placementValid(u):
@@ -82,7 +82,7 @@
 
 // placementValid reports whether a unit whose placement is stored may still be started there.
 func (p *Pool) placementValid(u *unit) bool {
-	if !p.mayStart(p.loop.Now()) || !p.capacitiesFresh() {
+	if !p.canStartWithinLease(p.loop.Now()) || !p.capacitiesFresh() {
 		return false
 	}
 	for _, m := range u.members {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -16,9 +16,9 @@
 
 // Periods of the owner's loop and its retries.
 const (
-	tickPeriod    = 250 * time.Millisecond
-	retryPause    = 150 * time.Millisecond
-	retryPauseMax = time.Second
+	tickInterval  = 250 * time.Millisecond
+	retryDelay    = 150 * time.Millisecond
+	maxRetryDelay = time.Second
 	// retentionMargin is kept beyond Bounds.StatusRetention.
 	retentionMargin = 60 * time.Second
 )
@@ -54,49 +54,49 @@
 	lastCycleDuration time.Duration
 	// orderLatency is the moving average of the response time of starts.
 	orderLatency time.Duration
-	// storeAnsweredAt is the time of the store's last response.
-	storeAnsweredAt time.Time
-	// storeBackAt is the time of the first response after the last outage longer than storeGap.
-	storeBackAt time.Time
+	// lastStoreAnswerAt is the time of the store's last response.
+	lastStoreAnswerAt time.Time
+	// storeRecoveredAt is the time of the first response after the last outage longer than storeGap.
+	storeRecoveredAt time.Time
 	// preemptionBackoffUntil is when units of lower priority than pressurePriority, if they can wait, may
 	// be placed again.
 	preemptionBackoffUntil    time.Time
 	preemptionBackoffPriority int
-	// medianLogTime is the median of the workers' relative task durations, as a logarithm,
+	// medianLogRunTime is the median of the workers' relative task durations, as a logarithm,
 	// computed at medianAt.
-	medianLogTime float64
-	medianAt      time.Time
+	medianLogRunTime float64
+	medianAt         time.Time
 	// tooSlowShare is the fraction of workers of known speed that are too slow for urgent units.
 	tooSlowShare float64
 	// unresponsive detects that many workers become unresponsive at once.
 	unresponsive unresponsiveWorkers
-	// taskSpread is the variation of task durations within a step.
-	taskSpread speeds.Spread
-	// dropping is true while the rows of an expired job are being removed.
-	dropping bool
+	// runTimeSpread is the variation of task durations within a step.
+	runTimeSpread speeds.Spread
+	// removingExpiredJob is true while the rows of an expired job are being removed.
+	removingExpiredJob bool
 	// durations holds the learned duration model of each queue; estimatedAt is when the models
 	// were last applied to open jobs.
 	durations            map[string]*durationModel
 	estimatesRefreshedAt time.Time
 	// jobsVersion is the store version up to which the job feed was read.
 	jobsVersion int64
-	// lossLedger correlates losses of workers, to find tasks that crash workers.
-	lossLedger *poison.Ledger
-	// claimedAt is when all progress partitions were fenced against former owners.
-	claimedAt time.Time
-	// confirmedAt is when this owner last was known to hold the pool; confirming is true while
+	// lossTracker correlates losses of workers, to find tasks that crash workers.
+	lossTracker *poison.Ledger
+	// progressFencedAt is when all progress partitions were fenced against former owners.
+	progressFencedAt time.Time
+	// ownershipConfirmedAt is when this owner last was known to hold the pool; confirming is true while
 	// a read of the lease row is in flight.
-	confirmedAt time.Time
-	confirming  bool
-	// workersAsOf is the time as of which the worker rows are known.
-	workersAsOf time.Time
-	// evacuatedRead holds the evacuated zones as read by this owner, reportedEvacuations those last
+	ownershipConfirmedAt time.Time
+	confirmingOwnership  bool
+	// workersReadAt is the time as of which the worker rows are known.
+	workersReadAt time.Time
+	// evacuationsRead holds the evacuated zones as read by this owner, reportedEvacuations those last
 	// logged, and evacuationsWereKnown whether they were recent enough for starts.
-	evacuatedRead, reportedEvacuations       evacuation.Set
-	evacuationsWereFresh, readingEvacuations bool
-	foreign                                  foreignRows
-	// earlyCancels holds cancellations that were read before their job.
-	earlyCancels map[string]bool
+	evacuationsRead, reportedEvacuations         evacuation.Set
+	evacuationsWereFresh, evacuationReadInFlight bool
+	invalidRows                                  invalidWorkerRows
+	// pendingCancels holds cancellations that were read before their job.
+	pendingCancels map[string]bool
 }
 
 // New returns the state of a pool whose lease row was written at version token.
@@ -104,9 +104,9 @@
 	p := &Pool{
 		options: options, loop: l, ports: ports, record: record, token: token,
 		jobs: map[string]*job{}, workers: map[string]*worker{},
-		storeAnsweredAt: l.Now(), earlyCancels: map[string]bool{},
-		durations: map[string]*durationModel{}, storeRetries: loop.NewRetries(l), lossLedger: poison.NewLedger(),
-		foreign: foreignRows{faults: map[string]fleet.RowFault{}},
+		lastStoreAnswerAt: l.Now(), pendingCancels: map[string]bool{},
+		durations: map[string]*durationModel{}, storeRetries: loop.NewRetries(l), lossTracker: poison.NewLedger(),
+		invalidRows: invalidWorkerRows{faults: map[string]fleet.RowFault{}},
 	}
 	p.writer = writer{pool: p}
 	return p
@@ -137,15 +137,15 @@
 func (p *Pool) Token() int64 { return p.token }
 
 // StoreAge returns the time since the store's last response to this owner.
-func (p *Pool) StoreAge() time.Duration { return p.loop.Now().Sub(p.storeAnsweredAt) }
+func (p *Pool) StoreAge() time.Duration { return p.loop.Now().Sub(p.lastStoreAnswerAt) }
 
 // recordStoreAnswer records a response of the store.
 func (p *Pool) recordStoreAnswer() {
 	now := p.loop.Now()
-	if now.Sub(p.storeAnsweredAt) > storeGap {
-		p.storeBackAt = now
+	if now.Sub(p.lastStoreAnswerAt) > storeOutageThreshold {
+		p.storeRecoveredAt = now
 	}
-	p.storeAnsweredAt = now
+	p.lastStoreAnswerAt = now
 }
 
 // StoreBack retries pending store calls immediately. It is called when the store is available
@@ -156,9 +156,9 @@
 	}
 }
 
-// storeGap is the time without a response after which the store counts as having been
+// storeOutageThreshold is the time without a response after which the store counts as having been
 // unavailable. Open feeds get responses more often.
-const storeGap = 1500 * time.Millisecond
+const storeOutageThreshold = 1500 * time.Millisecond
 
 // Abandon stops the owner immediately. Runs continue on their workers.
 func (p *Pool) Abandon(reason string) {
@@ -176,17 +176,17 @@
 	if p.closed {
 		return
 	}
-	p.checkConfirmation()
+	p.checkOwnership()
 	p.checkEvacuations()
 	p.expireLeases()
-	p.tellForeignRows()
+	p.logInvalidWorkerRows()
 	p.pollOverdueStops()
 	p.checkDrains()
 	p.checkUnits()
 	p.removeExpiredJobs()
 	p.refreshEstimates()
 	p.scheduleCycle()
-	p.loop.After(tickPeriod, p.tick)
+	p.loop.After(tickInterval, p.tick)
 }
 
 // State returns the state of a job as persisted, but Running once one of its tasks was placed.
@@ -196,7 +196,7 @@
 	if j == nil || !p.loaded {
 		return "", false
 	}
-	if !j.state.Final() && j.begun {
+	if !j.state.Final() && j.started {
 		return taskgraph.Running, true
 	}
 	return j.state, true
@@ -206,7 +206,7 @@
 func (p *Pool) Waiting() map[string]int {
 	counts := map[string]int{}
 	for _, j := range p.jobs {
-		if !j.begun && !j.next.Final() {
+		if !j.started && !j.pendingState.Final() {
 			counts[j.Queue.Name]++
 		}
 	}
@@ -247,7 +247,7 @@
 	}
 	if p.writer.busy() {
 		p.writer.flushWithin(0)
-		p.loop.After(releasePause, p.releaseWhenIdle)
+		p.loop.After(releaseRetryInterval, p.releaseWhenIdle)
 		return
 	}
 	p.ports.Commit(rows.Transaction{
@@ -258,12 +258,12 @@
 			return
 		}
 		if err != nil {
-			p.loop.After(retryPause, p.releaseWhenIdle)
+			p.loop.After(retryDelay, p.releaseWhenIdle)
 			return
 		}
 		p.Abandon("handed back")
 	})
 }
 
-// releasePause is the interval at which a release checks for pending writes.
-const releasePause = 20 * time.Millisecond
+// releaseRetryInterval is the interval at which a release checks for pending writes.
+const releaseRetryInterval = 20 * time.Millisecond
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -110,7 +110,7 @@
 // guaranteeDue reports whether the tenant's guarantee requires the unit to start now.
 func (p *Pool) guaranteeDue(s *snapshot, u *unit) bool {
 	latest := u.job.acceptedAt.Add(p.options.Bounds.Reclaim - p.options.Bounds.StopTimeout - guaranteeMargin)
-	return s.now.After(latest.Add(-tickPeriod)) && p.withinGuarantee(u.job)
+	return s.now.After(latest.Add(-tickInterval)) && p.withinGuarantee(u.job)
 }
 
 // startGain returns the gain of starting a unit, in core-seconds.
@@ -151,7 +151,7 @@
 	}
 	demand := taskgraph.Amount{}
 	for _, other := range p.jobs {
-		if other.Tenant == j.Tenant && other.Queue.Priority == 0 && !other.next.Final() {
+		if other.Tenant == j.Tenant && other.Queue.Priority == 0 && !other.pendingState.Final() {
 			for i := range other.Spec.Steps {
 				demand = demand.Plus(other.Spec.Steps[i].Amount.Times(other.Spec.Steps[i].Count))
 			}
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -6,12 +6,12 @@
 
 // progress returns the contents of the job's progress row.
 func (j *job) progress() Progress {
-	record := Progress{State: j.next}
+	record := Progress{State: j.pendingState}
 	if !j.endedAt.IsZero() {
 		record.EndedMillis = j.endedAt.UnixMilli()
 	}
 	encode := (*step).progress
-	if j.next.Final() {
+	if j.pendingState.Final() {
 		encode = (*step).activeProgress
 	}
 	for _, t := range j.repetitions {
--- a/internal/pool/read.go
+++ b/internal/pool/read.go
@@ -13,22 +13,22 @@
 
 // scanPrefix is scanAll limited to row names with a prefix.
 func (p *Pool) scanPrefix(table, part, prefix string, done func(rows.Listing)) {
-	p.scanUntil(table, part, prefix, retryPause, done)
+	p.scanWithRetry(table, part, prefix, retryDelay, done)
 }
 
-// scanAll reads all rows of a partition, and retries with backoff until it succeeds.
-func (p *Pool) scanAll(table, part string, pause time.Duration, done func(rows.Listing)) {
-	p.scanUntil(table, part, "", pause, done)
+// scanPartition reads all rows of a partition, and retries with backoff until it succeeds.
+func (p *Pool) scanPartition(table, part string, pause time.Duration, done func(rows.Listing)) {
+	p.scanWithRetry(table, part, "", pause, done)
 }
 
-func (p *Pool) scanUntil(table, part, prefix string, pause time.Duration, done func(rows.Listing)) {
+func (p *Pool) scanWithRetry(table, part, prefix string, pause time.Duration, done func(rows.Listing)) {
 	p.ports.Scan(table, part, prefix, func(listing rows.Listing, err error) {
 		if p.closed {
 			return
 		}
 		if err != nil {
 			p.record.Count("retries", "scan")
-			p.storeRetries.After(pause, func() { p.scanUntil(table, part, prefix, nextPause(pause), done) })
+			p.storeRetries.After(pause, func() { p.scanWithRetry(table, part, prefix, nextRetryDelay(pause), done) })
 			return
 		}
 		p.recordStoreAnswer()
@@ -36,30 +36,30 @@
 	})
 }
 
-func nextPause(pause time.Duration) time.Duration { return min(2*pause, retryPauseMax) }
+func nextRetryDelay(pause time.Duration) time.Duration { return min(2*pause, maxRetryDelay) }
 
-// passed records the version up to which a table's change feed was read.
-func (p *Pool) passed(table string, version int64) {
+// recordFeedVersion records the version up to which a table's change feed was read.
+func (p *Pool) recordFeedVersion(table string, version int64) {
 	if table == JobTable {
 		p.jobsVersion = version
 	}
 }
 
-// noteListing records as of when a table is known. That is the time of the request, since the
+// recordWorkersReadAt records as of when a table is known. That is the time of the request, since the
 // response may have been delayed in this process.
-func (p *Pool) noteListing(table string, askedAt time.Time) {
-	if table == p.ports.WorkerTable() && askedAt.After(p.workersAsOf) {
-		p.workersAsOf = askedAt
+func (p *Pool) recordWorkersReadAt(table string, askedAt time.Time) {
+	if table == p.ports.WorkerTable() && askedAt.After(p.workersReadAt) {
+		p.workersReadAt = askedAt
 	}
 }
 
-// follow reads a table's change feed until the pool stops. If the store has compacted the
+// followFeed reads a table's change feed until the pool stops. If the store has compacted the
 // history after the given version, it calls again, which has to read the whole table.
-func (p *Pool) follow(table string, after int64, pause time.Duration, apply func(rows.Row), again func()) {
+func (p *Pool) followFeed(table string, after int64, pause time.Duration, apply func(rows.Row), again func()) {
 	if p.closed {
 		return
 	}
-	p.passed(table, after)
+	p.recordFeedVersion(table, after)
 	askedAt := p.loop.Now()
 	p.ports.Feed(table, after, func(listing rows.Listing, err error) {
 		switch {
@@ -70,30 +70,30 @@
 			again()
 		case err != nil:
 			p.record.Count("retries", "feed")
-			p.storeRetries.After(pause, func() { p.follow(table, after, nextPause(pause), apply, again) })
+			p.storeRetries.After(pause, func() { p.followFeed(table, after, nextRetryDelay(pause), apply, again) })
 		default:
 			p.recordStoreAnswer()
 			for i := range listing.Rows {
 				apply(listing.Rows[i])
 			}
-			p.noteListing(table, askedAt)
-			p.followAfter(p.feedPause(table, listing), func() { p.follow(table, listing.Version, retryPause, apply, again) })
+			p.recordWorkersReadAt(table, askedAt)
+			p.afterDelay(p.feedDelay(table, listing), func() { p.followFeed(table, listing.Version, retryDelay, apply, again) })
 		}
 	})
 }
 
-// workerFeedPause is the delay between a response of the worker feed and the next request. Every
+// workerFeedInterval is the delay between a response of the worker feed and the next request. Every
 // heartbeat completes a request, so without the delay the feed would dominate the calls to the
 // store. It delays the notice of a drain, which is at least 2 s long.
-const workerFeedPause = 200 * time.Millisecond
+const workerFeedInterval = 200 * time.Millisecond
 
-// workerFeedFull is the number of rows in a response from which the next request follows without
+// workerFeedBurst is the number of rows in a response from which the next request follows without
 // delay, so that the feed keeps up with thousands of workers. It is half of the platform's limit
 // of rows in a response.
-const workerFeedFull = 250
+const workerFeedBurst = 250
 
-// followAfter calls next after a delay, or immediately if the delay is 0.
-func (p *Pool) followAfter(pause time.Duration, next func()) {
+// afterDelay calls next after a delay, or immediately if the delay is 0.
+func (p *Pool) afterDelay(pause time.Duration, next func()) {
 	if pause == 0 {
 		next()
 		return
@@ -101,22 +101,22 @@
 	p.loop.After(pause, next)
 }
 
-// feedPause returns the delay between a feed's response and the next request.
-func (p *Pool) feedPause(table string, answer rows.Listing) time.Duration {
+// feedDelay returns the delay between a feed's response and the next request.
+func (p *Pool) feedDelay(table string, answer rows.Listing) time.Duration {
 	count := len(answer.Rows)
-	if table != p.ports.WorkerTable() || count == 0 || count >= workerFeedFull || p.options.Off[mechanism.PacedFeeds] {
+	if table != p.ports.WorkerTable() || count == 0 || count >= workerFeedBurst || p.options.Off[mechanism.PacedFeeds] {
 		return 0
 	}
-	return workerFeedPause
+	return workerFeedInterval
 }
 
 // readRows fences and reads the progress partitions, then reads the jobs and follows their feed.
 func (p *Pool) readRows() {
 	var progress []rows.Row
-	remaining := progressParts
-	for part := range progressParts {
-		p.writer.claim(part, func() {
-			p.scanAll(ProgressTable, progressPart(p.options.Pool, part), retryPause, func(listing rows.Listing) {
+	remaining := progressPartitions
+	for part := range progressPartitions {
+		p.writer.fencePartition(part, func() {
+			p.scanPartition(ProgressTable, progressPartition(p.options.Pool, part), retryDelay, func(listing rows.Listing) {
 				progress = append(progress, listing.Rows...)
 				if remaining--; remaining == 0 {
 					p.readJobs(progress)
@@ -127,7 +127,7 @@
 }
 
 func (p *Pool) readJobs(progress []rows.Row) {
-	p.claimedAt = p.loop.Now()
+	p.progressFencedAt = p.loop.Now()
 	p.scanJobs(func(jobs rows.Listing) {
 		p.load(progress, jobs)
 		p.followJobs(jobs.Version)
@@ -138,9 +138,9 @@
 // versions.
 func (p *Pool) scanJobs(done func(rows.Listing)) {
 	merged := rows.Listing{}
-	remaining := jobParts
-	for number := range jobParts {
-		p.scanAll(JobTable, jobPart(p.options.Pool, number), retryPause, func(listing rows.Listing) {
+	remaining := jobPartitions
+	for number := range jobPartitions {
+		p.scanPartition(JobTable, jobPartition(p.options.Pool, number), retryDelay, func(listing rows.Listing) {
 			merged.Rows = append(merged.Rows, listing.Rows...)
 			if merged.Version == 0 || listing.Version < merged.Version {
 				merged.Version = listing.Version
@@ -184,8 +184,8 @@
 }
 
 func (p *Pool) followJobs(after int64) {
-	p.follow(JobTable, after, retryPause, func(row rows.Row) {
-		if strings.HasPrefix(row.Part, p.options.Pool+partSeparator) {
+	p.followFeed(JobTable, after, retryDelay, func(row rows.Row) {
+		if strings.HasPrefix(row.Part, p.options.Pool+partitionSeparator) {
 			p.applyJobRow(row, nil)
 		}
 	}, func() {
@@ -217,7 +217,7 @@
 		return
 	}
 	record := records[id]
-	if !record.fits(&accepted.Spec) {
+	if !record.validFor(&accepted.Spec) {
 		p.record.Count("refusals", "progress_row_invalid")
 		record = Progress{}
 	}
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -60,8 +60,8 @@
 // AcceptedAt returns when the job was accepted.
 func (a *Accepted) AcceptedAt() time.Time { return time.UnixMilli(a.AcceptedMillis) }
 
-// head is the content of the head row of a progress partition.
-type head struct {
+// headRecord is the content of the headRecord row of a progress partition.
+type headRecord struct {
 	// Token is the owner's fencing token; Nonce identifies the transaction.
 	Token int64  `json:"token"`
 	Nonce string `json:"nonce"`
@@ -88,19 +88,19 @@
 	return p.Serial > other.Serial
 }
 
-// maxRun is the largest run number or failure count of a valid row.
-const maxRun = 1 << 30
+// maxRunNumber is the largest run number or failure count of a valid row.
+const maxRunNumber = 1 << 30
 
-// fits reports whether the row is consistent with the job's specification. If not, it is corrupt
+// validFor reports whether the row is consistent with the job's specification. If not, it is corrupt
 // or was not written by an owner.
-func (p *Progress) fits(spec *taskgraph.Spec) bool {
+func (p *Progress) validFor(spec *taskgraph.Spec) bool {
 	for i := range p.Steps {
 		saved := &p.Steps[i]
 		if saved.Time < 0 || saved.Time >= spec.Times() || saved.Step < 0 || saved.Step >= len(spec.Steps) {
 			return false
 		}
 		for k := range saved.Units {
-			if !saved.Units[k].fits(&spec.Steps[saved.Step]) {
+			if !saved.Units[k].validFor(&spec.Steps[saved.Step]) {
 				return false
 			}
 		}
@@ -108,9 +108,9 @@
 	return true
 }
 
-func (r *unitProgress) fits(step *taskgraph.Step) bool {
-	numbered := r.Index >= 0 && r.Index < step.Count && r.Run >= 0 && r.Run <= maxRun
-	return numbered && r.Failures >= 0 && r.Failures <= maxRun && len(r.Workers) <= step.Count
+func (r *unitProgress) validFor(step *taskgraph.Step) bool {
+	numbered := r.Index >= 0 && r.Index < step.Count && r.Run >= 0 && r.Run <= maxRunNumber
+	return numbered && r.Failures >= 0 && r.Failures <= maxRunNumber && len(r.Workers) <= step.Count
 }
 
 // stepProgress is the progress of one step of a repetition.
@@ -144,9 +144,9 @@
 	Losses []memberLosses `json:"l,omitempty"`
 }
 
-// lifeOf returns the worker incarnation in which a member may be running; its identifier is empty
+// incarnationOf returns the worker incarnation in which a member may be running; its identifier is empty
 // if there is none.
-func (r *unitProgress) lifeOf(member int) fleet.Life {
+func (r *unitProgress) incarnationOf(member int) fleet.Life {
 	life := fleet.Life{ID: r.Workers[member]}
 	if member < len(r.Born) {
 		life.Born = r.Born[member]
@@ -160,41 +160,41 @@
 	Records []poison.Record `json:"l"`
 }
 
-// jobParts is the number of partitions for a pool's accepted jobs. A partition serializes its
+// jobPartitions is the number of partitions for a pool's accepted jobs. A partition serializes its
 // transactions, so the number limits the jobs per second that a slow store accepts. A takeover
 // reads every partition.
-const jobParts = 32
+const jobPartitions = 32
 
-// partSeparator separates the pool's name from the partition number.
-const partSeparator = "/"
+// partitionSeparator separates the pool's name from the partition number.
+const partitionSeparator = "/"
 
-// jobPartChoices is the number of partitions that may hold a job's accepted row. If one is
+// jobPartitionChoices is the number of partitions that may hold a job's accepted row. If one is
 // unavailable, the row is written to the next. Rows in several partitions are the same job.
-const jobPartChoices = 3
+const jobPartitionChoices = 3
 
 // JobParts returns the partitions that may hold a job's accepted row, in order of preference.
 func JobParts(pool, id string) []string {
-	first := int(xxhash.Sum64String(id) % jobParts)
-	parts := make([]string, jobPartChoices)
+	first := int(xxhash.Sum64String(id) % jobPartitions)
+	parts := make([]string, jobPartitionChoices)
 	for i := range parts {
-		parts[i] = jobPart(pool, (first+i)%jobParts)
+		parts[i] = jobPartition(pool, (first+i)%jobPartitions)
 	}
 	return parts
 }
 
-// progressParts is the number of progress partitions. If one is unavailable, the owner writes to
+// progressPartitions is the number of progress partitions. If one is unavailable, the owner writes to
 // the next.
-const progressParts = 3
+const progressPartitions = 3
 
-func progressPart(pool string, number int) string {
+func progressPartition(pool string, number int) string {
 	if number == 0 {
 		return pool
 	}
-	return pool + partSeparator + "p" + strconv.Itoa(number)
+	return pool + partitionSeparator + "p" + strconv.Itoa(number)
 }
 
-func jobPart(pool string, number int) string {
-	return pool + partSeparator + strconv.Itoa(number)
+func jobPartition(pool string, number int) string {
+	return pool + partitionSeparator + strconv.Itoa(number)
 }
 
 // AcceptedKey returns the key of an accepted job's row in a partition.
@@ -209,9 +209,9 @@
 
 // ProgressParts returns the partitions that may hold the progress of a pool's jobs.
 func ProgressParts(pool string) []string {
-	parts := make([]string, progressParts)
+	parts := make([]string, progressPartitions)
 	for i := range parts {
-		parts[i] = progressPart(pool, i)
+		parts[i] = progressPartition(pool, i)
 	}
 	return parts
 }
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -88,7 +88,7 @@
 // failedEarly reports whether the unit's run, which has just failed, did so early.
 func (u *unit) failedEarly(now time.Time) bool {
 	limit := min(earlyFailureLimit, time.Duration(earlyFailureShare*float64(u.estimate())))
-	if u.resumed {
+	if u.fromCheckpoint {
 		limit += restoreAllowance
 	}
 	return u.startedByThisOwner && now.Sub(u.startedAt) < limit
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -13,17 +13,17 @@
 	p.estimateJob(j)
 	p.jobs[id] = j
 	if record.State.Final() {
-		j.state, j.next = record.State, record.State
+		j.state, j.pendingState = record.State, record.State
 		j.endedAt = time.UnixMilli(record.EndedMillis)
-		p.meetLeftovers(&record)
+		p.trackWorkersOfEndedJob(&record)
 		return
 	}
-	j.timeAt(0)
+	j.repetitionAt(0)
 	if record.State != "" {
-		j.state, j.next = record.State, record.State
+		j.state, j.pendingState = record.State, record.State
 		p.restore(j, record)
 	}
-	if p.earlyCancels[id] {
+	if p.pendingCancels[id] {
 		p.applyCancel(id)
 		return
 	}
@@ -35,7 +35,7 @@
 func (p *Pool) restore(j *job, record Progress) {
 	for i := range record.Steps {
 		saved := &record.Steps[i]
-		t := j.timeAt(saved.Time)
+		t := j.repetitionAt(saved.Time)
 		if saved.Step >= len(t.steps) {
 			continue
 		}
@@ -44,7 +44,7 @@
 }
 
 func (p *Pool) restoreStep(j *job, t *repetition, s *step, saved *stepProgress) {
-	j.begun, j.ordered = true, true
+	j.started, j.startSent = true, true
 	if saved.Complete {
 		s.complete = true
 		t.ended++
@@ -73,9 +73,9 @@
 		if id == "" || i >= len(u.members) {
 			continue
 		}
-		m, life := u.members[i], saved.lifeOf(i)
-		p.assign(m, p.workerOfRow(life, saved.Addresses[id]))
-		m.state = memberUncertain
+		m, life := u.members[i], saved.incarnationOf(i)
+		p.assign(m, p.workerFromProgress(life, saved.Addresses[id]))
+		m.state = memberUnconfirmed
 		m.confirmedBefore = bitset(saved.Confirmed).has(i)
 		if p.compareIncarnation(m.worker, life.Born) == earlierIncarnation {
 			m.leaveIncarnation(life)
@@ -87,11 +87,11 @@
 	}
 }
 
-// workerOfRow returns the worker that a progress row names. The address is only set if the
+// workerFromProgress returns the worker that a progress row names. The address is only set if the
 // worker's own row was gone at the time of the write. If a later incarnation than the named one
 // is known, it is returned: it may run the task, as the worker may have restarted between the
 // write and the start.
-func (p *Pool) workerOfRow(life fleet.Life, address string) *worker {
+func (p *Pool) workerFromProgress(life fleet.Life, address string) *worker {
 	known := p.workers[life.ID]
 	if known == nil {
 		w := p.addUnlistedWorker(life)
@@ -110,14 +110,14 @@
 	return p.replaceIncarnation(known, next)
 }
 
-// meetLeftovers adds workers without a row of their own that may still run tasks of an ended job.
+// trackWorkersOfEndedJob adds workers without a row of their own that may still run tasks of an ended job.
 // The runs that they report are then stopped as unwanted.
-func (p *Pool) meetLeftovers(record *Progress) {
+func (p *Pool) trackWorkersOfEndedJob(record *Progress) {
 	for i := range record.Steps {
 		for _, unit := range record.Steps[i].Units {
 			for member, id := range unit.Workers {
 				if address := unit.Addresses[id]; address != "" {
-					p.workerOfRow(unit.lifeOf(member), address)
+					p.workerFromProgress(unit.incarnationOf(member), address)
 				}
 			}
 		}
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -46,7 +46,7 @@
 
 // measuresSpeed reports whether the duration of the unit's run depends only on its work and its workers.
 func (u *unit) measuresSpeed() bool {
-	return u.startedByThisOwner && !u.resumed && !u.spec().LongRunning && !u.runsRemotely()
+	return u.startedByThisOwner && !u.fromCheckpoint && !u.spec().LongRunning && !u.runsRemotely()
 }
 
 // runsRemotely reports whether a member runs outside the unit's preferred rack, which takes longer.
@@ -106,7 +106,7 @@
 	if u.measuredRun == u.run || m.worker.cold(p.loop.Now()) {
 		return
 	}
-	if u.step.cohort.Learn(&m.cohortEntry, &m.worker.speed, &p.taskSpread) {
+	if u.step.cohort.Learn(&m.cohortEntry, &m.worker.speed, &p.runTimeSpread) {
 		u.measuredRun = u.run
 	}
 }
@@ -114,7 +114,7 @@
 // currentMedianLogRunTime returns the logarithm of the median worker's time per work, cached for medianPeriod.
 func (p *Pool) currentMedianLogRunTime(now time.Time) float64 {
 	if now.Sub(p.medianAt) < maxMedianAge {
-		return p.medianLogTime
+		return p.medianLogRunTime
 	}
 	p.medianAt = now
 	var logTimes []float64
@@ -123,13 +123,13 @@
 			logTimes = append(logTimes, w.speed.LogTime())
 		}
 	}
-	p.medianLogTime, p.tooSlowShare = 0, 0
+	p.medianLogRunTime, p.tooSlowShare = 0, 0
 	if len(logTimes) > 0 {
 		slices.Sort(logTimes)
-		p.medianLogTime = logTimes[len(logTimes)/2]
+		p.medianLogRunTime = logTimes[len(logTimes)/2]
 		p.tooSlowShare = p.tooSlowShareOf(logTimes)
 	}
-	return p.medianLogTime
+	return p.medianLogRunTime
 }
 
 // tooSlowShareOf returns the share of workers, given their sorted log times, on which jobs of the queue
@@ -139,7 +139,7 @@
 	if !found {
 		return 0
 	}
-	firstTooSlow, _ := slices.BinarySearch(logTimes, p.medianLogTime+math.Log(stretch))
+	firstTooSlow, _ := slices.BinarySearch(logTimes, p.medianLogRunTime+math.Log(stretch))
 	return 1 - float64(firstTooSlow)/float64(len(logTimes))
 }
 
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -45,7 +45,7 @@
 			u := m.unit
 			switch {
 			case u.state != unitActive:
-			case m.state == memberUncertain && now.Sub(u.startedAt) > startTimeout:
+			case m.state == memberUnconfirmed && now.Sub(u.startedAt) > startTimeout:
 				p.stopUnit(u, "start unanswered")
 			default:
 				p.checkProgress(m, now)
@@ -103,7 +103,7 @@
 		since = u.runningSince
 	}
 	limit := max(stallPeriod, time.Duration(stallEstimateShare*float64(u.estimate()))) << min(u.stalls, maxStallDoublings)
-	if u.resumed {
+	if u.fromCheckpoint {
 		limit += restoreAllowance
 	}
 	if stalled := m.reportedAt.Sub(since); stalled >= limit {
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -24,9 +24,9 @@
 	u.startedByThisOwner = true
 	u.runningSince = time.Time{}
 	u.stopReason = ""
-	u.resumed = u.checkpoint != ""
-	if !u.job.ordered {
-		u.job.ordered = true
+	u.fromCheckpoint = u.checkpoint != ""
+	if !u.job.startSent {
+		u.job.startSent = true
 		p.record.Observe("start_after_acceptance", u.startedAt.Sub(u.job.acceptedAt))
 	}
 	for _, m := range u.members {
@@ -39,7 +39,7 @@
 	now := p.loop.Now()
 	if m.startDeadline == 0 {
 		// Retries keep the deadline of the first start.
-		m.startDeadline = w.estimatedClock(now) + min(p.maxStartDelay(), p.leaseLeft(now)).Milliseconds()
+		m.startDeadline = w.estimatedClock(now) + min(p.maxStartDelay(), p.remainingLease(now)).Milliseconds()
 	}
 	order := fleet.Start{
 		Task: m.name(), Run: u.run, Payload: u.job.Spec.Payload,
@@ -89,7 +89,7 @@
 	p.record.Observe("start_order", latency)
 	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
 	m.incarnationUnknown = p.noteReply(m.worker, reply.ClockMillis)
-	if m.state == memberStarting || m.state == memberUncertain {
+	if m.state == memberStarting || m.state == memberUnconfirmed {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
 		m.unit.updateRunningSince(m.sentAt)
@@ -127,7 +127,7 @@
 // blockStart sends a stop so that a start that may still be in flight is not carried out, and polls
 // the worker for the state of the run.
 func (p *Pool) blockStart(m *member) {
-	m.state = memberUncertain
+	m.state = memberUnconfirmed
 	m.sentAt = p.loop.Now()
 	p.poll(m.worker)
 	p.sendStop(m)
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -32,7 +32,7 @@
 	if m.stopSent || m.worker == nil {
 		return
 	}
-	m.stopTried, m.stopSent = true, true
+	m.stopAttempted, m.stopSent = true, true
 	u, w, run := m.unit, m.worker, m.unit.run
 	order := fleet.Stop{Task: m.name(), Run: run, Token: p.token}
 	p.sendHedged(&hedgedOrder{
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -61,10 +61,10 @@
 func (p *Pool) Summary() Summary {
 	summary := Summary{Loaded: p.loaded, Jobs: map[taskgraph.State]int{}, WaitingUnits: len(p.waitingUnits()), Workers: len(p.workers)}
 	for _, j := range p.jobs {
-		summary.Jobs[j.next]++
+		summary.Jobs[j.pendingState]++
 	}
 	now := p.loop.Now()
-	summary.ConfirmedMillis = now.Sub(p.confirmedAt).Milliseconds()
+	summary.ConfirmedMillis = now.Sub(p.ownershipConfirmedAt).Milliseconds()
 	zones := p.evacuatedZones()
 	summary.EvacuatedZones, summary.EvacuationsKnown = zones.Zones(), p.evacuationsFresh(now)
 	summary.EvacuationsMillis, summary.RunsThere = now.Sub(zones.AsOf).Milliseconds(), p.runsInEvacuatedZones()
@@ -72,11 +72,11 @@
 		if u.state == unitWaiting && u.lastWaitReason() == waitEvacuated {
 			summary.WaitingForZones++
 		}
-		if u.suspected() {
+		if u.suspectedOfCrashes() {
 			summary.Suspects++
 		}
 	}
-	summary.ForeignRows = len(p.foreign.faults)
+	summary.ForeignRows = len(p.invalidRows.faults)
 	summary.addRestarted(p.sortedWorkers())
 	for _, w := range p.workers {
 		summary.Runs += len(w.members)
--- a/internal/pool/trial.go
+++ b/internal/pool/trial.go
@@ -33,13 +33,15 @@
 	return false
 }
 
-// suspected reports whether a member of the unit is suspected or known to crash workers.
-func (u *unit) suspected() bool {
+// suspectedOfCrashes reports whether a member of the unit is suspectedOfCrashes or known to crash workers.
+func (u *unit) suspectedOfCrashes() bool {
 	return u.hasVerdict(poison.Suspected, poison.PoisonByOdds, poison.PoisonByLimit)
 }
 
 // hasUnexplainedLosses reports whether workers were lost while they ran the unit, without another known cause.
-func (u *unit) hasUnexplainedLosses() bool { return u.suspected() || u.hasVerdict(poison.Doubtful) }
+func (u *unit) hasUnexplainedLosses() bool {
+	return u.suspectedOfCrashes() || u.hasVerdict(poison.Doubtful)
+}
 
 // needsEmptyWorkers reports whether the unit's next run must show whether it crashes its workers. It then
 // waits for empty workers, and nothing else is placed there until it has ended, since a loss beside
@@ -67,7 +69,7 @@
 // isolated reports whether nothing else may be placed beside the unit: it is suspected, and its
 // start is under way or recent, or it needs empty workers.
 func (u *unit) isolated(now time.Time) bool {
-	if u.lossGroup == nil || !u.suspected() {
+	if u.lossGroup == nil || !u.suspectedOfCrashes() {
 		return false
 	}
 	isolated := u.state == unitActive && (now.Sub(u.startedAt) < isolationPeriod || u.needsEmptyWorkers())
@@ -85,7 +87,7 @@
 			return places
 		}
 	}
-	if u.suspected() && s.now.Sub(u.readyAt) < isolationWait {
+	if u.suspectedOfCrashes() && s.now.Sub(u.readyAt) < isolationWait {
 		return nil
 	}
 	return p.fitWithLocality(s, u, visible, visible)
@@ -130,7 +132,7 @@
 		}
 		return true
 	}
-	if u.suspected() {
+	if u.suspectedOfCrashes() {
 		return []func(int) bool{empty, withoutDoubtful}
 	}
 	return []func(int) bool{withoutDoubtful}
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -25,7 +25,7 @@
 	if u.activeMembers() > 0 || (u.state != unitActive && u.state != unitStopping) {
 		return
 	}
-	if u.job.next.Final() {
+	if u.job.pendingState.Final() {
 		u.state = unitEnded
 		return
 	}
@@ -38,7 +38,7 @@
 // completeUnit marks a unit as ended after its work is done, learns from its run, and completes its
 // step and job if it was their last unit.
 func (p *Pool) completeUnit(u *unit) {
-	if u.state == unitEnded || u.job.next.Final() {
+	if u.state == unitEnded || u.job.pendingState.Final() {
 		return
 	}
 	if u.spec().LongRunning {
@@ -75,7 +75,7 @@
 // recordUnitFailure counts a failed run, excludes its worker for the unit, and fails the job if no
 // attempts are left.
 func (p *Pool) recordUnitFailure(u *unit, w *worker) {
-	if u.state == unitEnded || u.job.next.Final() {
+	if u.state == unitEnded || u.job.pendingState.Final() {
 		return
 	}
 	u.failures++
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -12,7 +12,7 @@
 func (p *Pool) loadWorkers() {
 	table := p.ports.WorkerTable()
 	askedAt := p.loop.Now()
-	p.scanAll(table, "", retryPause, func(listing rows.Listing) {
+	p.scanPartition(table, "", retryDelay, func(listing rows.Listing) {
 		listed := map[string]bool{}
 		for i := range listing.Rows {
 			listed[listing.Rows[i].Name] = true
@@ -23,9 +23,9 @@
 				p.handleRowGone(w)
 			}
 		}
-		maps.DeleteFunc(p.foreign.faults, func(name string, _ fleet.RowFault) bool { return !listed[name] })
-		p.noteListing(table, askedAt)
-		p.follow(table, listing.Version, retryPause, p.applyWorkerRow, p.loadWorkers)
+		maps.DeleteFunc(p.invalidRows.faults, func(name string, _ fleet.RowFault) bool { return !listed[name] })
+		p.recordWorkersReadAt(table, askedAt)
+		p.followFeed(table, listing.Version, retryDelay, p.applyWorkerRow, p.loadWorkers)
 	})
 }
 
@@ -33,7 +33,7 @@
 func (p *Pool) applyWorkerRow(row rows.Row) {
 	w := p.workers[row.Name]
 	if row.Gone {
-		delete(p.foreign.faults, row.Name)
+		delete(p.invalidRows.faults, row.Name)
 		if w != nil {
 			p.handleRowGone(w)
 		}
@@ -41,12 +41,12 @@
 	}
 	described, err := p.ports.DecodeWorker(row.Name, row.Value)
 	if err != nil {
-		p.takeForeignRow(row.Name, err)
+		p.handleInvalidWorkerRow(row.Name, err)
 		return
 	}
-	delete(p.foreign.faults, row.Name)
+	delete(p.invalidRows.faults, row.Name)
 	if described.Pool != p.options.Pool {
-		p.distrust(row.Name)
+		p.suspendPlacement(row.Name)
 		return
 	}
 	if w == nil {
@@ -67,7 +67,7 @@
 // updateFromRow applies the content of a worker row to the known incarnation.
 func (p *Pool) updateFromRow(w *worker, described *fleet.Worker) {
 	if !w.hasRow {
-		p.lossLedger.Replaced(described.Address, described.Life.String())
+		p.lossTracker.Replaced(described.Address, described.Life.String())
 	}
 	wasDraining := w.Draining
 	born := max(w.Born, described.Born)
@@ -110,7 +110,7 @@
 // rewritten soon after it; until then the worker counts as listed.
 func (p *Pool) handleRowGone(w *worker) {
 	w.claimedIncarnation = nil
-	remaining := p.storeBackAt.Add(missingRowGrace).Sub(p.loop.Now())
+	remaining := p.storeRecoveredAt.Add(missingRowGrace).Sub(p.loop.Now())
 	if remaining <= 0 || w.Draining {
 		p.markUnlisted(w)
 		return
--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -12,15 +12,15 @@
 type writer struct {
 	pool *Pool
 	// headVersions are the versions of the head rows by partition.
-	headVersions [progressParts]int64
-	part         int
+	headVersions [progressPartitions]int64
+	partition    int
 	serial       int
 	dirty        []*job
-	removes      []string
-	// added counts the rows ever marked dirty, and taken those of them put into a batch.
-	added, taken int
-	// after holds callbacks in the order in which they run.
-	after []pendingFunc
+	removals     []string
+	// added counts the rows ever marked dirty, and batched those of them put into a batch.
+	added, batched int
+	// callbacks holds callbacks in the order in which they run.
+	callbacks []pendingCallback
 	// sending is true while a batch is in flight.
 	sending bool
 	// dueAt is the time of the next flush; zero if nothing is pending. timer cancels that
@@ -33,7 +33,7 @@
 // platform counts a result as recorded 100 ms after it was reported.
 const endDelay = 40 * time.Millisecond
 
-func (w *writer) busy() bool { return w.sending || len(w.dirty) > 0 || len(w.removes) > 0 }
+func (w *writer) busy() bool { return w.sending || len(w.dirty) > 0 || len(w.removals) > 0 }
 
 // persist writes a job's progress without delay.
 func (p *Pool) persist(j *job) { p.writer.add(j, 0) }
@@ -58,20 +58,20 @@
 	w.flushWithin(delay)
 }
 
-// afterWrite runs fn once all rows that are dirty now have been written. The write begins within
+// afterPersist runs fn once all rows that are dirty now have been written. The write begins within
 // delay.
-func (p *Pool) afterWrite(delay time.Duration, fn func()) {
+func (p *Pool) afterPersist(delay time.Duration, fn func()) {
 	if !p.writer.busy() {
 		fn()
 		return
 	}
-	p.writer.after = append(p.writer.after, pendingFunc{run: fn, rows: p.writer.added})
+	p.writer.callbacks = append(p.writer.callbacks, pendingCallback{run: fn, rows: p.writer.added})
 	p.writer.flushWithin(delay)
 }
 
 // remove deletes a job's progress row.
 func (w *writer) remove(id string) {
-	w.removes = append(w.removes, id)
+	w.removals = append(w.removals, id)
 	w.flushWithin(w.delayOfEnds())
 }
 
@@ -80,12 +80,12 @@
 	due := w.pool.loop.Now().Add(delay)
 	if w.dueAt.IsZero() || due.Before(w.dueAt) {
 		w.dueAt = due
-		w.arm()
+		w.scheduleFlush()
 	}
 }
 
-// arm schedules the flush at dueAt, unless a batch is in flight.
-func (w *writer) arm() {
+// scheduleFlush schedules the flush at dueAt, unless a batch is in flight.
+func (w *writer) scheduleFlush() {
 	if w.sending {
 		return
 	}
@@ -108,9 +108,9 @@
 	})
 }
 
-// pendingFunc is a callback that runs once the first rows of those counted in writer.added are
+// pendingCallback is a callback that runs once the first rows of those counted in writer.added are
 // written.
-type pendingFunc struct {
+type pendingCallback struct {
 	run  func()
 	rows int
 }
@@ -120,25 +120,25 @@
 		return
 	}
 	w.dueAt = time.Time{}
-	if len(w.dirty) == 0 && len(w.removes) == 0 {
+	if len(w.dirty) == 0 && len(w.removals) == 0 {
 		w.sending = false
-		w.runAfter(w.takeAfter())
+		w.runCallbacks(w.readyCallbacks())
 		return
 	}
 	w.send(w.nextBatch())
 }
 
-// takeAfter removes and returns the callbacks that wait only for rows put into a batch so far.
-func (w *writer) takeAfter() []func() {
+// readyCallbacks removes and returns the callbacks that wait only for rows put into a batch so far.
+func (w *writer) readyCallbacks() []func() {
 	var ready []func()
-	for len(w.after) > 0 && w.after[0].rows <= w.taken {
-		ready = append(ready, w.after[0].run)
-		w.after = w.after[1:]
+	for len(w.callbacks) > 0 && w.callbacks[0].rows <= w.batched {
+		ready = append(ready, w.callbacks[0].run)
+		w.callbacks = w.callbacks[1:]
 	}
 	return ready
 }
 
-func (w *writer) runAfter(after []func()) {
+func (w *writer) runCallbacks(after []func()) {
 	for _, fn := range after {
 		fn()
 	}
--- a/internal/pool/writer_test.go
+++ b/internal/pool/writer_test.go
@@ -88,12 +88,12 @@
 
 // jobOfBytes returns a job whose row is slightly larger than the given size.
 func jobOfBytes(number, bytes int) *job {
-	return &job{id: fmt.Sprintf("%016x", number), next: taskgraph.State(strings.Repeat("x", bytes))}
+	return &job{id: fmt.Sprintf("%016x", number), pendingState: taskgraph.State(strings.Repeat("x", bytes))}
 }
 
 func TestBatchesStayWithinTheirSize(t *testing.T) {
 	p, _, ports := newWriting()
-	const row = batchBytes/4 - 1<<10
+	const row = maxBatchBytes/4 - 1<<10
 	for number := range 9 {
 		p.persist(jobOfBytes(number, row))
 	}
@@ -101,7 +101,7 @@
 	require.Equal(t, 4, ports.answer(), "a fifth row would exceed the size limit")
 	require.Equal(t, 4, ports.answer())
 	require.Empty(t, ports.open)
-	p.persist(jobOfBytes(10, 2*batchBytes))
+	p.persist(jobOfBytes(10, 2*maxBatchBytes))
 	require.Equal(t, 1, ports.answer(), "a row above the size limit is sent alone")
 }
 
@@ -110,15 +110,15 @@
 func TestRowsLeftOverGoAtOnce(t *testing.T) {
 	p, l, ports := newWriting()
 	p.persist(jobOfBytes(0, 1))
-	for number := range 2 * batchLimit {
+	for number := range 2 * maxBatchRows {
 		p.persist(jobOfBytes(number+1, 1))
 	}
 	require.Equal(t, 1, ports.answer())
 	p.persistEnd(jobOfBytes(1000, 1))
 	l.pass(time.Millisecond)
-	require.Equal(t, batchLimit, ports.answer())
+	require.Equal(t, maxBatchRows, ports.answer())
 	require.Len(t, ports.open, 1, "the remaining rows are sent immediately")
-	require.Equal(t, batchLimit, ports.answer())
+	require.Equal(t, maxBatchRows, ports.answer())
 	require.Equal(t, 1, ports.answer(), "the run result is sent after them")
 	require.Empty(t, ports.open)
 }
@@ -130,10 +130,10 @@
 	ran := false
 	p.persist(jobOfBytes(0, 1))
 	p.persist(jobOfBytes(1, 1))
-	p.afterWrite(0, func() { ran = true })
+	p.afterPersist(0, func() { ran = true })
 	ports.answer()
 	require.False(t, ran, "the second row is still in flight")
-	for number := range 2 * batchLimit {
+	for number := range 2 * maxBatchRows {
 		p.persist(jobOfBytes(number+2, 1))
 	}
 	ports.answer()
@@ -144,8 +144,8 @@
 // copies for other partitions slow the first transfer down further.
 func TestLargeBatchGetsTheTimeItTakesToSend(t *testing.T) {
 	p, l, ports := newWriting()
-	p.persist(jobOfBytes(0, batchBytes))
-	l.pass(partPatience)
+	p.persist(jobOfBytes(0, maxBatchBytes))
+	l.pass(partitionTimeout)
 	require.Len(t, ports.open, 1)
 	l.pass(rows.SendTime(ports.open[0].transaction))
 	require.Len(t, ports.open, 2)
