--- a/internal/pool/announce_test.go
+++ b/internal/pool/announce_test.go
@@ -36,7 +36,7 @@
 	owner.Process.Post(func() { owner.TakeAnnounced(row) })
 	w.Store.FeedsSilent = false
 	w.Run(5 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "the second announcement and the feed start nothing")
 }
 
@@ -51,6 +51,6 @@
 	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "removed")
 	owner.Process.Post(func() { owner.TakeAnnounced(row) })
 	w.Run(5 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// stoppedWithin is the time after which nothing of a cancelled job may run.
-const stoppedWithin = 3400 * time.Millisecond
+// stopDeadline is the time after which nothing of a cancelled job may run.
+const stopDeadline = 3400 * time.Millisecond
 
 // TestLateStartOfACancelledJobIsStopped: a worker carries out a start seconds after it was sent,
 // when its job has been cancelled.
@@ -26,27 +26,27 @@
 		w.Submit(spec(1, single(1)), batch)
 		w.Run(100 * time.Millisecond)
 		w.Cancel(jobID(1))
-		w.Run(stoppedWithin)
+		w.Run(stopDeadline)
 		w.Workers[0].LoseOrder = nil
 		w.Run(time.Second)
 		require.Zero(t, w.Workers[0].Runs(), late)
-		requireKept(t, w)
+		requireInvariants(t, w)
 	}
 }
 
-// leavingWorker starts a task on a worker whose row is then deleted without a drain, while the
+// removeRowOfBusyWorker starts a task on a worker whose row is then deleted without a drain, while the
 // worker still serves. The owner is replaced, and the job is cancelled.
-func leavingWorker(replace func(*simulation.World, *simulation.Owner)) *simulation.World {
-	w, former := longRun()
+func removeRowOfBusyWorker(replace func(*simulation.World, *simulation.Owner)) *simulation.World {
+	w, former := newWorldWithLongTask()
 	w.RemoveWorkerRow(busyWorker(w))
 	w.Run(500 * time.Millisecond)
 	replace(w, former)
 	return w
 }
 
-// TestTaskOfARemovedStarterIsStopped: a new owner must be able to stop a task on a worker whose row
+// TestTaskOfReplacedOwnerIsStopped: a new owner must be able to stop a task on a worker whose row
 // is gone, rather than leave it running until its lease ends.
-func TestTaskOfARemovedStarterIsStopped(t *testing.T) {
+func TestTaskOfReplacedOwnerIsStopped(t *testing.T) {
 	for name, replace := range map[string]func(*simulation.World, *simulation.Owner){
 		"killed": func(w *simulation.World, owner *simulation.Owner) {
 			owner.Process.Kill()
@@ -69,12 +69,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := leavingWorker(replace)
-			w.Run(stoppedWithin)
+			w := removeRowOfBusyWorker(replace)
+			w.Run(stopDeadline)
 			for _, worker := range w.Workers {
 				require.Zero(t, worker.Runs())
 			}
-			requireKept(t, w)
+			requireInvariants(t, w)
 		})
 	}
 }
@@ -88,7 +88,7 @@
 		"leaving": func(w *simulation.World, worker *simulation.Worker) { w.RemoveWorkerRow(worker) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, former := longRun()
+			w, former := newWorldWithLongTask()
 			busy := busyWorker(w)
 			busy.LoseOrder = func() simulation.Fate { return simulation.NeverDone }
 			w.Cancel(jobID(1))
@@ -100,9 +100,9 @@
 			busy.LoseOrder = nil
 			w.Run(500 * time.Millisecond)
 			w.Own()
-			w.Run(stoppedWithin)
+			w.Run(stopDeadline)
 			require.Zero(t, busy.Runs())
-			requireKept(t, w)
+			requireInvariants(t, w)
 		})
 	}
 }
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -11,17 +11,17 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// unguardedWorld returns a simulation whose workers don't enforce their capacity.
-func unguardedWorld(workers int) *simulation.World {
+// newUnenforcedCluster returns a simulation whose workers don't enforce their capacity.
+func newUnenforcedCluster(workers int) *simulation.World {
 	w := simulation.NewWorld(1, workers)
 	w.Unguarded = true
 	w.Catalog.Pools[0].EnforcesCapacity = false
 	return w
 }
 
-// TestStartsGoByNewCapacity checks that starts follow a worker's capacity as it shrinks and grows.
-func TestStartsGoByNewCapacity(t *testing.T) {
-	w := unguardedWorld(1)
+// TestStartsFollowNewCapacity checks that starts follow a worker's capacity as it shrinks and grows.
+func TestStartsFollowNewCapacity(t *testing.T) {
+	w := newUnenforcedCluster(1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(1, single(20)), batch)
 	w.Own()
@@ -34,7 +34,7 @@
 	w.Run(1500 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[0].Runs())
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
@@ -45,9 +45,9 @@
 	return shrunk
 }
 
-// shrinkWithStoreAway shrinks a worker while its new owner waits for an unavailable store.
-func shrinkWithStoreAway(without pool.Without) *simulation.World {
-	w := unguardedWorld(1)
+// shrinkDuringStoreOutage shrinks a worker while its new owner waits for an unavailable store.
+func shrinkDuringStoreOutage(without pool.Without) *simulation.World {
+	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Submit(spec(1, single(8)), batch)
 	w.Own()
@@ -65,7 +65,7 @@
 // shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are silent for
 // a while afterwards.
 func shrinkWhileSuspended(without pool.Without) *simulation.World {
-	w := unguardedWorld(1)
+	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.Submit(spec(1, single(16)), batch)
@@ -82,15 +82,15 @@
 	return w
 }
 
-// TestStartsWaitForNewsOfCapacities guards against starts by a stale capacity: after a store outage or
+// TestStartsWaitForFreshCapacities guards against starts by a stale capacity: after a store outage or
 // a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
-func TestStartsWaitForNewsOfCapacities(t *testing.T) {
+func TestStartsWaitForFreshCapacities(t *testing.T) {
 	for name, shrink := range map[string]func(pool.Without) *simulation.World{
-		"takeover during a store outage": shrinkWithStoreAway,
+		"takeover during a store outage": shrinkDuringStoreOutage,
 		"suspended":                      shrinkWhileSuspended,
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireKeptOnlyWith(t, shrink, pool.Without{AccountAge: true})
+			requireInvariantsNeed(t, shrink, pool.Without{AccountAge: true})
 		})
 	}
 }
@@ -98,7 +98,7 @@
 // takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job that
 // fills a worker, while another job waits.
 func takeOverWhileStopping(without pool.Without) *simulation.World {
-	w := unguardedWorld(1)
+	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(2, single(8)), batch)
@@ -116,16 +116,16 @@
 	return w
 }
 
-// TestStoppingWorkKeepsItsRoomOverATakeover guards against a new owner that counts the resources of
+// TestStoppingRunsUseResourcesAfterTakeover guards against a new owner that counts the resources of
 // stopping runs as free, since neither its rows nor the worker's report list these runs.
-func TestStoppingWorkKeepsItsRoomOverATakeover(t *testing.T) {
-	requireKept(t, takeOverWhileStopping(pool.Without{}))
+func TestStoppingRunsUseResourcesAfterTakeover(t *testing.T) {
+	requireInvariants(t, takeOverWhileStopping(pool.Without{}))
 }
 
-// TestUnwantedRunsKeepTheirRoomWhileTheyStop guards against the same fault for runs that the new owner
+// TestUnwantedRunsUseResourcesUntilStopped guards against the same fault for runs that the new owner
 // stops because its rows don't list them.
-func TestUnwantedRunsKeepTheirRoomWhileTheyStop(t *testing.T) {
-	w := unguardedWorld(1)
+func TestUnwantedRunsUseResourcesUntilStopped(t *testing.T) {
+	w := newUnenforcedCluster(1)
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	w.Submit(spec(2, single(8)), batch)
@@ -141,6 +141,6 @@
 	w.Run(330 * time.Millisecond)
 	w.Submit(spec(3, single(1)), batch)
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
--- a/internal/pool/cold_test.go
+++ b/internal/pool/cold_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// coldFor makes a worker slow for a duration and marks it as cold in its row.
-func coldFor(w *simulation.World, worker *simulation.Worker, d time.Duration) {
+// makeCold makes a worker slow for a duration and marks it as cold in its row.
+func makeCold(w *simulation.World, worker *simulation.Worker, d time.Duration) {
 	worker.Slowness, worker.ColdMillis = 4, d.Milliseconds()
 	w.PutWorkerRow(worker)
 	w.Clock.After(d, func() {
@@ -26,8 +26,8 @@
 	w := simulation.NewWorld(1, 4)
 	w.Own()
 	w.Run(time.Second)
-	coldFor(w, w.Workers[0], 6*time.Second)
-	coldFor(w, w.Workers[1], 6*time.Second)
+	makeCold(w, w.Workers[0], 6*time.Second)
+	makeCold(w, w.Workers[1], 6*time.Second)
 	w.Run(100 * time.Millisecond)
 	w.Submit(spec(1, gang(2)), urgent)
 	w.Run(100 * time.Millisecond)
@@ -36,12 +36,12 @@
 	w.Run(100 * time.Millisecond)
 	require.Equal(t, 4, w.Workers[0].RunsOf(jobID(2))+w.Workers[1].RunsOf(jobID(2)), "single tasks run on cold workers")
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestColdWorkersAreNotLeftAlone checks that a straggler's worker is excluded from new work unless it is
+// TestColdWorkersAreNotExcluded checks that a straggler's worker is excluded from new work unless it is
 // cold.
-func TestColdWorkersAreNotLeftAlone(t *testing.T) {
+func TestColdWorkersAreNotExcluded(t *testing.T) {
 	for name, cold := range map[string]bool{"cold": true, "slow": false} {
 		t.Run(name, func(t *testing.T) {
 			w := simulation.NewWorld(1, 3)
@@ -51,7 +51,7 @@
 			first := w.Workers[0]
 			first.Slowness = 8
 			if cold {
-				coldFor(w, first, 12*time.Second)
+				makeCold(w, first, 12*time.Second)
 				first.Slowness = 8
 			}
 			w.Run(100 * time.Millisecond)
--- a/internal/pool/crowdedtrials_test.go
+++ b/internal/pool/crowdedtrials_test.go
@@ -13,10 +13,10 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// crowdedTrials simulates a full pool in which one of every so many jobs has a task that crashes the
+// runPoisonInFullPool simulates a full pool in which one of every so many jobs has a task that crashes the
 // workers that run it. It requires that these jobs fail, and returns the number of the other, healthy
 // jobs and how many of them failed.
-func crowdedTrials(t *testing.T, seed uint64, jobs, every int, crash simulation.Crash) (healthy, failed int) {
+func runPoisonInFullPool(t *testing.T, seed uint64, jobs, every int, crash simulation.Crash) (healthy, failed int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	w := simulation.NewWorld(3, 4)
 	crashing := map[string]bool{}
@@ -46,7 +46,7 @@
 		}
 	}
 	t.Logf("all jobs ended %v after the last submission; %d runs were lost", w.Clock.Now().Sub(submittedAt), w.Judge.Counts["attempts/lost"])
-	requireKept(t, w)
+	requireInvariants(t, w)
 	for n := range jobs {
 		state := w.StoredState(jobID(n))
 		if crashing[jobID(n)] {
@@ -68,25 +68,25 @@
 	return healthy, failed
 }
 
-// TestSoundTasksAmongManyThatCrashWorkersAreKept guards against healthy jobs that fail because a suspected
+// TestHealthyJobsAmongCrashingTasksComplete guards against healthy jobs that fail because a suspected
 // task is placed beside others that crash its worker.
-func TestSoundTasksAmongManyThatCrashWorkersAreKept(t *testing.T) {
+func TestHealthyJobsAmongCrashingTasksComplete(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 7} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			healthy, failed := crowdedTrials(t, seed, 440, 11, simulation.Crash{From: simulation.AtWork, After: 10 * time.Millisecond})
+			healthy, failed := runPoisonInFullPool(t, seed, 440, 11, simulation.Crash{From: simulation.AtWork, After: 10 * time.Millisecond})
 			require.Zero(t, failed, "failed jobs of %d healthy ones", healthy)
 		})
 	}
 }
 
-// TestTasksThatCrashAfterSomeWorkAreGivenUpInAFullPool guards against a pool without progress: tasks that
+// TestDelayedCrashesFailJobsInFullPool guards against a pool without progress: tasks that
 // crash all workers raise the rate of chance losses, so that their own odds stay low and no job fails.
-func TestTasksThatCrashAfterSomeWorkAreGivenUpInAFullPool(t *testing.T) {
+func TestDelayedCrashesFailJobsInFullPool(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			healthy, failed := crowdedTrials(t, seed, 200, 6, simulation.Crash{From: simulation.AtStart, After: 553 * time.Millisecond})
+			healthy, failed := runPoisonInFullPool(t, seed, 200, 6, simulation.Crash{From: simulation.AtStart, After: 553 * time.Millisecond})
 			require.LessOrEqual(t, 100*failed, healthy, "more than 1% of the healthy jobs failed")
 		})
 	}
--- a/internal/pool/cycle_test.go
+++ b/internal/pool/cycle_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCyclesLeaveTimeToOthers guards against scheduling cycles that take most of the processor when
+// TestPauseGrowsWithCycleDuration guards against scheduling cycles that take most of the processor when
 // many units wait in a full pool, and so delay run ends, commands and ping responses.
-func TestCyclesLeaveTimeToOthers(t *testing.T) {
+func TestPauseGrowsWithCycleDuration(t *testing.T) {
 	cases := map[string]struct {
 		took    time.Duration
 		crowded bool
@@ -21,14 +21,14 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p, clock, _ := newWriting()
+			p, clock, _ := newWriterPool()
 			p.loaded = true
 			p.lastCycleEnd, p.lastCycleDuration, p.hasBacklog = clock.Now(), c.took, c.crowded
 			p.scheduleCycle()
 			if c.want > 0 {
-				clock.pass(c.want - time.Millisecond)
+				clock.advance(c.want - time.Millisecond)
 				require.True(t, p.cycleScheduled, "the cycle is scheduled but has not run")
-				clock.pass(time.Millisecond)
+				clock.advance(time.Millisecond)
 			}
 			require.False(t, p.cycleScheduled, "the cycle has run")
 		})
--- a/internal/pool/durations_test.go
+++ b/internal/pool/durations_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDurationsByWhatEstimatesTell checks that predictions follow estimates that correlate with the
+// TestDurationPrediction checks that predictions follow estimates that correlate with the
 // durations, and ignore those that don't.
-func TestDurationsByWhatEstimatesTell(t *testing.T) {
+func TestDurationPrediction(t *testing.T) {
 	cases := map[string]struct {
 		// slope is the share of an estimate's deviation from the mean that the duration has too.
 		slope    float64
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestDurationsWithoutKnowledgeAreTheEstimates(t *testing.T) {
+func TestEmptyDurationModelReturnsEstimate(t *testing.T) {
 	var model durationModel
 	require.Equal(t, 3*time.Second, model.predict(3*time.Second))
 	model.learn(0, time.Second, 1)
@@ -54,9 +54,9 @@
 	require.Less(t, predicted, 2*time.Second, "one run has little weight against the prior")
 }
 
-// TestDurationsOutlastATakeover checks that a new owner keeps the model with the largest weight from
+// TestTakeoverKeepsDurationModels checks that a new owner keeps the model with the largest weight from
 // several head rows.
-func TestDurationsOutlastATakeover(t *testing.T) {
+func TestTakeoverKeepsDurationModels(t *testing.T) {
 	p := &Pool{durations: map[string]*durationModel{}}
 	p.mergeDurations(headRecord{Token: 4})
 	p.mergeDurations(headRecord{Token: 4, Durations: map[string]*durationModel{"q": {Weight: 9}, "none": nil}})
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -12,11 +12,11 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// longAgo is longer than the bound on starts after an evacuation's acknowledgement.
-const longAgo = 5500 * time.Millisecond
+// evacuationElapsed is longer than the bound on starts after an evacuation's acknowledgement.
+const evacuationElapsed = 5500 * time.Millisecond
 
-// startsThere returns the number of a job's runs on a zone's workers.
-func startsThere(w *simulation.World, zone, job string) int {
+// startsInZone returns the number of a job's runs on a zone's workers.
+func startsInZone(w *simulation.World, zone, job string) int {
 	count := 0
 	for _, worker := range w.Workers {
 		if worker.Zone == zone {
@@ -26,8 +26,8 @@
 	return count
 }
 
-// evacuatedWorld returns a simulation of two racks, each a zone, of which the first is evacuated.
-func evacuatedWorld(without pool.Without) (*simulation.World, *simulation.Owner, string) {
+// newEvacuatedCluster returns a simulation of two racks, each a zone, of which the first is evacuated.
+func newEvacuatedCluster(without pool.Without) (*simulation.World, *simulation.Owner, string) {
 	w := simulation.NewWorld(2, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
@@ -42,8 +42,8 @@
 // evacuated zone, and that waiting ones start once the evacuation ends.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	runScenario := func(without pool.Without) *simulation.World {
-		w, _, zone := evacuatedWorld(without)
-		w.Run(longAgo)
+		w, _, zone := newEvacuatedCluster(without)
+		w.Run(evacuationElapsed)
 		w.Submit(spec(1, single(30)), batch)
 		w.Run(300 * time.Millisecond)
 		w.Submit(spec(2, gang(2)), urgent)
@@ -52,26 +52,26 @@
 		w.Run(20 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, runScenario, pool.Without{Evacuations: true})
+	requireInvariantsNeed(t, runScenario, pool.Without{Evacuations: true})
 }
 
-// TestZoneIsUsedAgainOnceTakenBack checks that runs start in a zone within a heartbeat after its
+// TestZoneIsUsedAfterEvacuationEnds checks that runs start in a zone within a heartbeat after its
 // evacuation ends.
-func TestZoneIsUsedAgainOnceTakenBack(t *testing.T) {
-	w, _, zone := evacuatedWorld(pool.Without{})
+func TestZoneIsUsedAfterEvacuationEnds(t *testing.T) {
+	w, _, zone := newEvacuatedCluster(pool.Without{})
 	w.Run(2 * time.Second)
 	w.Submit(spec(1, single(40)), batch)
 	w.Run(time.Second)
-	require.Zero(t, startsThere(w, zone, jobID(1)))
+	require.Zero(t, startsInZone(w, zone, jobID(1)))
 	w.TakeBack(zone)
 	w.Run(1500 * time.Millisecond)
-	require.Positive(t, startsThere(w, zone, jobID(1)))
+	require.Positive(t, startsInZone(w, zone, jobID(1)))
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestWorkRunsOnInAnEvacuatedZone checks that an evacuation neither stops nor restarts runs.
-func TestWorkRunsOnInAnEvacuatedZone(t *testing.T) {
+// TestRunsContinueInEvacuatedZone checks that an evacuation neither stops nor restarts runs.
+func TestRunsContinueInEvacuatedZone(t *testing.T) {
 	w := simulation.NewWorld(2, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
 	w.Own()
@@ -79,7 +79,7 @@
 	w.Run(2 * time.Second)
 	w.Evacuate(w.Workers[0].Zone)
 	w.Run(12 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
 	require.Zero(t, w.Judge.Counts["attempts/stopped"])
@@ -88,24 +88,24 @@
 // TestAllZonesEvacuated checks that jobs are accepted, wait and complete after an evacuation of all
 // zones.
 func TestAllZonesEvacuated(t *testing.T) {
-	w, _, zone := evacuatedWorld(pool.Without{})
+	w, _, zone := newEvacuatedCluster(pool.Without{})
 	other := w.Workers[len(w.Workers)-1].Zone
 	require.NotEqual(t, zone, other)
 	w.Evacuate(other)
-	w.Run(longAgo)
+	w.Run(evacuationElapsed)
 	w.Submit(spec(1, single(4), gang(2)), urgent)
 	w.Run(30 * time.Second)
 	require.Zero(t, w.Judge.JobStarts(jobID(1)))
 	require.False(t, w.StoredState(jobID(1)).Final())
 	w.TakeBack(zone)
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestOwnerWithoutNewsStartsNothing guards against starts by a stale or unknown set of evacuated zones:
+// TestOwnerWithStaleEvacuationsStartsNothing guards against starts by a stale or unknown set of evacuated zones:
 // the store answers an owner's writes but not its reads, the owner was suspended, or it is new.
-func TestOwnerWithoutNewsStartsNothing(t *testing.T) {
+func TestOwnerWithStaleEvacuationsStartsNothing(t *testing.T) {
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
 		runScenario := func(without pool.Without) *simulation.World {
 			w := simulation.NewWorld(2, 3)
@@ -115,7 +115,7 @@
 			w.Run(time.Second)
 			w.Store.FeedsSilent, w.Store.ScansSilent = true, true
 			w.Evacuate(w.Workers[0].Zone)
-			w.Run(longAgo)
+			w.Run(evacuationElapsed)
 			w.Submit(spec(1, single(40)), urgent)
 			row := acceptedRow(w, jobID(1))
 			owner.Process.Post(func() { owner.TakeAnnounced(row) })
@@ -124,7 +124,7 @@
 			w.Run(20 * time.Second)
 			return w
 		}
-		requireKeptOnlyWith(t, runScenario, pool.Without{EvacuationAge: true})
+		requireInvariantsNeed(t, runScenario, pool.Without{EvacuationAge: true})
 	})
 	t.Run("owner was suspended", func(t *testing.T) {
 		runScenario := func(without pool.Without) *simulation.World {
@@ -134,28 +134,28 @@
 			w.Run(time.Second)
 			w.Store.FeedsSilent, w.Store.ScansSilent = true, true
 			w.Evacuate(w.Workers[0].Zone)
-			owner.Process.Suspend(w.Clock.Now().Add(longAgo))
+			owner.Process.Suspend(w.Clock.Now().Add(evacuationElapsed))
 			w.Submit(spec(1, single(40)), urgent)
 			row := acceptedRow(w, jobID(1))
 			owner.Process.Post(func() { owner.TakeAnnounced(row) })
-			w.Run(longAgo + time.Second)
+			w.Run(evacuationElapsed + time.Second)
 			w.Store.FeedsSilent, w.Store.ScansSilent = false, false
 			w.Run(25 * time.Second)
 			return w
 		}
-		requireKeptOnlyWith(t, runScenario, pool.Without{EvacuationAge: true, Confirmation: true})
+		requireInvariantsNeed(t, runScenario, pool.Without{EvacuationAge: true, Confirmation: true})
 	})
 	t.Run("new owner", func(t *testing.T) {
-		w, owner, zone := evacuatedWorld(pool.Without{})
-		w.Run(longAgo)
+		w, owner, zone := newEvacuatedCluster(pool.Without{})
+		w.Run(evacuationElapsed)
 		owner.Process.Kill()
 		w.Store.ScansSilent = true
 		w.Clock.After(3*time.Second, func() { w.Store.ScansSilent = false })
 		w.Submit(spec(1, single(40)), urgent)
 		w.Own()
 		w.Run(5 * time.Second)
-		require.Zero(t, startsThere(w, zone, jobID(1)))
-		requireKept(t, w)
+		require.Zero(t, startsInZone(w, zone, jobID(1)))
+		requireInvariants(t, w)
 		w.Run(20 * time.Second)
 		require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	})
@@ -180,7 +180,7 @@
 		w.Run(20 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, runScenario, pool.Without{StartZones: true})
+	requireInvariantsNeed(t, runScenario, pool.Without{StartZones: true})
 }
 
 // TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone checks that an unanswered start is not sent again
@@ -199,13 +199,13 @@
 	w.Evacuate(first.Zone)
 	w.Clock.After(2*time.Second, func() { first.LoseOrder, w.Workers[1].LoseOrder = nil, nil })
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// evacuateSome evacuates a random zone, ends a zone's evacuation, or does nothing. It has its own
+// changeEvacuationsAtRandom evacuates a random zone, ends a zone's evacuation, or does nothing. It has its own
 // source of random numbers, so that the other faults of a seed stay the same.
-func evacuateSome(w *simulation.World, random *rand.Rand) {
+func changeEvacuationsAtRandom(w *simulation.World, random *rand.Rand) {
 	zones := w.Zones()
 	zone := zones[random.IntN(len(zones))]
 	switch random.IntN(6) {
@@ -216,8 +216,8 @@
 	}
 }
 
-// takeAllBack ends all evacuations.
-func takeAllBack(w *simulation.World) {
+// endAllEvacuations ends all evacuations.
+func endAllEvacuations(w *simulation.World) {
 	for _, zone := range w.Zones() {
 		w.TakeBack(zone)
 	}
--- a/internal/pool/faults_test.go
+++ b/internal/pool/faults_test.go
@@ -16,11 +16,11 @@
 // TestRandomFaults injects kills and freezes of owners, lost orders and writes, network
 // partitions and store outages. All invariants must hold and all jobs must complete.
 func TestRandomFaults(t *testing.T) {
-	for seed := range uint64(randomSeeds) {
+	for seed := range uint64(faultSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			w, jobs := randomFaults(seed, pool.Without{})
-			requireKept(t, w)
+			requireInvariants(t, w)
 			for n := range jobs {
 				require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "job %d", n)
 			}
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestJudgeCatchesMissingMechanisms disables one safeguard at a time: at least one of the seeds
+// TestCheckerDetectsDisabledSafeguards disables one safeguard at a time: at least one of the seeds
 // that pass with all of them must then violate an invariant.
-func TestJudgeCatchesMissingMechanisms(t *testing.T) {
+func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
 	cases := map[string]pool.Without{
 		"lease wait":     {LeaseWait: true},
 		"end rows":       {EndRows: true},
@@ -39,7 +39,7 @@
 	for name, without := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(randomSeeds) {
+			for seed := range uint64(faultSeeds) {
 				if w, _ := randomFaults(seed, without); len(w.Judge.Broken) > 0 {
 					t.Logf("seed %d: %s", seed, w.Judge.Broken[0])
 					return
@@ -50,8 +50,8 @@
 	}
 }
 
-// stopUnderWay kills an owner just after it ordered a stop, and starts another.
-func stopUnderWay(without pool.Without) *simulation.World {
+// takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
+func takeoverDuringStop(without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
@@ -70,14 +70,14 @@
 	return w
 }
 
-// TestStopUnderWayAtTakeover: a new owner must not take a run that is being stopped for one that
+// TestTakeoverDuringStop: a new owner must not take a run that is being stopped for one that
 // was never started.
-func TestStopUnderWayAtTakeover(t *testing.T) {
-	requireKeptOnlyWith(t, stopUnderWay, pool.Without{StopWait: true})
+func TestTakeoverDuringStop(t *testing.T) {
+	requireInvariantsNeed(t, takeoverDuringStop, pool.Without{StopWait: true})
 }
 
-// changePace stalls, resumes or changes the speed of a random worker, or does nothing.
-func changePace(w *simulation.World, random *rand.Rand) {
+// changeWorkerSpeed stalls, resumes or changes the speed of a random worker, or does nothing.
+func changeWorkerSpeed(w *simulation.World, random *rand.Rand) {
 	worker := w.Workers[random.IntN(len(w.Workers))]
 	switch random.IntN(8) {
 	case 0:
@@ -89,8 +89,8 @@
 	}
 }
 
-// randomSeeds is the number of seeds for the random fault tests.
-const randomSeeds = 100
+// faultSeeds is the number of seeds for the random fault tests.
+const faultSeeds = 100
 
 // randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
 // It returns the simulation and its number of jobs.
@@ -152,8 +152,8 @@
 			w.Run(time.Duration(random.IntN(300)) * time.Millisecond)
 			owner = w.Own()
 		}
-		changePace(w, paces)
-		evacuateSome(w, zones)
+		changeWorkerSpeed(w, paces)
+		changeEvacuationsAtRandom(w, zones)
 		if owner.Ended != "" {
 			owner = w.Own()
 		}
@@ -162,7 +162,7 @@
 	w.Store.AwayAll = false
 	clear(w.Store.Away)
 	clear(w.Store.Silent)
-	takeAllBack(w)
+	endAllEvacuations(w)
 	w.Store.Lose = nil
 	for _, worker := range w.Workers {
 		worker.Cut, worker.LoseOrder = false, nil
--- a/internal/pool/feedpace_test.go
+++ b/internal/pool/feedpace_test.go
@@ -12,8 +12,8 @@
 // heartbeat is the period in which workers of the platform write their rows.
 const heartbeat = 1500 * time.Millisecond
 
-// beat lets every worker write its row once per period, spread evenly over it.
-func beat(w *simulation.World, period time.Duration) {
+// writeHeartbeats lets every worker write its row once per period, spread evenly over it.
+func writeHeartbeats(w *simulation.World, period time.Duration) {
 	for i, worker := range w.Workers {
 		var write func()
 		write = func() {
@@ -29,7 +29,7 @@
 // TestHeartbeatsAreReadTogether guards against one store call for each heartbeat of a worker.
 func TestHeartbeatsAreReadTogether(t *testing.T) {
 	w := simulation.NewWorld(10, 8)
-	beat(w, heartbeat)
+	writeHeartbeats(w, heartbeat)
 	w.Own()
 	w.Run(2 * time.Second)
 	before := w.Store.Feeds[w.WorkerTable]
@@ -39,8 +39,8 @@
 	require.GreaterOrEqual(t, perSecond, 3.0)
 }
 
-// drainFirst drains the first worker and returns it.
-func drainFirst(w *simulation.World) *simulation.Worker {
+// drainFirstWorker drains the first worker and returns it.
+func drainFirstWorker(w *simulation.World) *simulation.Worker {
 	leaving := w.Workers[0]
 	leaving.Draining, leaving.RemainingMillis = true, 5000
 	w.PutWorkerRow(leaving)
@@ -51,27 +51,27 @@
 // platform's shortest bound is 2 s.
 func TestDrainsAreKnownSoonAmidHeartbeats(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
-	beat(w, 300*time.Millisecond)
+	writeHeartbeats(w, 300*time.Millisecond)
 	w.Own()
 	w.Run(2 * time.Second)
-	leaving := drainFirst(w)
+	leaving := drainFirstWorker(w)
 	w.Run(300 * time.Millisecond)
 	w.Submit(spec(1, single(6)), urgent)
 	w.Run(200 * time.Millisecond)
 	require.Zero(t, leaving.RunsOf(jobID(1)))
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestFeedOfManyWorkersKeepsUp: 4,500 workers write 3,000 rows a second, and the owner's worker
+// TestWorkerFeedOfLargePoolKeepsUp: 4,500 workers write 3,000 rows a second, and the owner's worker
 // list must not fall behind.
-func TestFeedOfManyWorkersKeepsUp(t *testing.T) {
+func TestWorkerFeedOfLargePoolKeepsUp(t *testing.T) {
 	w := simulation.NewWorld(45, 100)
 	w.Judge.Quiet = true
-	beat(w, heartbeat)
+	writeHeartbeats(w, heartbeat)
 	w.Own()
 	w.Run(8 * time.Second)
-	drainFirst(w)
+	drainFirstWorker(w)
 	w.Run(500 * time.Millisecond)
 	require.Equal(t, 1, w.Judge.Decisions["worker draining"])
 }
--- a/internal/pool/foreignrows_test.go
+++ b/internal/pool/foreignrows_test.go
@@ -12,9 +12,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// requireRunsGoOnAlone starts tasks on the only worker, then makes its row invalid: they must run to
+// requireRunsSurviveInvalidRow starts tasks on the only worker, then makes its row invalid: they must run to
 // completion, and nothing may start there until the row is valid again.
-func requireRunsGoOnAlone(t *testing.T, w *simulation.World, spoil func()) {
+func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.World, spoil func()) {
 	t.Helper()
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(time.Second)
@@ -27,25 +27,25 @@
 	require.Zero(t, w.Judge.JobStarts(jobID(2)), "nothing starts while the worker row is invalid")
 	w.PutWorkerRow(w.Workers[0])
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 }
 
-// TestRunsGoOnUnderAForeignRow: a worker's row is temporarily invalid while tasks run that outlast
+// TestRunsSurviveInvalidWorkerRow: a worker's row is temporarily invalid while tasks run that outlast
 // their first lease.
-func TestRunsGoOnUnderAForeignRow(t *testing.T) {
+func TestRunsSurviveInvalidWorkerRow(t *testing.T) {
 	for name, value := range map[string]string{"no JSON document": "{", "null": "null", "another service": `{"ID":"w-0-0","Pool":"other","Address":"w-0-0"}`} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := oneWorker(pool.Without{})
+			w, _ := newWorldWithOneWorker(pool.Without{})
 			w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
-			requireRunsGoOnAlone(t, w, func() { w.PutForeignRow(w.Workers[0].ID, []byte(value)) })
+			requireRunsSurviveInvalidRow(t, w, func() { w.PutForeignRow(w.Workers[0].ID, []byte(value)) })
 		})
 	}
 }
 
-// TestNextOwnerFindsRunsUnderAForeignRow: the owner is killed while a worker's row is invalid. The
+// TestNextOwnerFindsRunsDespiteInvalidWorkerRow: the owner is killed while a worker's row is invalid. The
 // next owner must contact the worker at the address in the progress rows.
-func TestNextOwnerFindsRunsUnderAForeignRow(t *testing.T) {
+func TestNextOwnerFindsRunsDespiteInvalidWorkerRow(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	owner := w.Own()
@@ -57,14 +57,14 @@
 	w.Run(time.Second)
 	w.Own()
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
 }
 
-// TestThousandsOfForeignRowsCostOneLine: thousands of invalid worker rows must produce one log line
+// TestInvalidWorkerRowsAreLoggedOnce: thousands of invalid worker rows must produce one log line
 // and not affect the use of valid workers.
-func TestThousandsOfForeignRowsCostOneLine(t *testing.T) {
+func TestInvalidWorkerRowsAreLoggedOnce(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	for n := range 3000 {
 		w.PutForeignRow(fmt.Sprintf("foreign-%d", n), []byte("{}"))
@@ -76,7 +76,7 @@
 		w.PutForeignRow(fmt.Sprintf("foreign-%d", n), []byte("[]"))
 	}
 	w.Run(5 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Decisions["rows of another writer"])
 	require.Equal(t, 3000, w.Judge.Counts["foreign_rows"])
--- a/internal/pool/greet_test.go
+++ b/internal/pool/greet_test.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestGreetingsAreBounded guards against a new owner contacting so many workers at once that it
+// TestFirstContactsAreBounded guards against a new owner contacting so many workers at once that it
 // takes them for unresponsive. Workers with runs come first.
-func TestGreetingsAreBounded(t *testing.T) {
+func TestFirstContactsAreBounded(t *testing.T) {
 	const maxContacts = 128
 	w := simulation.NewWorld(30, 10)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 20 * time.Second }
@@ -46,6 +46,6 @@
 	}
 	require.Equal(t, 100, running)
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
--- a/internal/pool/laggards_test.go
+++ b/internal/pool/laggards_test.go
@@ -9,23 +9,23 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestGangLeavesWorkersThatTurnSlow guards against gangs that miss their objective because they wait
+// TestGangWithStragglersIsRestarted guards against gangs that miss their objective because they wait
 // for a straggler instead of being restarted on other workers.
-func TestGangLeavesWorkersThatTurnSlow(t *testing.T) {
-	w := worldOfGangs(2, 4)
+func TestGangWithStragglersIsRestarted(t *testing.T) {
+	w := newGangCluster(2, 4)
 	for _, worker := range w.Workers[:2] {
 		worker.Slowness = 7
 	}
 	w.Own()
 	w.Submit(spec(1, gang(3)), urgent)
 	w.Run(3*gangWork - time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestSlowWorkersAreLeftAloneForAWhile checks that the worker of a straggler gets no new work.
-func TestSlowWorkersAreLeftAloneForAWhile(t *testing.T) {
-	w := worldOfGangs(2, 4)
+// TestStragglerWorkerIsExcluded checks that the worker of a straggler gets no new work.
+func TestStragglerWorkerIsExcluded(t *testing.T) {
+	w := newGangCluster(2, 4)
 	slow := w.Workers[0]
 	slow.Slowness = 7
 	w.Own()
@@ -34,14 +34,14 @@
 	w.Submit(spec(2, single(4)), batch)
 	w.Run(time.Second)
 	require.Zero(t, slow.Runs())
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestGangNearItsEndIsNotMoved checks that a gang is not restarted if the rest takes less time than
+// TestGangNearItsEndIsNotRestarted checks that a gang is not restarted if the rest takes less time than
 // a restart.
-func TestGangNearItsEndIsNotMoved(t *testing.T) {
+func TestGangNearItsEndIsNotRestarted(t *testing.T) {
 	const work = 6 * time.Second
-	w := worldOfGangs(2, 4)
+	w := newGangCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
 	w.Workers[0].Slowness = 2
 	w.Own()
@@ -49,7 +49,7 @@
 	step.EstimateMillis = work.Milliseconds()
 	w.Submit(spec(1, step), batch)
 	w.Run(3 * work)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
--- a/internal/pool/leaseend_test.go
+++ b/internal/pool/leaseend_test.go
@@ -11,15 +11,15 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// longRun returns a world of two workers in which the first owner has started one long task, and
+// newWorldWithLongTask returns a world of two workers in which the first owner has started one long task, and
 // that owner.
-func longRun() (*simulation.World, *simulation.Owner) {
+func newWorldWithLongTask() (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 2)
-	return w, startLongRun(w)
+	return w, startLongTask(w)
 }
 
-// startLongRun starts a job of one long task under a first owner.
-func startLongRun(w *simulation.World) *simulation.Owner {
+// startLongTask starts a job of one long task under a first owner.
+func startLongTask(w *simulation.World) *simulation.Owner {
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	long := single(1)
 	long.EstimateMillis = 30000
@@ -43,7 +43,7 @@
 // must wait out leases from the time of the progress rows, because the former owner may have
 // renewed them in between.
 func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
-	w, _ := longRun()
+	w, _ := newWorldWithLongTask()
 	busy := busyWorker(w)
 	for _, part := range pool.ProgressParts(simulation.PoolName) {
 		w.Store.Silent[part] = true
@@ -56,14 +56,14 @@
 	w.Run(3 * time.Second)
 	lossy = false
 	w.Run(45 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// successorReadsLate replaces a busy owner by one that loses the store for 8 s after it has read
+// delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
 // the worker list.
-func successorReadsLate(without pool.Without) *simulation.World {
-	w, _ := longRun()
+func delaySuccessorRead(without pool.Without) *simulation.World {
+	w, _ := newWorldWithLongTask()
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
 	busy := busyWorker(w)
@@ -85,11 +85,11 @@
 // TestLeaseWaitBehindABusyOwner is the same case with a former owner whose own writes confirm that
 // it has not been replaced.
 func TestLeaseWaitBehindABusyOwner(t *testing.T) {
-	requireKeptOnlyWith(t, successorReadsLate, pool.Without{ClaimWait: true})
+	requireInvariantsNeed(t, delaySuccessorRead, pool.Without{ClaimWait: true})
 }
 
-// pause stops a process for a while in one of several ways.
-type pause func(*simulation.World, *simulation.Owner, time.Duration)
+// pauseFunc stops a process for a while in one of several ways.
+type pauseFunc func(*simulation.World, *simulation.Owner, time.Duration)
 
 func freeze(w *simulation.World, owner *simulation.Owner, d time.Duration) {
 	owner.Process.Freeze(w.Clock.Now().Add(d))
@@ -99,14 +99,14 @@
 	owner.Process.Suspend(w.Clock.Now().Add(d))
 }
 
-func goOn(*simulation.World, *simulation.Owner, time.Duration) {}
+func noPause(*simulation.World, *simulation.Owner, time.Duration) {}
 
-// deposedOwner cuts the owner of a long run off from the store, pauses it, and replaces it by one
+// replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by one
 // that cannot reach the worker of the run.
-func deposedOwner(stop pause, without pool.Without, steadyTime bool) *simulation.World {
+func replaceCutOffOwner(stop pauseFunc, without pool.Without, steadyTime bool) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Without, w.SteadyTime = without, steadyTime
-	former := startLongRun(w)
+	former := startLongTask(w)
 	busy := busyWorker(w)
 	former.CutFromStore = true
 	stop(w, former, 5*time.Second)
@@ -119,25 +119,25 @@
 	return w
 }
 
-// TestDeposedOwnerDoesNotExtendLeases guards against a replaced owner renewing a lease that its
+// TestReplacedOwnerDoesNotExtendLeases guards against a replaced owner renewing a lease that its
 // successor is waiting out, which would run the task twice. On the steady clock a suspended owner
 // does not notice the time that has passed.
-func TestDeposedOwnerDoesNotExtendLeases(t *testing.T) {
-	for name, stop := range map[string]pause{"cut off": goOn, "frozen": freeze, "suspended": suspend} {
+func TestReplacedOwnerDoesNotExtendLeases(t *testing.T) {
+	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
-			requireKeptOnlyWith(t, func(without pool.Without) *simulation.World {
-				return deposedOwner(stop, without, false)
+			requireInvariantsNeed(t, func(without pool.Without) *simulation.World {
+				return replaceCutOffOwner(stop, without, false)
 			}, pool.Without{Confirmation: true})
 		})
 	}
 	briefly := func(w *simulation.World, owner *simulation.Owner, _ time.Duration) { suspend(w, owner, 2*time.Second) }
-	requireKept(t, deposedOwner(briefly, pool.Without{}, false))
-	require.NotEmpty(t, deposedOwner(briefly, pool.Without{}, true).Judge.Broken, "with the steady clock")
+	requireInvariants(t, replaceCutOffOwner(briefly, pool.Without{}, false))
+	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.Without{}, true).Judge.Broken, "with the steady clock")
 }
 
-// startAfterPause pauses an owner between the write of a placement and its start, and replaces it
+// pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
 // by one that cannot reach the worker.
-func startAfterPause(stop pause, without pool.Without) *simulation.World {
+func pauseBeforeStart(stop pauseFunc, without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
 	w.Bounds.Evacuation = 0
@@ -167,18 +167,18 @@
 // TestStartIsNotSentLongAfterItsRow: an owner that was paused between the write of a placement and
 // its start must not send the start after its successor has waited out the leases.
 func TestStartIsNotSentLongAfterItsRow(t *testing.T) {
-	for name, stop := range map[string]pause{"frozen": freeze, "suspended": suspend} {
+	for name, stop := range map[string]pauseFunc{"frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
-			requireKeptOnlyWith(t, func(without pool.Without) *simulation.World {
-				return startAfterPause(stop, without)
+			requireInvariantsNeed(t, func(without pool.Without) *simulation.World {
+				return pauseBeforeStart(stop, without)
 			}, pool.Without{Confirmation: true})
 		})
 	}
 }
 
-// TestIdleWorkersTellTheirClocks: after minutes of idleness the estimate of a worker's clock is so
+// TestLateRefusalUpdatesClockEstimate: after minutes of idleness the estimate of a worker's clock is so
 // low that its first start is refused as late. The clock in the refusal must correct the estimate.
-func TestIdleWorkersTellTheirClocks(t *testing.T) {
+func TestLateRefusalUpdatesClockEstimate(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Own()
 	w.Run(10 * time.Minute)
--- a/internal/pool/lives_test.go
+++ b/internal/pool/lives_test.go
@@ -12,12 +12,12 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// farAhead is the clock of a restarted worker that is far ahead of the clock before the restart.
-const farAhead = 7_000_000
+// farAheadClock is the clock of a restarted worker that is far ahead of the clock before the restart.
+const farAheadClock = 7_000_000
 
-// oneWorker returns a world with a single worker, on which everything is placed, and its owner.
+// newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and its owner.
 // Tasks take two seconds.
-func oneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
+func newWorldWithOneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -26,11 +26,11 @@
 	return w, owner
 }
 
-// numbersOfFormerLife restarts a worker while a slow store is writing its ended runs. Starts sent
+// restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts sent
 // before the restart reach the next incarnation, where they fail at once with lower numbers than
 // the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
-func numbersOfFormerLife(without pool.Without, holdsLost bool) *simulation.World {
-	w, _ := oneWorker(without)
+func restartWithUnwrittenEnds(without pool.Without, holdsLost bool) *simulation.World {
+	w, _ := newWorldWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
@@ -57,10 +57,10 @@
 	return w
 }
 
-// TestNumbersOfAFormerLifeDoNotReachTheNext guards against acknowledging ends of a restarted worker
+// TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ends of a restarted worker
 // by the numbers of its former incarnation, whether or not a report of the new one arrives before
 // the ends are stored.
-func TestNumbersOfAFormerLifeDoNotReachTheNext(t *testing.T) {
+func TestEndAcknowledgementsDoNotCrossRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
 		without   pool.Without
@@ -69,15 +69,15 @@
 		"restart unknown": {holdsLost: true, without: pool.Without{FreshAccount: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireKept(t, numbersOfFormerLife(pool.Without{}, c.holdsLost))
-			require.NotEmpty(t, numbersOfFormerLife(c.without, c.holdsLost).Judge.Broken, "without the mechanism")
+			requireInvariants(t, restartWithUnwrittenEnds(pool.Without{}, c.holdsLost))
+			require.NotEmpty(t, restartWithUnwrittenEnds(c.without, c.holdsLost).Judge.Broken, "without the mechanism")
 		})
 	}
 }
 
-// TestStartsForAFormerLifeAreBarredInTheNext: the first copy of a start arrives late and reaches
+// TestLateStartIsBlockedAfterRestart: the first copy of a start arrives late and reaches
 // the worker after a restart, although the second copy was answered before it.
-func TestStartsForAFormerLifeAreBarredInTheNext(t *testing.T) {
+func TestLateStartIsBlockedAfterRestart(t *testing.T) {
 	simulate := func(without pool.Without) *simulation.World {
 		w := simulation.NewWorld(1, 2)
 		w.Without = without
@@ -102,19 +102,19 @@
 		w.Run(40 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, simulate, pool.Without{OpenStarts: true})
+	requireInvariantsNeed(t, simulate, pool.Without{OpenStarts: true})
 }
 
-// leaseInNextLife lets a start that was sent before a restart grant the longest lease, since its
+// leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
 // deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
 // first report.
-func leaseInNextLife(without pool.Without) *simulation.World {
+func leaseAfterRestart(without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Bounds.MaxHold = 10 * time.Second
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
-	w.Workers[0].Restart(time.Millisecond, farAhead)
+	w.Workers[0].Restart(time.Millisecond, farAheadClock)
 	w.Run(2 * time.Millisecond)
 	owner := w.Own()
 	w.Run(time.Second)
@@ -133,15 +133,15 @@
 	return w
 }
 
-func TestLeasesInTheNextLifeAreCountedInFull(t *testing.T) {
-	requireKeptOnlyWith(t, leaseInNextLife, pool.Without{NextLifeLease: true})
+func TestLeaseAfterRestartIsWaitedOut(t *testing.T) {
+	requireInvariantsNeed(t, leaseAfterRestart, pool.Without{NextLifeLease: true})
 }
 
-// TestRunInTheNextLifeGoesOnUnderTheNextOwner: the worker restarts while a placement on it is being
+// TestRunAfterRestartSurvivesTakeover: the worker restarts while a placement on it is being
 // written, the start reaches the next incarnation, and the owner is killed. The progress row names
 // the former incarnation.
-func TestRunInTheNextLifeGoesOnUnderTheNextOwner(t *testing.T) {
-	w, owner := oneWorker(pool.Without{})
+func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
+	w, owner := newWorldWithOneWorker(pool.Without{})
 	w.Store.FeedsSilent = true
 	w.Store.Latency = 400 * time.Millisecond
 	w.Submit(spec(1, single(2)), batch)
@@ -155,14 +155,14 @@
 	w.Store.FeedsSilent, w.Store.Latency = false, 0
 	w.Own()
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
 }
 
-// TestRunThatEndedWithItsLifeIsPlacedAgain covers an owner that sees the restart, one that is
+// TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, one that is
 // killed before it, one that is killed after it, and a time without an owner.
-func TestRunThatEndedWithItsLifeIsPlacedAgain(t *testing.T) {
+func TestRunLostInRestartIsPlacedAgain(t *testing.T) {
 	cases := map[string]struct {
 		killBefore, killAfter bool
 		away                  time.Duration
@@ -174,13 +174,13 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, owner := oneWorker(pool.Without{})
+			w, owner := newWorldWithOneWorker(pool.Without{})
 			w.Submit(spec(1, single(4)), batch)
 			w.Run(time.Second)
 			if c.killBefore {
 				owner.Process.Kill()
 			}
-			w.Workers[0].Restart(200*time.Millisecond, farAhead)
+			w.Workers[0].Restart(200*time.Millisecond, farAheadClock)
 			w.Run(250*time.Millisecond + c.away)
 			if c.killAfter {
 				owner.Process.Kill()
@@ -189,7 +189,7 @@
 				w.Own()
 			}
 			w.Run(20 * time.Second)
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			require.LessOrEqual(t, w.Judge.Starts(taskOf(1, 0, 0)), 2)
 		})
@@ -199,20 +199,20 @@
 // TestRestartIsKnownAtOnce: runs that ended with a restart are placed again without waiting for the
 // lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
-	w, _ := oneWorker(pool.Without{})
+	w, _ := newWorldWithOneWorker(pool.Without{})
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(time.Second)
 	w.Workers[0].Restart(500*time.Millisecond, 0)
 	w.Run(1000 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[1].Runs(), "0.5 s after the restart")
 	require.Equal(t, 8, w.Judge.Counts["attempts/lost"])
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestStaleRowOfAFormerLifeChangesNothing: a row of the former incarnation arrives after a row of
+// TestStaleRowOfFormerIncarnationIsIgnored: a row of the former incarnation arrives after a row of
 // the next one.
-func TestStaleRowOfAFormerLifeChangesNothing(t *testing.T) {
-	w, _ := oneWorker(pool.Without{})
+func TestStaleRowOfFormerIncarnationIsIgnored(t *testing.T) {
+	w, _ := newWorldWithOneWorker(pool.Without{})
 	former := w.Workers[0]
 	former.Restart(100*time.Millisecond, 0)
 	w.Run(time.Second)
@@ -223,26 +223,26 @@
 	w.Run(500 * time.Millisecond)
 	w.Submit(spec(2, single(2)), batch)
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "the stale row stopped nothing")
 	require.NotZero(t, w.Judge.Counts["refusals/worker_row_stale"])
 }
 
-// TestUntrueRowOfALaterLifeEndsNothing: a row names an incarnation that does not exist. Runs
+// TestFalseRowOfLaterIncarnationStopsNothing: a row names an incarnation that does not exist. Runs
 // continue, and nothing new is placed on the worker until a correct row is back.
-func TestUntrueRowOfALaterLifeEndsNothing(t *testing.T) {
-	w, _ := oneWorker(pool.Without{})
-	requireRunsGoOnAlone(t, w, func() {
+func TestFalseRowOfLaterIncarnationStopsNothing(t *testing.T) {
+	w, _ := newWorldWithOneWorker(pool.Without{})
+	requireRunsSurviveInvalidRow(t, w, func() {
 		falseRow := *w.Workers[0]
 		falseRow.Born += 3_600_000
 		w.PutWorkerRow(&falseRow)
 	})
 }
 
-// TestWorkersThatDoNotTellTheirBirth covers platforms whose workers do not report a start time: an
+// TestWorkersWithoutStartTime covers platforms whose workers do not report a start time: an
 // identifier stands for one incarnation.
-func TestWorkersThatDoNotTellTheirBirth(t *testing.T) {
+func TestWorkersWithoutStartTime(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	for _, worker := range w.Workers {
 		worker.Life = fleet.Life{ID: worker.ID}
@@ -251,13 +251,13 @@
 	w.Own()
 	w.Submit(spec(1, single(8), gang(2)), batch)
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestNextLifeMayBeOfAnotherKind: a restarted worker has its own capacity, labels, zone and drain
+// TestRestartedWorkerMayChangeCapacity: a restarted worker has its own capacity, labels, zone and drain
 // state, and tasks that need a label of the former incarnation are not placed there.
-func TestNextLifeMayBeOfAnotherKind(t *testing.T) {
+func TestRestartedWorkerMayChangeCapacity(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
 	w.Unguarded = true
 	w.Catalog.Pools[0].EnforcesCapacity = false
@@ -270,7 +270,7 @@
 	former.Draining, former.RemainingMillis = true, 8000
 	w.PutWorkerRow(former)
 	w.Run(200 * time.Millisecond)
-	former.Restart(100*time.Millisecond, farAhead)
+	former.Restart(100*time.Millisecond, farAheadClock)
 	w.Run(101 * time.Millisecond)
 	next := w.Workers[2]
 	require.Equal(t, former.ID, next.ID)
@@ -285,7 +285,7 @@
 	w.Run(time.Second)
 	require.Equal(t, 3, next.Runs(), "the restarted worker does not drain and has three accelerators")
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Zero(t, w.Judge.JobStarts(jobID(2)), "no worker has that label any more")
 }
@@ -293,7 +293,7 @@
 // TestRestartsDuringTakeovers: workers restart without an owner, twice in a row, during a store
 // outage, and at many points of a takeover.
 func TestRestartsDuringTakeovers(t *testing.T) {
-	for _, ahead := range []int64{0, farAhead} {
+	for _, ahead := range []int64{0, farAheadClock} {
 		for offset := time.Duration(0); offset < 60*time.Millisecond; offset += 3 * time.Millisecond {
 			w := simulation.NewWorld(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -312,28 +312,28 @@
 			w.Run(200 * time.Millisecond)
 			w.Store.AwayAll = false
 			w.Run(40 * time.Second)
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "%v", offset)
 		}
 	}
 }
 
-// TestTwoLivesLostAreTwoLosses: a task that crashes a worker which restarts under its identifier is
+// TestEachIncarnationLostCountsOnce: a task that crashes a worker which restarts under its identifier is
 // detected as if each incarnation had an identifier of its own.
-func TestTwoLivesLostAreTwoLosses(t *testing.T) {
+func TestEachIncarnationLostCountsOnce(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.RestartsInPlace = true
 	crashing := taskOf(1, 0, 0)
-	w.Crashing[crashing] = crashAtOnce
+	w.Crashing[crashing] = crashAfterStart
 	w.Own()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(30 * time.Second)
-	requireGivenUp(t, w, crashing, 2)
+	requireJobFailed(t, w, crashing, 2)
 }
 
-// TestRecordOfAMachineGoesOn: the penalty of a worker that fails every task outlasts its restart.
-func TestRecordOfAMachineGoesOn(t *testing.T) {
+// TestMachineStateSurvivesRestart: the penalty of a worker that fails every task outlasts its restart.
+func TestMachineStateSurvivesRestart(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
 	w.Run(100 * time.Millisecond)
@@ -346,7 +346,7 @@
 		w.Submit(spec(n, single(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
-	failing.Restart(50*time.Millisecond, farAhead)
+	failing.Restart(50*time.Millisecond, farAheadClock)
 	w.Run(60 * time.Millisecond)
 	next := w.Workers[2]
 	w.Submit(spec(90, single(1)), many)
@@ -354,16 +354,16 @@
 	require.Zero(t, next.Runs(), "the penalty outlasts the restart")
 	w.Workers[1].Unwell = false
 	w.Run(60 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestClockSetBackBetweenLives: the start time of a restarted worker is before that of its former
+// TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its former
 // incarnation, so its row and reports seem stale. It is used all the same.
-func TestClockSetBackBetweenLives(t *testing.T) {
+func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := oneWorker(pool.Without{})
+			w, _ := newWorldWithOneWorker(pool.Without{})
 			if busy {
 				w.Submit(spec(1, single(2)), batch)
 			}
@@ -381,7 +381,7 @@
 				w.PutWorkerRow(next)
 				w.Run(1500 * time.Millisecond)
 			}
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 			if busy {
 				require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -393,16 +393,16 @@
 // An answer to a start does not identify the incarnation. If an unknown restart precedes it, the
 // next owner must not take the run for lost with the former incarnation, or the task runs twice.
 
-// TestStartAnsweredByALifeThatNobodyKnew: the next owner looks for the run in the new incarnation,
+// TestStartAnsweredByUnknownIncarnation: the next owner looks for the run in the new incarnation,
 // too.
-func TestStartAnsweredByALifeThatNobodyKnew(t *testing.T) {
-	w := worldOfGangs(1, 2)
+func TestStartAnsweredByUnknownIncarnation(t *testing.T) {
+	w := newGangCluster(1, 2)
 	w.StopTime, w.Bounds.StopTimeout = 1500*time.Millisecond, 2*time.Second
 	answersLost := false
 	w.Workers[0].LoseAnswer = func() bool { return answersLost }
 	owner := w.Own()
 	// The clock of the former incarnation is far ahead of that of the next one.
-	w.Run(2 * clockJumpSeen)
+	w.Run(2 * clockJumpThreshold)
 	w.Store.FeedsSilent = true
 	w.Workers[1].CrashAndRestart()
 	w.Run(4 * time.Second)
@@ -426,9 +426,9 @@
 	w.Store.FeedsSilent, answersLost = false, false
 	w.Own()
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// clockJumpSeen is the least clock jump that the owner detects.
-const clockJumpSeen = 10 * time.Second
+// clockJumpThreshold is the least clock jump that the owner detects.
+const clockJumpThreshold = 10 * time.Second
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -14,42 +14,42 @@
 // A task that crashes each worker that starts it must be detected. A crashed worker lists no failed
 // run, so failed runs alone do not show it.
 
-// crashAtOnce lets a task crash its worker shortly after its start.
-var crashAtOnce = simulation.Crash{After: 10 * time.Millisecond}
+// crashAfterStart lets a task crash its worker shortly after its start.
+var crashAfterStart = simulation.Crash{After: 10 * time.Millisecond}
 
 func taskOf(job, step, index int) taskgraph.TaskName {
 	return taskgraph.TaskName{Job: jobID(job), Step: step, Index: index}
 }
 
-// requireGivenUp requires that a job failed after its task crashed at least two and at most
+// requireJobFailed requires that a job failed after its task crashed at least two and at most
 // mostCrashes workers.
-func requireGivenUp(t *testing.T, w *simulation.World, crashing taskgraph.TaskName, mostCrashes int) {
+func requireJobFailed(t *testing.T, w *simulation.World, crashing taskgraph.TaskName, mostCrashes int) {
 	t.Helper()
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Failed, w.StoredState(crashing.Job))
 	require.LessOrEqual(t, w.Judge.Crashes(crashing), mostCrashes)
 	require.GreaterOrEqual(t, w.Judge.Crashes(crashing), 2)
 }
 
-// TestTaskThatCrashesWorkersIsGivenUp: without owner faults, the tasks beside the crashing one
+// TestJobOfCrashingTaskFails: without owner faults, the tasks beside the crashing one
 // complete.
-func TestTaskThatCrashesWorkersIsGivenUp(t *testing.T) {
+func TestJobOfCrashingTaskFails(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	crashing := taskOf(2, 0, 0)
-	w.Crashing[crashing] = crashAtOnce
+	w.Crashing[crashing] = crashAfterStart
 	w.Own()
 	w.Submit(spec(1, single(30)), batch)
 	w.Run(time.Second)
 	w.Submit(spec(2, single(1)), urgent)
 	w.Run(60 * time.Second)
-	requireGivenUp(t, w, crashing, 2)
+	requireJobFailed(t, w, crashing, 2)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestCrashesOutlastOwners: the recorded crashes of a task survive takeovers, whether the owner is
+// TestCrashHistorySurvivesTakeover: the recorded crashes of a task survive takeovers, whether the owner is
 // killed before or after it notices a crash.
-func TestCrashesOutlastOwners(t *testing.T) {
+func TestCrashHistorySurvivesTakeover(t *testing.T) {
 	for name, killAfter := range map[string]time.Duration{
 		"just after the crash":   20 * time.Millisecond,
 		"before the row is gone": 2 * time.Second,
@@ -60,16 +60,16 @@
 			t.Run(fmt.Sprint(name, ", restart in place ", inPlace), func(t *testing.T) {
 				w := simulation.NewWorld(2, 4)
 				w.RestartsInPlace = inPlace
-				requireCrashesOutlastOwners(t, w, killAfter)
+				requireCrashHistorySurvivesTakeover(t, w, killAfter)
 			})
 		}
 	}
 }
 
-func requireCrashesOutlastOwners(t *testing.T, w *simulation.World, killAfter time.Duration) {
+func requireCrashHistorySurvivesTakeover(t *testing.T, w *simulation.World, killAfter time.Duration) {
 	t.Helper()
 	crashing := taskOf(1, 0, 0)
-	w.Crashing[crashing] = crashAtOnce
+	w.Crashing[crashing] = crashAfterStart
 	owner := w.Own()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
@@ -80,15 +80,15 @@
 		owner = w.Own()
 	}
 	w.Run(60 * time.Second)
-	requireGivenUp(t, w, crashing, 3)
+	requireJobFailed(t, w, crashing, 3)
 }
 
 // A start that was refused, or sent to a worker that had failed before, must not count as a crash
 // by the task.
 
-// staleWorkers replaces or fails all workers while the owner's feeds are silent, then submits a
+// replaceWorkersWithFeedsSilent replaces or fails all workers while the owner's feeds are silent, then submits a
 // job.
-func staleWorkers(fail func(*simulation.Worker)) *simulation.World {
+func replaceWorkersWithFeedsSilent(fail func(*simulation.Worker)) *simulation.World {
 	w := simulation.NewWorld(2, 4)
 	owner := w.Own()
 	w.Run(time.Second)
@@ -107,16 +107,16 @@
 	return w
 }
 
-// TestWorkersThatDiedBeforeAStartAreNoEvidence covers workers that were replaced and workers that
+// TestWorkersLostBeforeStartAreNoEvidence covers workers that were replaced and workers that
 // do not respond.
-func TestWorkersThatDiedBeforeAStartAreNoEvidence(t *testing.T) {
+func TestWorkersLostBeforeStartAreNoEvidence(t *testing.T) {
 	for name, fail := range map[string]func(*simulation.Worker){
 		"replaced": (*simulation.Worker).CrashAndRestart,
 		"silent":   (*simulation.Worker).Crash,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := staleWorkers(fail)
-			requireKept(t, w)
+			w := replaceWorkersWithFeedsSilent(fail)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 		})
 	}
@@ -127,7 +127,7 @@
 func TestTaskThatCrashesBeforeItsStartIsAnswered(t *testing.T) {
 	w := simulation.NewWorld(2, 4)
 	crashing := taskOf(1, 0, 0)
-	w.Crashing[crashing] = crashAtOnce
+	w.Crashing[crashing] = crashAfterStart
 	for _, worker := range w.Workers {
 		worker.LoseOrder = func() simulation.Fate { return simulation.AnswerLost }
 	}
@@ -135,7 +135,7 @@
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(90 * time.Second)
-	requireGivenUp(t, w, crashing, 5)
+	requireJobFailed(t, w, crashing, 5)
 }
 
 // TestWorkersThatLeaveAreNoEvidence: a draining worker may shut down earlier than announced, with
@@ -159,7 +159,7 @@
 		leaving.CrashAndRestart()
 	}
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Zero(t, w.Judge.Counts["given_up/crash_odds"])
 }
@@ -167,10 +167,10 @@
 // A poll in flight, or a placement of an earlier owner, is no proof that a run was on a lost
 // worker.
 
-// startsThatNeverArrive sends a job's first start to a worker that has a poll in flight, is cut off
+// runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, is cut off
 // and crashes. The next three placements are on workers that crash, and their owners are killed
 // before sending the start.
-func startsThatNeverArrive() *simulation.World {
+func runUndeliveredStarts() *simulation.World {
 	const workers = 16
 	w := simulation.NewWorld(1, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
@@ -206,8 +206,8 @@
 }
 
 func TestStartsThatNeverArriveAreNoEvidence(t *testing.T) {
-	w := startsThatNeverArrive()
-	requireKept(t, w)
+	w := runUndeliveredStarts()
+	requireInvariants(t, w)
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "only the last start arrived")
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(9)))
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -30,7 +30,7 @@
 	w.Submit(spec(1, single(1)), batch)
 	w.Own()
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
@@ -45,13 +45,13 @@
 	w.Run(200 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[1].Runs())
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestRowsThatLapsedWithTheStoreAwayAreWaitedFor: worker rows expire during a store outage and are
+// TestRowsExpiredDuringStoreOutageAreWaitedFor: worker rows expire during a store outage and are
 // rewritten soon after it. Jobs submitted in between must not wait.
-func TestRowsThatLapsedWithTheStoreAwayAreWaitedFor(t *testing.T) {
+func TestRowsExpiredDuringStoreOutageAreWaitedFor(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
 	w.Run(time.Second)
@@ -72,7 +72,7 @@
 	require.Equal(t, 8, w.Workers[0].Runs())
 	require.LessOrEqual(t, w.Workers[1].Runs(), 1, "a worker whose row does not come back is gone")
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
 // TestEndsAreNotedSoonThoughAnswersAreLost: an end whose report was lost is recorded soon, with a
@@ -90,12 +90,12 @@
 	w.Submit(spec(1, single(1)), urgent)
 	w.Own()
 	w.Run(7500 * time.Millisecond)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// loseFirst returns a function that gives the first order this fate and answers all others.
-func loseFirst(fate simulation.Fate) func() simulation.Fate {
+// failFirstOrder returns a function that gives the first order this fate and answers all others.
+func failFirstOrder(fate simulation.Fate) func() simulation.Fate {
 	orders := 0
 	return func() simulation.Fate {
 		if orders++; orders == 1 {
@@ -113,17 +113,17 @@
 		t.Run(name, func(t *testing.T) {
 			w := simulation.NewWorld(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-			w.Workers[0].LoseOrder = loseFirst(fate)
+			w.Workers[0].LoseOrder = failFirstOrder(fate)
 			w.Own()
 			w.Run(100 * time.Millisecond)
 			w.Submit(spec(1, gang(2)), urgent)
 			w.Run(200 * time.Millisecond)
 			require.Equal(t, 2, w.Workers[0].Runs()+w.Workers[1].Runs())
 			w.Run(2 * time.Second)
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			w.Run(5 * time.Second)
-			requireKept(t, w)
+			requireInvariants(t, w)
 		})
 	}
 }
@@ -136,12 +136,12 @@
 	w.Own()
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(500 * time.Millisecond)
-	w.Workers[0].LoseOrder = loseFirst(simulation.NeverDone)
+	w.Workers[0].LoseOrder = failFirstOrder(simulation.NeverDone)
 	w.Submit(spec(2, gang(1)), urgent)
 	w.Run(simulation.StopTime + 250*time.Millisecond)
 	require.Equal(t, 1, w.Workers[0].RunsOf(jobID(2)))
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
 // Guards against starting a task elsewhere while its first run is still stopping: the answer to the
@@ -172,14 +172,14 @@
 	leaving.Draining, leaving.RemainingMillis = true, 3000
 	w.PutWorkerRow(leaving)
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
 // Guards against starting a task elsewhere while an unanswered start is in flight: the stop that
 // blocks it is unanswered too, and reports do not list the run.
 
-func TestUnconfirmedStartIsBarredBeforeItsTaskRunsElsewhere(t *testing.T) {
+func TestUnconfirmedStartIsBlockedBeforeItsTaskRunsElsewhere(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.OrderDelay = 2600 * time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
@@ -202,16 +202,16 @@
 	w.Run(500 * time.Millisecond)
 	w.Submit(spec(1, single(1)), batch)
 	w.Run(15 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
 // Guards against each retry of a start extending the time in which the worker may carry it out,
 // during which the whole gang waits.
 
-// TestGangLeavesADarkWorkerSoon: a gang ends in time although one of its starts gets no answer.
-func TestGangLeavesADarkWorkerSoon(t *testing.T) {
-	w := worldOfGangs(2, 4)
+// TestGangLeavesUnresponsiveWorkerSoon: a gang ends in time although one of its starts gets no answer.
+func TestGangLeavesUnresponsiveWorkerSoon(t *testing.T) {
+	w := newGangCluster(2, 4)
 	w.Own()
 	w.Run(time.Second)
 	for _, worker := range w.Workers[:1] {
@@ -221,5 +221,5 @@
 	w.Run(2*gangWork + 250*time.Millisecond)
 	require.Equal(t, 2, w.Judge.Starts(taskOf(1, 0, 3)), "placed twice")
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
--- a/internal/pool/policy_test.go
+++ b/internal/pool/policy_test.go
@@ -11,22 +11,22 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestStandingRunsAreMoved guards against a stalled run that blocks its job for good.
-func TestStandingRunsAreMoved(t *testing.T) {
+// TestStalledRunsAreRestarted guards against a stalled run that blocks its job for good.
+func TestStalledRunsAreRestarted(t *testing.T) {
 	w := simulation.NewWorld(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	w.Workers[0].Standing = true
 	w.Submit(spec(1, single(12), gang(2)), batch)
 	w.Own()
 	w.Run(25 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Positive(t, w.Judge.Counts["stops/stands still"])
 }
 
-// TestNothingWaitsLongBesideFreeRoom guards against starvation of jobs while most of the pool
+// TestNoStarvationWithFreeResources guards against starvation of jobs while most of the pool
 // is kept free for urgent jobs that do not come.
-func TestNothingWaitsLongBesideFreeRoom(t *testing.T) {
+func TestNoStarvationWithFreeResources(t *testing.T) {
 	w := simulation.NewWorld(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	long := single(32)
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestLateUnitsMakeWayForTimelyOnes checks that a job that has missed its objective does not
+// TestOnTimeUnitsBeforeLateOnes checks that a job that has missed its objective does not
 // make the jobs behind it miss theirs.
-func TestLateUnitsMakeWayForTimelyOnes(t *testing.T) {
+func TestOnTimeUnitsBeforeLateOnes(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	wholeWorker := func() taskgraph.Step {
@@ -66,7 +66,7 @@
 	w.Run(100 * time.Millisecond)
 	w.Submit(spec(3, wholeWorker()), roomy)
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
 	require.NotEqual(t, taskgraph.Completed, w.StoredState(jobID(2)))
 	w.Run(10 * time.Second)
@@ -94,12 +94,12 @@
 	w.Submit(spec(6, gang(4)), batch)
 	w.Run(time.Second)
 	require.Equal(t, 1, slow.Runs(), "the slow worker is used if no other is free")
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestGangsOnOneRackWaitAsLongAsItPays checks that a gang that takes three times as long across
+// TestSameRackGangWaitsForLocality checks that a gang that takes three times as long across
 // racks waits up to twice its estimate for one rack, and not at all if it fits on no rack.
-func TestGangsOnOneRackWaitAsLongAsItPays(t *testing.T) {
+func TestSameRackGangWaitsForLocality(t *testing.T) {
 	w := simulation.NewWorld(2, 2)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 1500 * time.Millisecond }
 	sameRackGang := func(count int) taskgraph.Step {
@@ -121,5 +121,5 @@
 	w.Submit(spec(4, sameRackGang(3)), batch)
 	w.Run(300 * time.Millisecond)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(4)}), "the gang fits on no rack")
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -39,7 +39,7 @@
 	return taskgraph.Spec{ID: jobID(n), Payload: "payload", Steps: steps}
 }
 
-func requireKept(t *testing.T, w *simulation.World) {
+func requireInvariants(t *testing.T, w *simulation.World) {
 	t.Helper()
 	if len(w.Judge.Broken) > 0 {
 		t.Log(strings.Join(w.Judge.Trace, "\n"))
@@ -47,12 +47,12 @@
 	require.Empty(t, w.Judge.Broken)
 }
 
-// requireKeptOnlyWith requires that a scenario holds all invariants and completes its first job,
+// requireInvariantsNeed requires that a scenario holds all invariants and completes its first job,
 // and that it violates an invariant with the given safeguards disabled.
-func requireKeptOnlyWith(t *testing.T, scenario func(pool.Without) *simulation.World, without pool.Without) {
+func requireInvariantsNeed(t *testing.T, scenario func(pool.Without) *simulation.World, without pool.Without) {
 	t.Helper()
 	w := scenario(pool.Without{})
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.NotEmpty(t, scenario(without).Judge.Broken, "no invariant violated without the safeguard")
 }
@@ -66,7 +66,7 @@
 	w.Submit(spec(1, single(5), second, third), batch)
 	w.Own()
 	w.Run(5 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
@@ -88,7 +88,7 @@
 		}
 	}
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 }
 
@@ -102,7 +102,7 @@
 	w.Run(time.Second)
 	w.Own()
 	w.Run(6 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	name := taskgraph.TaskName{Job: jobID(1)}
 	require.Equal(t, 1, w.Judge.Starts(name), "the run continues under the next owner")
@@ -119,13 +119,13 @@
 	w.Run(time.Second)
 	second := w.Own()
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.NotEmpty(t, first.Ended)
 	require.Empty(t, second.Ended)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-func TestLateStartIsBarred(t *testing.T) {
+func TestDelayedStartIsRejected(t *testing.T) {
 	w := simulation.NewWorld(1, 3)
 	late := 0
 	w.Workers[0].LoseOrder = func() simulation.Fate {
@@ -139,11 +139,11 @@
 	w.Submit(spec(1, single(20)), batch)
 	w.Own()
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-func TestCutWorkerIsWaitedOut(t *testing.T) {
+func TestPartitionedWorkerLeasesExpire(t *testing.T) {
 	w := simulation.NewWorld(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	w.Submit(spec(1, single(24)), batch)
@@ -153,7 +153,7 @@
 	first.Process.Kill()
 	w.Own()
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
@@ -167,7 +167,7 @@
 	w.Run(12 * time.Second)
 	w.Store.AwayAll = false
 	w.Run(6 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "leases are extended without the store")
 }
@@ -179,13 +179,13 @@
 	w.Store.Away[pool.ProgressParts(simulation.PoolName)[0]] = true
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(3 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestPoolIsHandedBackAtOnceBesideEnds: run results that wait to share a transaction must not delay
+// TestPoolIsReleasedPromptlyWithPendingResults: run results that wait to share a transaction must not delay
 // the release of the pool.
-func TestPoolIsHandedBackAtOnceBesideEnds(t *testing.T) {
+func TestPoolIsReleasedPromptlyWithPendingResults(t *testing.T) {
 	w := simulation.NewWorld(2, 8)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		return time.Second + time.Duration(name.Index)*7*time.Millisecond
@@ -209,11 +209,11 @@
 	w.Run(700 * time.Millisecond)
 	require.Equal(t, 1, w.Judge.JobStarts(jobID(1)))
 	w.Run(5 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-func TestLostStoreAnswersSettle(t *testing.T) {
+func TestLostStoreResponsesAreResolved(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		w := simulation.NewWorld(2, 4)
@@ -231,7 +231,7 @@
 		first.Process.Kill()
 		w.Own()
 		w.Run(60 * time.Second)
-		requireKept(t, w)
+		requireInvariants(t, w)
 		for n := range 5 {
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "seed %d", seed)
 		}
@@ -255,7 +255,7 @@
 	wide.SameRack = true
 	w.Submit(spec(9, wide), urgent)
 	w.Run(2500 * time.Millisecond)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(9)))
 	require.Positive(t, w.Judge.Counts["stops/preempted"])
 	require.Zero(t, w.Judge.Counts["start_failures/no_room"])
@@ -269,7 +269,7 @@
 	w.Submit(spec(1, single(1)), batch)
 	w.Own()
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Failed, w.StoredState(jobID(1)))
 	require.Equal(t, batch.MaxAttempts, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
@@ -282,7 +282,7 @@
 	}
 	w.Own()
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	for n := range 10 {
 		require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)))
 	}
@@ -296,7 +296,7 @@
 	w.Run(time.Second)
 	w.Cancel(jobID(1))
 	w.Run(2 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Cancelled, w.StoredState(jobID(1)))
 	for _, worker := range w.Workers {
 		require.Zero(t, worker.Runs())
@@ -319,7 +319,7 @@
 	leaving.Crash()
 	w.RemoveWorkerRow(leaving)
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
@@ -335,19 +335,19 @@
 	w.Run(4500 * time.Millisecond)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1), Time: 2}))
 	w.Run(3 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestLastingTasksAreStartedAgain: long-running tasks are restarted until their job is cancelled.
-func TestLastingTasksAreStartedAgain(t *testing.T) {
+// TestLongRunningTasksAreRestarted: long-running tasks are restarted until their job is cancelled.
+func TestLongRunningTasksAreRestarted(t *testing.T) {
 	w := simulation.NewWorld(1, 3)
 	lasting := single(3)
 	lasting.LongRunning, lasting.AllowedMisses = true, 1
 	w.Submit(spec(1, lasting), batch)
 	w.Own()
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Running, w.StoredState(jobID(1)))
 	require.Greater(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), 2)
 	w.Cancel(jobID(1))
--- a/internal/pool/reliability_test.go
+++ b/internal/pool/reliability_test.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestFailingWorkersBurnNoAttemptsOfGangs guards against gangs that lose all attempts to workers that
+// TestFailingWorkersUseUpNoGangAttempts guards against gangs that lose all attempts to workers that
 // fail all new runs while their older runs still make progress.
-func TestFailingWorkersBurnNoAttemptsOfGangs(t *testing.T) {
+func TestFailingWorkersUseUpNoGangAttempts(t *testing.T) {
 	w := simulation.NewWorld(4, 10)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		if name.Job == jobID(0) {
@@ -36,15 +36,15 @@
 		w.Run(300 * time.Millisecond)
 	}
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	for n := 1; n <= gangs; n++ {
 		require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "gang %d", n)
 	}
 }
 
-// TestSoundWorkersAreTrustedAgain checks that a worker that failed a run gets gangs again once another
+// TestHealthyWorkersAreUsedAgain checks that a worker that failed a run gets gangs again once another
 // run has made progress there.
-func TestSoundWorkersAreTrustedAgain(t *testing.T) {
+func TestHealthyWorkersAreUsedAgain(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Workers[0].Failing = true
 	w.Submit(spec(1, single(1)), batch)
@@ -55,13 +55,13 @@
 	w.Run(3 * time.Second)
 	w.Submit(spec(3, gang(2)), urgent)
 	w.Run(1500 * time.Millisecond)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
 }
 
-// TestGangsStayOnTheirRackBesideAFailedWorker guards against a same-rack gang that is spread over several
+// TestSameRackGangDespiteFailedWorker guards against a same-rack gang that is spread over several
 // racks, and so slowed down, because one worker of each rack failed once.
-func TestGangsStayOnTheirRackBesideAFailedWorker(t *testing.T) {
+func TestSameRackGangDespiteFailedWorker(t *testing.T) {
 	w := simulation.NewWorld(2, 3)
 	for i, worker := range w.Workers {
 		worker.Failing = i%3 == 0
@@ -89,5 +89,5 @@
 		require.Contains(t, []int{0, 3}, runs, rack)
 	}
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
--- a/internal/pool/restartedworkers_test.go
+++ b/internal/pool/restartedworkers_test.go
@@ -14,15 +14,15 @@
 // Guards against skipping or acknowledging the ends of a restarted worker by the end numbers from
 // before its restart, which would run completed tasks again and not count failures.
 
-// restartTime is how long a restarting worker is down.
-const restartTime = 500 * time.Millisecond
+// restartDuration is how long a restarting worker is down.
+const restartDuration = 500 * time.Millisecond
 
-// clocksOfNextLives holds the clock of a worker right after its restart.
-var clocksOfNextLives = map[string]int64{"clock from zero": 0, "clock far ahead": 7_000_000}
+// clocksAfterRestart holds the clock of a worker right after its restart.
+var clocksAfterRestart = map[string]int64{"clock from zero": 0, "clock far ahead": 7_000_000}
 
-// restartAfterEnds lets the only worker of a pool report eight ends, restarts it while it runs
+// restartWithEndedRuns lets the only worker of a pool report eight ends, restarts it while it runs
 // eight tasks, and then runs what is placed on it.
-func restartAfterEnds(clockMillis int64, queue catalog.Queue, afterwards func(*simulation.Worker)) *simulation.World {
+func restartWithEndedRuns(clockMillis int64, queue catalog.Queue, afterwards func(*simulation.Worker)) *simulation.World {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	w.Own()
@@ -30,18 +30,18 @@
 	w.Run(3 * time.Second)
 	w.Submit(spec(2, single(8)), queue)
 	w.Run(time.Second)
-	w.Workers[0].Restart(restartTime, clockMillis)
-	w.Run(restartTime + time.Millisecond)
+	w.Workers[0].Restart(restartDuration, clockMillis)
+	w.Run(restartDuration + time.Millisecond)
 	afterwards(w.Workers[1])
 	w.Run(40 * time.Second)
 	return w
 }
 
 func TestEndsOfARestartedWorkerAreTakenIn(t *testing.T) {
-	for name, clockMillis := range clocksOfNextLives {
+	for name, clockMillis := range clocksAfterRestart {
 		t.Run(name, func(t *testing.T) {
-			w := restartAfterEnds(clockMillis, batch, func(*simulation.Worker) {})
-			requireKept(t, w)
+			w := restartWithEndedRuns(clockMillis, batch, func(*simulation.Worker) {})
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 			for index := range 8 {
@@ -52,12 +52,12 @@
 }
 
 func TestFailuresOnARestartedWorkerAreCounted(t *testing.T) {
-	for name, clockMillis := range clocksOfNextLives {
+	for name, clockMillis := range clocksAfterRestart {
 		t.Run(name, func(t *testing.T) {
 			queue := batch
 			queue.MaxAttempts = 1
-			w := restartAfterEnds(clockMillis, queue, func(next *simulation.Worker) { next.Failing = true })
-			requireKept(t, w)
+			w := restartWithEndedRuns(clockMillis, queue, func(next *simulation.Worker) { next.Failing = true })
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Failed, w.StoredState(jobID(2)))
 		})
 	}
--- a/internal/pool/silence_test.go
+++ b/internal/pool/silence_test.go
@@ -12,10 +12,10 @@
 // Guards against gangs being placed on one failed idle worker after another, each placement ending
 // with a start error.
 
-// TestGangsAreNotPlacedOnWorkersThatDiedWithOthers: a third of the workers fails, a few of them
+// TestGangsAvoidWorkersFailedWithOthers: a third of the workers fails, a few of them
 // busy. Gangs submitted a while later are placed once.
-func TestGangsAreNotPlacedOnWorkersThatDiedWithOthers(t *testing.T) {
-	w := worldOfGangs(3, 12)
+func TestGangsAvoidWorkersFailedWithOthers(t *testing.T) {
+	w := newGangCluster(3, 12)
 	w.Own()
 	w.Run(time.Second)
 	for n := 1; n <= 6; n++ {
@@ -33,7 +33,7 @@
 		w.Submit(spec(n, gang(2)), urgent)
 	}
 	w.Run(gangWork + 500*time.Millisecond)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	for n := 11; n <= 16; n++ {
 		require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "job %d", n)
 		require.Equal(t, 1, w.Judge.Starts(taskOf(n, 0, 0)), "job %d", n)
--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -15,13 +15,13 @@
 // These tests guard against urgent gangs that miss their objective, or are restarted repeatedly, in a
 // pool whose workers ordinarily differ in speed.
 
-// mixedWork is the duration of the work in these tests on a worker of speed 1.
-const mixedWork = 4 * time.Second
+// mixedSpeedWork is the duration of the work in these tests on a worker of speed 1.
+const mixedSpeedWork = 4 * time.Second
 
-// worldOfSpeeds returns a simulation whose workers alternate between three speeds in each rack.
-func worldOfSpeeds(racks, workers int) *simulation.World {
+// newMixedSpeedCluster returns a simulation whose workers alternate between three speeds in each rack.
+func newMixedSpeedCluster(racks, workers int) *simulation.World {
 	w := simulation.NewWorld(racks, workers)
-	w.Work = func(taskgraph.TaskName) time.Duration { return mixedWork }
+	w.Work = func(taskgraph.TaskName) time.Duration { return mixedSpeedWork }
 	queue := urgent
 	queue.Pool = simulation.PoolName
 	w.Catalog.Queues = []catalog.Queue{queue}
@@ -31,8 +31,8 @@
 	return w
 }
 
-func mixed(step taskgraph.Step) taskgraph.Step {
-	step.EstimateMillis = mixedWork.Milliseconds()
+func withMixedSpeedEstimate(step taskgraph.Step) taskgraph.Step {
+	step.EstimateMillis = mixedSpeedWork.Milliseconds()
 	return step
 }
 
@@ -47,85 +47,85 @@
 	return count
 }
 
-// TestGangsAreNotMovedForOrdinaryDifferencesOfSpeed checks that a gang is not restarted if the restart
+// TestOrdinarySpeedDifferencesCauseNoRestart checks that a gang is not restarted if the restart
 // takes longer than waiting for its slow member.
-func TestGangsAreNotMovedForOrdinaryDifferencesOfSpeed(t *testing.T) {
-	w := worldOfSpeeds(1, 12)
+func TestOrdinarySpeedDifferencesCauseNoRestart(t *testing.T) {
+	w := newMixedSpeedCluster(1, 12)
 	w.Own()
 	w.Run(time.Second)
-	w.Submit(spec(1, mixed(gang(6))), urgent)
+	w.Submit(spec(1, withMixedSpeedEstimate(gang(6))), urgent)
 	w.Run(12 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Zero(t, w.Judge.Counts["stops/slow member"])
 }
 
-// TestRunningGangTellsSpeeds checks that speeds are learned from a gang before it ends.
-func TestRunningGangTellsSpeeds(t *testing.T) {
-	w := worldOfSpeeds(2, 9)
+// TestSpeedsFromRunningGang checks that speeds are learned from a gang before it ends.
+func TestSpeedsFromRunningGang(t *testing.T) {
+	w := newMixedSpeedCluster(2, 9)
 	w.Own()
 	w.Run(time.Second)
-	step := mixed(gang(18))
+	step := withMixedSpeedEstimate(gang(18))
 	step.GPUs, step.MaxPerWorker = 4, 1
 	w.Submit(spec(1, step), batch)
 	w.Run(1500 * time.Millisecond)
-	smallGang := mixed(gang(4))
+	smallGang := withMixedSpeedEstimate(gang(4))
 	smallGang.GPUs = 4
 	w.Submit(spec(2, smallGang), urgent)
 	w.Run(200 * time.Millisecond)
 	require.Equal(t, 4, w.Judge.Starts(taskOf(2, 0, 0))+w.Judge.Starts(taskOf(2, 0, 1))+w.Judge.Starts(taskOf(2, 0, 2))+w.Judge.Starts(taskOf(2, 0, 3)))
 	require.Zero(t, runsOnSlow(w, 2))
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestSingleTasksTellSpeeds checks that an urgent gang avoids workers on which single tasks were slow.
-func TestSingleTasksTellSpeeds(t *testing.T) {
-	w := worldOfSpeeds(2, 9)
+// TestSpeedsFromSingleTasks checks that an urgent gang avoids workers on which single tasks were slow.
+func TestSpeedsFromSingleTasks(t *testing.T) {
+	w := newMixedSpeedCluster(2, 9)
 	w.Own()
 	w.Run(time.Second)
 	for n := 1; n <= 2; n++ {
-		w.Submit(spec(n, mixed(single(72))), batch)
+		w.Submit(spec(n, withMixedSpeedEstimate(single(72))), batch)
 		w.Run(16 * time.Second)
 	}
-	w.Submit(spec(3, mixed(gang(4))), urgent)
+	w.Submit(spec(3, withMixedSpeedEstimate(gang(4))), urgent)
 	w.Run(time.Second)
 	require.Zero(t, runsOnSlow(w, 3))
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestUrgentGangStopsOthersOnFasterWorkers checks that an urgent gang preempts units on faster workers
+// TestUrgentGangPreemptsOnFasterWorkers checks that an urgent gang preempts units on faster workers
 // if it would miss its objective on the free, slow ones.
-func TestUrgentGangStopsOthersOnFasterWorkers(t *testing.T) {
-	w := worldOfSpeeds(1, 9)
+func TestUrgentGangPreemptsOnFasterWorkers(t *testing.T) {
+	w := newMixedSpeedCluster(1, 9)
 	w.Own()
 	w.Run(time.Second)
-	w.Submit(spec(1, mixed(gang(9))), batch)
+	w.Submit(spec(1, withMixedSpeedEstimate(gang(9))), batch)
 	w.Run(10 * time.Second)
 	// The batch gang takes all workers that are not slow, since gangs avoid slow ones.
-	w.Submit(spec(2, mixed(gang(6))), batch)
+	w.Submit(spec(2, withMixedSpeedEstimate(gang(6))), batch)
 	w.Run(500 * time.Millisecond)
 	require.Zero(t, runsOnSlow(w, 2))
-	w.Submit(spec(3, mixed(gang(3))), urgent)
+	w.Submit(spec(3, withMixedSpeedEstimate(gang(3))), urgent)
 	w.Run(time.Second)
 	require.Zero(t, runsOnSlow(w, 3))
 	w.Run(5250 * time.Millisecond)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)), "the urgent gang completes in time")
 }
 
-// TestPatientTasksExploreIdleWorkers checks that deferrable tasks run on idle workers of unknown speed
+// TestDeferrableTasksExploreIdleWorkers checks that deferrable tasks run on idle workers of unknown speed
 // once speeds are known to differ much.
-func TestPatientTasksExploreIdleWorkers(t *testing.T) {
+func TestDeferrableTasksExploreIdleWorkers(t *testing.T) {
 	explored := func(off mechanism.Off) int {
-		w := worldOfSpeeds(4, 9)
+		w := newMixedSpeedCluster(4, 9)
 		w.Off = off
 		w.Own()
 		w.Run(time.Second)
-		w.Submit(spec(1, mixed(gang(9))), batch)
+		w.Submit(spec(1, withMixedSpeedEstimate(gang(9))), batch)
 		w.Run(8 * time.Second)
-		w.Submit(spec(2, mixed(single(27))), batch)
+		w.Submit(spec(2, withMixedSpeedEstimate(single(27))), batch)
 		w.Run(time.Second)
-		requireKept(t, w)
+		requireInvariants(t, w)
 		workers := 0
 		for _, worker := range w.Workers {
 			if worker.RunsOf(jobID(2)) > 0 {
--- a/internal/pool/stalls_test.go
+++ b/internal/pool/stalls_test.go
@@ -13,14 +13,14 @@
 // gangWork is the duration of the gangs in these tests.
 const gangWork = 2500 * time.Millisecond
 
-func worldOfGangs(racks, workers int) *simulation.World {
+func newGangCluster(racks, workers int) *simulation.World {
 	w := simulation.NewWorld(racks, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return gangWork }
 	return w
 }
 
-// worldWithGang returns a simulation of four workers with an owner and a gang as job 1.
-func worldWithGang(members int, work, estimate time.Duration) *simulation.World {
+// newClusterWithGang returns a simulation of four workers with an owner and a gang as job 1.
+func newClusterWithGang(members int, work, estimate time.Duration) *simulation.World {
 	w := simulation.NewWorld(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
 	w.Own()
@@ -41,23 +41,23 @@
 	return running
 }
 
-// TestYoungGangLeavesStandingWorkersSoon guards against a fixed stall timeout, after which an urgent
+// TestStalledNewGangIsRestartedSoon guards against a fixed stall timeout, after which an urgent
 // gang on stalled workers misses its objective although a restart would have lost little.
-func TestYoungGangLeavesStandingWorkersSoon(t *testing.T) {
-	w := worldOfGangs(2, 4)
+func TestStalledNewGangIsRestartedSoon(t *testing.T) {
+	w := newGangCluster(2, 4)
 	for _, worker := range w.Workers[:2] {
 		worker.Standing = true
 	}
 	w.Own()
 	w.Submit(spec(1, gang(3)), urgent)
 	w.Run(3*gangWork - time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "a stall of 1.5 s, a stop and a second run fit into the time")
 }
 
-// TestStandingWorkersGetNothingNew checks that workers with stalled runs get no new work.
-func TestStandingWorkersGetNothingNew(t *testing.T) {
-	w := worldOfGangs(1, 4)
+// TestStalledWorkersGetNoNewWork checks that workers with stalled runs get no new work.
+func TestStalledWorkersGetNoNewWork(t *testing.T) {
+	w := newGangCluster(1, 4)
 	stalled := w.Workers[0]
 	stalled.Standing = true
 	w.Own()
@@ -72,15 +72,15 @@
 	require.Zero(t, stalled.RunsOf(jobID(2)))
 	stalled.Standing = false
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestStallIsWaitedForWhileAMoveWouldLoseMore checks that a short stall does not restart a run that
+// TestShortStallDoesNotRestartLongRun checks that a short stall does not restart a run that
 // has done more work than the stall lasts.
-func TestStallIsWaitedForWhileAMoveWouldLoseMore(t *testing.T) {
+func TestShortStallDoesNotRestartLongRun(t *testing.T) {
 	const work, stall = 10 * time.Second, 3 * time.Second
-	w := worldWithGang(3, work, work)
+	w := newClusterWithGang(3, work, work)
 	w.Run(work / 2)
 	running := workersOf(w, jobID(1))
 	require.Len(t, running, 3)
@@ -88,30 +88,30 @@
 	w.Run(stall)
 	running[0].Standing = false
 	w.Run(work)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
-// TestLongTasksAreNotTakenForStanding checks that a run whose progress takes 36 s per percent does not
+// TestLongTasksAreNotStalled checks that a run whose progress takes 36 s per percent does not
 // count as stalled.
-func TestLongTasksAreNotTakenForStanding(t *testing.T) {
+func TestLongTasksAreNotStalled(t *testing.T) {
 	const work = time.Hour
-	w := worldWithGang(3, work, work)
+	w := newClusterWithGang(3, work, work)
 	w.Run(2 * time.Minute)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
-// TestTaskFarLongerThanItsEstimateRunsThrough guards against endless restarts of a task that takes
+// TestUnderestimatedTaskCompletes guards against endless restarts of a task that takes
 // longer for a percent of progress than its estimate's stall timeout.
-func TestTaskFarLongerThanItsEstimateRunsThrough(t *testing.T) {
+func TestUnderestimatedTaskCompletes(t *testing.T) {
 	const work = 20 * time.Minute
 	for name, estimate := range map[string]time.Duration{"no estimate": 0, "a second": time.Second} {
 		t.Run(name, func(t *testing.T) {
-			w := worldWithGang(2, work, estimate)
+			w := newClusterWithGang(2, work, estimate)
 			w.Run(work + 2*time.Minute)
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			require.LessOrEqual(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), 6)
 		})
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -17,8 +17,8 @@
 	Runs  int `json:"runs"`
 }
 
-// mostRestarted limits the number of workers in Summary.Restarted.
-const mostRestarted = 16
+// maxRestartedWorkers limits the number of workers in Summary.Restarted.
+const maxRestartedWorkers = 16
 
 // Summary is the status of a pool for operators.
 type Summary struct {
@@ -102,5 +102,5 @@
 		}
 	}
 	slices.SortStableFunc(s.Restarted, func(a, b RestartedWorker) int { return cmp.Compare(b.Times, a.Times) })
-	s.Restarted = s.Restarted[:min(len(s.Restarted), mostRestarted)]
+	s.Restarted = s.Restarted[:min(len(s.Restarted), maxRestartedWorkers)]
 }
--- a/internal/pool/twolosses_test.go
+++ b/internal/pool/twolosses_test.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestTwoLossesByChanceGiveNoJobUp guards against a healthy job that fails after two unrelated worker
+// TestTwoChanceLossesDoNotFailJob guards against a healthy job that fails after two unrelated worker
 // restarts, which hit one of its tasks at very different ages of its runs.
-func TestTwoLossesByChanceGiveNoJobUp(t *testing.T) {
+func TestTwoChanceLossesDoNotFailJob(t *testing.T) {
 	w := simulation.NewWorld(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.Own()
@@ -30,6 +30,6 @@
 		}
 	}
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
--- a/internal/pool/workerfaults_test.go
+++ b/internal/pool/workerfaults_test.go
@@ -29,12 +29,12 @@
 	random *rand.Rand
 	// zones, restarts and foreign draw evacuations, worker restarts and invalid worker rows. Each
 	// kind has its own generator, so that it does not change the other faults of a seed.
-	zones    *rand.Rand
-	restarts *rand.Rand
-	foreign  *rand.Rand
-	owner    *simulation.Owner
-	jobs     int
-	guilty   []taskgraph.TaskName
+	zones         *rand.Rand
+	restarts      *rand.Rand
+	invalidRows   *rand.Rand
+	owner         *simulation.Owner
+	jobs          int
+	crashingTasks []taskgraph.TaskName
 	// cancelled holds the numbers of the cancelled jobs.
 	cancelled map[int]bool
 }
@@ -51,9 +51,9 @@
 		for seed := *firstWorkerSeed; seed < *firstWorkerSeed+*workerSeeds; seed++ {
 			t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 				t.Parallel()
-				f := playWorkerFaults(uint64(seed), pool.Without{}, false)
-				requireKept(t, f.World)
-				soundHere, givenUpHere := f.countSound(t)
+				f := runWorkerFaults(uint64(seed), pool.Without{}, false)
+				requireInvariants(t, f.World)
+				soundHere, givenUpHere := f.countRegularJobs(t)
 				mutex.Lock()
 				defer mutex.Unlock()
 				sound += soundHere
@@ -61,7 +61,7 @@
 				for _, reason := range []string{"crash_odds", "crash_limit"} {
 					reasons[reason] += f.Judge.Counts["given_up/"+reason]
 				}
-				for _, name := range f.guilty {
+				for _, name := range f.crashingTasks {
 					lost[f.Judge.Crashes(name)]++
 				}
 			})
@@ -72,9 +72,9 @@
 	require.Zero(t, lost[6], "a task may crash at most five workers")
 }
 
-// TestJudgeCatchesMissingMechanismsOfWorkers disables one safeguard at a time: at least one of the
+// TestCheckerDetectsDisabledWorkerSafeguards disables one safeguard at a time: at least one of the
 // seeds that pass with all of them must then violate an invariant.
-func TestJudgeCatchesMissingMechanismsOfWorkers(t *testing.T) {
+func TestCheckerDetectsDisabledWorkerSafeguards(t *testing.T) {
 	cases := map[string]struct {
 		without pool.Without
 		steady  bool
@@ -88,7 +88,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(*workerSeeds) {
-				if f := playWorkerFaults(seed, c.without, c.steady); len(f.Judge.Broken) > 0 {
+				if f := runWorkerFaults(seed, c.without, c.steady); len(f.Judge.Broken) > 0 {
 					t.Logf("seed %d: %s", seed, f.Judge.Broken[0])
 					return
 				}
@@ -98,11 +98,11 @@
 	}
 }
 
-// countSound checks the states of all jobs. It returns the number of regular jobs, which have no
+// countRegularJobs checks the states of all jobs. It returns the number of regular jobs, which have no
 // crashing task and were not cancelled, and how many of them failed.
-func (f *workerFaults) countSound(t *testing.T) (sound, givenUp int) {
+func (f *workerFaults) countRegularJobs(t *testing.T) (sound, givenUp int) {
 	guilty := map[string]bool{}
-	for _, name := range f.guilty {
+	for _, name := range f.crashingTasks {
 		guilty[name.Job] = true
 	}
 	for n := range f.jobs {
@@ -131,28 +131,28 @@
 	return sound, givenUp
 }
 
-func playWorkerFaults(seed uint64, without pool.Without, steady bool) *workerFaults {
-	return playWorkerFaultsHolding(seed, without, steady, 0)
+func runWorkerFaults(seed uint64, without pool.Without, steady bool) *workerFaults {
+	return runWorkerFaultsWithMaxLease(seed, without, steady, 0)
 }
 
-// TestRandomFaultsOfWorkersThatHoldLonger repeats the test with a longer maximum lease.
-func TestRandomFaultsOfWorkersThatHoldLonger(t *testing.T) {
+// TestRandomFaultsOfWorkersWithLongLeases repeats the test with a longer maximum lease.
+func TestRandomFaultsOfWorkersWithLongLeases(t *testing.T) {
 	for seed := range uint64(*workerSeeds) / 3 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			f := playWorkerFaultsHolding(seed, pool.Without{}, false, 10*time.Second)
-			requireKept(t, f.World)
-			f.countSound(t)
+			f := runWorkerFaultsWithMaxLease(seed, pool.Without{}, false, 10*time.Second)
+			requireInvariants(t, f.World)
+			f.countRegularJobs(t)
 		})
 	}
 }
 
-// playWorkerFaultsHolding simulates random faults drawn from the seed, clears them and lets the jobs
+// runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the jobs
 // finish. A maxHold of 0 leaves the default maximum lease.
-func playWorkerFaultsHolding(seed uint64, without pool.Without, steady bool, maxHold time.Duration) *workerFaults {
+func runWorkerFaultsWithMaxLease(seed uint64, without pool.Without, steady bool, maxHold time.Duration) *workerFaults {
 	f := &workerFaults{
 		World: simulation.NewWorld(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
-		foreign: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
+		invalidRows: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
 	}
 	f.Without, f.SteadyTime, f.Unguarded = without, steady, seed%2 == 1
 	f.Catalog.Pools[0].EnforcesCapacity = !f.Unguarded
@@ -161,21 +161,21 @@
 		f.Bounds.MaxHold = maxHold
 	}
 	f.Work = func(taskgraph.TaskName) time.Duration { return f.between(500, 3500) }
-	f.Store.Lose = f.fate(0.03)
+	f.Store.Lose = f.randomFate(0.03)
 	for _, worker := range f.Workers {
-		worker.LoseOrder = f.fate(0.03)
+		worker.LoseOrder = f.randomFate(0.03)
 	}
 	f.owner = f.Own()
 	for range 40 {
 		f.submitSome()
-		f.troubleWorkers()
-		f.troubleOwner()
-		evacuateSome(f.World, f.zones)
+		f.injectWorkerFault()
+		f.injectOwnerFault()
+		changeEvacuationsAtRandom(f.World, f.zones)
 		f.RestartSome(f.restarts)
-		f.ForeignRowsSome(f.foreign)
+		f.ForeignRowsSome(f.invalidRows)
 		f.Run(f.between(0, 1200))
 	}
-	f.settle()
+	f.clearFaultsAndFinish()
 	return f
 }
 
@@ -183,7 +183,7 @@
 	return time.Duration(least+f.random.IntN(most-least)) * time.Millisecond
 }
 
-func (f *workerFaults) fate(probability float64) func() simulation.Fate {
+func (f *workerFaults) randomFate(probability float64) func() simulation.Fate {
 	return func() simulation.Fate {
 		if f.random.Float64() < probability {
 			return simulation.Fate(1 + f.random.IntN(3))
@@ -202,7 +202,7 @@
 		queue.MaxAttempts = 10
 		steps := []taskgraph.Step{single(1 + f.random.IntN(6)), gang(1 + f.random.IntN(3))}
 		if f.random.IntN(12) == 0 {
-			f.addGuilty(steps)
+			f.addCrashingTask(steps)
 		}
 		f.Submit(spec(f.jobs, steps...), queue)
 		if f.random.IntN(10) == 0 {
@@ -214,7 +214,7 @@
 	}
 }
 
-func (f *workerFaults) addGuilty(steps []taskgraph.Step) {
+func (f *workerFaults) addCrashingTask(steps []taskgraph.Step) {
 	step := f.random.IntN(len(steps))
 	name := taskOf(f.jobs, step, f.random.IntN(steps[step].Count))
 	crash := simulation.Crash{From: simulation.CrashPoint(f.random.IntN(2)), After: 10 * time.Millisecond}
@@ -222,11 +222,11 @@
 		crash.After = f.between(0, 400)
 	}
 	f.Crashing[name] = crash
-	f.guilty = append(f.guilty, name)
+	f.crashingTasks = append(f.crashingTasks, name)
 }
 
-// troubleWorkers injects a fault that no task causes into a random worker or its rack.
-func (f *workerFaults) troubleWorkers() {
+// injectWorkerFault injects a fault that no task causes into a random worker or its rack.
+func (f *workerFaults) injectWorkerFault() {
 	worker := f.Workers[f.random.IntN(len(f.Workers))]
 	if worker.Dead {
 		return
@@ -247,12 +247,12 @@
 		shrunk.GPUs = f.random.IntN(9)
 		worker.SetCapacity(shrunk, f.between(0, 1500))
 	case 6:
-		f.leave(worker)
+		f.drainAndRestart(worker)
 	}
 }
 
-// leave drains a worker, then crashes it with its remaining runs and restarts it.
-func (f *workerFaults) leave(worker *simulation.Worker) {
+// drainAndRestart drains a worker, then crashes it with its remaining runs and restarts it.
+func (f *workerFaults) drainAndRestart(worker *simulation.Worker) {
 	if worker.Draining {
 		return
 	}
@@ -265,8 +265,8 @@
 	})
 }
 
-// troubleOwner injects a fault into the owner or the store.
-func (f *workerFaults) troubleOwner() {
+// injectOwnerFault injects a fault into the owner or the store.
+func (f *workerFaults) injectOwnerFault() {
 	switch f.random.IntN(12) {
 	case 0:
 		f.owner.Process.Kill()
@@ -298,12 +298,12 @@
 	f.owner = f.Own()
 }
 
-// settle clears all faults, kills the owner and lets a new one finish the jobs.
-func (f *workerFaults) settle() {
+// clearFaultsAndFinish clears all faults, kills the owner and lets a new one finish the jobs.
+func (f *workerFaults) clearFaultsAndFinish() {
 	f.Store.AwayAll = false
 	clear(f.Store.Silent)
 	f.Store.Lose = nil
-	takeAllBack(f.World)
+	endAllEvacuations(f.World)
 	for _, worker := range f.Workers {
 		worker.Cut, worker.LoseOrder = false, nil
 		if !worker.Dead && worker.Capacity != simulation.WorkerCapacity {
--- a/internal/pool/writer_test.go
+++ b/internal/pool/writer_test.go
@@ -34,8 +34,8 @@
 	return func() { timer.run = func() {} }
 }
 
-// pass advances the clock and runs the timers that are due.
-func (l *steppedLoop) pass(d time.Duration) {
+// advance advances the clock and runs the timers that are due.
+func (l *steppedLoop) advance(d time.Duration) {
 	l.now = l.now.Add(d)
 	due := slices.Clone(l.timers)
 	l.timers = slices.DeleteFunc(l.timers, func(t *steppedTimer) bool { return !t.at.After(l.now) })
@@ -49,25 +49,25 @@
 // commitPorts holds commits in flight until the test answers them.
 type commitPorts struct {
 	Ports
-	open []openCommit
-	sent int
+	inFlight []pendingCommit
+	sent     int
 }
 
-type openCommit struct {
+type pendingCommit struct {
 	transaction rows.Transaction
 	done        func(rows.Result, error)
 }
 
 func (p *commitPorts) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	p.sent++
-	p.open = append(p.open, openCommit{transaction, done})
+	p.inFlight = append(p.inFlight, pendingCommit{transaction, done})
 }
 
 // answer completes the oldest commit in flight successfully, and returns its number of rows
 // without the head row.
 func (p *commitPorts) answer() int {
-	first := p.open[0]
-	p.open = p.open[1:]
+	first := p.inFlight[0]
+	p.inFlight = p.inFlight[1:]
 	first.done(rows.Result{Committed: true, Version: int64(p.sent)}, nil)
 	return len(first.transaction.Puts) - 1
 }
@@ -79,8 +79,8 @@
 func (noRecord) Observe(string, time.Duration) {}
 func (noRecord) Decided(string, ...any)        {}
 
-// newWriting returns a pool for tests of its writer.
-func newWriting() (*Pool, *steppedLoop, *commitPorts) {
+// newWriterPool returns a pool for tests of its writer.
+func newWriterPool() (*Pool, *steppedLoop, *commitPorts) {
 	l := &steppedLoop{now: time.Now()}
 	ports := &commitPorts{}
 	return New(Options{Pool: "p"}, l, ports, noRecord{}, 1), l, ports
@@ -92,7 +92,7 @@
 }
 
 func TestBatchesStayWithinTheirSize(t *testing.T) {
-	p, _, ports := newWriting()
+	p, _, ports := newWriterPool()
 	const row = maxBatchBytes/4 - 1<<10
 	for number := range 9 {
 		p.persist(jobOfBytes(number, row))
@@ -100,33 +100,33 @@
 	require.Equal(t, 1, ports.answer(), "the first row is sent immediately")
 	require.Equal(t, 4, ports.answer(), "a fifth row would exceed the size limit")
 	require.Equal(t, 4, ports.answer())
-	require.Empty(t, ports.open)
+	require.Empty(t, ports.inFlight)
 	p.persist(jobOfBytes(10, 2*maxBatchBytes))
 	require.Equal(t, 1, ports.answer(), "a row above the size limit is sent alone")
 }
 
-// TestRowsLeftOverGoAtOnce: rows that did not fit into a batch must not wait for the delay of a run
+// TestRemainingRowsAreSentImmediately: rows that did not fit into a batch must not wait for the delay of a run
 // result that was added meanwhile.
-func TestRowsLeftOverGoAtOnce(t *testing.T) {
-	p, l, ports := newWriting()
+func TestRemainingRowsAreSentImmediately(t *testing.T) {
+	p, l, ports := newWriterPool()
 	p.persist(jobOfBytes(0, 1))
 	for number := range 2 * maxBatchRows {
 		p.persist(jobOfBytes(number+1, 1))
 	}
 	require.Equal(t, 1, ports.answer())
 	p.persistEnd(jobOfBytes(1000, 1))
-	l.pass(time.Millisecond)
+	l.advance(time.Millisecond)
 	require.Equal(t, maxBatchRows, ports.answer())
-	require.Len(t, ports.open, 1, "the remaining rows are sent immediately")
+	require.Len(t, ports.inFlight, 1, "the remaining rows are sent immediately")
 	require.Equal(t, maxBatchRows, ports.answer())
 	require.Equal(t, 1, ports.answer(), "the run result is sent after them")
-	require.Empty(t, ports.open)
+	require.Empty(t, ports.inFlight)
 }
 
-// TestFunctionsWaitForEarlierRowsOnly: callbacks must not wait for rows added after them, or they
+// TestCallbacksWaitForEarlierRowsOnly: callbacks must not wait for rows added after them, or they
 // would never run under steady load.
-func TestFunctionsWaitForEarlierRowsOnly(t *testing.T) {
-	p, _, ports := newWriting()
+func TestCallbacksWaitForEarlierRowsOnly(t *testing.T) {
+	p, _, ports := newWriterPool()
 	ran := false
 	p.persist(jobOfBytes(0, 1))
 	p.persist(jobOfBytes(1, 1))
@@ -143,10 +143,10 @@
 // TestLargeBatchGetsTheTimeItTakesToSend: the timeout of a batch must include its transfer time, or
 // copies for other partitions slow the first transfer down further.
 func TestLargeBatchGetsTheTimeItTakesToSend(t *testing.T) {
-	p, l, ports := newWriting()
+	p, l, ports := newWriterPool()
 	p.persist(jobOfBytes(0, maxBatchBytes))
-	l.pass(partitionTimeout)
-	require.Len(t, ports.open, 1)
-	l.pass(rows.SendTime(ports.open[0].transaction))
-	require.Len(t, ports.open, 2)
+	l.advance(partitionTimeout)
+	require.Len(t, ports.inFlight, 1)
+	l.advance(rows.SendTime(ports.inFlight[0].transaction))
+	require.Len(t, ports.inFlight, 2)
 }
