--- a/internal/pool/acknowledgements.go
+++ b/internal/pool/acknowledgements.go
@@ -38,7 +38,8 @@
 	e.due = max(e.due, number)
 }
 
-// acknowledgeable returns the number that a poll may acknowledge at the given time; 0 acknowledges nothing.
+// acknowledgeable returns the number that a poll may acknowledge at the given time; 0 acknowledges
+// nothing.
 func (e *endAcknowledgements) acknowledgeable(now time.Time, without Without) int64 {
 	if now.Sub(e.reportAt) > maxReportAge && !without.FreshAccount {
 		return 0
--- a/internal/pool/batch.go
+++ b/internal/pool/batch.go
@@ -30,7 +30,7 @@
 	// without a delay.
 	hasRemainder bool
 	sentAt       time.Time
-	// failedAttempts counts failed attempts, and open counts attempts in flight.
+	// failedAttempts counts failed attempts, and inFlight those without a response yet.
 	failedAttempts int
 	inFlight       int
 	// written is true once an attempt is known to be committed.
@@ -85,7 +85,7 @@
 	return transaction
 }
 
-// encodeHead encodes this owner's encodeHead row.
+// encodeHead encodes this owner's head row.
 func (p *Pool) encodeHead(nonce string) []byte {
 	return mustEncode(headRecord{Token: p.token, Nonce: p.options.Incarnation + "." + nonce, Durations: p.durations})
 }
--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// removeRowOfBusyWorker starts a task on a worker whose row is then deleted without a drain, while the
-// worker still serves. The owner is replaced, and the job is cancelled.
+// removeRowOfBusyWorker starts a task on a worker whose row is then deleted without a drain, while
+// the worker still serves. The owner is replaced, and the job is cancelled.
 func removeRowOfBusyWorker(replace func(*simulation.World, *simulation.Owner)) *simulation.World {
 	w, former := newWorldWithLongTask()
 	w.RemoveWorkerRow(busyWorker(w))
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -16,7 +16,8 @@
 	return p.loop.Now().Sub(p.workersReadAt) <= maxCapacityAge
 }
 
-// workersEnforceCapacity reports whether the pool's workers refuse starts that exceed their capacity.
+// workersEnforceCapacity reports whether the pool's workers refuse starts that exceed their
+// capacity.
 func (p *Pool) workersEnforceCapacity() bool {
 	current := p.options.Catalog()
 	if current == nil {
@@ -30,7 +31,7 @@
 	return false
 }
 
-// fitsMembers reports whether all members and unwanted runs on the worker fit into its present
+// fitsMembers reports whether all members and unexpected runs on the worker fit into its present
 // capacity.
 func (w *worker) fitsMembers(now time.Time) bool {
 	free := w.Capacity
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -19,7 +19,8 @@
 	return w
 }
 
-// TestStartsFollowNewCapacity checks that starts follow a worker's capacity as it shrinks and grows.
+// TestStartsFollowNewCapacity checks that starts follow a worker's capacity as it shrinks and
+// grows.
 func TestStartsFollowNewCapacity(t *testing.T) {
 	w := newUnenforcedCluster(1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
@@ -62,8 +63,8 @@
 	return w
 }
 
-// shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are silent for
-// a while afterwards.
+// shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are
+// unresponsive for a while afterwards.
 func shrinkWhileSuspended(without pool.Without) *simulation.World {
 	w := newUnenforcedCluster(1)
 	w.Without = without
@@ -82,8 +83,8 @@
 	return w
 }
 
-// TestStartsWaitForFreshCapacities guards against starts by a stale capacity: after a store outage or
-// a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
+// TestStartsWaitForFreshCapacities guards against starts by a stale capacity: after a store outage
+// or a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
 func TestStartsWaitForFreshCapacities(t *testing.T) {
 	for name, shrink := range map[string]func(pool.Without) *simulation.World{
 		"takeover during a store outage": shrinkDuringStoreOutage,
@@ -95,8 +96,8 @@
 	}
 }
 
-// takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job that
-// fills a worker, while another job waits.
+// takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job
+// that fills a worker, while another job waits.
 func takeOverWhileStopping(without pool.Without) *simulation.World {
 	w := newUnenforcedCluster(1)
 	w.Without = without
@@ -122,8 +123,8 @@
 	requireInvariants(t, takeOverWhileStopping(pool.Without{}))
 }
 
-// TestUnwantedRunsUseResourcesUntilStopped guards against the same fault for runs that the new owner
-// stops because its rows don't list them.
+// TestUnwantedRunsUseResourcesUntilStopped guards against the same fault for runs that the new
+// owner stops because its rows don't list them.
 func TestUnwantedRunsUseResourcesUntilStopped(t *testing.T) {
 	w := newUnenforcedCluster(1)
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
--- a/internal/pool/claims.go
+++ b/internal/pool/claims.go
@@ -2,8 +2,8 @@
 
 import "github.com/wheatroad/wheatroad/internal/fleet"
 
-// verifyNextIncarnation handles a worker row that names another incarnation, which probably follows the
-// known one. If runs may exist in the known incarnation, the named one has to answer before it
+// verifyNextIncarnation handles a worker row that names another incarnation, which probably follows
+// the known one. If runs may exist in the known incarnation, the named one has to answer before it
 // replaces it.
 func (p *Pool) verifyNextIncarnation(w *worker, described *fleet.Worker) {
 	if len(w.members) == 0 && len(w.unexpected) == 0 {
@@ -39,8 +39,8 @@
 	})
 }
 
-// claimedIncarnationUnverified keeps the known incarnation. Without a response the row may still be right, so
-// the request is repeated.
+// claimedIncarnationUnverified keeps the known incarnation. Without a response the row may still be
+// right, so the request is repeated.
 func (p *Pool) claimedIncarnationUnverified(w *worker, err error) {
 	if err == nil {
 		// The known incarnation answered at the address in the row.
@@ -61,8 +61,8 @@
 	}
 }
 
-// rejectClaimedIncarnation discards an incarnation that the worker did not confirm, and treats the worker's row
-// as gone.
+// rejectClaimedIncarnation discards an incarnation that the worker did not confirm, and treats the
+// worker's row as gone.
 func (p *Pool) rejectClaimedIncarnation(w *worker) {
 	p.record.Count("refusals", "worker_row_refuted")
 	w.claimedIncarnation = nil
--- a/internal/pool/cold_test.go
+++ b/internal/pool/cold_test.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// TestGangsLeaveColdWorkersToSingleTasks checks that gangs avoid cold workers, since a gang is as slow as
-// its slowest member, and that single tasks run there.
+// TestGangsLeaveColdWorkersToSingleTasks checks that gangs avoid cold workers, since a gang is as
+// slow as its slowest member, and that single tasks run there.
 func TestGangsLeaveColdWorkersToSingleTasks(t *testing.T) {
 	w := simulation.NewWorld(1, 4)
 	w.Own()
@@ -39,8 +39,8 @@
 	requireInvariants(t, w)
 }
 
-// TestColdWorkersAreNotExcluded checks that a straggler's worker is excluded from new work unless it is
-// cold.
+// TestColdWorkersAreNotExcluded checks that a straggler's worker is excluded from new work unless
+// it is cold.
 func TestColdWorkersAreNotExcluded(t *testing.T) {
 	for name, cold := range map[string]bool{"cold": true, "slow": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/pool/confirmation.go
+++ b/internal/pool/confirmation.go
@@ -6,8 +6,9 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// ownershipCheckInterval is the age of the last confirmation from which the lease row is read again. It
-// is well below the shortest worker lease of 6 s. Each committed write confirms ownership too.
+// ownershipCheckInterval is the age of the last confirmation from which the lease row is read
+// again. It is well below the shortest worker lease of 6 s. Each committed write confirms ownership
+// too.
 const ownershipCheckInterval = time.Second
 
 // Confirm records that this owner held the pool at a given time. Leases of runs may extend at
@@ -34,7 +35,7 @@
 }
 
 // checkOwnership reads the lease row if the last confirmation of ownership is older than
-// confirmPeriod.
+// ownershipCheckInterval.
 func (p *Pool) checkOwnership() {
 	askedAt := p.loop.Now()
 	if p.confirmingOwnership || !p.loaded || askedAt.Sub(p.ownershipConfirmedAt) < ownershipCheckInterval {
--- a/internal/pool/crowdedtrials_test.go
+++ b/internal/pool/crowdedtrials_test.go
@@ -13,9 +13,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// runPoisonInFullPool simulates a full pool in which one of every so many jobs has a task that crashes the
-// workers that run it. It requires that these jobs fail, and returns the number of the other, healthy
-// jobs and how many of them failed.
+// runPoisonInFullPool simulates a full pool in which one of every so many jobs has a task that
+// crashes the workers that run it. It requires that these jobs fail, and returns the number of the
+// other, healthy jobs and how many of them failed.
 func runPoisonInFullPool(t *testing.T, seed uint64, jobs, every int, crash simulation.Crash) (healthy, failed int) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	w := simulation.NewWorld(3, 4)
@@ -68,8 +68,8 @@
 	return healthy, failed
 }
 
-// TestHealthyJobsAmongCrashingTasksComplete guards against healthy jobs that fail because a suspected
-// task is placed beside others that crash its worker.
+// TestHealthyJobsAmongCrashingTasksComplete guards against healthy jobs that fail because a
+// suspected task is placed beside others that crash its worker.
 func TestHealthyJobsAmongCrashingTasksComplete(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 7} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -81,7 +81,8 @@
 }
 
 // TestDelayedCrashesFailJobsInFullPool guards against a pool without progress: tasks that
-// crash all workers raise the rate of chance losses, so that their own odds stay low and no job fails.
+// crash all workers raise the rate of chance losses, so that their own odds stay low and no job
+// fails.
 func TestDelayedCrashesFailJobsInFullPool(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -14,12 +14,13 @@
 	// changing workload.
 	maxDurationWeight = 60.0
 	// priorLevelWeight is the weight, in jobs, of the prior that estimates are right on average.
-	// priorSpread is the weight of the prior that durations are proportional to estimates, in
+	// priorSlopeWeight is the weight of the prior that durations are proportional to estimates, in
 	// squared logarithms.
 	priorLevelWeight = 3.0
 	priorSlopeWeight = 2.0
-	// priorVariance is the prior variance of the prediction error, with the weight of priorJobs.
-	// mostSquare bounds the squared error that one run adds, against outliers.
+	// priorVariance is the prior variance of the prediction error, with the weight of
+	// priorLevelWeight.
+	// maxSquaredError bounds the squared error that one run adds, against outliers.
 	priorVariance   = 0.25
 	maxSquaredError = 1.0
 )
@@ -121,7 +122,7 @@
 	}
 }
 
-// estimateJob sets the expected durations of a job's steps, and its tails and objective.
+// estimateJob sets the expected durations of a job's steps, its critical paths and its objective.
 func (p *Pool) estimateJob(j *job) {
 	model := p.durations[j.Queue.Name]
 	j.estimates = make([]time.Duration, len(j.Spec.Steps))
--- a/internal/pool/durations_test.go
+++ b/internal/pool/durations_test.go
@@ -54,8 +54,8 @@
 	require.Less(t, predicted, 2*time.Second, "one run has little weight against the prior")
 }
 
-// TestTakeoverKeepsDurationModels checks that a new owner keeps the model with the largest weight from
-// several head rows.
+// TestTakeoverKeepsDurationModels checks that a new owner keeps the model with the largest weight
+// from several head rows.
 func TestTakeoverKeepsDurationModels(t *testing.T) {
 	p := &Pool{durations: map[string]*durationModel{}}
 	p.mergeDurations(headRecord{Token: 4})
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -9,16 +9,16 @@
 
 // Operators evacuate zones: no run may start there later than Bounds.Evacuation after the store
 // acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of evacuated
-// zones that is not older than evacuationAge. With a delay of at most startAhead until the start
-// is carried out, it stays within the bound.
+// zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay until the
+// start is carried out, it stays within the bound.
 const (
-	// maxEvacuationAge bounds evacuationAge. It is several responses of a node's feed, which come
+	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which come
 	// every 0.3 s.
 	maxEvacuationAge = 2 * time.Second
 	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
 	// maxEvacuationReadAge bounds the age from which the owner reads the rows itself, for example
-	// because its node's feed is silent or the store refuses the node.
+	// because its node's feed is unresponsive or the store refuses the node.
 	maxEvacuationReadAge = 800 * time.Millisecond
 )
 
@@ -45,8 +45,8 @@
 	return min(maxEvacuationAge, bound-p.maxStartDelay()-evacuationMargin)
 }
 
-// evacuationReadAgeLimit returns the age of the set from which the owner reads it again. At most half of
-// evacuationAge, so that the other half is left for the read.
+// evacuationReadAgeLimit returns the age of the set from which the owner reads it again. At most
+// half of evacuationAgeLimit, so that the other half is left for the read.
 func (p *Pool) evacuationReadAgeLimit() time.Duration {
 	if limit := p.evacuationAgeLimit(); limit > 0 {
 		return min(maxEvacuationReadAge, limit/2)
@@ -54,7 +54,7 @@
 	return maxEvacuationReadAge
 }
 
-// evacuatedZones returns the newest known set of evacuatedZones zones.
+// evacuatedZones returns the newest known set of evacuated zones.
 func (p *Pool) evacuatedZones() evacuation.Set {
 	if p.options.Evacuated == nil {
 		return p.evacuationsRead
@@ -77,7 +77,7 @@
 }
 
 // checkEvacuations handles changes of the evacuated zones, and reads the operators' rows if the set
-// is older than evacuationReadAge.
+// is older than evacuationReadAgeLimit.
 func (p *Pool) checkEvacuations() {
 	p.NoteEvacuations()
 	askedAt := p.loop.Now()
@@ -98,8 +98,8 @@
 	})
 }
 
-// NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change and
-// schedules a cycle.
+// NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change
+// and schedules a cycle.
 func (p *Pool) NoteEvacuations() {
 	if p.closed {
 		return
@@ -116,8 +116,8 @@
 	p.scheduleCycle()
 }
 
-// runsInEvacuatedZones returns the number of runs in evacuated zones. They continue: a restart would
-// lose work and take resources from others while a zone is missing.
+// runsInEvacuatedZones returns the number of runs in evacuated zones. They continue: a restart
+// would lose work and take resources from others while a zone is missing.
 func (p *Pool) runsInEvacuatedZones() int {
 	count := 0
 	zones := p.evacuatedZones()
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -26,7 +26,8 @@
 	return count
 }
 
-// newEvacuatedCluster returns a simulation of two racks, each a zone, of which the first is evacuated.
+// newEvacuatedCluster returns a simulation of two racks, each a zone, of which the first is
+// evacuated.
 func newEvacuatedCluster(without pool.Without) (*simulation.World, *simulation.Owner, string) {
 	w := simulation.NewWorld(2, 3)
 	w.Without = without
@@ -103,8 +104,9 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestOwnerWithStaleEvacuationsStartsNothing guards against starts by a stale or unknown set of evacuated zones:
-// the store answers an owner's writes but not its reads, the owner was suspended, or it is new.
+// TestOwnerWithStaleEvacuationsStartsNothing guards against starts by a stale or unknown set of
+// evacuated zones: the store answers an owner's writes but not its reads, the owner was suspended,
+// or it is new.
 func TestOwnerWithStaleEvacuationsStartsNothing(t *testing.T) {
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
 		runScenario := func(without pool.Without) *simulation.World {
@@ -161,8 +163,8 @@
 	})
 }
 
-// TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile checks that a placement is not started if its zone
-// is evacuated while its row is being written.
+// TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile checks that a placement is not started if its
+// zone is evacuated while its row is being written.
 func TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile(t *testing.T) {
 	runScenario := func(without pool.Without) *simulation.World {
 		w := simulation.NewWorld(2, 3)
@@ -183,8 +185,8 @@
 	requireInvariantsNeed(t, runScenario, pool.Without{StartZones: true})
 }
 
-// TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone checks that an unanswered start is not sent again
-// after its zone was evacuated.
+// TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone checks that an unanswered start is not sent
+// again after its zone was evacuated.
 func TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
 	w.Bounds.Evacuation = 2 * time.Second
@@ -203,8 +205,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// changeEvacuationsAtRandom evacuates a random zone, ends a zone's evacuation, or does nothing. It has its own
-// source of random numbers, so that the other faults of a seed stay the same.
+// changeEvacuationsAtRandom evacuates a random zone, ends a zone's evacuation, or does nothing. It
+// has its own source of random numbers, so that the other faults of a seed stay the same.
 func changeEvacuationsAtRandom(w *simulation.World, random *rand.Rand) {
 	zones := w.Zones()
 	zone := zones[random.IntN(len(zones))]
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -7,11 +7,12 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Where urgent units miss their objective on slow workers, deferrable tasks run first on idle workers
-// of unknown speed. Otherwise the headroom for urgent units would consist of unmeasured workers.
+// Where urgent units miss their objective on slow workers, deferrable tasks run first on idle
+// workers of unknown speed. Otherwise the headroom for urgent units would consist of unmeasured
+// workers.
 
-// minSlowShareToExplore is the share of measured workers that must be too slow for urgent units before
-// the others are explored.
+// minSlowShareToExplore is the share of measured workers that must be too slow for urgent units
+// before the others are explored.
 const minSlowShareToExplore = 0.1
 
 // findUnmeasuredWorker returns an idle worker of unknown speed for a deferrable task, or nil.
--- a/internal/pool/findplace.go
+++ b/internal/pool/findplace.go
@@ -82,8 +82,8 @@
 	return s.utilization < idleUtilization && s.now.Sub(u.readyAt) > starvationTimeout
 }
 
-// waitsForLocality reports whether a unit still waits for locality. It waits no longer than the extra
-// time that a remote run takes.
+// waitsForLocality reports whether a unit still waits for locality. It waits no longer than the
+// extra time that a remote run takes.
 func (p *Pool) waitsForLocality(s *snapshot, u *unit, request *placement.Request) bool {
 	if p.options.Off[mechanism.NearPlaces] || !s.hasLocalPlacement(u, request) {
 		return false
@@ -147,8 +147,8 @@
 	return excluded
 }
 
-// reservationLimiter returns a limit that hides reserved resources from units whose estimate exceeds
-// the time until the reservation starts; nil if nothing is reserved.
+// reservationLimiter returns a limit that hides reserved resources from units whose estimate
+// exceeds the time until the reservation starts; nil if nothing is reserved.
 func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
 	if len(s.reservations) == 0 {
 		return nil
@@ -178,8 +178,8 @@
 	return [][]int{s.racks.All}
 }
 
-// earliestPlacement returns the earliestPlacement future placement of a unit; nil if there is none, or if the
-// cycle has no reservations left and the unit's priority is not 0.
+// earliestPlacement returns the earliest future placement of a unit; nil if there is none, or if
+// the cycle has no reservations left and the unit's priority is not 0.
 func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.Promise {
 	if s.reservationsLeft == 0 && u.job.Queue.Priority > 0 {
 		return nil
--- a/internal/pool/foreignrows.go
+++ b/internal/pool/foreignrows.go
@@ -12,17 +12,17 @@
 type invalidWorkerRows struct {
 	// faults holds the fault of each invalid row by row name.
 	faults map[string]fleet.RowFault
-	// loggedCount is the count that was last logged, at toldAt.
+	// loggedCount is the count that was last logged, at loggedAt.
 	loggedCount int
 	loggedAt    time.Time
 }
 
-// invalidRowsLogInterval limits the rate of log lines about invalid rows: there may be thousands, and
-// they may change with each heartbeat.
+// invalidRowsLogInterval limits the rate of log lines about invalid rows: there may be thousands,
+// and they may change with each heartbeat.
 const invalidRowsLogInterval = 10 * time.Second
 
-// handleInvalidWorkerRow records an invalid worker row. Runs on the worker of that name continue, but
-// nothing is started there until its row is valid again.
+// handleInvalidWorkerRow records an invalid worker row. Runs on the worker of that name continue,
+// but nothing is started there until its row is valid again.
 func (p *Pool) handleInvalidWorkerRow(name string, err error) {
 	fault := fleet.RowUnreadable
 	var rowError *fleet.RowError
--- a/internal/pool/foreignrows_test.go
+++ b/internal/pool/foreignrows_test.go
@@ -12,8 +12,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// requireRunsSurviveInvalidRow starts tasks on the only worker, then makes its row invalid: they must run to
-// completion, and nothing may start there until the row is valid again.
+// requireRunsSurviveInvalidRow starts tasks on the only worker, then makes its row invalid: they
+// must run to completion, and nothing may start there until the row is valid again.
 func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.World, spoil func()) {
 	t.Helper()
 	w.Submit(spec(1, single(4)), batch)
@@ -31,8 +31,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 }
 
-// TestRunsSurviveInvalidWorkerRow: a worker's row is temporarily invalid while tasks run that outlast
-// their first lease.
+// TestRunsSurviveInvalidWorkerRow: a worker's row is temporarily invalid while tasks run that
+// outlast their first lease.
 func TestRunsSurviveInvalidWorkerRow(t *testing.T) {
 	for name, value := range map[string]string{"no JSON document": "{", "null": "null", "another service": `{"ID":"w-0-0","Pool":"other","Address":"w-0-0"}`} {
 		t.Run(name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestNextOwnerFindsRunsDespiteInvalidWorkerRow: the owner is killed while a worker's row is invalid. The
-// next owner must contact the worker at the address in the progress rows.
+// TestNextOwnerFindsRunsDespiteInvalidWorkerRow: the owner is killed while a worker's row is
+// invalid. The next owner must contact the worker at the address in the progress rows.
 func TestNextOwnerFindsRunsDespiteInvalidWorkerRow(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -10,8 +10,8 @@
 // Runs that were placed in a former incarnation of their worker: those that certainly ended with it
 // are lost at once, the others are looked up in the next incarnation.
 
-// markFormerRunsLost marks as lost the runs that were confirmed in the former incarnation before the
-// report of the next one was requested, and that this report does not contain.
+// markFormerRunsLost marks as lost the runs that were confirmed in the former incarnation before
+// the report of the next one was requested, and that this report does not contain.
 func (p *Pool) markFormerRunsLost(w *worker, reply fleet.Reply, sentAt time.Time) {
 	listed := runIDs(reply.Running)
 	for i := range reply.Ended {
@@ -31,11 +31,11 @@
 	w.members = append(w.members, kept...)
 }
 
-// endedWithIncarnation reports whether the member's run has certainly ended if it is missing from the
-// report of the worker's next incarnation that was requested at sentAt. An unanswered start of this
-// owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner is
-// fenced there by the request. A run that is being stopped is missing from reports, so it counts as
-// ended only if an earlier owner had it confirmed in the former incarnation.
+// endedWithIncarnation reports whether the member's run has certainly ended if it is missing from
+// the report of the worker's next incarnation that was requested at sentAt. An unanswered start of
+// this owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner
+// is fenced there by the request. A run that is being stopped is missing from reports, so it counts
+// as ended only if an earlier owner had it confirmed in the former incarnation.
 func (m *member) endedWithIncarnation(sentAt time.Time, without Without) bool {
 	switch m.state {
 	case memberNone:
@@ -49,8 +49,8 @@
 	return false
 }
 
-// markConfirmedBeforeLost marks as lost the members whose runs an earlier owner had confirmed in a former
-// incarnation of the worker, if the first report of the present one does not list them.
+// markConfirmedBeforeLost marks as lost the members whose runs an earlier owner had confirmed in a
+// former incarnation of the worker, if the first report of the present one does not list them.
 func (p *Pool) markConfirmedBeforeLost(w *worker, listed map[*member]bool) {
 	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// leaveIncarnation records that the member's run was last known in an incarnation that has ended. The next
-// incarnation has not confirmed the run yet.
+// leaveIncarnation records that the member's run was last known in an incarnation that has ended.
+// The next incarnation has not confirmed the run yet.
 func (m *member) leaveIncarnation(life fleet.Life) {
 	if m.wasConfirmed() {
 		m.formerIncarnation = life
@@ -81,8 +81,8 @@
 	m.confirmedBefore = false
 }
 
-// recordUnexplainedLoss records the loss of the worker's former incarnation for a run that is not in
-// the next one. The loss is unexplained, since the time at which the run ended is unknown.
+// recordUnexplainedLoss records the loss of the worker's former incarnation for a run that is not
+// in the next one. The loss is unexplained, since the time at which the run ended is unknown.
 func (m *member) recordUnexplainedLoss() {
 	if m.formerIncarnation.ID == "" {
 		return
--- a/internal/pool/greet.go
+++ b/internal/pool/greet.go
@@ -1,7 +1,8 @@
 package pool
 
-// maxQueuedPollsInFlight bounds the queued polls in flight. Each may open a connection; a new owner that polls
-// thousands of workers at once reads the answers too late and takes the workers for unresponsive.
+// maxQueuedPollsInFlight bounds the queued polls in flight. Each may open a connection; a new owner
+// that polls thousands of workers at once reads the answers too late and takes the workers for
+// unresponsive.
 const maxQueuedPollsInFlight = 128
 
 // pollQueue is the queue of first contacts with workers, which fence former owners there, and of
@@ -11,8 +12,8 @@
 	inFlight int
 }
 
-// contactAll polls every worker, first those that have runs according to the rows, since their leases
-// are running.
+// contactAll polls every worker, first those that have runs according to the rows, since their
+// leases are running.
 func (p *Pool) contactAll() {
 	for _, w := range p.sortedWorkers() {
 		if len(w.members) > 0 {
--- a/internal/pool/hold.go
+++ b/internal/pool/hold.go
@@ -138,12 +138,12 @@
 	p.applyReport(w, reply, sentAt)
 }
 
-// clockJumpThreshold is the deviation of a worker's clock from its estimate, beyond drift, that counts as a
-// jump. It far exceeds the delay and reordering of replies.
+// clockJumpThreshold is the deviation of a worker's clock from its estimate, beyond drift, that
+// counts as a jump. It far exceeds the delay and reordering of replies.
 const clockJumpThreshold = 10 * time.Second
 
 // checkClockJump reports and logs whether a worker's clock deviates from its estimate by more than
-// clockJump.
+// clockJumpThreshold.
 func (p *Pool) checkClockJump(w *worker, clock int64, now time.Time) bool {
 	if w.clock == 0 {
 		return false
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -80,7 +80,7 @@
 	units    []*unit
 	ended    int
 	complete bool
-	// waitReason is why the step's units could not be placed at waitSeenAt, the last time that
+	// waitReason is why the step's units could not be placed at waitReasonAt, the last time that
 	// was checked.
 	waitReason   waitReason
 	waitReasonAt time.Time
@@ -109,9 +109,9 @@
 	startedByThisOwner bool
 	// fromCheckpoint is true if the latest run was started from a checkpoint.
 	fromCheckpoint bool
-	// stalls counts how often the unit was moved for lack of progress.
+	// stalls counts how often the unit was restarted for lack of progress.
 	stalls int
-	// snapshotIndex is the unit's number in the snapshot of snapshotGeneration.
+	// snapshotIndex is the unit's index in the snapshot of snapshotGeneration.
 	snapshotIndex, snapshotGeneration int
 	// stopReason is set while the unit is being stopped.
 	stopReason string
@@ -149,13 +149,13 @@
 	// formerIncarnation is the worker's incarnation in which the present run was last known, if the
 	// worker has restarted since.
 	formerIncarnation fleet.Life
-	// startCall are the attempts of the present run's latest start; nil before it.
+	// startCall is the state of the present run's latest start order; nil before it.
 	startCall *hedgedCall
 	sentAt    time.Time
 	// startDeadline is the deadline of the present run's start order, in milliseconds of the
 	// worker's clock; 0 before it is sent.
 	startDeadline int64
-	// percent is the last reported progress, percentAt when it last changed, and listedAt
+	// percent is the last reported progress, percentChangedAt when it last changed, and reportedAt
 	// when the run was last reported.
 	percent          int
 	percentChangedAt time.Time
@@ -163,7 +163,7 @@
 	// losses is the history of workers lost while the member ran there; nil if there are none.
 	losses *poison.History
 	// logRunTime is the logarithm of the run's projected duration in seconds, estimated at
-	// timedPercent of its progress; 0 before the first estimate.
+	// runTimePercent of its progress; 0 before the first estimate.
 	logRunTime     float64
 	runTimePercent int
 	// cohortEntry is the member's entry in the step's cohort.
--- a/internal/pool/laggards.go
+++ b/internal/pool/laggards.go
@@ -10,11 +10,11 @@
 // Detection of stragglers: members of a gang that are much slower than the others, which wait
 // for them.
 const (
-	// stragglerRatio is the ratio of a run's projected duration to the one that its worker's known speed
-	// explains, from which the member is a straggler.
+	// stragglerRatio is the ratio of a run's projected duration to the one that its worker's known
+	// speed explains, from which the member is a straggler.
 	stragglerRatio = 2.5
-	// maxMedianSlowness bounds the median worker's duration as a multiple of that of the fastest workers
-	// while most speeds are unknown.
+	// maxMedianSlowness bounds the median worker's duration as a multiple of that of the fastest
+	// workers while most speeds are unknown.
 	maxMedianSlowness = 2
 	// restartOverhead is the time that a restart takes besides the repeated work: the stop, which
 	// takes up to 0.9 s on the platform, and the start.
@@ -27,8 +27,8 @@
 	minProgressShare = 0.005
 )
 
-// checkStragglers detects stragglers in a gang and excludes their workers from new work. It restarts the
-// gang if waiting for the slowest member would take longer than a restart.
+// checkStragglers detects stragglers in a gang and excludes their workers from new work. It
+// restarts the gang if waiting for the slowest member would take longer than a restart.
 func (p *Pool) checkStragglers(u *unit, now time.Time) {
 	if len(u.members) < 2 || !u.startedByThisOwner || u.fromCheckpoint || u.runningSince.IsZero() {
 		return
@@ -61,14 +61,15 @@
 	}
 }
 
-// slowExclusionPeriod is how long gangs avoid the worker of a straggler. It is twice the exclusion period,
-// so that single tasks run there first.
+// slowExclusionPeriod is how long gangs avoid the worker of a straggler. It is twice the exclusion
+// period, so that single tasks run there first.
 const slowExclusionPeriod = 2 * exclusionPeriod
 
-// medianWorkerDuration returns the projected duration of a member on the median worker, and false while less than
-// half of the members or fewer than two have a projection. It is the lower quartile of the members on
-// workers of known speed, which is robust against many stragglers. If most speeds are unknown it is the
-// median of all members, at most fastestLead times their lower quartile.
+// medianWorkerDuration returns the projected duration of a member on the median worker, and false
+// while less than half of the members or fewer than two have a projection. It is the lower quartile
+// of the members on workers of known speed, which is robust against many stragglers. If most speeds
+// are unknown it is the median of all members, at most maxMedianSlowness times their lower
+// quartile.
 func (p *Pool) medianWorkerDuration(u *unit, now time.Time) (time.Duration, bool) {
 	var projections, corrected []time.Duration
 	for _, m := range u.members {
--- a/internal/pool/laggards_test.go
+++ b/internal/pool/laggards_test.go
@@ -9,8 +9,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestGangWithStragglersIsRestarted guards against gangs that miss their objective because they wait
-// for a straggler instead of being restarted on other workers.
+// TestGangWithStragglersIsRestarted guards against gangs that miss their objective because they
+// wait for a straggler instead of being restarted on other workers.
 func TestGangWithStragglersIsRestarted(t *testing.T) {
 	w := newGangCluster(2, 4)
 	for _, worker := range w.Workers[:2] {
@@ -37,8 +37,8 @@
 	requireInvariants(t, w)
 }
 
-// TestGangNearItsEndIsNotRestarted checks that a gang is not restarted if the rest takes less time than
-// a restart.
+// TestGangNearItsEndIsNotRestarted checks that a gang is not restarted if the rest takes less time
+// than a restart.
 func TestGangNearItsEndIsNotRestarted(t *testing.T) {
 	const work = 6 * time.Second
 	w := newGangCluster(2, 4)
--- a/internal/pool/leaseend_test.go
+++ b/internal/pool/leaseend_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// newWorldWithLongTask returns a world of two workers in which the first owner has started one long task, and
-// that owner.
+// newWorldWithLongTask returns a world of two workers in which the first owner has started one long
+// task, and that owner.
 func newWorldWithLongTask() (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 2)
 	return w, startLongTask(w)
@@ -101,8 +101,8 @@
 
 func noPause(*simulation.World, *simulation.Owner, time.Duration) {}
 
-// replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by one
-// that cannot reach the worker of the run.
+// replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
+// one that cannot reach the worker of the run.
 func replaceCutOffOwner(stop pauseFunc, without pool.Without, steadyTime bool) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Without, w.SteadyTime = without, steadyTime
@@ -176,8 +176,9 @@
 	}
 }
 
-// TestLateRefusalUpdatesClockEstimate: after minutes of idleness the estimate of a worker's clock is so
-// low that its first start is refused as late. The clock in the refusal must correct the estimate.
+// TestLateRefusalUpdatesClockEstimate: after minutes of idleness the estimate of a worker's clock
+// is so low that its first start is refused as late. The clock in the refusal must correct the
+// estimate.
 func TestLateRefusalUpdatesClockEstimate(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.Own()
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -12,8 +12,8 @@
 	leaseExpiryMargin = 300 * time.Millisecond
 )
 
-// estimatedClock returns a lower estimate of the worker's clock, so that leases never end later than
-// intended. After minutes of idleness a worker may refuse a start as late because of it; the
+// estimatedClock returns a lower estimate of the worker's clock, so that leases never end later
+// than intended. After minutes of idleness a worker may refuse a start as late because of it; the
 // refusal carries the worker's clock.
 func (w *worker) estimatedClock(now time.Time) int64 {
 	elapsed := float64(now.Sub(w.clockAt).Milliseconds())
@@ -28,7 +28,7 @@
 	}
 	if deadline == 0 {
 		// This owner granted no lease. The former owner may have granted some until this one had
-		// claimed the progress rows.
+		// fenced the progress partitions.
 		since := w.clockAt
 		if p.progressFencedAt.After(since) && !p.options.Without.ClaimWait {
 			since = p.progressFencedAt
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// removeExpiredJobs deletes the rows of one job whose retention has expired. The progress row is deleted
-// last, so that the job cannot appear to be new.
+// removeExpiredJobs deletes the rows of one job whose retention has expired. The progress row is
+// deleted last, so that the job cannot appear to be new.
 func (p *Pool) removeExpiredJobs() {
 	if p.removingExpiredJob || p.releasing {
 		return
--- a/internal/pool/lives.go
+++ b/internal/pool/lives.go
@@ -7,7 +7,7 @@
 )
 
 // A worker value stands for one incarnation of a worker: everything kept there ends with it, except
-// the machine record. A worker row that names another incarnation is only a hint, since it may have
+// the machine state. A worker row that names another incarnation is only a hint, since it may have
 // been written by someone else: runs are not given up until the worker itself has answered.
 
 // restartEvidence says how the owner learned that a worker has restarted.
@@ -94,8 +94,8 @@
 	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(evidence), "runs", runs)
 }
 
-// replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members and the
-// machine record; the row of the new incarnation has not been read yet.
+// replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members
+// and the machine state; the row of the new incarnation has not been read yet.
 func (p *Pool) replaceIncarnation(w *worker, next fleet.Worker) *worker {
 	if w.cancelPollTimer != nil {
 		w.cancelPollTimer()
@@ -115,10 +115,10 @@
 	return replacement
 }
 
-// moveToIncarnation moves a member to the next incarnation of its worker, whose report will show whether
-// the run is there. If the run is not listed, it is stopped there before the task is placed again,
-// because the start or a copy of it may still arrive. Answers to requests in flight are ignored
-// from here on.
+// moveToIncarnation moves a member to the next incarnation of its worker, whose report will show
+// whether the run is there. If the run is not listed, it is stopped there before the task is placed
+// again, because the start or a copy of it may still arrive. Answers to requests in flight are
+// ignored from here on.
 func (p *Pool) moveToIncarnation(m *member, replacement *worker) {
 	m.leaveIncarnation(m.worker.Life)
 	m.worker = replacement
@@ -138,8 +138,8 @@
 	}
 }
 
-// handleOtherIncarnation handles a reply that is not from the known incarnation. It returns false if
-// the reply is from the known one.
+// handleOtherIncarnation handles a reply that is not from the known incarnation. It returns false
+// if the reply is from the known one.
 func (p *Pool) handleOtherIncarnation(w *worker, reply fleet.Reply, sentAt time.Time) bool {
 	if w.Born == 0 {
 		w.Born = reply.Born
--- a/internal/pool/lives_test.go
+++ b/internal/pool/lives_test.go
@@ -12,11 +12,12 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// farAheadClock is the clock of a restarted worker that is far ahead of the clock before the restart.
+// farAheadClock is the clock of a restarted worker that is far ahead of the clock before the
+// restart.
 const farAheadClock = 7_000_000
 
-// newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and its owner.
-// Tasks take two seconds.
+// newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and
+// its owner. Tasks take two seconds.
 func newWorldWithOneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 1)
 	w.Without = without
@@ -26,9 +27,9 @@
 	return w, owner
 }
 
-// restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts sent
-// before the restart reach the next incarnation, where they fail at once with lower numbers than
-// the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
+// restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
+// sent before the restart reach the next incarnation, where they fail at once with lower numbers
+// than the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
 func restartWithUnwrittenEnds(without pool.Without, holdsLost bool) *simulation.World {
 	w, _ := newWorldWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
@@ -255,8 +256,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestRestartedWorkerMayChangeCapacity: a restarted worker has its own capacity, labels, zone and drain
-// state, and tasks that need a label of the former incarnation are not placed there.
+// TestRestartedWorkerMayChangeCapacity: a restarted worker has its own capacity, labels, zone and
+// drain state, and tasks that need a label of the former incarnation are not placed there.
 func TestRestartedWorkerMayChangeCapacity(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
 	w.Unguarded = true
@@ -318,8 +319,8 @@
 	}
 }
 
-// TestEachIncarnationLostCountsOnce: a task that crashes a worker which restarts under its identifier is
-// detected as if each incarnation had an identifier of its own.
+// TestEachIncarnationLostCountsOnce: a task that crashes a worker which restarts under its
+// identifier is detected as if each incarnation had an identifier of its own.
 func TestEachIncarnationLostCountsOnce(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.RestartsInPlace = true
@@ -332,7 +333,8 @@
 	requireJobFailed(t, w, crashing, 2)
 }
 
-// TestMachineStateSurvivesRestart: the penalty of a worker that fails every task outlasts its restart.
+// TestMachineStateSurvivesRestart: the exclusion of a worker that fails every task outlasts its
+// restart.
 func TestMachineStateSurvivesRestart(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
@@ -358,8 +360,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its former
-// incarnation, so its row and reports seem stale. It is used all the same.
+// TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its
+// former incarnation, so its row and reports seem stale. It is used all the same.
 func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -19,8 +19,8 @@
 	lostLeaseExpired lossReason = "lease ran out"
 )
 
-// markRunsLost marks all members as lost on a worker that no longer runs anything and will report no
-// ends. One of the runs may have crashed the worker.
+// markRunsLost marks all members as lost on a worker that no longer runs anything and will report
+// no ends. One of the runs may have crashed the worker.
 func (p *Pool) markRunsLost(w *worker, reason lossReason) {
 	lost := w.members
 	p.recordWorkerLoss(w, reason)
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -47,8 +47,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestCrashHistorySurvivesTakeover: the recorded crashes of a task survive takeovers, whether the owner is
-// killed before or after it notices a crash.
+// TestCrashHistorySurvivesTakeover: the recorded crashes of a task survive takeovers, whether the
+// owner is killed before or after it notices a crash.
 func TestCrashHistorySurvivesTakeover(t *testing.T) {
 	for name, killAfter := range map[string]time.Duration{
 		"just after the crash":   20 * time.Millisecond,
@@ -86,8 +86,8 @@
 // A start that was refused, or sent to a worker that had failed before, must not count as a crash
 // by the task.
 
-// replaceWorkersWithFeedsSilent replaces or fails all workers while the owner's feeds are silent, then submits a
-// job.
+// replaceWorkersWithFeedsSilent replaces or fails all workers while the owner's feeds are
+// unresponsive, then submits a job.
 func replaceWorkersWithFeedsSilent(fail func(*simulation.Worker)) *simulation.World {
 	w := simulation.NewWorld(2, 4)
 	owner := w.Own()
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -209,7 +209,8 @@
 // Guards against each retry of a start extending the time in which the worker may carry it out,
 // during which the whole gang waits.
 
-// TestGangLeavesUnresponsiveWorkerSoon: a gang ends in time although one of its starts gets no answer.
+// TestGangLeavesUnresponsiveWorkerSoon: a gang ends in time although one of its starts gets no
+// answer.
 func TestGangLeavesUnresponsiveWorkerSoon(t *testing.T) {
 	w := newGangCluster(2, 4)
 	w.Own()
--- a/internal/pool/policy.go
+++ b/internal/pool/policy.go
@@ -6,7 +6,7 @@
 const (
 	// reservationLimit is the number of units that may reserve resources in one cycle.
 	reservationLimit = 16
-	// A unit that has waited for idlePatience while the utilization of the most used resource
+	// A unit that has waited for starvationTimeout while the utilization of the most used resource
 	// is below idleUtilization is placed anywhere. The platform allows a wait of 3 s while half of
 	// the pool is free.
 	idleUtilization   = 0.55
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -46,7 +46,7 @@
 	closed         bool
 	releasing      bool
 	cycleScheduled bool
-	// lastCycleEnd is when the last scheduling cycle ended, and crowded is true if it left units
+	// lastCycleEnd is when the last scheduling cycle ended, and hasBacklog is true if it left units
 	// unplaced.
 	lastCycleEnd time.Time
 	hasBacklog   bool
@@ -56,10 +56,11 @@
 	orderLatency time.Duration
 	// lastStoreAnswerAt is the time of the store's last response.
 	lastStoreAnswerAt time.Time
-	// storeRecoveredAt is the time of the first response after the last outage longer than storeGap.
+	// storeRecoveredAt is the time of the first response after the last outage longer than
+	// storeOutageThreshold.
 	storeRecoveredAt time.Time
-	// preemptionBackoffUntil is when units of lower priority than pressurePriority, if they can wait, may
-	// be placed again.
+	// preemptionBackoffUntil is when units of lower priority than preemptionBackoffPriority, if they
+	// can wait, may be placed again.
 	preemptionBackoffUntil    time.Time
 	preemptionBackoffPriority int
 	// medianLogRunTime is the median of the workers' relative task durations, as a logarithm,
@@ -74,8 +75,8 @@
 	runTimeSpread speeds.Spread
 	// removingExpiredJob is true while the rows of an expired job are being removed.
 	removingExpiredJob bool
-	// durations holds the learned duration model of each queue; estimatedAt is when the models
-	// were last applied to open jobs.
+	// durations holds the learned duration model of each queue; estimatesRefreshedAt is when the
+	// models were last applied to open jobs.
 	durations            map[string]*durationModel
 	estimatesRefreshedAt time.Time
 	// jobsVersion is the store version up to which the job feed was read.
@@ -84,14 +85,14 @@
 	lossTracker *poison.Ledger
 	// progressFencedAt is when all progress partitions were fenced against former owners.
 	progressFencedAt time.Time
-	// ownershipConfirmedAt is when this owner last was known to hold the pool; confirming is true while
-	// a read of the lease row is in flight.
+	// ownershipConfirmedAt is when this owner last was known to hold the pool; confirmingOwnership is
+	// true while a read of the lease row is in flight.
 	ownershipConfirmedAt time.Time
 	confirmingOwnership  bool
 	// workersReadAt is the time as of which the worker rows are known.
 	workersReadAt time.Time
 	// evacuationsRead holds the evacuated zones as read by this owner, reportedEvacuations those last
-	// logged, and evacuationsWereKnown whether they were recent enough for starts.
+	// logged, and evacuationsWereFresh whether they were recent enough for starts.
 	evacuationsRead, reportedEvacuations         evacuation.Set
 	evacuationsWereFresh, evacuationReadInFlight bool
 	invalidRows                                  invalidWorkerRows
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -183,8 +183,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestPoolIsReleasedPromptlyWithPendingResults: run results that wait to share a transaction must not delay
-// the release of the pool.
+// TestPoolIsReleasedPromptlyWithPendingResults: run results that wait to share a transaction must
+// not delay the release of the pool.
 func TestPoolIsReleasedPromptlyWithPendingResults(t *testing.T) {
 	w := simulation.NewWorld(2, 8)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
@@ -198,8 +198,8 @@
 	require.Equal(t, "handed back", owner.Ended)
 }
 
-// TestSilentPartHoldsStartsUpShortly: a store partition that does not respond must delay starts only
-// briefly.
+// TestSilentPartHoldsStartsUpShortly: a store partition that does not respond must delay starts
+// only briefly.
 func TestSilentPartHoldsStartsUpShortly(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -143,8 +143,8 @@
 	return places, victims, lowestLoss
 }
 
-// withinGuarantee reports whether the job has priority 0 and the accelerators of all its tenant's jobs
-// of priority 0 are within the tenant's guarantee.
+// withinGuarantee reports whether the job has priority 0 and the accelerators of all its tenant's
+// jobs of priority 0 are within the tenant's guarantee.
 func (p *Pool) withinGuarantee(j *job) bool {
 	if j.Queue.Priority != 0 {
 		return false
@@ -160,8 +160,8 @@
 	return demand.GPUs <= p.options.Catalog().Guarantee(j.Tenant).GPUs
 }
 
-// missesObjectiveOn reports whether an urgent unit that can still meet its objective would miss it on the given
-// workers because of their speed.
+// missesObjectiveOn reports whether an urgent unit that can still meet its objective would miss it
+// on the given workers because of their speed.
 func (p *Pool) missesObjectiveOn(s *snapshot, u *unit, places []int) bool {
 	if u.job.Queue.Priority > 0 || u.likelyPoison() || u.needsEmptyWorkers() {
 		return false
@@ -173,8 +173,8 @@
 	return slack > 0 && time.Duration((slowest-1)*float64(u.estimate())) > slack
 }
 
-// preemptForFastWorkers preempts units on workers that are not slow, for a unit that would miss its objective on
-// the free ones, if it can then meet it and the gain exceeds the cost.
+// preemptForFastWorkers preempts units on workers that are not slow, for a unit that would miss its
+// objective on the free ones, if it can then meet it and the gain exceeds the cost.
 func (p *Pool) preemptForFastWorkers(s *snapshot, u *unit, request *placement.Request) bool {
 	fast := restrict(request, func(i int) bool { return !s.workers[i].Slow && !s.poolWorkers[i].reliability.failsEarly() })
 	places, victims, loss := cheapestPreemption(s, s.localityGroups(u), fast)
--- a/internal/pool/presence.go
+++ b/internal/pool/presence.go
@@ -44,8 +44,8 @@
 // scheduleConfirmationWrite schedules the write that records a confirmed start.
 func (p *Pool) scheduleConfirmationWrite(u *unit) { p.writer.add(u.job, confirmedStartWriteDelay) }
 
-// assumedRunAge is the least age assumed for runs that an earlier owner started. It lies between the
-// age of runs that crash their worker at once and a typical duration.
+// assumedRunAge is the least age assumed for runs that an earlier owner started. It lies between
+// the age of runs that crash their worker at once and a typical duration.
 const assumedRunAge = 2 * time.Second
 
 // runAgeAt returns the age of the unit's run at a given time.
--- a/internal/pool/read.go
+++ b/internal/pool/read.go
@@ -11,7 +11,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// scanPrefix is scanAll limited to row names with a prefix.
+// scanPrefix is scanPartition limited to row names with a prefix.
 func (p *Pool) scanPrefix(table, part, prefix string, done func(rows.Listing)) {
 	p.scanWithRetry(table, part, prefix, retryDelay, done)
 }
@@ -45,8 +45,8 @@
 	}
 }
 
-// recordWorkersReadAt records as of when a table is known. That is the time of the request, since the
-// response may have been delayed in this process.
+// recordWorkersReadAt records as of when a table is known. That is the time of the request, since
+// the response may have been delayed in this process.
 func (p *Pool) recordWorkersReadAt(table string, askedAt time.Time) {
 	if table == p.ports.WorkerTable() && askedAt.After(p.workersReadAt) {
 		p.workersReadAt = askedAt
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -60,7 +60,7 @@
 // AcceptedAt returns when the job was accepted.
 func (a *Accepted) AcceptedAt() time.Time { return time.UnixMilli(a.AcceptedMillis) }
 
-// headRecord is the content of the headRecord row of a progress partition.
+// headRecord is the content of the head row of a progress partition.
 type headRecord struct {
 	// Token is the owner's fencing token; Nonce identifies the transaction.
 	Token int64  `json:"token"`
@@ -91,7 +91,7 @@
 // maxRunNumber is the largest run number or failure count of a valid row.
 const maxRunNumber = 1 << 30
 
-// validFor reports whether the row is consistent with the job's specification. If not, it is corrupt
+// validFor reports whether the row is consistent with the job's spec. If not, it is corrupt
 // or was not written by an owner.
 func (p *Progress) validFor(spec *taskgraph.Spec) bool {
 	for i := range p.Steps {
@@ -144,8 +144,8 @@
 	Losses []memberLosses `json:"l,omitempty"`
 }
 
-// incarnationOf returns the worker incarnation in which a member may be running; its identifier is empty
-// if there is none.
+// incarnationOf returns the worker incarnation in which a member may be running; its identifier is
+// empty if there is none.
 func (r *unitProgress) incarnationOf(member int) fleet.Life {
 	life := fleet.Life{ID: r.Workers[member]}
 	if member < len(r.Born) {
@@ -182,8 +182,8 @@
 	return parts
 }
 
-// progressPartitions is the number of progress partitions. If one is unavailable, the owner writes to
-// the next.
+// progressPartitions is the number of progress partitions. If one is unavailable, the owner writes
+// to the next.
 const progressPartitions = 3
 
 func progressPartition(pool string, number int) string {
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -17,8 +17,8 @@
 	// to 7 s on the platform.
 	exclusionPeriod = 6 * time.Second
 	// A failure is early, and so attributed to the worker, within earlyFailureShare of the expected
-	// duration and earlyLimit. A run resumed from a checkpoint gets restoreAllowance more, since
-	// a restore takes up to 0.6 s.
+	// duration and earlyFailureLimit. A run resumed from a checkpoint gets restoreAllowance more,
+	// since a restore takes up to 0.6 s.
 	earlyFailureShare = 0.1
 	earlyFailureLimit = 500 * time.Millisecond
 	restoreAllowance  = 700 * time.Millisecond
@@ -29,7 +29,7 @@
 
 // reliability is the record of a worker's failures.
 type reliability struct {
-	// failures counts the failed runs since the worker was last known to be healthy, and early
+	// failures counts the failed runs since the worker was last known to be healthy, and earlyFailures
 	// those of them that failed early.
 	failures      int
 	earlyFailures int
@@ -56,7 +56,8 @@
 	return r.failures == 0 && now.Sub(r.healthyAt) < healthyPeriod
 }
 
-// recordRunFailure records a failed run of a unit, and excludes the worker after strikeLimit of them.
+// recordRunFailure records a failed run of a unit, and excludes the worker after failureLimit of
+// them.
 func (p *Pool) recordRunFailure(w *worker, u *unit) {
 	now := p.loop.Now()
 	w.reliability.failures++
@@ -74,7 +75,7 @@
 // run there, and gangs avoid it since they are as slow as their slowest member.
 func (w *worker) cold(now time.Time) bool { return now.Before(w.coldStartUntil) }
 
-// excludeWorker excludes a worker from new work for the duration of penalty, unless it is cold.
+// excludeWorker excludes a worker from new work for exclusionPeriod, unless it is cold.
 func (p *Pool) excludeWorker(w *worker, reason string, now time.Time) {
 	if w.cold(now) {
 		return
@@ -94,8 +95,8 @@
 	return u.startedByThisOwner && now.Sub(u.startedAt) < limit
 }
 
-// workerPreferences returns the preferred workers of a unit, the narrowest choice first. A gang is as
-// slow as its slowest member and fails if any member fails; a unit that has failed before should
+// workerPreferences returns the preferred workers of a unit, the narrowest choice first. A gang is
+// as slow as its slowest member and fails if any member fails; a unit that has failed before should
 // not lose another attempt to a failing worker.
 func (p *Pool) workerPreferences(s *snapshot, u *unit) []func(i int) bool {
 	notFailing := func(i int) bool {
--- a/internal/pool/reliability_test.go
+++ b/internal/pool/reliability_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestHealthyWorkersAreUsedAgain checks that a worker that failed a run gets gangs again once another
-// run has made progress there.
+// TestHealthyWorkersAreUsedAgain checks that a worker that failed a run gets gangs again once
+// another run has made progress there.
 func TestHealthyWorkersAreUsedAgain(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Workers[0].Failing = true
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -110,8 +110,8 @@
 	return p.replaceIncarnation(known, next)
 }
 
-// trackWorkersOfEndedJob adds workers without a row of their own that may still run tasks of an ended job.
-// The runs that they report are then stopped as unwanted.
+// trackWorkersOfEndedJob adds workers without a row of their own that may still run tasks of an
+// ended job. The runs that they report are then stopped as unexpected.
 func (p *Pool) trackWorkersOfEndedJob(record *Progress) {
 	for i := range record.Steps {
 		for _, unit := range record.Steps[i].Units {
--- a/internal/pool/silence.go
+++ b/internal/pool/silence.go
@@ -5,16 +5,17 @@
 // Idle workers are not polled. When many workers stop responding at once, such as all those of a
 // rack, a switch or a zone, the idle ones among them would be detected only when a gang is placed
 // there and fails to start. So all idle workers are polled when that happens, at most once per
-// silencePause.
+// idlePollInterval.
 
 const (
-	// unresponsiveThreshold is how many workers have to stop responding within silenceWindow.
+	// unresponsiveThreshold is how many workers have to stop responding within unresponsiveWindow.
 	unresponsiveThreshold = 3
 	unresponsiveWindow    = time.Second
 	idlePollInterval      = 2 * time.Second
 )
 
-// unresponsiveWorkers holds the latest silenceLeast times at which a worker stopped responding.
+// unresponsiveWorkers holds the latest unresponsiveThreshold times at which a worker stopped
+// responding.
 type unresponsiveWorkers struct {
 	recent   [unresponsiveThreshold]time.Time
 	next     int
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -23,7 +23,7 @@
 	headroomWorkers [][]bool
 	// reservationsLeft is how many more units may reserve resources in this cycle.
 	reservationsLeft int
-	// reservations has the resources reservations for waiting units, by worker.
+	// reservations has the resources reserved for waiting units, by worker.
 	reservations map[int]reservation
 }
 
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -14,8 +14,8 @@
 const (
 	// minSpeedPercent is the minimum progress for a projection of a run's duration.
 	minSpeedPercent = 3
-	// reliableSpeedPercent is the minimum progress of a single task for an estimate of its worker's speed.
-	// The rounding error of the projection is then at most a twentieth.
+	// reliableSpeedPercent is the minimum progress of a single task for an estimate of its worker's
+	// speed. The rounding error of the projection is then at most a twentieth.
 	reliableSpeedPercent = 10
 	// slowRatio is the time per work, relative to the median worker's, from which gangs avoid a
 	// worker.
@@ -44,7 +44,8 @@
 	}
 }
 
-// measuresSpeed reports whether the duration of the unit's run depends only on its work and its workers.
+// measuresSpeed reports whether the duration of the unit's run depends only on its work and its
+// workers.
 func (u *unit) measuresSpeed() bool {
 	return u.startedByThisOwner && !u.fromCheckpoint && !u.spec().LongRunning && !u.runsRemotely()
 }
@@ -58,8 +59,8 @@
 	return slices.ContainsFunc(u.members, func(m *member) bool { return m.worker != nil && m.worker.rack != rack })
 }
 
-// updateSpeedsFromGang updates the speeds of a gang's workers, once per run, when all members have a projected
-// duration.
+// updateSpeedsFromGang updates the speeds of a gang's workers, once per run, when all members have
+// a projected duration.
 func (p *Pool) updateSpeedsFromGang(u *unit) {
 	if u.measuredRun == u.run || len(u.members) < 2 || !u.measuresSpeed() {
 		return
@@ -99,8 +100,8 @@
 	p.updateSpeedFromTask(u)
 }
 
-// updateSpeedFromTask updates a worker's speed from a single task compared with others of its step, once per
-// run.
+// updateSpeedFromTask updates a worker's speed from a single task compared with others of its step,
+// once per run.
 func (p *Pool) updateSpeedFromTask(u *unit) {
 	m := u.members[0]
 	if u.measuredRun == u.run || m.worker.cold(p.loop.Now()) {
@@ -111,7 +112,8 @@
 	}
 }
 
-// currentMedianLogRunTime returns the logarithm of the median worker's time per work, cached for medianPeriod.
+// currentMedianLogRunTime returns the logarithm of the median worker's time per work, cached for
+// maxMedianAge.
 func (p *Pool) currentMedianLogRunTime(now time.Time) float64 {
 	if now.Sub(p.medianAt) < maxMedianAge {
 		return p.medianLogRunTime
@@ -132,8 +134,8 @@
 	return p.medianLogRunTime
 }
 
-// tooSlowShareOf returns the share of workers, given their sorted log times, on which jobs of the queue
-// with the smallest stretch miss their objective.
+// tooSlowShareOf returns the share of workers, given their sorted log times, on which jobs of the
+// queue with the smallest stretch miss their objective.
 func (p *Pool) tooSlowShareOf(logTimes []float64) float64 {
 	stretch, found := p.minStretch()
 	if !found {
--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -12,13 +12,14 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// These tests guard against urgent gangs that miss their objective, or are restarted repeatedly, in a
-// pool whose workers ordinarily differ in speed.
+// These tests guard against urgent gangs that miss their objective, or are restarted repeatedly, in
+// a pool whose workers ordinarily differ in speed.
 
 // mixedSpeedWork is the duration of the work in these tests on a worker of speed 1.
 const mixedSpeedWork = 4 * time.Second
 
-// newMixedSpeedCluster returns a simulation whose workers alternate between three speeds in each rack.
+// newMixedSpeedCluster returns a simulation whose workers alternate between three speeds in each
+// rack.
 func newMixedSpeedCluster(racks, workers int) *simulation.World {
 	w := simulation.NewWorld(racks, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return mixedSpeedWork }
@@ -78,7 +79,8 @@
 	requireInvariants(t, w)
 }
 
-// TestSpeedsFromSingleTasks checks that an urgent gang avoids workers on which single tasks were slow.
+// TestSpeedsFromSingleTasks checks that an urgent gang avoids workers on which single tasks were
+// slow.
 func TestSpeedsFromSingleTasks(t *testing.T) {
 	w := newMixedSpeedCluster(2, 9)
 	w.Own()
@@ -113,8 +115,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)), "the urgent gang completes in time")
 }
 
-// TestDeferrableTasksExploreIdleWorkers checks that deferrable tasks run on idle workers of unknown speed
-// once speeds are known to differ much.
+// TestDeferrableTasksExploreIdleWorkers checks that deferrable tasks run on idle workers of unknown
+// speed once speeds are known to differ much.
 func TestDeferrableTasksExploreIdleWorkers(t *testing.T) {
 	explored := func(off mechanism.Off) int {
 		w := newMixedSpeedCluster(4, 9)
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -9,7 +9,7 @@
 // Detection of stalled runs. The duration of a stall is unknown; a restart after a wait as long
 // as the time that it loses costs at most twice the optimum.
 const (
-	// A run is stalled once its progress has not changed for stallPeriod and for stallShare of
+	// A run is stalled once its progress has not changed for stallPeriod and for stallEstimateShare of
 	// its estimate. Progress is reported in whole percent, so a run that takes eight times its
 	// estimate still progresses within that time.
 	stallPeriod        = time.Second
@@ -17,8 +17,8 @@
 	// nearEndPercent is the progress in percent from which a member of a gang may be waiting for the
 	// others.
 	nearEndPercent = 95
-	// maxStallTimeout, or stallLimitShare of the estimate if that is longer, bounds the wait for a
-	// stalled run, however much a restart loses.
+	// maxStallTimeout, or maxStallTimeoutShare of the estimate if that is longer, bounds the wait for
+	// a stalled run, however much a restart loses.
 	maxStallTimeout      = 8 * time.Second
 	maxStallTimeoutShare = 0.4
 	// maxStallDoublings bounds the doublings of these times, one for each stall of the unit. Work
@@ -31,7 +31,7 @@
 	// is stopped.
 	gangStartTimeoutShare = 0.6
 	// firstPollDelay is the age of a run from which its worker is polled if it reports no progress,
-	// and lookPause the minimum time between polls.
+	// and pollInterval the minimum time between polls.
 	firstPollDelay = 600 * time.Millisecond
 	pollInterval   = 400 * time.Millisecond
 )
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// handleStartReply handles the result of one try of a start.
+// handleStartReply handles the result of one copy of a start.
 func (p *Pool) handleStartReply(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	reason := fleet.ReasonOf(err)
 	lost := err != nil && reason == fleet.NoAnswer
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case sent.answered:
-		// The other try settled the start, but this one may still be carried out.
+		// The other copy has settled the start, but this one may still be carried out.
 		m.startUnanswered = m.startUnanswered || lost
 	case err == nil:
 		sent.answered = true
@@ -143,8 +143,8 @@
 	return m.unit.state == unitActive && now.Sub(m.unit.startedAt) < startRetryWindow && !m.stopSent && p.mayStartOn(m.worker, now)
 }
 
-// retryStart sends a start again after startRetry. Starts are idempotent: the worker starts a run
-// only once.
+// retryStart sends a start again after startRetryDelay. Starts are idempotent: the worker starts a
+// run only once.
 func (p *Pool) retryStart(m *member) {
 	w, u, run := m.worker, m.unit, m.unit.run
 	p.record.Count("retries", "start")
@@ -160,5 +160,6 @@
 	})
 }
 
-// noRoomExclusionPeriod is how long a worker that refused a start for lack of capacity gets no new work.
+// noRoomExclusionPeriod is how long a worker that refused a start for lack of capacity gets no new
+// work.
 const noRoomExclusionPeriod = 500 * time.Millisecond
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -6,7 +6,7 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// stopRetryDelay is the delay before a stop is sent again after all its tries have failed.
+// stopRetryDelay is the delay before a stop is sent again after all its copies have failed.
 const stopRetryDelay = 200 * time.Millisecond
 
 // stopUnit sends a stop for every member.
@@ -44,7 +44,7 @@
 	})
 }
 
-// handleStopReply handles the result of one try of a stop.
+// handleStopReply handles the result of one copy of a stop.
 func (p *Pool) handleStopReply(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	u, w, run := m.unit, m.worker, m.unit.run
 	switch {
@@ -58,7 +58,7 @@
 			p.pollNow(w)
 		}
 	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
-		// The other try is still in flight.
+		// The other copy is still in flight.
 	case p.handleOrderError(w, err):
 	default:
 		sent.answered = true
--- a/internal/pool/trial.go
+++ b/internal/pool/trial.go
@@ -33,19 +33,20 @@
 	return false
 }
 
-// suspectedOfCrashes reports whether a member of the unit is suspectedOfCrashes or known to crash workers.
+// suspectedOfCrashes reports whether a member of the unit is suspected or known to crash workers.
 func (u *unit) suspectedOfCrashes() bool {
 	return u.hasVerdict(poison.Suspected, poison.PoisonByOdds, poison.PoisonByLimit)
 }
 
-// hasUnexplainedLosses reports whether workers were lost while they ran the unit, without another known cause.
+// hasUnexplainedLosses reports whether workers were lost while they ran the unit, without another
+// known cause.
 func (u *unit) hasUnexplainedLosses() bool {
 	return u.suspectedOfCrashes() || u.hasVerdict(poison.Doubtful)
 }
 
-// needsEmptyWorkers reports whether the unit's next run must show whether it crashes its workers. It then
-// waits for empty workers, and nothing else is placed there until it has ended, since a loss beside
-// another suspected unit proves nothing.
+// needsEmptyWorkers reports whether the unit's next run must show whether it crashes its workers.
+// It then waits for empty workers, and nothing else is placed there until it has ended, since a
+// loss beside another suspected unit proves nothing.
 func (u *unit) needsEmptyWorkers() bool {
 	for _, m := range u.suspects() {
 		if m.losses.Count() >= isolationLosses || m.losses.Count() > 1 && m.losses.Suspicious() {
--- a/internal/pool/tries.go
+++ b/internal/pool/tries.go
@@ -48,7 +48,7 @@
 	onResult func(sent *hedgedCall, reply fleet.Reply, err error)
 }
 
-// sendHedged sends a command, and a second copy if there is no response after secondTryAfter. It
+// sendHedged sends a command, and a second copy if there is no response after hedgeDelay. It
 // returns the state of the hedged command.
 func (p *Pool) sendHedged(order *hedgedOrder) *hedgedCall {
 	state := &hedgedCall{}
--- a/internal/pool/twolosses_test.go
+++ b/internal/pool/twolosses_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestTwoChanceLossesDoNotFailJob guards against a healthy job that fails after two unrelated worker
-// restarts, which hit one of its tasks at very different ages of its runs.
+// TestTwoChanceLossesDoNotFailJob guards against a healthy job that fails after two unrelated
+// worker restarts, which hit one of its tasks at very different ages of its runs.
 func TestTwoChanceLossesDoNotFailJob(t *testing.T) {
 	w := simulation.NewWorld(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -10,8 +10,8 @@
 // machineState holds what is known of a worker's machine. It survives restarts of the worker,
 // because a machine that fails or slows its runs keeps doing so.
 type machineState struct {
-	// excludedUntil is until when the worker gets no new work, and slowUntil until when it gets no
-	// gangs.
+	// excludedUntil is until when the worker gets no new work, and gangsExcludedUntil until when it
+	// gets no gangs.
 	excludedUntil      time.Time
 	gangsExcludedUntil time.Time
 	speed              speeds.Estimate
@@ -26,14 +26,14 @@
 	fleet.Worker
 	machineState
 	rack string
-	// claimedIncarnation is another incarnation that the worker's row names and that has not answered yet, or
-	// nil. asking is true while it is being polled.
+	// claimedIncarnation is another incarnation that the worker's row names and that has not answered
+	// yet, or nil. verifying is true while it is being polled.
 	claimedIncarnation *fleet.Worker
 	verifying          bool
 	// hasRow is false once the worker's row is gone.
 	hasRow bool
-	// leftWithoutDrain is true once the worker has answered after its row was deleted: it is shutting down
-	// as planned and still serves for a while.
+	// leftWithoutDrain is true once the worker has answered after its row was deleted: it is shutting
+	// down as planned and still serves for a while.
 	leftWithoutDrain bool
 	// rowMissing is true while the row is gone but may only have expired during a store outage.
 	rowMissing bool
@@ -41,8 +41,8 @@
 	contacted bool
 	// contactedAt is when the worker first did so.
 	contactedAt time.Time
-	// pollQueued is true while a poll is queued, and queuedPollInFlight while a poll from the queue is in
-	// flight.
+	// pollQueued is true while a poll is queued, and queuedPollInFlight while a poll from the queue is
+	// in flight.
 	pollQueued, queuedPollInFlight bool
 	// members are the members that may run here, in order of assignment.
 	members []*member
--- a/internal/pool/workerfaults_test.go
+++ b/internal/pool/workerfaults_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// countRegularJobs checks the states of all jobs. It returns the number of regular jobs, which have no
-// crashing task and were not cancelled, and how many of them failed.
+// countRegularJobs checks the states of all jobs. It returns the number of regular jobs, which have
+// no crashing task and were not cancelled, and how many of them failed.
 func (f *workerFaults) countRegularJobs(t *testing.T) (sound, givenUp int) {
 	guilty := map[string]bool{}
 	for _, name := range f.crashingTasks {
@@ -147,8 +147,8 @@
 	}
 }
 
-// runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the jobs
-// finish. A maxHold of 0 leaves the default maximum lease.
+// runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the
+// jobs finish. A maxHold of 0 leaves the default maximum lease.
 func runWorkerFaultsWithMaxLease(seed uint64, without pool.Without, steady bool, maxHold time.Duration) *workerFaults {
 	f := &workerFaults{
 		World: simulation.NewWorld(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// handleOrderError handles what all failed requests to workers have in common. It returns true if the
-// worker was replaced or this owner has lost the pool.
+// handleOrderError handles what all failed requests to workers have in common. It returns true if
+// the worker was replaced or this owner has lost the pool.
 func (p *Pool) handleOrderError(w *worker, err error) bool {
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -19,7 +19,7 @@
 	removals     []string
 	// added counts the rows ever marked dirty, and batched those of them put into a batch.
 	added, batched int
-	// callbacks holds callbacks in the order in which they run.
+	// callbacks are listed in the order in which they run.
 	callbacks []pendingCallback
 	// sending is true while a batch is in flight.
 	sending bool
--- a/internal/pool/writer_test.go
+++ b/internal/pool/writer_test.go
@@ -105,8 +105,8 @@
 	require.Equal(t, 1, ports.answer(), "a row above the size limit is sent alone")
 }
 
-// TestRemainingRowsAreSentImmediately: rows that did not fit into a batch must not wait for the delay of a run
-// result that was added meanwhile.
+// TestRemainingRowsAreSentImmediately: rows that did not fit into a batch must not wait for the
+// delay of a run result that was added meanwhile.
 func TestRemainingRowsAreSentImmediately(t *testing.T) {
 	p, l, ports := newWriterPool()
 	p.persist(jobOfBytes(0, 1))
