--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -123,9 +123,9 @@
 	requireInvariants(t, takeOverWhileStopping(pool.Without{}))
 }
 
-// TestUnwantedRunsUseResourcesUntilStopped guards against the same fault for runs that the new
+// TestUnexpectedRunsUseResourcesUntilStopped guards against the same fault for runs that the new
 // owner stops because its rows don't list them.
-func TestUnwantedRunsUseResourcesUntilStopped(t *testing.T) {
+func TestUnexpectedRunsUseResourcesUntilStopped(t *testing.T) {
 	w := newUnenforcedCluster(1)
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -51,14 +51,14 @@
 	// criticalPaths are the critical-path durations from each step to the end of the job.
 	criticalPaths []time.Duration
 	repetitions   []*repetition
-	// state is the persisted state, and next the state once pending writes are committed.
+	// state is the persisted state, and pendingState the state once pending writes are committed.
 	state        taskgraph.State
 	pendingState taskgraph.State
 	// endedAt is wall-clock time, unlike acceptedAt.
 	endedAt   time.Time
 	cancelled bool
-	// started is true once a task of the job was placed, by any owner.
-	started bool
+	// placed is true once a task of the job was placed, by any owner.
+	placed bool
 	// startSent is true once a start order was sent; assumed for restored jobs.
 	startSent bool
 	dirty     bool
--- a/internal/pool/orders.go
+++ b/internal/pool/orders.go
@@ -54,8 +54,8 @@
 	}
 	u.slowness = p.maxSlowness(u)
 	run := u.run
-	if !u.job.started {
-		u.job.started = true
+	if !u.job.placed {
+		u.job.placed = true
 		u.job.pendingState = taskgraph.Running
 	}
 	p.record.Decided("placed", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", run, "tasks", len(u.members),
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -197,7 +197,7 @@
 	if j == nil || !p.loaded {
 		return "", false
 	}
-	if !j.state.Final() && j.started {
+	if !j.state.Final() && j.placed {
 		return taskgraph.Running, true
 	}
 	return j.state, true
@@ -207,7 +207,7 @@
 func (p *Pool) Waiting() map[string]int {
 	counts := map[string]int{}
 	for _, j := range p.jobs {
-		if !j.started && !j.pendingState.Final() {
+		if !j.placed && !j.pendingState.Final() {
 			counts[j.Queue.Name]++
 		}
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -172,7 +172,7 @@
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "leases are extended without the store")
 }
 
-func TestProgressGoesIntoAnotherPart(t *testing.T) {
+func TestProgressIsWrittenToAnotherPartition(t *testing.T) {
 	w := simulation.NewWorld(1, 3)
 	w.Own()
 	w.Run(time.Second)
@@ -198,9 +198,9 @@
 	require.Equal(t, "handed back", owner.Ended)
 }
 
-// TestSilentPartHoldsStartsUpShortly: a store partition that does not respond must delay starts
+// TestUnresponsivePartitionDelaysStartsBriefly: a store partition that does not respond must delay starts
 // only briefly.
-func TestSilentPartHoldsStartsUpShortly(t *testing.T) {
+func TestUnresponsivePartitionDelaysStartsBriefly(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
 	w.Run(time.Second)
--- a/internal/pool/restore.go
+++ b/internal/pool/restore.go
@@ -44,7 +44,7 @@
 }
 
 func (p *Pool) restoreStep(j *job, t *repetition, s *step, saved *stepProgress) {
-	j.started, j.startSent = true, true
+	j.placed, j.startSent = true, true
 	if saved.Complete {
 		s.complete = true
 		t.ended++
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -47,10 +47,10 @@
 // snapshotBuffers keeps the buffers of the last snapshot for the next one, since allocating
 // them anew takes much of a cycle's time.
 type snapshotBuffers struct {
-	workers []placement.Worker
-	owners  []*worker
-	units   []placement.Unit
-	running []*unit
+	workers     []placement.Worker
+	poolWorkers []*worker
+	units       []placement.Unit
+	running     []*unit
 	// generation numbers the snapshots.
 	generation int
 	// racks groups the workers by rack; nil once the set of workers has changed.
@@ -59,22 +59,22 @@
 
 // snapshot returns the state of all workers and their runs. It is valid until the next call.
 func (p *Pool) snapshot() *snapshot {
-	memory := &p.snapshotBuffers
-	memory.generation++
+	buffers := &p.snapshotBuffers
+	buffers.generation++
 	s := &snapshot{
 		now: p.loop.Now(), reservationsLeft: reservationLimit, reservations: map[int]reservation{}, headroomWorkers: make([][]bool, len(headroomShares)),
-		workers: memory.workers[:0], poolWorkers: memory.owners[:0], units: memory.units[:0], running: memory.running[:0],
+		workers: buffers.workers[:0], poolWorkers: buffers.poolWorkers[:0], units: buffers.units[:0], running: buffers.running[:0],
 	}
 	zones, known := p.evacuatedZones(), p.evacuationsFresh(s.now)
 	for _, w := range p.sortedWorkers() {
 		p.addWorker(s, w, zones, known)
 	}
-	memory.workers, memory.owners, memory.units, memory.running = s.workers, s.poolWorkers, s.units, s.running
+	buffers.workers, buffers.poolWorkers, buffers.units, buffers.running = s.workers, s.poolWorkers, s.units, s.running
 	s.utilization = utilizationOf(s.poolWorkers, s.workers)
-	if memory.racks == nil {
-		memory.racks = placement.NewRacks(s.workers)
+	if buffers.racks == nil {
+		buffers.racks = placement.NewRacks(s.workers)
 	}
-	s.racks = memory.racks
+	s.racks = buffers.racks
 	placement.MeasureRacks(s.workers, s.racks)
 	return s
 }
