--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -218,7 +218,6 @@
 	}
 }
 
-// endAllEvacuations ends all evacuations.
 func endAllEvacuations(w *simulation.World) {
 	for _, zone := range w.Zones() {
 		w.TakeBack(zone)
--- a/internal/pool/feed_rate_test.go
+++ b/internal/pool/feed_rate_test.go
@@ -39,7 +39,6 @@
 	require.GreaterOrEqual(t, perSecond, 3.0)
 }
 
-// drainFirstWorker drains the first worker and returns it.
 func drainFirstWorker(w *simulation.World) *simulation.Worker {
 	leaving := w.Workers[0]
 	leaving.Draining, leaving.RemainingMillis = true, 5000
--- a/internal/pool/invalid_worker_rows.go
+++ b/internal/pool/invalid_worker_rows.go
@@ -8,11 +8,11 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// invalidWorkerRows tracks invalid worker rows.
+// invalidWorkerRows has the worker rows that cannot be used, and what was last logged of them.
 type invalidWorkerRows struct {
 	// faults holds the fault of each invalid row by row name.
 	faults map[string]fleet.RowFault
-	// loggedCount is the count that was last logged, at loggedAt.
+	// loggedCount is the number of invalid rows that was last logged, at loggedAt.
 	loggedCount int
 	loggedAt    time.Time
 }
--- a/internal/pool/poll_queue.go
+++ b/internal/pool/poll_queue.go
@@ -25,14 +25,13 @@
 	}
 }
 
-// enqueueFirstContact queues the first contact with a worker.
+// enqueueFirstContact queues a poll of a worker that has not answered this owner yet.
 func (p *Pool) enqueueFirstContact(w *worker) {
 	if p.loaded && !w.contacted {
 		p.enqueuePoll(w)
 	}
 }
 
-// enqueuePoll queues a poll of a worker.
 func (p *Pool) enqueuePoll(w *worker) {
 	if w.pollQueued || w.Address == "" {
 		return
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -77,7 +77,6 @@
 	return record
 }
 
-// setConfirmed marks a member's run as confirmed.
 func (r *unitProgress) setConfirmed(member int) {
 	if r.Confirmed == nil {
 		r.Confirmed = newBitset(len(r.Workers))
--- a/internal/pool/progress_batch.go
+++ b/internal/pool/progress_batch.go
@@ -28,11 +28,11 @@
 	callbacks []func()
 	// hasRemainder is true if dirty rows did not fit. They are overdue, so the next batch is sent
 	// without a delay.
-	hasRemainder bool
-	sentAt       time.Time
-	// failedAttempts counts failed attempts, and inFlight those without a response yet.
+	hasRemainder   bool
+	sentAt         time.Time
 	failedAttempts int
-	inFlight       int
+	// inFlight is the number of attempts without a response.
+	inFlight int
 	// written is true once an attempt is known to be committed.
 	written bool
 }
@@ -85,7 +85,6 @@
 	return transaction
 }
 
-// encodeHead encodes this owner's head row.
 func (p *Pool) encodeHead(nonce string) []byte {
 	return mustEncode(headRecord{Token: p.token, Nonce: p.options.Incarnation + "." + nonce, Durations: p.durations})
 }
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -55,8 +55,7 @@
 	deadline int64
 	endAcks  endAcknowledgements
 	// polledAt is when the worker was last polled in addition to a waiting poll.
-	polledAt time.Time
-	// pollInFlight is true while a poll is in flight.
+	polledAt        time.Time
 	pollInFlight    bool
 	cancelPollTimer func()
 	// unansweredCalls counts the calls without an answer since the last reply.
