--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -76,8 +76,8 @@
 // Digest returns the hex SHA-256 of the declaration's canonical JSON.
 func (d *Declaration) Digest() string {
 	// Marshalling a struct of plain fields cannot fail.
-	document, _ := json.Marshal(d)
-	sum := sha256.Sum256(document)
+	encoded, _ := json.Marshal(d)
+	sum := sha256.Sum256(encoded)
 	return hex.EncodeToString(sum[:])
 }
 
@@ -128,8 +128,8 @@
 	}
 	for _, guarantee := range t.Guarantee {
 		if err := guarantee.Shape.Validate(); err != nil {
-			listed := fault.From(err)
-			return invalid(prefix+".guarantee."+listed.Field, listed.Detail)
+			cause := fault.From(err)
+			return invalid(prefix+".guarantee."+cause.Field, cause.Detail)
 		}
 		if guarantee.Accelerators == 0 {
 			return invalid(prefix+".guarantee.accelerators", "must be at least 1")
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const valid = `
+const validDeclaration = `
 [[tenant]]
 name = "a"
   [[tenant.guarantee]]
@@ -19,56 +19,56 @@
 `
 
 func TestParseNamesTheFault(t *testing.T) {
-	cases := map[string]struct{ text, names string }{
+	cases := map[string]struct{ document, wantInError string }{
 		"malformed":         {"[[tenant]\n", "line 2"},
 		"unknown key":       {"[[tenant]]\nname = \"a\"\ncolour = 1\n", "tenant.colour"},
 		"bad name":          {"[[tenant]]\nname = \"a b\"\n", "tenant.name"},
 		"declared twice":    {"[[tenant]]\nname = \"a\"\n[[tenant]]\nname = \"a\"\n", "tenant.a"},
 		"negative quota":    {"[[tenant]]\nname = \"a\"\nquota.accelerators = -1\n", "tenant.a.quota.accelerators"},
 		"short key hash":    {"[[tenant]]\nname = \"a\"\nkey_hashes = [\"ab\"]\n", "tenant.a.key_hashes"},
-		"no members":        {strings.Replace(valid, "members = 4", "members = 0", 1), "tenant.a.guarantee.members"},
-		"gang too large":    {strings.Replace(valid, "members = 4", "members = 1025", 1), "tenant.a.guarantee.members"},
-		"no accelerators":   {strings.Replace(valid, "accelerators = 8", "accelerators = 0", 1), "tenant.a.guarantee.accelerators"},
-		"unknown spread":    {strings.Replace(valid, `"rack"`, `"shelf"`, 1), "tenant.a.guarantee.spread"},
-		"negative count":    {strings.Replace(valid, "count = 2", "count = -2", 1), "tenant.a.guarantee.count"},
+		"no members":        {strings.Replace(validDeclaration, "members = 4", "members = 0", 1), "tenant.a.guarantee.members"},
+		"gang too large":    {strings.Replace(validDeclaration, "members = 4", "members = 1025", 1), "tenant.a.guarantee.members"},
+		"no accelerators":   {strings.Replace(validDeclaration, "accelerators = 8", "accelerators = 0", 1), "tenant.a.guarantee.accelerators"},
+		"unknown spread":    {strings.Replace(validDeclaration, `"rack"`, `"shelf"`, 1), "tenant.a.guarantee.spread"},
+		"negative count":    {strings.Replace(validDeclaration, "count = 2", "count = -2", 1), "tenant.a.guarantee.count"},
 		"rack without zone": {`drained_racks = ["rack00"]`, "drained_racks"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse(c.text)
-			require.ErrorContains(t, err, c.names)
+			_, err := Parse(c.document)
+			require.ErrorContains(t, err, c.wantInError)
 		})
 	}
 }
 
 func TestReadFolderNamesTheFile(t *testing.T) {
-	folder := fstest.MapFS{"a.toml": {Data: []byte(valid)}, "b.toml": {Data: []byte("[[tenant]]\nname = \"\"\n")}}
-	_, err := ReadFolder(folder)
+	dir := fstest.MapFS{"a.toml": {Data: []byte(validDeclaration)}, "b.toml": {Data: []byte("[[tenant]]\nname = \"\"\n")}}
+	_, err := ReadFolder(dir)
 	require.ErrorContains(t, err, "b.toml")
-	delete(folder, "b.toml")
-	declared, err := ReadFolder(folder)
+	delete(dir, "b.toml")
+	parsed, err := ReadFolder(dir)
 	require.NoError(t, err)
-	require.Equal(t, 2, declared.Find("a").Guarantee[0].Count)
+	require.Equal(t, 2, parsed.Find("a").Guarantee[0].Count)
 }
 
 func TestDigestIgnoresOrder(t *testing.T) {
-	one, err := Parse("[[tenant]]\nname = \"a\"\n[[tenant]]\nname = \"b\"\n")
+	first, err := Parse("[[tenant]]\nname = \"a\"\n[[tenant]]\nname = \"b\"\n")
 	require.NoError(t, err)
-	two, err := Parse("[[tenant]]\nname = \"b\"\n[[tenant]]\nname = \"a\"\n")
+	second, err := Parse("[[tenant]]\nname = \"b\"\n[[tenant]]\nname = \"a\"\n")
 	require.NoError(t, err)
-	require.Equal(t, one.Digest(), two.Digest())
-	require.Empty(t, Diff(one, two))
+	require.Equal(t, first.Digest(), second.Digest())
+	require.Empty(t, Diff(first, second))
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(valid)
+	f.Add(validDeclaration)
 	f.Add("drained_racks = [\"r/z/k\"]")
-	f.Fuzz(func(t *testing.T, text string) {
-		declared, err := Parse(text)
+	f.Fuzz(func(t *testing.T, document string) {
+		parsed, err := Parse(document)
 		if err != nil {
 			return
 		}
-		require.NoError(t, declared.Validate())
-		require.Empty(t, Diff(declared, declared))
+		require.NoError(t, parsed.Validate())
+		require.Empty(t, Diff(parsed, parsed))
 	})
 }
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -43,10 +43,10 @@
 	return Change{Action: "change", Subject: subject, Detail: describe(old) + " -> " + describe(updated)}, true
 }
 
-func diffRacks(action string, in, notIn []string) []Change {
+func diffRacks(action string, racks, excluded []string) []Change {
 	var changes []Change
-	for _, rack := range in {
-		if !slices.Contains(notIn, rack) {
+	for _, rack := range racks {
+		if !slices.Contains(excluded, rack) {
 			changes = append(changes, Change{Action: action, Subject: "drained rack " + rack})
 		}
 	}
--- a/internal/declaration/read.go
+++ b/internal/declaration/read.go
@@ -12,50 +12,50 @@
 
 // ReadFolder reads every .toml file of a folder, in name order, as one
 // declaration. Errors name the file, and the key or line at fault.
-func ReadFolder(folder fs.FS) (*Declaration, error) {
-	names, err := fs.Glob(folder, "*.toml")
+func ReadFolder(dir fs.FS) (*Declaration, error) {
+	names, err := fs.Glob(dir, "*.toml")
 	if err != nil {
 		return nil, err
 	}
 	if len(names) == 0 {
 		return nil, fault.New(fault.InvalidRequest, "the folder holds no .toml file")
 	}
-	whole := &Declaration{}
+	merged := &Declaration{}
 	for _, name := range names {
-		part, err := readFile(folder, name)
+		parsed, err := readFile(dir, name)
 		if err != nil {
 			return nil, err
 		}
-		whole.Tenant = append(whole.Tenant, part.Tenant...)
-		whole.DrainedRacks = append(whole.DrainedRacks, part.DrainedRacks...)
+		merged.Tenant = append(merged.Tenant, parsed.Tenant...)
+		merged.DrainedRacks = append(merged.DrainedRacks, parsed.DrainedRacks...)
 	}
-	whole.Normalize()
-	return whole, whole.Validate()
+	merged.Normalize()
+	return merged, merged.Validate()
 }
 
-func readFile(folder fs.FS, name string) (*Declaration, error) {
-	text, err := fs.ReadFile(folder, name)
+func readFile(dir fs.FS, name string) (*Declaration, error) {
+	content, err := fs.ReadFile(dir, name)
 	if err != nil {
 		return nil, err
 	}
-	part, err := Parse(string(text))
+	parsed, err := Parse(string(content))
 	if err != nil {
-		listed := fault.From(err)
-		return nil, fault.NewField(fault.InvalidRequest, path.Base(name), "%s", strings.TrimSpace(listed.Field+" "+listed.Detail))
+		cause := fault.From(err)
+		return nil, fault.NewField(fault.InvalidRequest, path.Base(name), "%s", strings.TrimSpace(cause.Field+" "+cause.Detail))
 	}
-	return part, nil
+	return parsed, nil
 }
 
 // Parse reads one TOML document. Unknown keys are refused by name.
-func Parse(text string) (*Declaration, error) {
-	part := &Declaration{}
-	meta, err := toml.Decode(text, part)
+func Parse(document string) (*Declaration, error) {
+	parsed := &Declaration{}
+	meta, err := toml.Decode(document, parsed)
 	if err != nil {
 		return nil, fault.New(fault.InvalidRequest, "%s", err.Error())
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, invalid(unknown[0].String(), "is not a known key")
 	}
-	part.Normalize()
-	return part, part.Validate()
+	parsed.Normalize()
+	return parsed, parsed.Validate()
 }
