--- a/internal/declaration/assignment.go
+++ b/internal/declaration/assignment.go
@@ -1,6 +1,6 @@
 package declaration
 
-// InDomain returns the tenants with only those guarantees that a domain holds.
+// InDomain returns a copy of tenants in which each keeps only the guarantees assigned to domain.
 func InDomain(tenants []Tenant, domain string) []Tenant {
 	filtered := make([]Tenant, len(tenants))
 	for i := range tenants {
--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -11,35 +11,35 @@
 	"github.com/wheatroad/wheatroad/internal/job"
 )
 
-// Guarantee promises Count gangs of Shape at once.
+// Guarantee is capacity for Count concurrent gangs of the given shape.
 type Guarantee struct {
 	job.Shape
 	Count int `json:"count" toml:"count"`
-	// Zone names the scheduling domain ("region/zone") that holds the guarantee;
-	// empty lets the plan choose one.
+	// Zone is the scheduling domain ("region/zone") that provides the guarantee.
+	// If empty, the planner selects one.
 	Zone string `json:"zone,omitempty" toml:"zone"`
 }
 
-// Quota bounds what a tenant may hold at once. Zero means no bound.
+// Quota limits a tenant's concurrent usage. Zero means unlimited.
 type Quota struct {
 	Accelerators int `json:"accelerators,omitempty" toml:"accelerators"`
 	QueuedJobs   int `json:"queued_jobs,omitempty" toml:"queued_jobs"`
 }
 
-// Tenant is one tenant's declaration.
+// Tenant is the declared configuration of one tenant.
 type Tenant struct {
 	Name string `json:"name" toml:"name"`
-	// KeyHashes are hex SHA-256 hashes of the tenant's access keys. Two at once
-	// let a key be rotated with overlap.
+	// KeyHashes are hex SHA-256 hashes of the tenant's access keys. During key
+	// rotation the old and the new key are both listed.
 	KeyHashes []string    `json:"key_hashes,omitempty" toml:"key_hashes"`
 	Quota     Quota       `json:"quota" toml:"quota"`
 	Guarantee []Guarantee `json:"guarantee,omitempty" toml:"guarantee"`
 }
 
-// Declaration is the whole of what operators want.
+// Declaration is the desired state that operators declare for all tenants and racks.
 type Declaration struct {
 	Tenant []Tenant `json:"tenant,omitempty" toml:"tenant"`
-	// DrainedRacks lists racks ("region/zone/rack") that get no new work.
+	// DrainedRacks lists racks ("region/zone/rack") that accept no new tasks.
 	DrainedRacks []string `json:"drained_racks,omitempty" toml:"drained_racks"`
 }
 
@@ -55,7 +55,7 @@
 	maxGuaranteeCount = 10000
 )
 
-// Normalize sorts tenants and racks by name and fills defaults, so that equal
+// Normalize sorts tenants and racks by name and sets defaults, so that equivalent
 // declarations have equal digests.
 func (d *Declaration) Normalize() {
 	slices.SortFunc(d.Tenant, func(a, b Tenant) int { return strings.Compare(a.Name, b.Name) })
@@ -75,13 +75,13 @@
 
 // Digest returns the hex SHA-256 of the declaration's canonical JSON.
 func (d *Declaration) Digest() string {
-	// Marshalling a struct of plain fields cannot fail.
+	// Marshal cannot fail: JSON supports the type of every field.
 	encoded, _ := json.Marshal(d)
 	sum := sha256.Sum256(encoded)
 	return hex.EncodeToString(sum[:])
 }
 
-// Find returns the named tenant, or nil.
+// Find returns the named tenant, or nil if there is none. d must be normalized.
 func (d *Declaration) Find(name string) *Tenant {
 	index, found := slices.BinarySearchFunc(d.Tenant, name, func(t Tenant, n string) int { return strings.Compare(t.Name, n) })
 	if !found {
@@ -91,7 +91,7 @@
 }
 
 // Validate checks a normalized declaration and returns an InvalidRequest error
-// that names the key at fault.
+// for the first invalid key.
 func (d *Declaration) Validate() error {
 	for index := range d.Tenant {
 		tenant := &d.Tenant[index]
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Change is one line of a plan's difference.
+// Change is one difference between two declarations.
 type Change struct {
 	// Action is "add", "remove" or "change".
 	Action string `json:"action"`
-	// Subject names the tenant or rack.
+	// Subject is the kind and name of what changed, such as "tenant a".
 	Subject string `json:"subject"`
 	Detail  string `json:"detail,omitempty"`
 }
 
-// Diff lists what turns one declaration into another. Both must be normalized.
+// Diff returns the changes that turn from into to. Both must be normalized.
 func Diff(from, to *Declaration) []Change {
 	var changes []Change
 	for i := range from.Tenant {
--- a/internal/declaration/doc.go
+++ b/internal/declaration/doc.go
@@ -1,5 +1,4 @@
-// Package declaration holds what operators declare: tenants, their guarantees,
-// quotas and access keys, and drained racks. It reads the TOML form, validates
-// it and lists the differences between two declarations. It decides nothing
-// about jobs.
+// Package declaration defines the configuration that operators declare: tenants
+// with their guarantees, quotas and access keys, and drained racks. It parses and
+// validates TOML files and computes the differences between two declarations.
 package declaration
--- a/internal/declaration/read.go
+++ b/internal/declaration/read.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// ReadFolder reads every .toml file of a folder, in name order, as one
-// declaration. Errors name the file, and the key or line at fault.
+// ReadFolder parses the .toml files in dir in name order, merges them into one
+// declaration and validates it. A parse error includes the file and the key or line.
 func ReadFolder(dir fs.FS) (*Declaration, error) {
 	names, err := fs.Glob(dir, "*.toml")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return parsed, nil
 }
 
-// Parse reads one TOML document. Unknown keys are refused by name.
+// Parse decodes, normalizes and validates one TOML document. An unknown key is an error.
 func Parse(document string) (*Declaration, error) {
 	parsed := &Declaration{}
 	meta, err := toml.Decode(document, parsed)
