--- a/internal/machines/httplist/httplist.go
+++ b/internal/machines/httplist/httplist.go
@@ -1,4 +1,4 @@
-// Package httplist reads the platform's machine list over HTTP.
+// Package httplist implements machines.List over the platform's HTTP API.
 package httplist
 
 import (
@@ -10,19 +10,19 @@
 	"github.com/wheatroad/wheatroad/internal/machines"
 )
 
-// List is a machines.List.
+// List implements machines.List.
 type List struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
-// New returns the machine list of the platform at base.
-func New(base string, client *http.Client) *List { return &List{base: base, client: client} }
+// New returns a List that sends its requests to the platform at baseURL.
+func New(baseURL string, client *http.Client) *List { return &List{baseURL: baseURL, client: client} }
 
-// Changes returns the entries that changed after cursor.
+// Changes implements machines.List.
 func (l *List) Changes(ctx context.Context, cursor int64) (machines.Update, error) {
 	var update machines.Update
-	url := l.base + "/machines?cursor=" + strconv.FormatInt(cursor, 10)
+	url := l.baseURL + "/machines?cursor=" + strconv.FormatInt(cursor, 10)
 	err := httpjson.Do(ctx, l.client, http.MethodGet, url, nil, &update)
 	return update, err
 }
