--- a/internal/machines/doc.go
+++ b/internal/machines/doc.go
@@ -1,3 +1,3 @@
-// Package machines describes the platform's list of live and leaving machines.
-// The list lags: a machine may be gone before the list says so.
+// Package machines defines the platform's machine list. The list is eventually
+// consistent: a machine may be gone while its entry is still live.
 package machines
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -2,17 +2,16 @@
 
 import "context"
 
-// Status is what the list says of a machine.
+// Status is the state of a machine as reported by the platform.
 type Status string
 
-// The statuses of a machine.
 const (
 	Live    Status = "live"
 	Leaving Status = "leaving"
 	Gone    Status = "gone"
 )
 
-// Machine is one entry of the list.
+// Machine is one entry of the machine list.
 type Machine struct {
 	// Name is "region/zone/rackNN/workerNN".
 	Name    string `json:"name"`
@@ -31,7 +30,7 @@
 // Domain returns the machine's scheduling domain, "region/zone".
 func (m *Machine) Domain() string { return m.Region + "/" + m.Zone }
 
-// Update holds the entries that changed since a cursor.
+// Update holds the entries that changed after a cursor and the cursor for the next call.
 type Update struct {
 	Machines []Machine `json:"machines"`
 	Cursor   int64     `json:"cursor"`
@@ -39,6 +38,6 @@
 
 // List is the platform's machine list.
 type List interface {
-	// Changes returns the entries that changed after cursor; 0 returns all.
+	// Changes returns the entries that changed after cursor. Cursor 0 returns all entries.
 	Changes(ctx context.Context, cursor int64) (Update, error)
 }
