--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -25,15 +25,15 @@
 	Slope float64 `json:"slope_per_1000_workers"`
 	// RelativeError is the root mean square distance from the line over the mean.
 	RelativeError float64 `json:"relative_error"`
-	AtPlan        float64 `json:"at_13000_workers"`
+	AtDesignSize  float64 `json:"at_13000_workers"`
 	Limit         float64 `json:"limit"`
-	Fits          bool    `json:"fits"`
+	WithinLimit   bool    `json:"fits"`
 }
 
 func newCapacityCommand() *cobra.Command {
 	var nodes int
 	var minutes float64
-	var folder string
+	var plotDir string
 	var asJSON bool
 	command := &cobra.Command{
 		Use:     "capacity",
@@ -50,24 +50,24 @@
 					return err
 				}
 			}
-			if asJSON && folder == "" {
+			if asJSON && plotDir == "" {
 				return nil
 			}
-			for _, fit := range fitAll(results) {
+			for _, fit := range fitQuantities(results) {
 				if err := encoder.Encode(fit); err != nil {
 					return err
 				}
 			}
-			if folder == "" {
+			if plotDir == "" {
 				return nil
 			}
-			return plotFits(folder, results)
+			return plotFits(plotDir, results)
 		},
 	}
 	flags := command.Flags()
 	flags.IntVar(&nodes, "nodes", 9, "entry machines")
 	flags.Float64Var(&minutes, "minutes", 10, "virtual minutes measured at each size")
-	flags.StringVar(&folder, "plots", "", "folder for the plots")
+	flags.StringVar(&plotDir, "plots", "", "folder for the plots")
 	flags.BoolVar(&asJSON, "json", false, "print only one JSON object a size")
 	return command
 }
@@ -76,7 +76,7 @@
 type quantity struct {
 	name  string
 	limit float64
-	of    func(emulator.Capacity) float64
+	value func(emulator.Capacity) float64
 }
 
 func quantities() []quantity {
@@ -91,38 +91,38 @@
 	}
 }
 
-func fitAll(results []emulator.Capacity) []Fit {
+func fitQuantities(results []emulator.Capacity) []Fit {
 	var fits []Fit
 	for _, q := range quantities() {
-		fits = append(fits, fitOne(q, results))
+		fits = append(fits, fitQuantity(q, results))
 	}
 	return fits
 }
 
-const perThousand = 1000
+const workersPerUnit = 1000
 
-func fitOne(q quantity, results []emulator.Capacity) Fit {
+func fitQuantity(q quantity, results []emulator.Capacity) Fit {
 	var x, y []float64
 	for _, r := range results {
-		x = append(x, float64(r.Workers)/perThousand)
-		y = append(y, q.of(r))
+		x = append(x, float64(r.Workers)/workersPerUnit)
+		y = append(y, q.value(r))
 	}
 	intercept, slope := stat.LinearRegression(x, y, nil, false)
-	squares := 0.0
+	squaredResiduals := 0.0
 	for i := range x {
-		squares += math.Pow(y[i]-intercept-slope*x[i], 2)
+		squaredResiduals += math.Pow(y[i]-intercept-slope*x[i], 2)
 	}
 	fit := Fit{Quantity: q.name, Intercept: intercept, Slope: slope, Limit: q.limit}
 	if mean := stat.Mean(y, nil); mean > 0 {
-		fit.RelativeError = math.Sqrt(squares/float64(len(x))) / mean
+		fit.RelativeError = math.Sqrt(squaredResiduals/float64(len(x))) / mean
 	}
-	fit.AtPlan = intercept + slope*planWorkers/perThousand
-	fit.Fits = fit.AtPlan <= q.limit
+	fit.AtDesignSize = intercept + slope*designWorkers/workersPerUnit
+	fit.WithinLimit = fit.AtDesignSize <= q.limit
 	return fit
 }
 
-func plotFits(folder string, results []emulator.Capacity) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+func plotFits(dir string, results []emulator.Capacity) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	for _, q := range quantities()[:3] {
@@ -131,20 +131,20 @@
 		p.X.Label.Text, p.Y.Label.Text = "workers", q.name
 		points := make(plotter.XYs, len(results))
 		for i, r := range results {
-			points[i] = plotter.XY{X: float64(r.Workers), Y: q.of(r)}
+			points[i] = plotter.XY{X: float64(r.Workers), Y: q.value(r)}
 		}
 		dots, err := plotter.NewScatter(points)
 		if err != nil {
 			return err
 		}
-		fit := fitOne(q, results)
-		line := plotter.NewFunction(func(x float64) float64 { return fit.Intercept + fit.Slope*x/perThousand })
+		fit := fitQuantity(q, results)
+		line := plotter.NewFunction(func(x float64) float64 { return fit.Intercept + fit.Slope*x/workersPerUnit })
 		line.Color = colors(1)
 		p.Add(dots, line)
-		p.X.Max = planWorkers
+		p.X.Max = designWorkers
 		p.X.Min, p.Y.Min = 0, 0
-		p.Y.Max = math.Max(q.limit, fit.AtPlan) * 1.1
-		if err := p.Save(plotWidth, plotHeight, filepath.Join(folder, "capacity-"+q.name+".png")); err != nil {
+		p.Y.Max = math.Max(q.limit, fit.AtDesignSize) * 1.1
+		if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, "capacity-"+q.name+".png")); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/decide.go
+++ b/internal/bench/decide.go
@@ -14,8 +14,8 @@
 	"github.com/wheatroad/wheatroad/internal/schedule"
 )
 
-// DecideResult is the cost of decisions at one size.
-type DecideResult struct {
+// DecisionCost is the cost of decisions at one size.
+type DecisionCost struct {
 	Workers int `json:"workers"`
 	Tasks   int `json:"tasks"`
 	// DecisionMicros is the mean processor time of one submission with its cycle.
@@ -25,7 +25,7 @@
 	// LargeGangMicros is one decision for a gang of 1024, PlainPassMicros one plain
 	// pass over all workers.
 	LargeGangMicros float64 `json:"large_gang_micros"`
-	PlainPassMicros float64 `json:"plain_pass_micros"`
+	FullScanMicros  float64 `json:"plain_pass_micros"`
 	StateMegabytes  float64 `json:"state_megabytes"`
 }
 
@@ -48,67 +48,67 @@
 
 // The size to design for.
 const (
-	planWorkers = 13000
-	planTasks   = 290000
-	rackSize    = 8
-	// tasksPerJob is the mean gang of the running load.
-	tasksPerJob = 24
-	// probes is how many decisions are measured.
-	probes = 2000
+	designWorkers  = 13000
+	designTasks    = 290000
+	workersPerRack = 8
+	// meanGangSize is the mean gang of the running load.
+	meanGangSize = 24
+	// decisionSamples is how many decisions are measured.
+	decisionSamples = 2000
 )
 
 // MeasureDecisions fills a cluster of a share of the size to design for and times
 // decisions on it.
-func MeasureDecisions(share float64) DecideResult {
+func MeasureDecisions(share float64) DecisionCost {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s, tasks := filledScheduler(share)
+	s, tasks := newLoadedScheduler(share)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	result := DecideResult{Workers: len(s.Cluster().Workers), Tasks: tasks}
+	result := DecisionCost{Workers: len(s.Cluster().Workers), Tasks: tasks}
 	result.StateMegabytes = float64(after.HeapAlloc-before.HeapAlloc) / (1 << 20)
 	now := time.Unix(1e6, 0)
 	runtime.ReadMemStats(&before)
-	began := time.Now()
-	for i := range probes {
-		spec := probeSpec(fmt.Sprintf("probe%d", i), 1+i%2, 1+i%4)
+	start := time.Now()
+	for i := range decisionSamples {
+		spec := newSpec(fmt.Sprintf("probe%d", i), 1+i%2, 1+i%4)
 		s.Submit(now, spec, now, time.Hour)
 		s.Decide(now)
 		s.Ended(now, job.Key{Tenant: spec.Tenant, ID: spec.ID})
 	}
-	result.DecisionMicros = float64(time.Since(began).Microseconds()) / probes
+	result.DecisionMicros = float64(time.Since(start).Microseconds()) / decisionSamples
 	runtime.ReadMemStats(&after)
-	result.AllocationsPerDecision = float64(after.Mallocs-before.Mallocs) / probes
-	result.LargeGangMicros, result.PlainPassMicros = measureLargeGang(s, now)
+	result.AllocationsPerDecision = float64(after.Mallocs-before.Mallocs) / decisionSamples
+	result.LargeGangMicros, result.FullScanMicros = measureLargeGang(s, now)
 	runtime.KeepAlive(s)
 	return result
 }
 
-func probeSpec(id string, members, accelerators int) job.Spec {
+func newSpec(id string, members, accelerators int) job.Spec {
 	return job.Spec{
 		ID: id, Tenant: "t", Priority: job.Normal, Duration: 3600, Repeatable: true,
 		Shape: job.Shape{Members: members, Accelerators: accelerators, CPUs: 1, Spread: job.SpreadRack},
 	}
 }
 
-// filledScheduler returns a scheduler whose workers run about 22 tasks each.
-func filledScheduler(share float64) (*schedule.Scheduler, int) {
+// newLoadedScheduler returns a scheduler whose workers run about 22 tasks each.
+func newLoadedScheduler(share float64) (*schedule.Scheduler, int) {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := schedule.New(schedule.Default(), cluster.NewState())
 	now := time.Unix(0, 0)
-	workers := int(planWorkers * share)
+	workers := int(designWorkers * share)
 	for number := range workers {
-		rack := number / rackSize
+		rack := number / workersPerRack
 		at := cluster.Location{Region: "r", Zone: "z", Rack: fmt.Sprint(rack)}
 		s.AddWorker(now, fmt.Sprint(number), at, cluster.Amount{Accelerators: 8, CPUs: 256, MemoryGB: 1024, Slots: 64})
 	}
 	tasks := 0
-	for serial := 0; tasks < int(planTasks*share); serial++ {
-		members := 1 + random.IntN(2*tasksPerJob)
-		spec := probeSpec(fmt.Sprintf("job%d", serial), members, 0)
+	for jobNumber := 0; tasks < int(designTasks*share); jobNumber++ {
+		members := 1 + random.IntN(2*meanGangSize)
+		spec := newSpec(fmt.Sprintf("job%d", jobNumber), members, 0)
 		spec.Spread = job.SpreadAny
-		if serial%8 == 0 {
+		if jobNumber%8 == 0 {
 			spec.Members, spec.Accelerators = 1+random.IntN(4), 1+random.IntN(6)
 		}
 		spec.Checkpoint, spec.Duration = false, 3600*(1+10*random.Float64())
@@ -119,29 +119,29 @@
 	return s, tasks
 }
 
-const gangProbes = 20
+const gangSamples = 20
 
-func measureLargeGang(s *schedule.Scheduler, now time.Time) (gang, pass float64) {
-	var gangTime, passTime time.Duration
-	room := 0
-	for i := range gangProbes {
-		spec := probeSpec(fmt.Sprintf("gang%d", i), job.MaxMembers, 1)
+func measureLargeGang(s *schedule.Scheduler, now time.Time) (gangMicros, scanMicros float64) {
+	var gangTime, scanTime time.Duration
+	gangCapacity := 0
+	for i := range gangSamples {
+		spec := newSpec(fmt.Sprintf("gang%d", i), job.MaxMembers, 1)
 		spec.Spread = job.SpreadAny
 		s.Submit(now, spec, now, time.Hour)
-		began := time.Now()
+		start := time.Now()
 		s.Decide(now)
-		gangTime += time.Since(began)
+		gangTime += time.Since(start)
 		s.Ended(now, job.Key{Tenant: spec.Tenant, ID: spec.ID})
-		began = time.Now()
-		room += plainPass(s.Cluster())
-		passTime += time.Since(began)
+		start = time.Now()
+		gangCapacity += scanWorkers(s.Cluster())
+		scanTime += time.Since(start)
 	}
-	runtime.KeepAlive(room)
-	return float64(gangTime.Microseconds()) / gangProbes, float64(passTime.Microseconds()) / gangProbes
+	runtime.KeepAlive(gangCapacity)
+	return float64(gangTime.Microseconds()) / gangSamples, float64(scanTime.Microseconds()) / gangSamples
 }
 
-// plainPass asks every worker once how many members it holds.
-func plainPass(state *cluster.State) int {
+// scanWorkers asks every worker once how many members it holds.
+func scanWorkers(state *cluster.State) int {
 	need := cluster.Amount{Accelerators: 1, CPUs: 1, Slots: 1}
 	total := 0
 	for id := range state.Workers {
--- a/internal/bench/decide_test.go
+++ b/internal/bench/decide_test.go
@@ -12,14 +12,14 @@
 // size to design for; compare the two.
 func BenchmarkDecide(b *testing.B) {
 	for _, share := range []float64{0.1, 1} {
-		b.Run(fmt.Sprintf("%d workers", int(planWorkers*share)), func(b *testing.B) {
-			s, _ := filledScheduler(share)
+		b.Run(fmt.Sprintf("%d workers", int(designWorkers*share)), func(b *testing.B) {
+			s, _ := newLoadedScheduler(share)
 			now := time.Unix(1e6, 0)
 			b.ReportAllocs()
 			number := 0
 			for b.Loop() {
 				number++
-				spec := probeSpec(fmt.Sprintf("probe%d", number), 1+number%2, 1+number%4)
+				spec := newSpec(fmt.Sprintf("probe%d", number), 1+number%2, 1+number%4)
 				s.Submit(now, spec, now, time.Hour)
 				s.Decide(now)
 				s.Ended(now, job.Key{Tenant: spec.Tenant, ID: spec.ID})
