--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -16,14 +16,14 @@
 	"github.com/wheatroad/wheatroad/internal/emulator"
 )
 
-// Fit is a straight line through one quantity over the number of workers, and what
-// it gives at the size to design for.
+// Fit is the linear regression of one quantity on the number of workers,
+// extrapolated to the design size.
 type Fit struct {
 	Quantity  string  `json:"quantity"`
 	Intercept float64 `json:"intercept"`
 	// Slope is per 1,000 workers.
 	Slope float64 `json:"slope_per_1000_workers"`
-	// RelativeError is the root mean square distance from the line over the mean.
+	// RelativeError is the root mean square error divided by the mean.
 	RelativeError float64 `json:"relative_error"`
 	AtDesignSize  float64 `json:"at_13000_workers"`
 	Limit         float64 `json:"limit"`
@@ -72,7 +72,7 @@
 	return command
 }
 
-// quantity is one column of the results with its limit.
+// quantity is one measured column and its limit at the design size.
 type quantity struct {
 	name  string
 	limit float64
@@ -139,7 +139,7 @@
 		}
 		fit := fitQuantity(q, results)
 		line := plotter.NewFunction(func(x float64) float64 { return fit.Intercept + fit.Slope*x/workersPerUnit })
-		line.Color = colors(1)
+		line.Color = lineColor(1)
 		p.Add(dots, line)
 		p.X.Max = designWorkers
 		p.X.Min, p.Y.Min = 0, 0
--- a/internal/bench/decide.go
+++ b/internal/bench/decide.go
@@ -14,16 +14,15 @@
 	"github.com/wheatroad/wheatroad/internal/schedule"
 )
 
-// DecisionCost is the cost of decisions at one size.
+// DecisionCost is the cost of scheduling decisions at one cluster size.
 type DecisionCost struct {
 	Workers int `json:"workers"`
 	Tasks   int `json:"tasks"`
-	// DecisionMicros is the mean processor time of one submission with its cycle.
-	DecisionMicros float64 `json:"decision_micros"`
-	// AllocationsPerDecision counts heap allocations.
+	// DecisionMicros is the mean elapsed time of one submission, scheduling cycle and job end.
+	DecisionMicros         float64 `json:"decision_micros"`
 	AllocationsPerDecision float64 `json:"allocations_per_decision"`
-	// LargeGangMicros is one decision for a gang of 1024, PlainPassMicros one plain
-	// pass over all workers.
+	// LargeGangMicros is the mean time of one scheduling cycle with a gang of job.MaxMembers
+	// members. FullScanMicros is the mean time of a scan over all workers, as a baseline.
 	LargeGangMicros float64 `json:"large_gang_micros"`
 	FullScanMicros  float64 `json:"plain_pass_micros"`
 	StateMegabytes  float64 `json:"state_megabytes"`
@@ -46,19 +45,18 @@
 	}
 }
 
-// The size to design for.
+// Design size: the cluster and the load that the scheduler is designed for.
 const (
 	designWorkers  = 13000
 	designTasks    = 290000
 	workersPerRack = 8
-	// meanGangSize is the mean gang of the running load.
-	meanGangSize = 24
-	// decisionSamples is how many decisions are measured.
+	// meanGangSize is the mean number of members of a running job.
+	meanGangSize    = 24
 	decisionSamples = 2000
 )
 
-// MeasureDecisions fills a cluster of a share of the size to design for and times
-// decisions on it.
+// MeasureDecisions measures scheduling decisions on a loaded cluster of the given share
+// of the design size.
 func MeasureDecisions(share float64) DecisionCost {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -92,7 +90,7 @@
 	}
 }
 
-// newLoadedScheduler returns a scheduler whose workers run about 22 tasks each.
+// newLoadedScheduler returns a scheduler with about 22 tasks per worker and the number of tasks.
 func newLoadedScheduler(share float64) (*schedule.Scheduler, int) {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := schedule.New(schedule.Default(), cluster.NewState())
@@ -140,7 +138,7 @@
 	return float64(gangTime.Microseconds()) / gangSamples, float64(scanTime.Microseconds()) / gangSamples
 }
 
-// scanWorkers asks every worker once how many members it holds.
+// scanWorkers returns how many single-accelerator members fit on all schedulable workers.
 func scanWorkers(state *cluster.State) int {
 	need := cluster.Amount{Accelerators: 1, CPUs: 1, Slots: 1}
 	total := 0
--- a/internal/bench/decide_test.go
+++ b/internal/bench/decide_test.go
@@ -8,8 +8,8 @@
 	"github.com/wheatroad/wheatroad/internal/job"
 )
 
-// BenchmarkDecide times one submission with its cycle at a tenth and the whole of the
-// size to design for; compare the two.
+// BenchmarkDecide measures one submission, scheduling cycle and job end at 10% and 100% of
+// the design size, to show how the cost grows with the cluster.
 func BenchmarkDecide(b *testing.B) {
 	for _, share := range []float64{0.1, 1} {
 		b.Run(fmt.Sprintf("%d workers", int(designWorkers*share)), func(b *testing.B) {
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,3 +1,3 @@
-// Package bench is the load and experiment tool: it generates and replays
-// traces, measures decisions and prints results as JSON.
+// Package bench implements the wheatroad-bench command, which generates and replays
+// traces, measures scheduling and control-plane cost, and simulates faults.
 package bench
--- a/internal/bench/generate.go
+++ b/internal/bench/generate.go
@@ -14,7 +14,7 @@
 )
 
 func newGenerateCommand() *cobra.Command {
-	var clusterPath, out, bursts string
+	var clusterPath, outputPath, bursts string
 	options := workload.Options{}
 	command := &cobra.Command{
 		Use:     "generate --cluster C.toml --out T.jsonl",
@@ -23,12 +23,12 @@
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			options.Bursts = workload.Bursts(bursts)
-			return generate(clusterPath, out, options)
+			return generate(clusterPath, outputPath, options)
 		},
 	}
 	flags := command.Flags()
 	flags.StringVar(&clusterPath, "cluster", "", "cluster file")
-	flags.StringVar(&out, "out", "", "trace file to write; empty writes to standard output")
+	flags.StringVar(&outputPath, "out", "", "trace file to write; empty writes to standard output")
 	flags.StringVar(&bursts, "bursts", "mixed", "kind of bursts: small, large or mixed")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed")
 	flags.Float64Var(&options.Load, "load", 0.9, "accelerator-seconds asked for over those there are")
@@ -38,7 +38,7 @@
 	return command
 }
 
-func generate(clusterPath, out string, options workload.Options) error {
+func generate(clusterPath, outputPath string, options workload.Options) error {
 	switch options.Bursts {
 	case workload.SmallBursts, workload.LargeBursts, workload.MixedBursts:
 	default:
@@ -55,7 +55,7 @@
 		return fault.NewField(fault.InvalidRequest, "tenant", "the cluster file declares none")
 	}
 	lines := workload.Generate(c, options)
-	return writeLines(out, func(encoder *json.Encoder) error {
+	return writeLines(outputPath, func(encoder *json.Encoder) error {
 		for i := range lines {
 			if err := encoder.Encode(&lines[i]); err != nil {
 				return err
@@ -65,18 +65,18 @@
 	})
 }
 
-// writeLines opens a file, or standard output for an empty path, for JSON lines.
+// writeLines writes JSON lines to the file at path, or to standard output if path is empty.
 func writeLines(path string, write func(*json.Encoder) error) error {
-	var sink io.Writer = os.Stdout
+	var output io.Writer = os.Stdout
 	if path != "" {
 		file, err := os.Create(path)
 		if err != nil {
 			return fault.New(fault.InvalidRequest, "%s", err.Error())
 		}
 		defer file.Close()
-		sink = file
+		output = file
 	}
-	buffered := bufio.NewWriter(sink)
+	buffered := bufio.NewWriter(output)
 	if err := write(json.NewEncoder(buffered)); err != nil {
 		return err
 	}
--- a/internal/bench/replay.go
+++ b/internal/bench/replay.go
@@ -15,13 +15,13 @@
 )
 
 type replayOptions struct {
-	cluster string
-	trace   string
-	policy  string
-	events  string
-	weight  float64
-	stretch float64
-	preempt float64
+	clusterPath         string
+	tracePath           string
+	policy              string
+	eventsPath          string
+	fragmentationWeight float64
+	stretchFactor       float64
+	preemptRatio        float64
 }
 
 func newReplayCommand() *cobra.Command {
@@ -32,7 +32,7 @@
 		Example: "  wheatroad-bench replay --cluster site.toml --trace trace.jsonl --policy wheatroad --events out.jsonl",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			result, err := replayFile(options)
+			result, err := replayTrace(options)
 			if err != nil {
 				return err
 			}
@@ -40,45 +40,45 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&options.cluster, "cluster", "", "cluster file")
-	flags.StringVar(&options.trace, "trace", "", "trace file")
+	flags.StringVar(&options.clusterPath, "cluster", "", "cluster file")
+	flags.StringVar(&options.tracePath, "trace", "", "trace file")
 	flags.StringVar(&options.policy, "policy", "wheatroad", "first-fit, best-fit or wheatroad")
-	flags.StringVar(&options.events, "events", "", "file for the events; empty writes none")
-	flags.Float64Var(&options.weight, "fragmentation-weight", -1, "0 to 1; replaces the policy's")
-	flags.Float64Var(&options.stretch, "stretch", -1, "replaces the policy's stretch factor")
-	flags.Float64Var(&options.preempt, "preempt-ratio", -1, "replaces the policy's preemption ratio")
+	flags.StringVar(&options.eventsPath, "events", "", "file for the events; empty writes none")
+	flags.Float64Var(&options.fragmentationWeight, "fragmentation-weight", -1, "0 to 1; replaces the policy's")
+	flags.Float64Var(&options.stretchFactor, "stretch", -1, "replaces the policy's stretch factor")
+	flags.Float64Var(&options.preemptRatio, "preempt-ratio", -1, "replaces the policy's preemption ratio")
 	return command
 }
 
-func (o *replayOptions) resolve() (schedule.Policy, error) {
+func (o *replayOptions) buildPolicy() (schedule.Policy, error) {
 	policy, err := schedule.Named(o.policy)
 	if err != nil {
 		return policy, err
 	}
-	if o.weight >= 0 && policy.Strategy == schedule.FragmentationAware {
-		policy = schedule.Weighted(min(1, o.weight))
+	if o.fragmentationWeight >= 0 && policy.Strategy == schedule.FragmentationAware {
+		policy = schedule.Weighted(min(1, o.fragmentationWeight))
 	}
-	if o.stretch >= 0 {
-		policy.StretchFactor = o.stretch
+	if o.stretchFactor >= 0 {
+		policy.StretchFactor = o.stretchFactor
 	}
-	if o.preempt >= 0 {
-		policy.PreemptRatio = o.preempt
+	if o.preemptRatio >= 0 {
+		policy.PreemptRatio = o.preemptRatio
 	}
 	return policy, nil
 }
 
-func replayFile(options replayOptions) (figures.Result, error) {
-	policy, err := options.resolve()
+func replayTrace(options replayOptions) (figures.Result, error) {
+	policy, err := options.buildPolicy()
 	if err != nil {
 		return figures.Result{}, err
 	}
-	c, lines, err := readTrace(options.cluster, options.trace)
+	c, lines, err := readTrace(options.clusterPath, options.tracePath)
 	if err != nil {
 		return figures.Result{}, err
 	}
 	events, cost := runReplay(c, lines, policy)
-	if options.events != "" {
-		if err := writeEvents(options.events, events); err != nil {
+	if options.eventsPath != "" {
+		if err := writeEvents(options.eventsPath, events); err != nil {
 			return figures.Result{}, err
 		}
 	}
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -27,7 +27,7 @@
 		Example: "  wheatroad-bench report out/ --cluster site.toml --load 0.9",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return report(args[0], clusterPath, options)
+			return writeReport(args[0], clusterPath, options)
 		},
 	}
 	flags := command.Flags()
@@ -38,42 +38,42 @@
 	return command
 }
 
-// series is one policy's results.
+// series is the replay result of one policy or weight.
 type series struct {
 	name   string
 	result figures.Result
 }
 
-func report(folder, clusterPath string, options workload.Options) error {
+func writeReport(dir, clusterPath string, options workload.Options) error {
 	c, err := trace.ReadCluster(clusterPath)
 	if err != nil {
 		return err
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	lines := workload.Generate(c, options)
-	var all []series
+	var byPolicy []series
 	for _, name := range []string{"first-fit", "best-fit", "wheatroad"} {
 		policy, err := schedule.Named(name)
 		if err != nil {
 			return err
 		}
 		events, _ := runReplay(c, lines, policy)
-		all = append(all, series{name, figures.Compute(c, lines, events)})
+		byPolicy = append(byPolicy, series{name, figures.Compute(c, lines, events)})
 	}
-	var tradeoff []series
+	var byWeight []series
 	for _, weight := range []float64{0, 0.25, 0.5, 0.75, 1} {
 		events, _ := runReplay(c, lines, schedule.Weighted(weight))
-		tradeoff = append(tradeoff, series{fmt.Sprintf("%g", weight), figures.Compute(c, lines, events)})
+		byWeight = append(byWeight, series{fmt.Sprintf("%g", weight), figures.Compute(c, lines, events)})
 	}
-	if err := writeTable(filepath.Join(folder, "table.md"), all, tradeoff); err != nil {
+	if err := writeTable(filepath.Join(dir, "table.md"), byPolicy, byWeight); err != nil {
 		return err
 	}
-	return writePlots(folder, all, tradeoff)
+	return writePlots(dir, byPolicy, byWeight)
 }
 
-func writeTable(path string, all, tradeoff []series) error {
+func writeTable(path string, byPolicy, byWeight []series) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
@@ -81,10 +81,10 @@
 	defer file.Close()
 	fmt.Fprintln(file, "| policy | completion mean s | p95 s | wait mean s | urgent start p99 s | fragmentation | utilization | late | preemptions |")
 	fmt.Fprintln(file, "|---|---|---|---|---|---|---|---|---|")
-	for _, s := range all {
+	for _, s := range byPolicy {
 		writeRow(file, s.name, s.result.Figures)
 	}
-	for _, s := range tradeoff {
+	for _, s := range byWeight {
 		writeRow(file, "weight "+s.name, s.result.Figures)
 	}
 	return nil
@@ -95,7 +95,7 @@
 		f.WaitMean, f.UrgentStartP99, f.Fragmentation, f.Utilization, f.GuaranteeLate, f.Preemptions)
 }
 
-func writePlots(folder string, all, tradeoff []series) error {
+func writePlots(dir string, byPolicy, byWeight []series) error {
 	plots := []struct {
 		file, title, x, y string
 		points            func(series) plotter.XYs
@@ -103,19 +103,19 @@
 	}{
 		{"completion.png", "Completion time", "seconds from submission to end", "share of jobs", completionPoints, true},
 		{"fragmentation.png", "Fragmentation over time", "hours", "fragmentation", func(s series) plotter.XYs {
-			return hourly(s, func(sample figures.Sample) float64 { return sample.Fragmentation })
+			return hourlyMeans(s, func(sample figures.Sample) float64 { return sample.Fragmentation })
 		}, false},
 		{"utilization.png", "Utilization over time", "hours", "share of accelerators taken", func(s series) plotter.XYs {
-			return hourly(s, func(sample figures.Sample) float64 { return sample.Utilization })
+			return hourlyMeans(s, func(sample figures.Sample) float64 { return sample.Utilization })
 		}, false},
 		{"waits.png", "Mean wait by size", "accelerators asked for", "seconds", waitPoints, true},
 	}
 	for _, p := range plots {
-		if err := drawLines(filepath.Join(folder, p.file), p.title, p.x, p.y, all, p.points, p.logX); err != nil {
+		if err := drawLines(filepath.Join(dir, p.file), p.title, p.x, p.y, byPolicy, p.points, p.logX); err != nil {
 			return err
 		}
 	}
-	return drawTradeoff(filepath.Join(folder, "tradeoff.png"), tradeoff)
+	return drawTradeoff(filepath.Join(dir, "tradeoff.png"), byWeight)
 }
 
 const (
@@ -123,23 +123,23 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-func colors(index int) color.Color {
+func lineColor(index int) color.Color {
 	return []color.Color{color.RGBA{R: 200, A: 255}, color.RGBA{B: 200, A: 255}, color.RGBA{G: 140, A: 255}}[index%3]
 }
 
-func drawLines(path, title, x, y string, all []series, points func(series) plotter.XYs, logX bool) error {
+func drawLines(path, title, x, y string, byPolicy []series, points func(series) plotter.XYs, logX bool) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	if logX {
 		p.X.Scale = plot.LogScale{}
 		p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	}
-	for index, s := range all {
+	for index, s := range byPolicy {
 		line, err := plotter.NewLine(points(s))
 		if err != nil {
 			return err
 		}
-		line.Color = colors(index)
+		line.Color = lineColor(index)
 		p.Add(line)
 		p.Legend.Add(s.name, line)
 	}
@@ -161,20 +161,20 @@
 
 const secondsPerHour = 3600
 
-// hourly averages samples by hour, weighted by their length.
-func hourly(s series, value func(figures.Sample) float64) plotter.XYs {
+// hourlyMeans returns the time-weighted mean of the samples in each hour.
+func hourlyMeans(s series, value func(figures.Sample) float64) plotter.XYs {
 	sums, weights := map[int]float64{}, map[int]float64{}
-	last := 0
+	lastHour := 0
 	samples := s.result.Samples
 	for i := 0; i+1 < len(samples); i++ {
 		hour := int(samples[i].At / secondsPerHour)
 		length := samples[i+1].At - samples[i].At
 		sums[hour] += value(samples[i]) * length
 		weights[hour] += length
-		last = max(last, hour)
+		lastHour = max(lastHour, hour)
 	}
 	var points plotter.XYs
-	for hour := 0; hour <= last; hour++ {
+	for hour := 0; hour <= lastHour; hour++ {
 		if weights[hour] > 0 {
 			points = append(points, plotter.XY{X: float64(hour), Y: sums[hour] / weights[hour]})
 		}
@@ -197,13 +197,13 @@
 	return points
 }
 
-func drawTradeoff(path string, tradeoff []series) error {
+func drawTradeoff(path string, byWeight []series) error {
 	p := plot.New()
 	p.Title.Text = "What the weight trades"
 	p.X.Label.Text, p.Y.Label.Text = "mean completion, seconds", "fragmentation"
-	points := make(plotter.XYs, len(tradeoff))
-	names := make([]string, len(tradeoff))
-	for i, s := range tradeoff {
+	points := make(plotter.XYs, len(byWeight))
+	names := make([]string, len(byWeight))
+	for i, s := range byWeight {
 		points[i] = plotter.XY{X: s.result.Figures.CompletionMean, Y: s.result.Figures.Fragmentation}
 		names[i] = "weight " + s.name
 	}
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -12,15 +12,15 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// ErrPromiseBroken says that a run broke a promise.
+// ErrPromiseBroken is returned when a run violates an invariant.
 var ErrPromiseBroken = errors.New("a promise was broken")
 
 func newSoakCommand() *cobra.Command {
 	var seed uint64
 	var hours, jobsPerHour float64
-	var without, rates string
-	var list, verbose bool
-	var follow string
+	var disabledMechanism, rates string
+	var listMechanisms, verbose bool
+	var followedJob string
 	command := &cobra.Command{
 		Use:   "soak --seed N --hours H",
 		Short: "Run a whole system under faults in virtual time and judge the promises",
@@ -28,7 +28,7 @@
 			"  wheatroad-bench soak --seed 7 --hours 2 --without operation_markers",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if list {
+			if listMechanisms {
 				for _, name := range emulator.MechanismNames() {
 					fmt.Fprintln(command.OutOrStdout(), name)
 				}
@@ -48,18 +48,18 @@
 			default:
 				return fault.NewField(fault.InvalidRequest, "rates", "must be heavy, plan, stops or none")
 			}
-			if without != "" {
-				if err := options.Without(without); err != nil {
+			if disabledMechanism != "" {
+				if err := options.Without(disabledMechanism); err != nil {
 					return err
 				}
 			}
-			if follow != "" {
+			if followedJob != "" {
 				options.Log = func(at time.Time, node, message string) {
 					fmt.Fprintf(command.ErrOrStderr(), "%s %s %s\n", at.Format("15:04:05.000"), node, message)
 				}
-				options.Follow = follow
+				options.Follow = followedJob
 			}
-			return soak(command, options, verbose)
+			return runSoak(command, options, verbose)
 		},
 	}
 	flags := command.Flags()
@@ -67,25 +67,25 @@
 	flags.Float64Var(&hours, "hours", 2, "virtual hours")
 	flags.StringVar(&rates, "rates", "heavy", "fault rates: heavy, plan for those of the size to design for, stops for planned stops and a slow store, or none")
 	flags.Float64Var(&jobsPerHour, "jobs-per-hour", 400, "submissions")
-	flags.StringVar(&without, "without", "", "mechanism to turn off")
-	flags.BoolVar(&list, "list-mechanisms", false, "print the mechanisms that can be turned off")
-	flags.StringVar(&follow, "follow", "", "print what happened to this job and every change of state of the nodes")
+	flags.StringVar(&disabledMechanism, "without", "", "mechanism to turn off")
+	flags.BoolVar(&listMechanisms, "list-mechanisms", false, "print the mechanisms that can be turned off")
+	flags.StringVar(&followedJob, "follow", "", "print what happened to this job and every change of state of the nodes")
 	flags.BoolVar(&verbose, "verbose", false, "print every broken promise")
 	return command
 }
 
-func soak(command *cobra.Command, options emulator.SoakOptions, verbose bool) error {
-	report, breaks := emulator.Soak(options)
+func runSoak(command *cobra.Command, options emulator.SoakOptions, verbose bool) error {
+	report, violations := emulator.Soak(options)
 	if err := json.NewEncoder(command.OutOrStdout()).Encode(report); err != nil {
 		return err
 	}
 	if verbose {
-		for _, b := range breaks {
-			fmt.Fprintf(command.ErrOrStderr(), "%s %s %s\n", b.At.Format("15:04:05.000"), b.Promise, b.Detail)
+		for _, violation := range violations {
+			fmt.Fprintf(command.ErrOrStderr(), "%s %s %s\n", violation.At.Format("15:04:05.000"), violation.Promise, violation.Detail)
 		}
 	}
-	if len(breaks) > 0 {
-		return errors.Wrapf(ErrPromiseBroken, "%s, seed %d", breaks[0].Promise, options.Seed)
+	if len(violations) > 0 {
+		return errors.Wrapf(ErrPromiseBroken, "%s, seed %d", violations[0].Promise, options.Seed)
 	}
 	return nil
 }
