--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,5 +1,5 @@
-// Package buildinfo holds what the release build stamps into the programs.
+// Package buildinfo holds build metadata that the linker sets.
 package buildinfo
 
-// Version is the release, set by the linker.
+// Version is the release version, set with -ldflags -X. Development builds report "dev".
 var Version = "dev"
