--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -99,12 +99,12 @@
 	return fits
 }
 
-const workersPerUnit = 1000
+const workersPerSlopeUnit = 1000
 
 func fitQuantity(q quantity, results []emulator.Capacity) Fit {
 	var x, y []float64
 	for _, r := range results {
-		x = append(x, float64(r.Workers)/workersPerUnit)
+		x = append(x, float64(r.Workers)/workersPerSlopeUnit)
 		y = append(y, q.value(r))
 	}
 	intercept, slope := stat.LinearRegression(x, y, nil, false)
@@ -116,7 +116,7 @@
 	if mean := stat.Mean(y, nil); mean > 0 {
 		fit.RelativeError = math.Sqrt(squaredResiduals/float64(len(x))) / mean
 	}
-	fit.AtDesignSize = intercept + slope*designWorkers/workersPerUnit
+	fit.AtDesignSize = intercept + slope*designWorkers/workersPerSlopeUnit
 	fit.WithinLimit = fit.AtDesignSize <= q.limit
 	return fit
 }
@@ -138,7 +138,7 @@
 			return err
 		}
 		fit := fitQuantity(q, results)
-		line := plotter.NewFunction(func(x float64) float64 { return fit.Intercept + fit.Slope*x/workersPerUnit })
+		line := plotter.NewFunction(func(x float64) float64 { return fit.Intercept + fit.Slope*x/workersPerSlopeUnit })
 		line.Color = lineColor(1)
 		p.Add(dots, line)
 		p.X.Max = designWorkers
