--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Change is one line of a plan's difference.
+// Change is one difference between two declarations.
 type Change struct {
 	// Action is "add", "remove" or "change".
 	Action string `json:"action"`
-	// Subject names the tenant or rack.
+	// Subject is the kind and name of what changed, such as "tenant a".
 	Subject string `json:"subject"`
 	Detail  string `json:"detail,omitempty"`
 }
 
-// Diff lists what turns one declaration into another. Both must be normalized.
+// Diff returns the changes that turn from into to. Both must be normalized.
 func Diff(from, to *Declaration) []Change {
 	var changes []Change
 	for i := range from.Tenant {
@@ -43,10 +43,10 @@
 	return Change{Action: "change", Subject: subject, Detail: describe(old) + " -> " + describe(updated)}, true
 }
 
-func diffRacks(action string, in, notIn []string) []Change {
+func diffRacks(action string, racks, excluded []string) []Change {
 	var changes []Change
-	for _, rack := range in {
-		if !slices.Contains(notIn, rack) {
+	for _, rack := range racks {
+		if !slices.Contains(excluded, rack) {
 			changes = append(changes, Change{Action: action, Subject: "drained rack " + rack})
 		}
 	}
--- a/internal/pool/orders.go
+++ b/internal/pool/assignment.go
@@ -9,24 +9,24 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// assign books a member's room on a worker.
+// assign reserves capacity for a member on a worker and resets the state of its previous run.
 func (p *Pool) assign(m *member, w *worker) {
 	m.worker = w
 	m.state = memberNone
-	m.stopTried, m.stopSent, m.stopAnswered, m.doubtful = false, false, false, false
-	m.startTries = nil
-	m.confirmedBefore, m.formerLife = false, fleet.Life{}
-	m.percent, m.percentAt, m.listedAt = 0, time.Time{}, time.Time{}
+	m.stopAttempted, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
+	m.startCall = nil
+	m.confirmedBefore, m.formerIncarnation = false, fleet.Life{}
+	m.percent, m.percentChangedAt, m.reportedAt = 0, time.Time{}, time.Time{}
 	m.sentAt = time.Time{}
 	m.startDeadline = 0
-	m.inUnknownLife = false
-	m.timedPercent = 0
-	m.unit.step.cohort.Forget(&m.inCohort)
+	m.incarnationUnknown = false
+	m.runTimePercent = 0
+	m.unit.step.cohort.Forget(&m.cohortEntry)
 	w.members = append(w.members, m)
 }
 
-// release frees a member's room.
-func (p *Pool) release(m *member) {
+// unassign frees the capacity that a member has reserved.
+func (p *Pool) unassign(m *member) {
 	if m.stopTimer != nil {
 		m.stopTimer()
 		m.stopTimer = nil
@@ -36,57 +36,57 @@
 	}
 	m.worker = nil
 	m.state = memberNone
-	m.stopTried, m.stopSent, m.stopAnswered = false, false, false
+	m.stopAttempted, m.stopSent, m.stopAnswered = false, false, false
 }
 
-func (p *Pool) clearMembers(u *unit) {
+func (p *Pool) unassignAll(u *unit) {
 	for _, m := range u.members {
-		p.release(m)
+		p.unassign(m)
 	}
 }
 
-// begin writes a placement, then starts the unit.
-func (p *Pool) begin(u *unit, places []*worker) {
+// commitPlacement writes a unit's placement, and starts the unit once that is stored.
+func (p *Pool) commitPlacement(u *unit, places []*worker) {
 	u.run++
 	u.state = unitCommitting
 	for i, m := range u.members {
 		p.assign(m, places[i])
 	}
-	u.slowness = p.slowestOf(u)
+	u.slowness = p.maxSlowness(u)
 	run := u.run
-	if !u.job.begun {
-		u.job.begun = true
-		u.job.next = taskgraph.Running
+	if !u.job.placed {
+		u.job.placed = true
+		u.job.pendingState = taskgraph.Running
 	}
 	p.record.Decided("placed", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", run, "tasks", len(u.members),
-		"waited_ms", p.loop.Now().Sub(u.readyAt).Milliseconds(), "waited_for", string(u.waitedFor()), "estimate_ms", u.spec().EstimateMillis,
+		"waited_ms", p.loop.Now().Sub(u.readyAt).Milliseconds(), "waited_for", string(u.lastWaitReason()), "estimate_ms", u.spec().EstimateMillis,
 		"cores", u.spec().Amount.Cores()*float64(len(u.members)), "slack_ms", u.slack(p.loop.Now()).Milliseconds(), "slowness", u.slowness,
 		"workers", workerIDs(places))
 	p.persist(u.job)
-	p.afterWrite(0, func() {
+	p.afterPersist(0, func() {
 		switch {
 		case u.state != unitCommitting || u.run != run:
-		case u.active() < len(u.members), !p.placeHolds(u):
-			// A worker was lost before any start was sent, or the write took so long that what
-			// it was decided by no longer holds.
+		case u.activeMembers() < len(u.members), !p.placementValid(u):
+			// A worker was lost before any start was sent, or the write took so long that the
+			// placement is no longer valid.
 			p.record.Count("start_failures", "place_lost")
-			p.clearMembers(u)
+			p.unassignAll(u)
 			u.state = unitWaiting
 			p.persist(u.job)
-			p.wake()
+			p.scheduleCycle()
 		default:
 			p.startUnit(u)
 		}
 	})
 }
 
-// placeHolds reports whether a unit whose placement is written may be started there still.
-func (p *Pool) placeHolds(u *unit) bool {
-	if !p.mayStart(p.loop.Now()) || !p.accountsKnown() {
+// placementValid reports whether a unit whose placement is stored may still be started there.
+func (p *Pool) placementValid(u *unit) bool {
+	if !p.canStartWithinLease(p.loop.Now()) || !p.capacitiesFresh() {
 		return false
 	}
 	for _, m := range u.members {
-		if !m.worker.holdsItsMembers(p.loop.Now()) {
+		if !m.worker.fitsMembers(p.loop.Now()) {
 			return false
 		}
 		if !p.options.Without.StartZones && !p.mayStartOn(m.worker, p.loop.Now()) {
@@ -96,7 +96,7 @@
 	return true
 }
 
-// maxLoggedWorkers bounds the workers named on one line.
+// maxLoggedWorkers bounds the worker names in one log line.
 const maxLoggedWorkers = 8
 
 func workerIDs(places []*worker) string {
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -10,27 +10,28 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Between two cycles while units wait that the last one could not place, the least time
-// is cyclePause, since most of what happens then changes nothing for them, and cycleRest
-// times what the last one took. So cycles leave three quarters of the processor to ends,
-// orders and pings, which else come late when many units wait in a large pool.
+// Minimum time between two cycles while unplaced units remain: minCyclePause, and at least
+// cyclePauseRatio times the duration of the last cycle. This leaves three quarters of the processor
+// to run ends, commands and pings when many units wait in a large pool.
 const (
-	cyclePause = 10 * time.Millisecond
-	cycleRest  = 3
+	minCyclePause   = 10 * time.Millisecond
+	cyclePauseRatio = 3
 )
 
-// pauseAfter is the least time to the next cycle after one that took a while and left
-// units waiting.
-func pauseAfter(took time.Duration) time.Duration { return max(cyclePause, cycleRest*took) }
+// minPauseAfter returns the minimum pause after a cycle of the given duration that left units
+// unplaced.
+func minPauseAfter(cycleDuration time.Duration) time.Duration {
+	return max(minCyclePause, cyclePauseRatio*cycleDuration)
+}
 
-// wake runs a scheduling cycle soon.
-func (p *Pool) wake() {
-	if p.waking || !p.loaded || p.gone || p.releasing {
+// scheduleCycle schedules a scheduling cycle unless one is scheduled already.
+func (p *Pool) scheduleCycle() {
+	if p.cycleScheduled || !p.loaded || p.closed || p.releasing {
 		return
 	}
-	p.waking = true
-	pause := p.lastCycle.Add(pauseAfter(p.cycleTook)).Sub(p.loop.Now())
-	if !p.crowded || pause <= 0 {
+	p.cycleScheduled = true
+	pause := p.lastCycleEnd.Add(minPauseAfter(p.lastCycleDuration)).Sub(p.loop.Now())
+	if !p.hasBacklog || pause <= 0 {
 		p.loop.Post(p.runCycle)
 		return
 	}
@@ -38,51 +39,51 @@
 }
 
 func (p *Pool) runCycle() {
-	p.waking = false
-	if !p.gone && !p.releasing {
-		p.cycle()
+	p.cycleScheduled = false
+	if !p.closed && !p.releasing {
+		p.runSchedulingCycle()
 	}
 }
 
-// cycle places waiting units, the most pressing first.
-func (p *Pool) cycle() {
-	began := p.loop.Now()
+// runSchedulingCycle places waiting units in the order of compareUnits.
+func (p *Pool) runSchedulingCycle() {
+	startedAt := p.loop.Now()
 	waiting := p.waitingUnits()
-	p.crowded = false
-	if len(waiting) == 0 || !p.accountsKnown() {
+	p.hasBacklog = false
+	if len(waiting) == 0 || !p.capacitiesFresh() {
 		return
 	}
 	s := p.snapshot()
-	refused := map[placementClass]bool{}
+	unplaceable := map[equivalenceClass]bool{}
 	for _, u := range waiting {
-		if u.state != unitWaiting || p.giveUpPoison(u) {
+		if u.state != unitWaiting || p.failPoisonJob(u) {
 			continue
 		}
 		class := classOf(u)
-		if refused[class] {
+		if unplaceable[class] {
 			continue
 		}
-		if p.place(s, u) {
+		if p.placeUnit(s, u) {
 			continue
 		}
-		p.crowded = true
-		if len(u.avoid) == 0 && !u.suspected() {
-			refused[class] = true
+		p.hasBacklog = true
+		if len(u.excludedWorkers) == 0 && !u.suspectedOfCrashes() {
+			unplaceable[class] = true
 		}
 	}
-	p.lastCycle = p.loop.Now()
-	p.cycleTook = p.lastCycle.Sub(began)
-	p.record.Observe("cycle", p.cycleTook)
+	p.lastCycleEnd = p.loop.Now()
+	p.lastCycleDuration = p.lastCycleEnd.Sub(startedAt)
+	p.record.Observe("cycle", p.lastCycleDuration)
 }
 
-// openUnits yields the units of jobs that have not ended, in no order.
+// openUnits yields the units of jobs that have not ended, in unspecified order.
 func (p *Pool) openUnits() iter.Seq[*unit] {
 	return func(yield func(*unit) bool) {
 		for _, j := range p.jobs {
-			if j.next.Final() {
+			if j.pendingState.Final() {
 				continue
 			}
-			for _, t := range j.times {
+			for _, t := range j.repetitions {
 				for _, s := range t.steps {
 					for _, u := range s.units {
 						if !yield(u) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// waitingUnits lists the units that want a place, the most pressing first.
+// waitingUnits returns the units that wait for a placement, in the order of compareUnits.
 func (p *Pool) waitingUnits() []*unit {
 	var waiting []*unit
 	for u := range p.openUnits() {
@@ -109,13 +110,13 @@
 	return waiting
 }
 
-// compareUnits orders units by priority; among equals those that can still end in
-// time come before those that are late already, and then the oldest.
+// compareUnits orders units by priority, then those that can still meet their objective
+// before those that cannot, then by the job's time of acceptance.
 func compareUnits(a, b *unit, now time.Time, timelyFirst bool) int {
 	if a.job.Queue.Priority != b.job.Queue.Priority {
 		return a.job.Queue.Priority - b.job.Queue.Priority
 	}
-	if late := a.late(now); timelyFirst && late != b.late(now) {
+	if late := a.missesObjective(now); timelyFirst && late != b.missesObjective(now) {
 		if late {
 			return 1
 		}
@@ -127,8 +128,8 @@
 	if order := strings.Compare(a.job.id, b.job.id); order != 0 {
 		return order
 	}
-	if a.time.number != b.time.number {
-		return a.time.number - b.time.number
+	if a.repetition.number != b.repetition.number {
+		return a.repetition.number - b.repetition.number
 	}
 	if a.step.index != b.step.index {
 		return a.step.index - b.step.index
@@ -136,43 +137,44 @@
 	return a.index - b.index
 }
 
-// late reports whether a unit without priority 0 can no longer end in time.
-func (u *unit) late(now time.Time) bool {
+// missesObjective reports whether a unit can no longer meet its objective; false for priority 0.
+func (u *unit) missesObjective(now time.Time) bool {
 	return u.job.Queue.Priority > 0 && u.slack(now) < 0
 }
 
-// place finds a place for a unit and begins it. It returns false if none is found.
-func (p *Pool) place(s *snapshot, u *unit) bool {
+// placeUnit assigns a unit to workers. If it finds none it preempts other units or reserves
+// resources for the unit, and returns false.
+func (p *Pool) placeUnit(s *snapshot, u *unit) bool {
 	request := s.request(u)
-	if places := p.findPlace(s, u, request); places != nil {
-		if p.lateAt(s, u, places) && p.preemptForSpeed(s, u, request) {
+	if places := p.findPlacement(s, u, request); places != nil {
+		if p.missesObjectiveOn(s, u, places) && p.preemptForFastWorkers(s, u, request) {
 			return false
 		}
-		p.beginAt(s, u, request, places)
+		p.assignTo(s, u, request, places)
 		return true
 	}
-	p.noteWait(s, u, request)
-	if u.runsAlone() {
-		s.reserveAlone(u, request)
+	p.updateWaitReason(s, u, request)
+	if u.needsEmptyWorkers() {
+		s.reserveEmptyWorkers(u, request)
 		return false
 	}
-	if !u.likelyPoison() && p.pressing(s, u) && p.preemptFor(s, u, request) {
+	if !u.likelyPoison() && p.mayPreempt(s, u) && p.preemptFor(s, u, request) {
 		return false
 	}
 	if !p.options.Off[mechanism.Reservations] {
-		s.reserveFor(u, request, s.earliest(u, request))
+		s.reserve(u, request, s.earliestPlacement(u, request))
 	}
 	return false
 }
 
-func (p *Pool) beginAt(s *snapshot, u *unit, request *placement.Request, places []int) {
+func (p *Pool) assignTo(s *snapshot, u *unit, request *placement.Request, places []int) {
 	placement.Reserve(s.workers, places, request.Room)
 	workers := make([]*worker, len(places))
 	for i, place := range places {
-		workers[i] = s.owners[place]
+		workers[i] = s.poolWorkers[place]
 	}
-	p.begin(u, workers)
-	if u.suspected() {
-		s.closeToOthers(places)
+	p.commitPlacement(u, workers)
+	if u.suspectedOfCrashes() {
+		s.excludeWorkers(places)
 	}
 }
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -7,86 +7,87 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// What becomes of runs that were placed in a former life of their worker. Those that surely ended with
-// it are lost at once; the others are looked for in the next life.
+// Runs that were placed in a former incarnation of their worker: those that certainly ended with it
+// are lost at once, the others are looked up in the next incarnation.
 
-// loseFormerRuns settles the members that were confirmed in the former life before the next one
-// was asked, and are not in its account.
-func (p *Pool) loseFormerRuns(w *worker, reply fleet.Reply, sentAt time.Time) {
-	there := namesOf(reply.Running)
+// markFormerRunsLost marks as lost the runs that were confirmed in the former incarnation before
+// the report of the next one was requested, and that this report does not contain.
+func (p *Pool) markFormerRunsLost(w *worker, reply fleet.Reply, sentAt time.Time) {
+	listed := runIDs(reply.Running)
 	for i := range reply.Ended {
-		there[runName{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
+		listed[runID{task: reply.Ended[i].Task, run: reply.Ended[i].Run}] = true
 	}
 	all := w.members
 	w.members = nil
 	var kept []*member
 	for _, m := range all {
-		if m.overWithLife(sentAt, p.options.Without) && !there[runName{task: m.name(), run: m.unit.run}] {
+		if m.endedWithIncarnation(sentAt, p.options.Without) && !listed[runID{task: m.name(), run: m.unit.run}] {
 			w.members = append(w.members, m)
 		} else {
 			kept = append(kept, m)
 		}
 	}
-	p.loseRuns(w, lostWithLife)
+	p.markRunsLost(w, lostWorkerRestarted)
 	w.members = append(w.members, kept...)
 }
 
-// overWithLife reports whether the member's run surely is over if it is in no account that the
-// next life of its worker gave on a question of sentAt. A start of this owner without an answer, or
-// a copy of one, may come to the next life; one of an earlier owner is fenced there by the question.
-// A run that is being stopped is in no account, but if it was confirmed in the former life.
-func (m *member) overWithLife(sentAt time.Time, without Without) bool {
+// endedWithIncarnation reports whether the member's run has certainly ended if it is missing from
+// the report of the worker's next incarnation that was requested at sentAt. An unanswered start of
+// this owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner
+// is fenced there by the request. A run that is being stopped is missing from reports, so it counts
+// as ended only if an earlier owner had it confirmed in the former incarnation.
+func (m *member) endedWithIncarnation(sentAt time.Time, without Without) bool {
 	switch m.state {
 	case memberNone:
 		return true
-	case memberUncertain:
+	case memberUnconfirmed:
 		return m.confirmedBefore
 	case memberRunning:
-		open := m.doubtful || m.inUnknownLife || m.startTries != nil && m.startTries.open > 0
-		return (!open || without.OpenStarts) && !m.stopTried && m.sentAt.Before(sentAt)
+		open := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
+		return (!open || without.OpenStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
 	}
 	return false
 }
 
-// loseFormerMembers settles the members that an earlier owner had confirmed in a former life of the
-// worker, by the first account of the present one.
-func (p *Pool) loseFormerMembers(w *worker, listed map[*member]bool) {
-	var ended []*worker
+// markConfirmedBeforeLost marks as lost the members whose runs an earlier owner had confirmed in a
+// former incarnation of the worker, if the first report of the present one does not list them.
+func (p *Pool) markConfirmedBeforeLost(w *worker, listed map[*member]bool) {
+	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
-		if m.formerLife.ID == "" || m.state != memberUncertain || !m.sentAt.IsZero() || listed[m] {
+		if m.formerIncarnation.ID == "" || m.state != memberUnconfirmed || !m.sentAt.IsZero() || listed[m] {
 			continue
 		}
-		place := slices.IndexFunc(ended, func(known *worker) bool { return known.Life == m.formerLife })
-		if place < 0 {
-			place = len(ended)
-			ended = append(ended, &worker{Worker: fleet.Worker{Life: m.formerLife, Address: w.Address}})
+		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerIncarnation })
+		if index < 0 {
+			index = len(formers)
+			formers = append(formers, &worker{Worker: fleet.Worker{Life: m.formerIncarnation, Address: w.Address}})
 		}
-		former := ended[place]
+		former := formers[index]
 		w.members = slices.DeleteFunc(w.members, func(other *member) bool { return other == m })
 		former.members = append(former.members, m)
 		m.worker, m.confirmedBefore = former, true
 	}
-	for _, former := range ended {
-		p.loseRuns(former, lostWithLife)
+	for _, former := range formers {
+		p.markRunsLost(former, lostWorkerRestarted)
 	}
 }
 
-// leaveLife notes that the member's run was last known in a life that has ended. It is looked for
-// in the next one, where nothing has confirmed it.
-func (m *member) leaveLife(life fleet.Life) {
+// leaveIncarnation records that the member's run was last known in an incarnation that has ended.
+// The next incarnation has not confirmed the run yet.
+func (m *member) leaveIncarnation(life fleet.Life) {
 	if m.wasConfirmed() {
-		m.formerLife = life
+		m.formerIncarnation = life
 	}
 	m.confirmedBefore = false
 }
 
-// endedWithFormerLife counts the loss of a worker's former life under a run that is not in the next
-// one. When it ended is not known, so that it is no evidence.
-func (m *member) endedWithFormerLife() {
-	if m.formerLife.ID == "" {
+// recordUnexplainedLoss records the loss of the worker's former incarnation for a run that is not
+// in the next one. The loss is unexplained, since the time at which the run ended is unknown.
+func (m *member) recordUnexplainedLoss() {
+	if m.formerIncarnation.ID == "" {
 		return
 	}
 	if history := m.lossHistory(); history != nil {
-		history.AddUnexplained(m.formerLife.String())
+		history.AddUnexplained(m.formerIncarnation.String())
 	}
 }
--- /dev/null
+++ b/internal/pool/invalid_worker_rows.go
@@ -0,0 +1,70 @@
+package pool
+
+import (
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/wheatroad/wheatroad/internal/fleet"
+)
+
+// invalidWorkerRows has the worker rows that cannot be used, and what was last logged of them.
+type invalidWorkerRows struct {
+	// faults holds the fault of each invalid row by row name.
+	faults map[string]fleet.RowFault
+	// loggedCount is the number of invalid rows that was last logged, at loggedAt.
+	loggedCount int
+	loggedAt    time.Time
+}
+
+// invalidRowsLogInterval limits the rate of log lines about invalid rows: there may be thousands,
+// and they may change with each heartbeat.
+const invalidRowsLogInterval = 10 * time.Second
+
+// handleInvalidWorkerRow records an invalid worker row. Runs on the worker of that name continue,
+// but nothing is started there until its row is valid again.
+func (p *Pool) handleInvalidWorkerRow(name string, err error) {
+	fault := fleet.RowUnreadable
+	var rowError *fleet.RowError
+	if errors.As(err, &rowError) {
+		fault = rowError.Fault
+	}
+	p.record.Count("foreign_rows", string(fault))
+	p.invalidRows.faults[name] = fault
+	p.suspendPlacement(name)
+}
+
+// suspendPlacement stops new placements on a worker whose row is invalid or names another pool.
+func (p *Pool) suspendPlacement(name string) {
+	w := p.workers[name]
+	if w == nil || !w.hasRow {
+		return
+	}
+	w.claimedIncarnation = nil
+	// The worker did not announce its departure, so losing it counts as unplanned.
+	w.rowMissing = true
+	p.markUnlisted(w)
+}
+
+// logInvalidWorkerRows logs the number of invalid worker rows when it has changed.
+func (p *Pool) logInvalidWorkerRows() {
+	now, count := p.loop.Now(), len(p.invalidRows.faults)
+	if count == p.invalidRows.loggedCount || now.Sub(p.invalidRows.loggedAt) < invalidRowsLogInterval {
+		return
+	}
+	p.invalidRows.loggedCount, p.invalidRows.loggedAt = count, now
+	p.record.Set("foreign_rows", int64(count))
+	name, fault := p.invalidRows.example()
+	p.record.Decided("rows of another writer", "rows", count, "example", name, "fault", string(fault))
+}
+
+// example returns the invalid row with the lowest name.
+func (f *invalidWorkerRows) example() (string, fleet.RowFault) {
+	first := ""
+	for name := range f.faults {
+		if first == "" || name < first {
+			first = name
+		}
+	}
+	return first, f.faults[first]
+}
--- a/internal/pool/greet_test.go
+++ b/internal/pool/poll_queue_test.go
@@ -10,10 +10,10 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestGreetingsAreBounded: a new owner greeted all workers at once; with 3,000 of them it read
-// their answers too late and took them for silent. Workers that do run something come first.
-func TestGreetingsAreBounded(t *testing.T) {
-	const most = 128
+// TestFirstContactsAreBounded guards against a new owner contacting so many workers at once that it
+// takes them for unresponsive. Workers with runs come first.
+func TestFirstContactsAreBounded(t *testing.T) {
+	const maxContacts = 128
 	w := simulation.NewWorld(30, 10)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 20 * time.Second }
 	last := w.Workers[len(w.Workers)-1]
@@ -33,8 +33,8 @@
 	before := w.Judge.Counts["worker_orders/hold"]
 	w.Own()
 	w.Run(100 * time.Millisecond)
-	require.LessOrEqual(t, w.Judge.Counts["worker_orders/hold"]-before, most+2)
-	require.Contains(t, w.Judge.Trace[len(w.Judge.Trace)-1], "rows read", "no worker is taken as silent yet")
+	require.LessOrEqual(t, w.Judge.Counts["worker_orders/hold"]-before, maxContacts+2)
+	require.Contains(t, w.Judge.Trace[len(w.Judge.Trace)-1], "rows read", "no worker counts as unresponsive yet")
 	for _, worker := range w.Workers {
 		worker.Cut = false
 	}
@@ -46,6 +46,6 @@
 	}
 	require.Equal(t, 100, running)
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
--- a/internal/pool/restore.go
+++ b/internal/pool/progress_restore.go
@@ -13,29 +13,29 @@
 	p.estimateJob(j)
 	p.jobs[id] = j
 	if record.State.Final() {
-		j.state, j.next = record.State, record.State
+		j.state, j.pendingState = record.State, record.State
 		j.endedAt = time.UnixMilli(record.EndedMillis)
-		p.meetLeftovers(&record)
+		p.trackWorkersOfEndedJob(&record)
 		return
 	}
-	j.timeAt(0)
+	j.repetitionAt(0)
 	if record.State != "" {
-		j.state, j.next = record.State, record.State
+		j.state, j.pendingState = record.State, record.State
 		p.restore(j, record)
 	}
-	if p.earlyCancels[id] {
+	if p.pendingCancels[id] {
 		p.applyCancel(id)
 		return
 	}
-	p.advance(j)
-	p.wake()
+	p.createReadyUnits(j)
+	p.scheduleCycle()
 }
 
-// restore takes over what an earlier owner wrote of a job.
+// restore applies the progress that an earlier owner persisted for a job.
 func (p *Pool) restore(j *job, record Progress) {
 	for i := range record.Steps {
 		saved := &record.Steps[i]
-		t := j.timeAt(saved.Time)
+		t := j.repetitionAt(saved.Time)
 		if saved.Step >= len(t.steps) {
 			continue
 		}
@@ -43,8 +43,8 @@
 	}
 }
 
-func (p *Pool) restoreStep(j *job, t *jobTime, s *step, saved *stepProgress) {
-	j.begun, j.ordered = true, true
+func (p *Pool) restoreStep(j *job, t *repetition, s *step, saved *stepProgress) {
+	j.placed, j.startSent = true, true
 	if saved.Complete {
 		s.complete = true
 		t.ended++
@@ -64,8 +64,8 @@
 	}
 }
 
-// restoreUnit assumes that the unit runs where its row says until its workers have
-// answered.
+// restoreUnit assumes that the unit's members run on the workers in its row, until those workers
+// report their runs.
 func (p *Pool) restoreUnit(u *unit, saved unitProgress) {
 	u.run, u.failures, u.checkpoint = saved.Run, saved.Failures, saved.Checkpoint
 	p.restoreLosses(u, saved.Losses)
@@ -73,12 +73,12 @@
 		if id == "" || i >= len(u.members) {
 			continue
 		}
-		m, life := u.members[i], saved.lifeOf(i)
-		p.assign(m, p.workerOfRow(life, saved.Addresses[id]))
-		m.state = memberUncertain
+		m, life := u.members[i], saved.incarnationOf(i)
+		p.assign(m, p.workerFromProgress(life, saved.Addresses[id]))
+		m.state = memberUnconfirmed
 		m.confirmedBefore = bitset(saved.Confirmed).has(i)
-		if p.orderOf(m.worker, life.Born) == earlierLife {
-			m.leaveLife(life)
+		if p.compareIncarnation(m.worker, life.Born) == earlierIncarnation {
+			m.leaveIncarnation(life)
 		}
 		u.state = unitActive
 	}
@@ -87,17 +87,18 @@
 	}
 }
 
-// workerOfRow returns the worker that a row of progress names. Address is empty unless its own
-// row was gone when that was written. A later life than the named one may run the task too: it
-// may have begun between the write of the row and the start.
-func (p *Pool) workerOfRow(life fleet.Life, address string) *worker {
+// workerFromProgress returns the worker that a progress row names. The address is only set if the
+// worker's own row was gone at the time of the write. If a later incarnation than the named one
+// is known, it is returned: it may run the task, as the worker may have restarted between the
+// write and the start.
+func (p *Pool) workerFromProgress(life fleet.Life, address string) *worker {
 	known := p.workers[life.ID]
 	if known == nil {
-		w := p.unlistedWorker(life)
+		w := p.addUnlistedWorker(life)
 		w.Address = address
 		return w
 	}
-	if p.orderOf(known, life.Born) != laterLife {
+	if p.compareIncarnation(known, life.Born) != laterIncarnation {
 		return known
 	}
 	next := known.Worker
@@ -105,18 +106,18 @@
 	if address != "" {
 		next.Address = address
 	}
-	p.noteRestart(known, life, lifeByProgress, len(known.members))
-	return p.replaceLife(known, next)
+	p.recordRestart(known, life, restartSeenInProgress, len(known.members))
+	return p.replaceIncarnation(known, next)
 }
 
-// meetLeftovers makes the workers known that may still run tasks of an ended job though their
-// rows are gone. What they list is then stopped as unwanted.
-func (p *Pool) meetLeftovers(record *Progress) {
+// trackWorkersOfEndedJob adds workers without a row of their own that may still run tasks of an
+// ended job. The runs that they report are then stopped as unexpected.
+func (p *Pool) trackWorkersOfEndedJob(record *Progress) {
 	for i := range record.Steps {
 		for _, unit := range record.Steps[i].Units {
 			for member, id := range unit.Workers {
 				if address := unit.Addresses[id]; address != "" {
-					p.workerOfRow(unit.lifeOf(member), address)
+					p.workerFromProgress(unit.incarnationOf(member), address)
 				}
 			}
 		}
--- /dev/null
+++ b/internal/pool/report.go
@@ -0,0 +1,165 @@
+package pool
+
+import (
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/fleet"
+	"github.com/wheatroad/wheatroad/internal/taskgraph"
+)
+
+// applyReport applies a worker's report of running and ended runs. An owner that is releasing its
+// pool leaves that to the next one, since each recorded end would delay the release by a write.
+func (p *Pool) applyReport(w *worker, reply fleet.Reply, sentAt time.Time) {
+	if p.releasing {
+		return
+	}
+	p.applyEnds(w, reply.Ended)
+	p.reconcile(w, reply, sentAt)
+}
+
+// reconcile reconciles the members on a worker with the runs that it lists. Ended runs have already
+// been applied.
+func (p *Pool) reconcile(w *worker, reply fleet.Reply, sentAt time.Time) {
+	now := p.loop.Now()
+	p.updateUnexpected(w, reply)
+	listed := map[*member]bool{}
+	for i := range reply.Running {
+		entry := &reply.Running[i]
+		m := p.memberOnWorker(w, entry.Task, entry.Run)
+		if m == nil {
+			p.stopUnexpected(w, entry.Task, entry.Run)
+			continue
+		}
+		listed[m] = true
+		p.reconcileListed(m, entry, now)
+	}
+	if reply.MoreEnded {
+		return
+	}
+	p.markConfirmedBeforeLost(w, listed)
+	for _, m := range w.members {
+		if !listed[m] {
+			p.reconcileUnlisted(m, sentAt)
+		}
+	}
+}
+
+// memberOnWorker returns the member whose given run is on a worker, or nil.
+func (p *Pool) memberOnWorker(w *worker, name taskgraph.TaskName, run int) *member {
+	j := p.jobs[name.Job]
+	if j == nil {
+		return nil
+	}
+	m := j.member(name)
+	if m == nil || m.worker != w || m.unit.run != run {
+		return nil
+	}
+	return m
+}
+
+func (p *Pool) reconcileListed(m *member, entry *fleet.Running, now time.Time) {
+	if m.state != memberRunning {
+		m.state = memberRunning
+		m.unit.updateRunningSince(now)
+		p.scheduleConfirmationWrite(m.unit)
+	}
+	m.reportedAt = now
+	m.incarnationUnknown = false
+	if entry.Percent > 0 && m.unit.startedByThisOwner && !m.unit.fromCheckpoint {
+		m.worker.reliability.recordProgress(m.unit.startedAt)
+	}
+	p.updateRunTime(m, entry.Percent, now)
+	if entry.Percent != m.percent || m.percentChangedAt.IsZero() {
+		m.percent, m.percentChangedAt = entry.Percent, now
+	}
+	if entry.Checkpoint != "" {
+		m.unit.checkpoint = entry.Checkpoint
+	}
+}
+
+// reconcileUnlisted reconciles a member whose run the worker lists neither as running nor as ended.
+func (p *Pool) reconcileUnlisted(m *member, sentAt time.Time) {
+	switch {
+	case m.stopAnswered:
+		// A completed stop is reported as an end; if none was reported in time, there was no run.
+		if sentAt.Sub(m.sentAt) > p.options.Bounds.StopTimeout {
+			m.recordUnexplainedLoss()
+			p.memberEnded(m, fleet.Stopped)
+		}
+	case m.stopAttempted && m.state == memberRunning && !p.options.Without.StopWait:
+		// The worker may be carrying out a stop whose answer was lost: a run that is being stopped
+		// is not listed but may still run. A run whose start was never confirmed may still arrive,
+		// and is gone only once a stop is answered.
+		m.stopAnswered = true
+		m.sentAt = p.loop.Now()
+	case m.state == memberUnconfirmed && m.sentAt.IsZero() && p.options.Without.StopWait:
+		p.memberEnded(m, fleet.Lapsed)
+	case m.state == memberUnconfirmed && m.sentAt.IsZero():
+		// The worker has seen this owner's token, so a pending start of an earlier owner is fenced.
+		// A stop of that owner may still be in progress.
+		m.stopAnswered = true
+		m.sentAt = p.loop.Now()
+	case m.state == memberUnconfirmed && m.sentAt.Before(sentAt):
+		// The start may still be carried out; a stop blocks it.
+		p.sendStop(m)
+	case m.state == memberRunning && m.sentAt.Before(sentAt):
+		p.recordUnlistedRun(m)
+		p.memberEnded(m, fleet.Lapsed)
+	}
+}
+
+// recordUnlistedRun counts and logs a confirmed run that ended with an unknown outcome: the worker
+// lists it neither as running nor as ended.
+func (p *Pool) recordUnlistedRun(m *member) {
+	u, w := m.unit, m.worker
+	p.record.Count("attempts", "unlisted")
+	p.record.Decided("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born,
+		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.endAcks.acknowledged)
+}
+
+// applyEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
+// Ends are matched by run rather than by number, because a list may be received twice.
+func (p *Pool) applyEnds(w *worker, ends []fleet.Ended) {
+	var highest int64
+	for i := range ends {
+		end := &ends[i]
+		highest = max(highest, end.Number)
+		if m := p.memberOnWorker(w, end.Task, end.Run); m != nil {
+			p.applyEnd(w, m, end)
+		}
+	}
+	if w.endAcks.handled(highest) {
+		return
+	}
+	w.endAcks.writing = highest
+	if p.options.Without.EndRows {
+		w.endAcks.markWritten(highest)
+	}
+	takenAt := p.loop.Now()
+	p.afterPersist(p.writer.delayOfEnds(), func() {
+		p.record.Observe("end_noted", p.loop.Now().Sub(takenAt))
+		w.endAcks.markWritten(highest)
+		p.poll(w)
+	})
+}
+
+func (p *Pool) applyEnd(w *worker, m *member, end *fleet.Ended) {
+	u := m.unit
+	if end.Checkpoint != "" {
+		u.checkpoint = end.Checkpoint
+	}
+	p.record.Count("attempts", string(end.How))
+	now := p.loop.Now()
+	p.record.Decided("run ended", "job", u.job.id, "task", end.Task.String(), "run", end.Run, "worker", w.ID, "born", w.Born, "how", string(end.How),
+		"reason", u.stopReason, "ran_ms", u.runMillis(now), "slowness", u.slowness, "unsaved_core_s", p.unsavedWork(u, end.How, now.Sub(u.startedAt)))
+	switch end.How {
+	case fleet.Done:
+		if u.startedByThisOwner {
+			w.reliability.recordProgress(u.startedAt)
+		}
+		p.completeUnit(u)
+	case fleet.Failed:
+		p.recordUnitFailure(u, w)
+	}
+	p.memberEnded(m, end.How)
+}
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -8,183 +8,185 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// snapshot is what one cycle decides over.
+// snapshot is the state of the pool that one scheduling cycle works on. Workers and units are
+// identified by their indexes in it.
 type snapshot struct {
-	now     time.Time
-	workers []placement.Worker
-	owners  []*worker
-	racks   *placement.Racks
-	units   []placement.Unit
-	running []*unit
-	// usage is the share of the pool's room that is taken, of the scarcest kind.
-	usage float64
-	// headrooms has, by priority, which workers' racks patient units leave to others.
-	headrooms [][]bool
-	// reservations is how many more units may keep room free.
-	reservations int
-	// reserved has room kept for units that wait, by worker.
-	reserved map[int]reservation
+	now         time.Time
+	workers     []placement.Worker
+	poolWorkers []*worker
+	racks       *placement.Racks
+	units       []placement.Unit
+	running     []*unit
+	// utilization is the utilization of the pool's most used resource.
+	utilization float64
+	// headroomWorkers has, by priority, the workers that are kept free of deferrable units.
+	headroomWorkers [][]bool
+	// reservationsLeft is how many more units may reserve resources in this cycle.
+	reservationsLeft int
+	// reservations has the resources reserved for waiting units, by worker.
+	reservations map[int]reservation
 }
 
-// reservation is room on one worker that is wanted at a time.
+// reservation is a reservation of resources on one worker. It starts after a duration.
 type reservation struct {
-	after time.Duration
-	// spare is what others may hold beyond then.
-	spare taskgraph.Amount
+	startsIn time.Duration
+	// unreserved has the resources that other units may use past the start.
+	unreserved taskgraph.Amount
 }
 
-// placementClass groups units for which the answer is the same in one cycle.
-type placementClass struct {
+// equivalenceClass groups units that one cycle either places or cannot place alike.
+type equivalenceClass struct {
 	step *step
 	gang bool
 }
 
-func classOf(u *unit) placementClass {
-	return placementClass{step: u.step, gang: u.spec().Gang}
+func classOf(u *unit) equivalenceClass {
+	return equivalenceClass{step: u.step, gang: u.spec().Gang}
 }
 
-// snapshotMemory is the memory of the last snapshot, which the next one uses again: a
-// new one for each cycle took 0.8 s of the 1.9 s of processor time of a benchmark's cycles.
-type snapshotMemory struct {
-	workers []placement.Worker
-	owners  []*worker
-	units   []placement.Unit
-	running []*unit
-	// serial numbers the snapshots.
-	serial int
-	// racks groups the workers; nil once they have changed.
+// snapshotBuffers keeps the buffers of the last snapshot for the next one, since allocating
+// them anew takes much of a cycle's time.
+type snapshotBuffers struct {
+	workers     []placement.Worker
+	poolWorkers []*worker
+	units       []placement.Unit
+	running     []*unit
+	// generation numbers the snapshots.
+	generation int
+	// racks groups the workers by rack; nil once the set of workers has changed.
 	racks *placement.Racks
 }
 
-// snapshot describes all workers and what runs on them. It holds until the next one.
+// snapshot returns the state of all workers and their runs. It is valid until the next call.
 func (p *Pool) snapshot() *snapshot {
-	memory := &p.memory
-	memory.serial++
+	buffers := &p.snapshotBuffers
+	buffers.generation++
 	s := &snapshot{
-		now: p.loop.Now(), reservations: reservationLimit, reserved: map[int]reservation{}, headrooms: make([][]bool, len(headroomShares)),
-		workers: memory.workers[:0], owners: memory.owners[:0], units: memory.units[:0], running: memory.running[:0],
+		now: p.loop.Now(), reservationsLeft: reservationLimit, reservations: map[int]reservation{}, headroomWorkers: make([][]bool, len(headroomShares)),
+		workers: buffers.workers[:0], poolWorkers: buffers.poolWorkers[:0], units: buffers.units[:0], running: buffers.running[:0],
 	}
-	zones, known := p.evacuated(), p.evacuationsKnown(s.now)
+	zones, known := p.evacuatedZones(), p.evacuationsFresh(s.now)
 	for _, w := range p.sortedWorkers() {
-		p.describeWorker(s, w, zones, known)
+		p.addWorker(s, w, zones, known)
 	}
-	memory.workers, memory.owners, memory.units, memory.running = s.workers, s.owners, s.units, s.running
-	s.usage = usageOf(s.owners, s.workers)
-	if memory.racks == nil {
-		memory.racks = placement.NewRacks(s.workers)
+	buffers.workers, buffers.poolWorkers, buffers.units, buffers.running = s.workers, s.poolWorkers, s.units, s.running
+	s.utilization = utilizationOf(s.poolWorkers, s.workers)
+	if buffers.racks == nil {
+		buffers.racks = placement.NewRacks(s.workers)
 	}
-	s.racks = memory.racks
+	s.racks = buffers.racks
 	placement.MeasureRacks(s.workers, s.racks)
 	return s
 }
 
-// describeWorker adds a worker and the units that hold room on it.
-func (p *Pool) describeWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
-	place := len(s.workers)
+// addWorker adds a worker and the units that use its resources.
+func (p *Pool) addWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
+	workerIndex := len(s.workers)
 	entry := placement.Worker{
-		Rack: w.rack, Capacity: w.Capacity, Slow: p.slow(w), Free: w.Capacity, Usable: p.usable(w, s.now),
+		Rack: w.rack, Capacity: w.Capacity, Slow: p.avoidedByGangs(w), Free: w.Capacity, Usable: p.usable(w, s.now),
 		Closed:  zones.Contains(w.Zone),
-		Holders: formerHolders(s.workers),
+		Holders: reusedHolders(s.workers),
 	}
 	if !p.options.Without.Evacuations && (entry.Closed || !zonesKnown) {
 		entry.Usable = false
 	}
 	for _, m := range w.members {
-		if m.unit.onTrial(s.now) {
+		if m.unit.isolated(s.now) {
 			entry.Usable = false
 		}
 		room := m.unit.spec().Room()
 		entry.Free = entry.Free.Minus(room)
-		number := p.numberUnit(s, m.unit)
-		s.units[number].Places = append(s.units[number].Places, place)
-		entry.Holders = append(entry.Holders, placement.Holder{Unit: number, Room: room})
+		index := p.unitIndex(s, m.unit)
+		s.units[index].Places = append(s.units[index].Places, workerIndex)
+		entry.Holders = append(entry.Holders, placement.Holder{Unit: index, Room: room})
 	}
-	entry.Free = w.withoutUnwanted(entry.Free, s.now)
+	entry.Free = w.subtractUnexpected(entry.Free, s.now)
 	s.workers = append(s.workers, entry)
-	s.owners = append(s.owners, w)
+	s.poolWorkers = append(s.poolWorkers, w)
 }
 
-// formerHolders returns the emptied list of holders that the next entry had in the
-// snapshot before.
-func formerHolders(workers []placement.Worker) []placement.Holder {
+// reusedHolders returns the next entry's list of holders in the previous snapshot, emptied
+// for reuse.
+func reusedHolders(workers []placement.Worker) []placement.Holder {
 	if len(workers) == cap(workers) {
 		return nil
 	}
 	return workers[:len(workers)+1][len(workers)].Holders[:0]
 }
 
-// formerPlaces returns the emptied list of places that the next entry had.
-func formerPlaces(units []placement.Unit) []int {
+// reusedPlaces returns the next entry's list of places in the previous snapshot, emptied for
+// reuse.
+func reusedPlaces(units []placement.Unit) []int {
 	if len(units) == cap(units) {
 		return nil
 	}
 	return units[:len(units)+1][len(units)].Places[:0]
 }
 
-// numberUnit returns the number of a unit in the snapshot, adding it if need be.
-func (p *Pool) numberUnit(s *snapshot, u *unit) int {
-	if u.snapshotSerial == p.memory.serial {
-		return u.snapshotNumber
+// unitIndex returns the index of a unit in the snapshot and adds the unit if it is new.
+func (p *Pool) unitIndex(s *snapshot, u *unit) int {
+	if u.snapshotGeneration == p.snapshotBuffers.generation {
+		return u.snapshotIndex
 	}
-	u.snapshotSerial, u.snapshotNumber = p.memory.serial, len(s.units)
-	described := p.describeUnit(u, s.now)
-	described.Places = formerPlaces(s.units)
+	u.snapshotGeneration, u.snapshotIndex = p.snapshotBuffers.generation, len(s.units)
+	described := p.placementUnit(u, s.now)
+	described.Places = reusedPlaces(s.units)
 	s.units = append(s.units, described)
 	s.running = append(s.running, u)
-	return u.snapshotNumber
+	return u.snapshotIndex
 }
 
-// usageOf returns the share of all room that is taken, of the scarcest kind.
-func usageOf(owners []*worker, workers []placement.Worker) float64 {
-	var all, free taskgraph.Amount
+// utilizationOf returns the utilization of the most used resource on usable workers.
+func utilizationOf(owners []*worker, workers []placement.Worker) float64 {
+	var total, free taskgraph.Amount
 	for i := range workers {
 		if workers[i].Usable {
-			all = all.Plus(owners[i].Capacity)
+			total = total.Plus(owners[i].Capacity)
 			free = free.Plus(workers[i].Free)
 		}
 	}
-	return max(takenShare(all.CPU, free.CPU), takenShare(all.MemoryMB, free.MemoryMB), takenShare(all.GPUs, free.GPUs))
+	return max(usedShare(total.CPU, free.CPU), usedShare(total.MemoryMB, free.MemoryMB), usedShare(total.GPUs, free.GPUs))
 }
 
-func takenShare(all, free int) float64 {
-	if all == 0 {
+func usedShare(total, free int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return 1 - float64(free)/float64(all)
+	return 1 - float64(free)/float64(total)
 }
 
 // usable reports whether a worker may take new work.
 func (p *Pool) usable(w *worker, now time.Time) bool {
-	return w.greeted && w.unanswered == 0 && w.claimed == nil && p.roomKnown(w, now) && !w.leaving() && now.After(w.penaltyUntil)
+	return w.contacted && w.unansweredCalls == 0 && w.claimedIncarnation == nil && p.usageKnown(w, now) && !w.drainingOrUnlisted() && now.After(w.excludedUntil)
 }
 
-// describeUnit renders a unit that holds room.
-func (p *Pool) describeUnit(u *unit, now time.Time) placement.Unit {
+// placementUnit returns the placement view of a unit that uses resources.
+func (p *Pool) placementUnit(u *unit, now time.Time) placement.Unit {
 	described := placement.Unit{Room: u.spec().Room(), Remaining: p.remaining(u, now), Loss: -1, Priority: u.job.Queue.Priority}
 	switch {
 	case u.state == unitStopping || u.state == unitEnded:
 		described.Remaining = min(described.Remaining, p.options.Bounds.StopTimeout)
 		described.Loss = 0
 	case u.state == unitActive && u.job.Queue.Priority > 0 && !u.spec().LongRunning:
-		described.Loss = max(leastLoss, p.stopLoss(u, now))
+		described.Loss = max(minPreemptionCost, p.preemptionCost(u, now))
 	}
 	return described
 }
 
-// request renders what a unit asks for.
+// request returns the placement request of a unit.
 func (s *snapshot) request(u *unit) *placement.Request {
 	spec := u.spec()
 	request := &placement.Request{Room: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
-	if len(u.avoid) > 0 || spec.RequiredLabel != "" {
+	if len(u.excludedWorkers) > 0 || spec.RequiredLabel != "" {
 		request.Allowed = func(i int) bool {
-			w := s.owners[i]
-			return !u.avoid[w.ID] && w.HasLabel(spec.RequiredLabel)
+			w := s.poolWorkers[i]
+			return !u.excludedWorkers[w.ID] && w.HasLabel(spec.RequiredLabel)
 		}
 	}
 	if spec.MaxPerWorker > 0 {
 		request.Present = func(i int) int {
 			count := 0
-			for _, m := range s.owners[i].members {
+			for _, m := range s.poolWorkers[i].members {
 				if m.unit.step == u.step {
 					count++
 				}
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// startLimit is how far ahead of a worker's clock a start's deadline lies. A worker that does not
-	// answer can't have carried the start out once that has passed; until then its gang stands
-	// still. The hold that follows an answer extends the lease.
-	startLimit = 2 * time.Second
-	// startRetry is the pause before a start without an answer is sent again.
-	startRetry = 50 * time.Millisecond
-	// startPatience is how long a start without an answer is sent again.
-	startPatience = 1200 * time.Millisecond
+	// startTimeout is the time from sending a start to its deadline on the worker's clock. A worker
+	// that does not answer cannot have started the run after it; until then the gang waits. The
+	// poll after an answer renews the lease.
+	startTimeout = 2 * time.Second
+	// startRetryDelay is the delay before an unanswered start is sent again.
+	startRetryDelay = 50 * time.Millisecond
+	// startRetryWindow is how long an unanswered start is retried.
+	startRetryWindow = 1200 * time.Millisecond
 )
 
-// startUnit orders every member to start.
+// startUnit sends a start for every member.
 func (p *Pool) startUnit(u *unit) {
 	u.state = unitActive
 	u.startedAt = p.loop.Now()
-	u.startedHere = true
+	u.startedByThisOwner = true
 	u.runningSince = time.Time{}
 	u.stopReason = ""
-	u.resumed = u.checkpoint != ""
-	if !u.job.ordered {
-		u.job.ordered = true
+	u.fromCheckpoint = u.checkpoint != ""
+	if !u.job.startSent {
+		u.job.startSent = true
 		p.record.Observe("start_after_acceptance", u.startedAt.Sub(u.job.acceptedAt))
 	}
 	for _, m := range u.members {
@@ -38,8 +38,8 @@
 	u, w := m.unit, m.worker
 	now := p.loop.Now()
 	if m.startDeadline == 0 {
-		// Later tries keep the deadline of the first one.
-		m.startDeadline = w.clockNow(now) + min(p.startAhead(), p.leaseLeft(now)).Milliseconds()
+		// Retries keep the deadline of the first start.
+		m.startDeadline = w.estimatedClock(now) + min(p.maxStartDelay(), p.remainingLease(now)).Milliseconds()
 	}
 	order := fleet.Start{
 		Task: m.name(), Run: u.run, Payload: u.job.Spec.Payload,
@@ -49,116 +49,117 @@
 	m.state = memberStarting
 	m.sentAt = now
 	run := u.run
-	m.startTries = p.sendTwice(&repeatedOrder{
-		name:     "start",
-		current:  func() bool { return !p.gone && m.worker == w && u.run == run },
-		wanted:   func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
-		send:     func(done func(fleet.Reply, error)) { p.ports.Start(&w.Worker, order, done) },
-		answered: func(sent *tries, reply fleet.Reply, err error) { p.startAnswered(m, sent, reply, err) },
+	m.startCall = p.sendHedged(&hedgedOrder{
+		name:        "start",
+		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
+		shouldRetry: func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
+		send:        func(done func(fleet.Reply, error)) { p.ports.Start(&w.Worker, order, done) },
+		onResult:    func(sent *hedgedCall, reply fleet.Reply, err error) { p.handleStartReply(m, sent, reply, err) },
 	})
 }
 
-// startAnswered takes in what became of one try of a start.
-func (p *Pool) startAnswered(m *member, sent *tries, reply fleet.Reply, err error) {
+// handleStartReply handles the result of one copy of a start.
+func (p *Pool) handleStartReply(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	reason := fleet.ReasonOf(err)
 	lost := err != nil && reason == fleet.NoAnswer
 	if err != nil && reply.ClockMillis > 0 {
-		// A refusal tells the worker's clock too, by which it may have been late.
-		p.heard(m.worker, reply.ClockMillis)
+		// A refusal also carries the worker's clock, which explains a start refused as late.
+		p.noteReply(m.worker, reply.ClockMillis)
 	}
 	if lost {
-		m.worker.lossyUntil = p.loop.Now().Add(lossyPeriod)
+		m.worker.lossyUntil = p.loop.Now().Add(lossyDuration)
 	}
 	switch {
 	case sent.answered:
-		// The other try told what became of the run. This one may yet be carried out.
-		m.doubtful = m.doubtful || lost
+		// The other copy has settled the start, but this one may still be carried out.
+		m.startUnanswered = m.startUnanswered || lost
 	case err == nil:
 		sent.answered = true
-		p.started(m, reply)
-	case sent.open == 0 || reason == fleet.Fenced || reason == fleet.OtherInstance:
+		p.handleStartConfirmed(m, reply)
+	case sent.pending == 0 || reason == fleet.Fenced || reason == fleet.OtherInstance:
 		sent.answered = true
-		p.startFailed(m, err)
+		p.handleStartError(m, err)
 	default:
-		m.doubtful = m.doubtful || lost
+		m.startUnanswered = m.startUnanswered || lost
 	}
 }
 
-func (p *Pool) started(m *member, reply fleet.Reply) {
-	took := p.loop.Now().Sub(m.sentAt)
-	p.record.Observe("start_order", took)
-	p.orderLatency += (took - p.orderLatency) / orderLatencyMemory
-	m.inUnknownLife = p.heard(m.worker, reply.ClockMillis)
-	if m.state == memberStarting || m.state == memberUncertain {
+func (p *Pool) handleStartConfirmed(m *member, reply fleet.Reply) {
+	latency := p.loop.Now().Sub(m.sentAt)
+	p.record.Observe("start_order", latency)
+	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
+	m.incarnationUnknown = p.noteReply(m.worker, reply.ClockMillis)
+	if m.state == memberStarting || m.state == memberUnconfirmed {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
-		m.unit.noteRunning(m.sentAt)
-		p.noteConfirmedStart(m.unit)
+		m.unit.updateRunningSince(m.sentAt)
+		p.scheduleConfirmationWrite(m.unit)
 	}
-	p.hold(m.worker)
+	p.poll(m.worker)
 }
 
-func (p *Pool) startFailed(m *member, err error) {
+func (p *Pool) handleStartError(m *member, err error) {
 	w, u := m.worker, m.unit
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
 	p.record.Decided("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason))
-	if p.orderFailed(w, err) {
+	if p.handleOrderError(w, err) {
 		return
 	}
-	m.doubtful = m.doubtful || reason == fleet.NoAnswer
-	if m.doubtful {
-		if reason == fleet.NoAnswer && p.wantsAnotherStart(m) {
-			p.startAgain(m)
+	m.startUnanswered = m.startUnanswered || reason == fleet.NoAnswer
+	if m.startUnanswered {
+		if reason == fleet.NoAnswer && p.mayRetryStart(m) {
+			p.retryStart(m)
 			return
 		}
-		p.barStart(m)
+		p.blockStart(m)
 		return
 	}
 	if reason == fleet.NoRoom {
-		// Something runs there that is not known here.
-		w.penaltyUntil = p.loop.Now().Add(roomPenalty)
-		p.look(w)
+		// The worker runs something that this owner does not know of.
+		w.excludedUntil = p.loop.Now().Add(noRoomExclusionPeriod)
+		p.pollNow(w)
 	}
-	// The order was refused: nothing runs.
+	// The start was refused, so nothing runs.
 	p.memberEnded(m, fleet.Stopped)
 }
 
-// barStart keeps a start that may still be under way from being carried out, and looks what
-// became of it.
-func (p *Pool) barStart(m *member) {
-	m.state = memberUncertain
+// blockStart sends a stop so that a start that may still be in flight is not carried out, and polls
+// the worker for the state of the run.
+func (p *Pool) blockStart(m *member) {
+	m.state = memberUnconfirmed
 	m.sentAt = p.loop.Now()
-	p.hold(m.worker)
+	p.poll(m.worker)
 	p.sendStop(m)
 	if len(m.unit.members) > 1 {
-		// The run can't become whole any more: the others need not wait for it.
+		// The gang can no longer start completely: the other members need not wait.
 		p.stopUnit(m.unit, "start unanswered")
 	}
 }
 
-// wantsAnotherStart reports whether a start without an answer is worth another try.
-func (p *Pool) wantsAnotherStart(m *member) bool {
+// mayRetryStart reports whether an unanswered start may be sent again.
+func (p *Pool) mayRetryStart(m *member) bool {
 	now := p.loop.Now()
-	return m.unit.state == unitActive && now.Sub(m.unit.startedAt) < startPatience && !m.stopSent && p.mayStartOn(m.worker, now)
+	return m.unit.state == unitActive && now.Sub(m.unit.startedAt) < startRetryWindow && !m.stopSent && p.mayStartOn(m.worker, now)
 }
 
-// startAgain sends a start once more after a pause. The worker starts the same run
-// once, however often it is told.
-func (p *Pool) startAgain(m *member) {
+// retryStart sends a start again after startRetryDelay. Starts are idempotent: the worker starts a
+// run only once.
+func (p *Pool) retryStart(m *member) {
 	w, u, run := m.worker, m.unit, m.unit.run
 	p.record.Count("retries", "start")
-	p.loop.After(startRetry, func() {
-		if p.gone || m.worker != w || u.run != run || u.state != unitActive || m.state != memberStarting {
+	p.loop.After(startRetryDelay, func() {
+		if p.closed || m.worker != w || u.run != run || u.state != unitActive || m.state != memberStarting {
 			return
 		}
 		if p.mayStartOn(w, p.loop.Now()) {
 			p.sendStart(m)
 			return
 		}
-		p.barStart(m)
+		p.blockStart(m)
 	})
 }
 
-// roomPenalty keeps new work away from a worker that had no room.
-const roomPenalty = 500 * time.Millisecond
+// noRoomExclusionPeriod is how long a worker that refused a start for lack of capacity gets no new
+// work.
+const noRoomExclusionPeriod = 500 * time.Millisecond
--- /dev/null
+++ b/internal/pool/store_load.go
@@ -0,0 +1,225 @@
+package pool
+
+import (
+	"encoding/json"
+	"strings"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/wheatroad/wheatroad/internal/mechanism"
+	"github.com/wheatroad/wheatroad/internal/rows"
+)
+
+// scanPrefix is scanPartition limited to row names with a prefix.
+func (p *Pool) scanPrefix(table, part, prefix string, done func(rows.Listing)) {
+	p.scanWithRetry(table, part, prefix, retryDelay, done)
+}
+
+// scanPartition reads all rows of a partition, and retries with backoff until it succeeds.
+func (p *Pool) scanPartition(table, part string, pause time.Duration, done func(rows.Listing)) {
+	p.scanWithRetry(table, part, "", pause, done)
+}
+
+func (p *Pool) scanWithRetry(table, part, prefix string, pause time.Duration, done func(rows.Listing)) {
+	p.ports.Scan(table, part, prefix, func(listing rows.Listing, err error) {
+		if p.closed {
+			return
+		}
+		if err != nil {
+			p.record.Count("retries", "scan")
+			p.storeRetries.After(pause, func() { p.scanWithRetry(table, part, prefix, nextRetryDelay(pause), done) })
+			return
+		}
+		p.recordStoreAnswer()
+		done(listing)
+	})
+}
+
+func nextRetryDelay(pause time.Duration) time.Duration { return min(2*pause, maxRetryDelay) }
+
+// recordFeedVersion records the version up to which a table's change feed was read.
+func (p *Pool) recordFeedVersion(table string, version int64) {
+	if table == JobTable {
+		p.jobsVersion = version
+	}
+}
+
+// recordWorkersReadAt records as of when a table is known. That is the time of the request, since
+// the response may have been delayed in this process.
+func (p *Pool) recordWorkersReadAt(table string, askedAt time.Time) {
+	if table == p.ports.WorkerTable() && askedAt.After(p.workersReadAt) {
+		p.workersReadAt = askedAt
+	}
+}
+
+// followFeed reads a table's change feed until the pool stops. If the store has compacted the
+// history after the given version, it calls again, which has to read the whole table.
+func (p *Pool) followFeed(table string, after int64, pause time.Duration, apply func(rows.Row), again func()) {
+	if p.closed {
+		return
+	}
+	p.recordFeedVersion(table, after)
+	askedAt := p.loop.Now()
+	p.ports.Feed(table, after, func(listing rows.Listing, err error) {
+		switch {
+		case p.closed:
+		case errors.Is(err, rows.ErrHistoryGone):
+			p.record.Count("feed_gaps", table)
+			p.record.Decided("feed read anew", "table", table, "after", after)
+			again()
+		case err != nil:
+			p.record.Count("retries", "feed")
+			p.storeRetries.After(pause, func() { p.followFeed(table, after, nextRetryDelay(pause), apply, again) })
+		default:
+			p.recordStoreAnswer()
+			for i := range listing.Rows {
+				apply(listing.Rows[i])
+			}
+			p.recordWorkersReadAt(table, askedAt)
+			p.afterDelay(p.feedDelay(table, listing), func() { p.followFeed(table, listing.Version, retryDelay, apply, again) })
+		}
+	})
+}
+
+// workerFeedInterval is the delay between a response of the worker feed and the next request. Every
+// heartbeat completes a request, so without the delay the feed would dominate the calls to the
+// store. It delays the notice of a drain, which is at least 2 s long.
+const workerFeedInterval = 200 * time.Millisecond
+
+// workerFeedBurst is the number of rows in a response from which the next request follows without
+// delay, so that the feed keeps up with thousands of workers. It is half of the platform's limit
+// of rows in a response.
+const workerFeedBurst = 250
+
+// afterDelay calls next after a delay, or immediately if the delay is 0.
+func (p *Pool) afterDelay(pause time.Duration, next func()) {
+	if pause == 0 {
+		next()
+		return
+	}
+	p.loop.After(pause, next)
+}
+
+// feedDelay returns the delay between a feed's response and the next request.
+func (p *Pool) feedDelay(table string, answer rows.Listing) time.Duration {
+	count := len(answer.Rows)
+	if table != p.ports.WorkerTable() || count == 0 || count >= workerFeedBurst || p.options.Off[mechanism.PacedFeeds] {
+		return 0
+	}
+	return workerFeedInterval
+}
+
+// readRows fences and reads the progress partitions, then reads the jobs and follows their feed.
+func (p *Pool) readRows() {
+	var progress []rows.Row
+	remaining := progressPartitions
+	for part := range progressPartitions {
+		p.writer.fencePartition(part, func() {
+			p.scanPartition(ProgressTable, progressPartition(p.options.Pool, part), retryDelay, func(listing rows.Listing) {
+				progress = append(progress, listing.Rows...)
+				if remaining--; remaining == 0 {
+					p.readJobs(progress)
+				}
+			})
+		})
+	}
+}
+
+func (p *Pool) readJobs(progress []rows.Row) {
+	p.progressFencedAt = p.loop.Now()
+	p.scanJobs(func(jobs rows.Listing) {
+		p.load(progress, jobs)
+		p.followJobs(jobs.Version)
+	})
+}
+
+// scanJobs reads all partitions of the job table as one listing, with the lowest of their
+// versions.
+func (p *Pool) scanJobs(done func(rows.Listing)) {
+	merged := rows.Listing{}
+	remaining := jobPartitions
+	for number := range jobPartitions {
+		p.scanPartition(JobTable, jobPartition(p.options.Pool, number), retryDelay, func(listing rows.Listing) {
+			merged.Rows = append(merged.Rows, listing.Rows...)
+			if merged.Version == 0 || listing.Version < merged.Version {
+				merged.Version = listing.Version
+			}
+			if remaining--; remaining == 0 {
+				done(merged)
+			}
+		})
+	}
+}
+
+func (p *Pool) load(progress []rows.Row, jobs rows.Listing) {
+	records := map[string]Progress{}
+	for i := range progress {
+		row := &progress[i]
+		if row.Name == headRow {
+			continue
+		}
+		var record Progress
+		if err := json.Unmarshal(row.Value, &record); err != nil {
+			p.record.Count("refusals", "progress_row_invalid")
+			continue
+		}
+		if known, found := records[row.Name]; !found || record.NewerThan(&known) {
+			records[row.Name] = record
+		}
+	}
+	for i := range jobs.Rows {
+		p.applyJobRow(jobs.Rows[i], records)
+	}
+	for id := range records {
+		if p.jobs[id] == nil {
+			p.writer.remove(id)
+		}
+	}
+	p.loaded = true
+	p.record.Observe("takeover", p.loop.Now().Sub(p.acquiredAt))
+	p.record.Decided("rows read", "pool", p.options.Pool, "jobs", len(p.jobs), "version", jobs.Version)
+	p.contactAll()
+	p.scheduleCycle()
+}
+
+func (p *Pool) followJobs(after int64) {
+	p.followFeed(JobTable, after, retryDelay, func(row rows.Row) {
+		if strings.HasPrefix(row.Part, p.options.Pool+partitionSeparator) {
+			p.applyJobRow(row, nil)
+		}
+	}, func() {
+		p.scanJobs(func(listing rows.Listing) {
+			for i := range listing.Rows {
+				p.applyJobRow(listing.Rows[i], nil)
+			}
+			p.followJobs(listing.Version)
+		})
+	})
+}
+
+// applyJobRow applies the row of an accepted job or of a cancellation.
+func (p *Pool) applyJobRow(row rows.Row, records map[string]Progress) {
+	if row.Gone {
+		return
+	}
+	if id, ok := strings.CutSuffix(row.Name, cancelledSuffix); ok {
+		p.applyCancel(id)
+		return
+	}
+	id, ok := strings.CutSuffix(row.Name, acceptedSuffix)
+	if !ok || p.jobs[id] != nil {
+		return
+	}
+	var accepted Accepted
+	if err := json.Unmarshal(row.Value, &accepted); err != nil || accepted.Spec.ID != id || accepted.Spec.Validate() != nil {
+		p.record.Count("refusals", "job_row_invalid")
+		return
+	}
+	record := records[id]
+	if !record.validFor(&accepted.Spec) {
+		p.record.Count("refusals", "progress_row_invalid")
+		record = Progress{}
+	}
+	p.addJob(id, accepted, record)
+}
--- /dev/null
+++ b/internal/pool/unexpected_runs.go
@@ -0,0 +1,88 @@
+package pool
+
+import (
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/fleet"
+	"github.com/wheatroad/wheatroad/internal/taskgraph"
+)
+
+// runID identifies one run of a task.
+type runID struct {
+	task taskgraph.TaskName
+	run  int
+}
+
+// unexpectedRun is a run that a worker listed and that this owner did not expect there. It occupies
+// capacity until it has ended.
+type unexpectedRun struct {
+	room taskgraph.Amount
+	// endedBy is the time by which the run has certainly ended; zero while the worker lists it.
+	endedBy time.Time
+}
+
+// runIDs returns the identifiers of the runs that a worker lists as running.
+func runIDs(running []fleet.Running) map[runID]bool {
+	names := make(map[runID]bool, len(running))
+	for i := range running {
+		names[runID{task: running[i].Task, run: running[i].Run}] = true
+	}
+	return names
+}
+
+// stopUnexpected stops a run that should not be on a worker.
+func (p *Pool) stopUnexpected(w *worker, name taskgraph.TaskName, run int) {
+	room := taskgraph.Amount{}
+	if j := p.jobs[name.Job]; j != nil && name.Step < len(j.Spec.Steps) {
+		room = j.Spec.Steps[name.Step].Room()
+	}
+	w.unexpected[runID{task: name, run: run}] = unexpectedRun{room: room}
+	p.record.Count("worker_orders", "stop_stranger")
+	p.record.Decided("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.Born)
+	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
+		if !p.closed && err != nil {
+			p.handleOrderError(w, err)
+		}
+	})
+}
+
+// updateUnexpected updates the unexpected runs of a worker from its report. A run that is neither
+// listed nor reported as ended is being stopped, because reports omit runs in that state; it is
+// removed after the time of a stop.
+func (p *Pool) updateUnexpected(w *worker, reply fleet.Reply) {
+	for i := range reply.Ended {
+		delete(w.unexpected, runID{task: reply.Ended[i].Task, run: reply.Ended[i].Run})
+	}
+	listed := runIDs(reply.Running)
+	now := p.loop.Now()
+	for name, run := range w.unexpected {
+		switch {
+		case listed[name]:
+		case run.endedBy.IsZero():
+			run.endedBy = now.Add(p.options.Bounds.StopTimeout + stopMargin)
+			w.unexpected[name] = run
+		case now.After(run.endedBy):
+			delete(w.unexpected, name)
+		}
+	}
+}
+
+// subtractUnexpected subtracts the capacity of a worker's unexpected runs from its free capacity.
+func (w *worker) subtractUnexpected(free taskgraph.Amount, now time.Time) taskgraph.Amount {
+	for _, run := range w.unexpected {
+		if run.endedBy.IsZero() || now.Before(run.endedBy) {
+			free = free.Minus(run.room)
+		}
+	}
+	return free
+}
+
+// usageKnown reports whether everything that occupies capacity on a worker is known, for workers
+// that do not enforce their capacity. Runs that the former owner was stopping at the first contact
+// are in no report; they end within the time of a stop.
+func (p *Pool) usageKnown(w *worker, now time.Time) bool {
+	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
+		return true
+	}
+	return now.Sub(w.contactedAt) > p.options.Bounds.StopTimeout+stopMargin
+}
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -7,62 +7,64 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// memberEnded frees a member's room and settles its unit.
-func (p *Pool) memberEnded(m *member, how fleet.How) {
+// memberEnded releases a member's resources. It stops the rest of its gang unless the member
+// is done, and otherwise requeues the unit once no member is active.
+func (p *Pool) memberEnded(m *member, outcome fleet.How) {
 	u := m.unit
-	p.release(m)
-	p.wake()
-	if u.state == unitActive && how != fleet.Done && u.active() > 0 {
-		p.stopUnit(u, "member "+string(how))
+	p.unassign(m)
+	p.scheduleCycle()
+	if u.state == unitActive && outcome != fleet.Done && u.activeMembers() > 0 {
+		p.stopUnit(u, "member "+string(outcome))
 		return
 	}
-	p.settle(u)
+	p.requeueIfIdle(u)
 }
 
-// settle returns a unit to the queue once nothing of it runs any more.
-func (p *Pool) settle(u *unit) {
-	if u.active() > 0 || (u.state != unitActive && u.state != unitStopping) {
+// requeueIfIdle requeues a unit that has no active members, or ends it if its job has ended.
+func (p *Pool) requeueIfIdle(u *unit) {
+	if u.activeMembers() > 0 || (u.state != unitActive && u.state != unitStopping) {
 		return
 	}
-	if u.job.next.Final() {
+	if u.job.pendingState.Final() {
 		u.state = unitEnded
 		return
 	}
 	u.state = unitWaiting
 	u.readyAt = p.loop.Now()
 	p.persistEnd(u.job)
-	p.wake()
+	p.scheduleCycle()
 }
 
-// unitDone notes that a unit's work is complete.
-func (p *Pool) unitDone(u *unit) {
-	if u.state == unitEnded || u.job.next.Final() {
+// completeUnit marks a unit as ended after its work is done, learns from its run, and completes its
+// step and job if it was their last unit.
+func (p *Pool) completeUnit(u *unit) {
+	if u.state == unitEnded || u.job.pendingState.Final() {
 		return
 	}
 	if u.spec().LongRunning {
 		return
 	}
 	u.state = unitEnded
-	p.learnFromGang(u)
-	p.noteTaskDone(u)
-	p.learnDuration(u)
+	p.updateSpeedsFromGang(u)
+	p.updateSpeedFromEndedTask(u)
+	p.updateDurationModel(u)
 	s := u.step
 	s.ended++
 	j := u.job
 	if s.ended == len(s.units) {
 		s.complete = true
-		u.time.ended++
-		p.advance(j)
-		p.completeIfAll(j)
+		u.repetition.ended++
+		p.createReadyUnits(j)
+		p.completeJobIfDone(j)
 	}
 	p.persistEnd(j)
 }
 
-func (p *Pool) completeIfAll(j *job) {
-	if len(j.times) < j.Spec.Times() {
+func (p *Pool) completeJobIfDone(j *job) {
+	if len(j.repetitions) < j.Spec.Times() {
 		return
 	}
-	for _, t := range j.times {
+	for _, t := range j.repetitions {
 		if t.ended < len(t.steps) {
 			return
 		}
@@ -70,36 +72,37 @@
 	p.finishJob(j, taskgraph.Completed)
 }
 
-// unitFailed counts a failed run and ends the job if it was the last allowed.
-func (p *Pool) unitFailed(u *unit, w *worker) {
-	if u.state == unitEnded || u.job.next.Final() {
+// recordUnitFailure counts a failed run, excludes its worker for the unit, and fails the job if no
+// attempts are left.
+func (p *Pool) recordUnitFailure(u *unit, w *worker) {
+	if u.state == unitEnded || u.job.pendingState.Final() {
 		return
 	}
 	u.failures++
-	if u.avoid == nil {
-		u.avoid = map[string]bool{}
+	if u.excludedWorkers == nil {
+		u.excludedWorkers = map[string]bool{}
 	}
-	u.avoid[w.ID] = true
-	p.strike(w, u)
+	u.excludedWorkers[w.ID] = true
+	p.recordRunFailure(w, u)
 	p.persistEnd(u.job)
 	if u.failures >= max(1, u.job.Queue.MaxAttempts) && !u.spec().LongRunning {
 		p.finishJob(u.job, taskgraph.Failed)
 	}
 }
 
-// remaining estimates how long a unit still runs.
+// remaining returns the estimated time until a running unit ends.
 func (p *Pool) remaining(u *unit, now time.Time) time.Duration {
 	estimate := u.estimate()
 	elapsed := now.Sub(u.startedAt)
 	m := u.members[0]
-	if m.percent > 0 && m.percent < 100 && !m.percentAt.IsZero() {
+	if m.percent > 0 && m.percent < 100 && !m.percentChangedAt.IsZero() {
 		done := float64(m.percent) / 100
-		since := m.percentAt.Sub(u.startedAt)
+		since := m.percentChangedAt.Sub(u.startedAt)
 		total := time.Duration(float64(since) / done)
 		if u.checkpoint == "" {
 			return max(0, total-elapsed)
 		}
-		return max(0, time.Duration(float64(estimate)*(1-done))-now.Sub(m.percentAt))
+		return max(0, time.Duration(float64(estimate)*(1-done))-now.Sub(m.percentChangedAt))
 	}
 	return max(estimate/10, estimate-elapsed)
 }
--- a/internal/pool/writer_test.go
+++ b/internal/pool/writer_test.go
@@ -13,7 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// steppedLoop runs what is posted, and timers when the test lets time pass.
+// steppedLoop is a loop.Loop that runs posted functions immediately, and timers when the test
+// advances the clock.
 type steppedLoop struct {
 	now    time.Time
 	timers []*steppedTimer
@@ -33,8 +34,8 @@
 	return func() { timer.run = func() {} }
 }
 
-// pass lets time pass.
-func (l *steppedLoop) pass(d time.Duration) {
+// advance advances the clock and runs the timers that are due.
+func (l *steppedLoop) advance(d time.Duration) {
 	l.now = l.now.Add(d)
 	due := slices.Clone(l.timers)
 	l.timers = slices.DeleteFunc(l.timers, func(t *steppedTimer) bool { return !t.at.After(l.now) })
@@ -45,28 +46,28 @@
 	}
 }
 
-// commitPorts keep the commits under way.
+// commitPorts holds commits in flight until the test answers them.
 type commitPorts struct {
 	Ports
-	open []openCommit
-	sent int
+	inFlight []pendingCommit
+	sent     int
 }
 
-type openCommit struct {
+type pendingCommit struct {
 	transaction rows.Transaction
 	done        func(rows.Result, error)
 }
 
 func (p *commitPorts) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	p.sent++
-	p.open = append(p.open, openCommit{transaction, done})
+	p.inFlight = append(p.inFlight, pendingCommit{transaction, done})
 }
 
-// answer lets the oldest commit under way succeed, and returns how many rows it had
-// beside the head row.
+// answer completes the oldest commit in flight successfully, and returns its number of rows
+// without the head row.
 func (p *commitPorts) answer() int {
-	first := p.open[0]
-	p.open = p.open[1:]
+	first := p.inFlight[0]
+	p.inFlight = p.inFlight[1:]
 	first.done(rows.Result{Committed: true, Version: int64(p.sent)}, nil)
 	return len(first.transaction.Puts) - 1
 }
@@ -78,73 +79,74 @@
 func (noRecord) Observe(string, time.Duration) {}
 func (noRecord) Decided(string, ...any)        {}
 
-// newWriting returns a pool of which only the writer is used.
-func newWriting() (*Pool, *steppedLoop, *commitPorts) {
+// newWriterPool returns a pool for tests of its writer.
+func newWriterPool() (*Pool, *steppedLoop, *commitPorts) {
 	l := &steppedLoop{now: time.Now()}
 	ports := &commitPorts{}
 	return New(Options{Pool: "p"}, l, ports, noRecord{}, 1), l, ports
 }
 
-// jobOfBytes returns a job whose row has somewhat more than some bytes.
+// jobOfBytes returns a job whose row is slightly larger than the given size.
 func jobOfBytes(number, bytes int) *job {
-	return &job{id: fmt.Sprintf("%016x", number), next: taskgraph.State(strings.Repeat("x", bytes))}
+	return &job{id: fmt.Sprintf("%016x", number), pendingState: taskgraph.State(strings.Repeat("x", bytes))}
 }
 
 func TestBatchesStayWithinTheirSize(t *testing.T) {
-	p, _, ports := newWriting()
-	const row = batchBytes/4 - 1<<10
+	p, _, ports := newWriterPool()
+	const row = maxBatchBytes/4 - 1<<10
 	for number := range 9 {
 		p.persist(jobOfBytes(number, row))
 	}
-	require.Equal(t, 1, ports.answer(), "the first row goes at once")
-	require.Equal(t, 4, ports.answer(), "a fifth would exceed the batch")
+	require.Equal(t, 1, ports.answer(), "the first row is sent immediately")
+	require.Equal(t, 4, ports.answer(), "a fifth row would exceed the size limit")
 	require.Equal(t, 4, ports.answer())
-	require.Empty(t, ports.open)
-	p.persist(jobOfBytes(10, 2*batchBytes))
-	require.Equal(t, 1, ports.answer(), "a row that is larger goes alone")
+	require.Empty(t, ports.inFlight)
+	p.persist(jobOfBytes(10, 2*maxBatchBytes))
+	require.Equal(t, 1, ports.answer(), "a row above the size limit is sent alone")
 }
 
-// TestRowsLeftOverGoAtOnce: they waited for the delay of an end that came meanwhile.
-func TestRowsLeftOverGoAtOnce(t *testing.T) {
-	p, l, ports := newWriting()
+// TestRemainingRowsAreSentImmediately: rows that did not fit into a batch must not wait for the
+// delay of a run result that was added meanwhile.
+func TestRemainingRowsAreSentImmediately(t *testing.T) {
+	p, l, ports := newWriterPool()
 	p.persist(jobOfBytes(0, 1))
-	for number := range 2 * batchLimit {
+	for number := range 2 * maxBatchRows {
 		p.persist(jobOfBytes(number+1, 1))
 	}
 	require.Equal(t, 1, ports.answer())
 	p.persistEnd(jobOfBytes(1000, 1))
-	l.pass(time.Millisecond)
-	require.Equal(t, batchLimit, ports.answer())
-	require.Len(t, ports.open, 1, "the rest goes at once")
-	require.Equal(t, batchLimit, ports.answer())
-	require.Equal(t, 1, ports.answer(), "the end goes behind them")
-	require.Empty(t, ports.open)
+	l.advance(time.Millisecond)
+	require.Equal(t, maxBatchRows, ports.answer())
+	require.Len(t, ports.inFlight, 1, "the remaining rows are sent immediately")
+	require.Equal(t, maxBatchRows, ports.answer())
+	require.Equal(t, 1, ports.answer(), "the run result is sent after them")
+	require.Empty(t, ports.inFlight)
 }
 
-// TestFunctionsWaitForEarlierRowsOnly: they waited until no row was left, which under
-// steady load was never.
-func TestFunctionsWaitForEarlierRowsOnly(t *testing.T) {
-	p, _, ports := newWriting()
+// TestCallbacksWaitForEarlierRowsOnly: callbacks must not wait for rows added after them, or they
+// would never run under steady load.
+func TestCallbacksWaitForEarlierRowsOnly(t *testing.T) {
+	p, _, ports := newWriterPool()
 	ran := false
 	p.persist(jobOfBytes(0, 1))
 	p.persist(jobOfBytes(1, 1))
-	p.afterWrite(0, func() { ran = true })
+	p.afterPersist(0, func() { ran = true })
 	ports.answer()
-	require.False(t, ran, "its second row is under way")
-	for number := range 2 * batchLimit {
+	require.False(t, ran, "the second row is still in flight")
+	for number := range 2 * maxBatchRows {
 		p.persist(jobOfBytes(number+2, 1))
 	}
 	ports.answer()
-	require.True(t, ran, "later rows do not matter")
+	require.True(t, ran, "the callback does not wait for later rows")
 }
 
-// TestLargeBatchGetsTheTimeItTakesToSend: copies for other parts of the store, sent before
-// the first one can have arrived, slow it down further.
+// TestLargeBatchGetsTheTimeItTakesToSend: the timeout of a batch must include its transfer time, or
+// copies for other partitions slow the first transfer down further.
 func TestLargeBatchGetsTheTimeItTakesToSend(t *testing.T) {
-	p, l, ports := newWriting()
-	p.persist(jobOfBytes(0, batchBytes))
-	l.pass(partPatience)
-	require.Len(t, ports.open, 1)
-	l.pass(rows.SendTime(ports.open[0].transaction))
-	require.Len(t, ports.open, 2)
+	p, l, ports := newWriterPool()
+	p.persist(jobOfBytes(0, maxBatchBytes))
+	l.advance(partitionTimeout)
+	require.Len(t, ports.inFlight, 1)
+	l.advance(rows.SendTime(ports.inFlight[0].transaction))
+	require.Len(t, ports.inFlight, 2)
 }
