--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -12,31 +12,31 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// ErrorAnswer is the body of every answer that is not a success.
+// ErrorAnswer is the body of error responses.
 type ErrorAnswer struct {
 	Error  fault.Kind `json:"error"`
 	Field  string     `json:"field,omitempty"`
 	Detail string     `json:"detail"`
-	// Outcome says whether the request's work ran.
+	// Outcome states whether the requested work ran.
 	Outcome fault.Outcome `json:"outcome"`
-	// RetryAfterSeconds is when to come back; absent means that this is final.
+	// RetryAfterSeconds is the delay before a retry; if absent, the caller should not retry.
 	RetryAfterSeconds int    `json:"retry_after_seconds,omitempty"`
 	RequestID         string `json:"request_id,omitempty"`
 }
 
-// RequestIDHeader carries the caller's identifier of a request; answers repeat it.
+// RequestIDHeader carries the caller's request identifier, which error responses echo.
 const RequestIDHeader = "Wheatroad-Request-Id"
 
-const maxRequestID = 128
+const maxRequestIDBytes = 128
 
-func (s *Server) fail(w http.ResponseWriter, r *http.Request, err error) {
-	listed := fault.From(err)
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
+	known := fault.From(err)
 	if errors.Is(err, r.Context().Err()) && r.Context().Err() != nil {
-		listed = fault.New(fault.DeadlineExceeded, "the deadline passed")
+		known = fault.New(fault.DeadlineExceeded, "the deadline passed")
 	}
-	s.counter.Count("refusals", string(listed.Kind))
-	answer := fault.AnswerFor(listed.Kind)
-	body := ErrorAnswer{Error: listed.Kind, Field: listed.Field, Detail: listed.Detail, Outcome: listed.OutcomeOf(), RequestID: requestID(r)}
+	s.counter.Count("refusals", string(known.Kind))
+	answer := fault.AnswerFor(known.Kind)
+	body := ErrorAnswer{Error: known.Kind, Field: known.Field, Detail: known.Detail, Outcome: known.OutcomeOf(), RequestID: requestID(r)}
 	if answer.RetryAfter > 0 {
 		body.RetryAfterSeconds = int(answer.RetryAfter.Seconds())
 		w.Header().Set("Retry-After", strconv.Itoa(body.RetryAfterSeconds))
@@ -46,17 +46,17 @@
 
 func requestID(r *http.Request) string {
 	id := r.Header.Get(RequestIDHeader)
-	return id[:min(len(id), maxRequestID)]
+	return id[:min(len(id), maxRequestIDBytes)]
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that went away needs no answer.
+	// Write errors are ignored: the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readJSON decodes a body strictly: unknown fields and trailing data are refused.
+// readJSON decodes a body strictly: it rejects unknown fields and trailing data.
 func readJSON(r *http.Request, into any) error {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -66,20 +66,20 @@
 	case errors.As(err, &tooLarge):
 		return fault.New(fault.TooLarge, "the body is larger than %d bytes", tooLarge.Limit)
 	case err != nil:
-		return fault.NewField(fault.InvalidRequest, fieldOf(err), "%s", err.Error())
+		return fault.NewField(fault.InvalidRequest, fieldName(err), "%s", err.Error())
 	case decoder.More():
 		return fault.NewField(fault.InvalidRequest, "body", "more than one JSON value")
 	}
 	return nil
 }
 
-// fieldOf names the field that a JSON error is about, or "body".
-func fieldOf(err error) string {
+// fieldName names the field that a JSON error is about, or "body".
+func fieldName(err error) string {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) || mismatch.Field == "" {
 		return "body"
 	}
-	// Embedded structs show by their Go names, which callers do not know.
+	// The names of embedded structs are not part of the API.
 	parts := strings.Split(mismatch.Field, ".")
 	return strings.Join(slices.DeleteFunc(parts, startsUpper), ".")
 }
--- a/internal/api/limiter.go
+++ b/internal/api/limiter.go
@@ -7,8 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// limiter bounds the requests under way, in all and by tenant, and the rate of
-// submissions by tenant. One tenant's burst is refused without costing the others.
+// limiter limits concurrent requests, in total and per tenant, and each tenant's rate of
+// submissions, so that one tenant's burst does not affect the others.
 type limiter struct {
 	options *Options
 	now     func() time.Time
@@ -17,31 +17,31 @@
 	tenants map[string]*tenantLoad
 }
 
-// tenantLoad is one tenant's share on this node.
+// tenantLoad holds one tenant's concurrent requests and token bucket on this node.
 type tenantLoad struct {
-	inFlight int
-	tokens   float64
-	filled   time.Time
+	inFlight   int
+	tokens     float64
+	refilledAt time.Time
 }
 
 func newLimiter(options *Options, now func() time.Time) *limiter {
 	return &limiter{options: options, now: now, tenants: map[string]*tenantLoad{}}
 }
 
-func (l *limiter) load(tenant string) *tenantLoad {
+func (l *limiter) loadFor(tenant string) *tenantLoad {
 	load, ok := l.tenants[tenant]
 	if !ok {
-		load = &tenantLoad{tokens: float64(l.options.SubmitBurst), filled: l.now()}
+		load = &tenantLoad{tokens: float64(l.options.SubmitBurst), refilledAt: l.now()}
 		l.tenants[tenant] = load
 	}
 	return load
 }
 
-// enter takes a place for a request. The returned function gives it back.
-func (l *limiter) enter(tenant string) (release func(), err error) {
+// acquire reserves a slot for a request. The returned function releases it.
+func (l *limiter) acquire(tenant string) (release func(), err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	load := l.load(tenant)
+	load := l.loadFor(tenant)
 	if load.inFlight >= l.options.InFlightPerTenant {
 		return nil, fault.New(fault.TenantLimit, "the tenant has %d requests under way here", load.inFlight)
 	}
@@ -58,15 +58,15 @@
 	}, nil
 }
 
-// admit takes one submission from the tenant's allowance.
-func (l *limiter) admit(tenant string) error {
+// allowSubmit takes one token from the tenant's bucket.
+func (l *limiter) allowSubmit(tenant string) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	load := l.load(tenant)
+	load := l.loadFor(tenant)
 	now := l.now()
-	load.tokens += now.Sub(load.filled).Seconds() * l.options.SubmitsPerSecond
+	load.tokens += now.Sub(load.refilledAt).Seconds() * l.options.SubmitsPerSecond
 	load.tokens = min(load.tokens, float64(l.options.SubmitBurst))
-	load.filled = now
+	load.refilledAt = now
 	if load.tokens < 1 {
 		return fault.New(fault.TenantLimit, "the tenant submits more than %g jobs a second here", l.options.SubmitsPerSecond)
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -9,7 +9,7 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// Options bound what callers can ask.
+// Options holds the server's keys and limits.
 type Options struct {
 	OperatorKeyHashes []string
 	BodyBytes         int64
@@ -19,12 +19,12 @@
 	SubmitBurst       int
 	MaxWait           time.Duration
 	DefaultDeadline   time.Duration
-	// ConfigurationAge is how old the configuration may be before tenants are no
-	// longer answered.
+	// ConfigurationAge is the maximum age of the configuration; with an older one, requests
+	// of tenants are rejected.
 	ConfigurationAge time.Duration
 }
 
-// Server is the HTTP side of a node.
+// Server is the HTTP API server of a node.
 type Server struct {
 	options Options
 	backend Backend
@@ -42,11 +42,10 @@
 	Path   string
 }
 
-// handler answers an identified request. Errors become answers by the table of
-// package fault.
+// handler handles an authenticated request. Package fault maps its errors to responses.
 type handler func(w http.ResponseWriter, r *http.Request, who auth.Principal) error
 
-// access says who may use an endpoint.
+// access states who may call an endpoint.
 type access int
 
 const (
@@ -54,7 +53,7 @@
 	operatorsOnly
 )
 
-// New returns the server. Metrics serves /metrics.
+// New returns a server. The metrics handler serves /metrics.
 func New(options Options, backend Backend, counter Counter, metrics http.Handler, now func() time.Time) *Server {
 	s := &Server{options: options, backend: backend, counter: counter, mux: http.NewServeMux(), now: now}
 	s.limiter = newLimiter(&options, now)
@@ -69,44 +68,44 @@
 	s.handle("POST", "/v1/plans/{digest}/confirm", operatorsOnly, s.confirm)
 	s.handle("GET", "/v1/configuration", operatorsOnly, s.configuration)
 	s.handle("GET", "/v1/domains", operatorsOnly, s.domains)
-	s.open("GET", "/healthz", s.healthz)
-	s.open("GET", "/readyz", s.readyz)
-	s.open("GET", "/metrics", metrics.ServeHTTP)
+	s.handlePublic("GET", "/healthz", s.healthz)
+	s.handlePublic("GET", "/readyz", s.readyz)
+	s.handlePublic("GET", "/metrics", metrics.ServeHTTP)
 	return s
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
 // Routes lists all endpoints.
 func (s *Server) Routes() []Route { return s.routes }
 
-func (s *Server) open(method, path string, handle http.HandlerFunc) {
+func (s *Server) handlePublic(method, path string, handle http.HandlerFunc) {
 	s.routes = append(s.routes, Route{method, path})
 	s.mux.HandleFunc(method+" "+path, handle)
 }
 
 func (s *Server) handle(method, path string, allowed access, handle handler) {
-	s.open(method, path, func(w http.ResponseWriter, r *http.Request) {
+	s.handlePublic(method, path, func(w http.ResponseWriter, r *http.Request) {
 		s.counter.Count("requests", method+" "+path)
 		if err := s.serve(w, r, allowed, handle); err != nil {
-			s.fail(w, r, err)
+			s.writeError(w, r, err)
 		}
 	})
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, allowed access, handle handler) error {
-	who, err := s.identify(r)
+	principal, err := s.identify(r)
 	if err != nil {
 		return err
 	}
-	if allowed == operatorsOnly && !who.Operator {
+	if allowed == operatorsOnly && !principal.Operator {
 		return fault.New(fault.Forbidden, "only operators may do this")
 	}
-	if tenant := r.PathValue("tenant"); tenant != "" && !who.May(tenant) {
+	if tenant := r.PathValue("tenant"); tenant != "" && !principal.May(tenant) {
 		return fault.New(fault.NotFound, "no such job")
 	}
-	release, err := s.limiter.enter(who.Tenant)
+	release, err := s.limiter.acquire(principal.Tenant)
 	if err != nil {
 		return err
 	}
@@ -118,28 +117,27 @@
 	ctx, cancel := context.WithTimeout(r.Context(), deadline)
 	defer cancel()
 	r.Body = http.MaxBytesReader(w, r.Body, s.options.BodyBytes)
-	return handle(w, r.WithContext(ctx), who)
+	return handle(w, r.WithContext(ctx), principal)
 }
 
-// identify refuses to judge tenants' keys by a configuration that may have been
-// replaced since: a node that was cut off, frozen or just started must read the
-// newest first.
+// identify authenticates a request. It rejects tenants while the configuration may be stale,
+// as after a network partition, a suspension or a start, because keys may have been revoked.
 func (s *Server) identify(r *http.Request) (auth.Principal, error) {
 	view := s.backend.View()
-	who, ok := auth.Identify(r, s.options.OperatorKeyHashes, &view.Configuration.Declaration)
-	if ok && who.Operator {
-		return who, nil
+	principal, ok := auth.Identify(r, s.options.OperatorKeyHashes, &view.Configuration.Declaration)
+	if ok && principal.Operator {
+		return principal, nil
 	}
 	if !view.Synced || s.now().Sub(view.WatchedAt) > s.options.ConfigurationAge {
-		return who, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now")
+		return principal, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now")
 	}
 	if !ok {
-		return who, fault.New(fault.Unauthenticated, "the request carries no valid key")
+		return principal, fault.New(fault.Unauthenticated, "the request carries no valid key")
 	}
-	return who, nil
+	return principal, nil
 }
 
-// DeadlineHeader states how long the caller waits, for instance "10s".
+// DeadlineHeader carries the caller's timeout, for instance "10s".
 const DeadlineHeader = "Wheatroad-Deadline"
 
 const maxDeadline = 10 * time.Minute
@@ -162,7 +160,7 @@
 	}{"ok"})
 }
 
-// readyz tells the balancer whether to send requests here.
+// readyz tells the load balancer whether the node accepts requests.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	view := s.backend.View()
 	status, code := "ready", http.StatusOK
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -15,8 +15,8 @@
 	"github.com/wheatroad/wheatroad/internal/pool"
 )
 
-// noticesOf serves as a pool's owner for a gateway's node and returns the notices it gets.
-func noticesOf(t *testing.T, gateway *Gateway) <-chan acceptedNotice {
+// receiveNotices serves as the pool owner of a gateway's node and returns the notices it receives.
+func receiveNotices(t *testing.T, gateway *Gateway) <-chan acceptedNotice {
 	notices := make(chan acceptedNotice, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,33 +30,33 @@
 			return []byte("{}"), nil
 		}).Serve(listener)
 	}()
-	lease := leaseView{}
+	lease := versionedLease{}
 	lease.Owner, lease.Address = "node-2", listener.Addr().String()
-	gateway.node.view.Store(&view{leases: map[string]leaseView{poolName: lease}})
+	gateway.node.snapshot.Store(&snapshot{leases: map[string]versionedLease{poolName: lease}})
 	return notices
 }
 
 func TestAcceptedJobIsAnnouncedToTheOwner(t *testing.T) {
 	store := newFakeStore()
 	gateway := newGateway(t, store)
-	notices := noticesOf(t, gateway)
+	notices := receiveNotices(t, gateway)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	select {
 	case notice := <-notices:
 		key := pool.AcceptedKey(pool.JobParts(poolName, jobID)[0], jobID)
 		require.Equal(t, poolName, notice.Pool)
-		require.Equal(t, store.rows[key], notice.Row, "the row as the store holds it")
+		require.Equal(t, store.rows[key], notice.Row, "the notice must hold the stored row")
 	case <-time.After(10 * time.Second):
-		t.Fatal("the owner is not told")
+		t.Fatal("the owner did not receive the notice")
 	}
 }
 
-// TestRefusedJobIsNotAnnounced: the owner must not hear of what is not in the store.
+// TestRefusedJobIsNotAnnounced: the owner must not receive a job that is not in the store.
 func TestRefusedJobIsNotAnnounced(t *testing.T) {
 	store := newFakeStore()
 	store.refuse = allOf(pool.JobParts(poolName, jobID))
 	gateway := newGateway(t, store)
-	notices := noticesOf(t, gateway)
+	notices := receiveNotices(t, gateway)
 	require.Error(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	store.refuse = nil
 	gateway.node.options.Off = mechanism.Off{mechanism.Announcements: true}
@@ -66,5 +66,5 @@
 	other.ID = "00000000000000bb"
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), other))
 	notice := <-notices
-	require.Contains(t, notice.Row.Name, other.ID, "the first one that is told")
+	require.Contains(t, notice.Row.Name, other.ID, "the first notice must be of the job submitted last")
 }
--- a/internal/node/follow.go
+++ b/internal/node/configuration.go
@@ -8,11 +8,11 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// readConfiguration reads the configuration, then follows it.
+// readConfiguration reads the configuration and the evacuations, then follows their changes.
 func (n *Node) readConfiguration() {
 	codec := n.edges.Codec
 	key := codec.ConfigurationKey()
-	askedAt := n.now()
+	requestedAt := n.now()
 	n.ports.scanDirect(key.Table, key.Part, func(listing rows.Listing, err error) {
 		if err != nil {
 			n.storeRetries.After(retryPause, n.readConfiguration)
@@ -22,22 +22,22 @@
 			n.applyConfiguration(listing.Rows[i])
 		}
 		n.confirm(listing.AsOf)
-		n.noteEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, askedAt))
+		n.applyEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 		n.follow(subscription{
-			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationWait, apply: n.applyConfiguration,
-			answered: n.operatorRowsAnswered, ended: n.readConfiguration,
+			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
+			onAnswer: n.handleOperatorFeed, onEnd: n.readConfiguration,
 		}, listing.Version)
 	})
 }
 
 func (n *Node) applyConfiguration(row rows.Row) {
 	if row.Key == n.edges.Codec.ConfigurationKey() && !row.Gone {
-		n.adopt(row.Value, "feed")
+		n.applyDocument(row.Value, "feed")
 	}
 }
 
-// adopt puts a configuration in force unless a newer one is.
-func (n *Node) adopt(content []byte, source string) {
+// applyDocument makes a configuration current unless a newer one already is.
+func (n *Node) applyDocument(content []byte, source string) {
 	decoded, err := n.edges.Codec.DecodeCatalog(content)
 	if err != nil {
 		n.edges.Record.Count("refusals", "configuration_invalid")
@@ -56,7 +56,7 @@
 	}
 }
 
-// confirm notes that the configuration was the newest at a time.
+// confirm records that the configuration was the newest at the given time.
 func (n *Node) confirm(at time.Time) {
 	if known := n.confirmed.Load(); known == nil || at.After(*known) {
 		n.confirmed.Store(&at)
--- /dev/null
+++ b/internal/node/configuration_status.go
@@ -0,0 +1,69 @@
+package node
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/uptime"
+)
+
+// configurationStatus is the version and the age of a node's configuration.
+type configurationStatus struct {
+	Version int64 `json:"version"`
+	// AgeMillis is how long ago the configuration was known to be the newest.
+	AgeMillis int64 `json:"age_ms"`
+}
+
+// handleConfigurationStatus handles the status reported by the node at an address. Its age is
+// counted from the time of the request: counted from the reply, it would omit the transit time, and
+// two nodes that confirm each other over slow links would never see it age.
+func (n *Node) handleConfigurationStatus(address string, status configurationStatus, requestedAt time.Time) {
+	current := n.catalog.Load()
+	if current == nil || current.Version < status.Version {
+		n.downloadConfiguration(address, status.Version)
+		return
+	}
+	at := requestedAt.Add(-time.Duration(status.AgeMillis) * time.Millisecond)
+	n.confirm(at)
+	n.confirmedByPeer.Store(&at)
+}
+
+// currentConfigurationStatus returns the status that this node reports. It may be called from any
+// goroutine.
+func (n *Node) currentConfigurationStatus() configurationStatus {
+	status := configurationStatus{AgeMillis: age(n.confirmed.Load()).Milliseconds()}
+	if current := n.catalog.Load(); current != nil {
+		status.Version = current.Version
+	}
+	return status
+}
+
+// configurationPollInterval is how often a node whose confirmation is stale polls other nodes.
+const configurationPollInterval = 400 * time.Millisecond
+
+// configurationPollAge is the age of the confirmation from which other nodes are polled. It leaves
+// the store time to answer first.
+const configurationPollAge = staleConfirmationAge + 400*time.Millisecond
+
+// pollConfiguration polls other nodes for the configuration while the store does not confirm it.
+func (n *Node) pollConfiguration() {
+	limit := configurationPollAge
+	if n.storeLost() {
+		// No answer of the store is pending.
+		limit = staleConfirmationAge
+	}
+	confirmedAge := age(n.confirmed.Load())
+	if confirmedAge > limit {
+		others := n.otherMembersExcept("")
+		requestedAt := uptime.Now()
+		for _, other := range others[:min(2, len(others))] {
+			n.callPeer(other.Address, methodConfigurationStatus, struct{}{}, func(document []byte, err error) {
+				var status configurationStatus
+				if err == nil && json.Unmarshal(document, &status) == nil {
+					n.handleConfigurationStatus(other.Address, status, requestedAt)
+				}
+			})
+		}
+	}
+	n.edges.Loop.After(max(configurationPollInterval, staleConfirmationAge-confirmedAge), n.pollConfiguration)
+}
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -12,57 +12,56 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// Limits of a configuration's transfer from another node.
+// Limits of the transfer of a configuration from another node.
 const (
-	// chunkBytes is how much of a configuration one call brings. With its encoding a chunk
-	// takes 35 ms of a link of 10 Mbit/s, so that pings behind it are answered in time.
-	chunkBytes = 32 << 10
-	// chunkTimeout bounds one such call: 30 times what a link of 10 Mbit/s takes for it.
+	// maxChunkBytes is the maximum size of a chunk. Encoded, it takes 35 ms on a link of 10 Mbit/s,
+	// so that pings queued behind it are answered in time.
+	maxChunkBytes = 32 << 10
+	// chunkTimeout bounds the call for one chunk: 30 times its transmission time on a link of 10
+	// Mbit/s.
 	chunkTimeout = time.Second
-	// storeHeadStart is how long the store's own answer may take before other nodes are
-	// asked as well: 1.8 MB on a link of 10 Mbit/s, within the least bound of 2 s.
-	storeHeadStart = 1500 * time.Millisecond
-	// servedFor is how long a version that was replaced counts as being fetched after the
-	// last call for it: a version that replaces it sooner than a transfer takes would
-	// otherwise make them begin anew, for as long as changes come.
-	servedFor = 2 * chunkTimeout
-	// mostServed bounds the versions that are kept for that.
-	mostServed = 4
+	// storeTransferGrace is how long the store's own answer may take before other nodes are polled
+	// too. It is below the strictest limit on the configuration's age, 2 s.
+	storeTransferGrace = 1500 * time.Millisecond
+	// servedRetention is how long a replaced version is kept after the last request for it, so that
+	// frequent changes do not make transfers start over.
+	servedRetention = 2 * chunkTimeout
+	// maxServedDocuments bounds the retained versions.
+	maxServedDocuments = 4
 )
 
-// document is a configuration as the store keeps it.
+// document is a configuration as encoded in the store.
 type document struct {
 	version int64
 	content []byte
 }
 
-// chunkRequest asks for a part of a configuration, from an offset in bytes.
+// chunkRequest requests a chunk of a configuration at an offset in bytes.
 type chunkRequest struct {
 	Version int64 `json:"version"`
 	Offset  int   `json:"offset"`
 }
 
-// chunkReply is a part of the answering node's configuration: from the requested offset
-// if it is of the requested version, and from its beginning otherwise.
+// chunkReply is a chunk of a configuration: from the requested offset if the responding node has
+// the requested version, otherwise the first chunk of the version that it has.
 type chunkReply struct {
 	Version int64 `json:"version"`
-	// Size is how many bytes the whole configuration has.
+	// Size is the size of the whole configuration in bytes.
 	Size    int    `json:"size"`
 	Content []byte `json:"content"`
 }
 
-// download is a transfer of a configuration from other nodes: one at a time, and in
-// chunks. Whole documents in each answer about an owner or about news filled small links
-// and never arrived. What has arrived is kept when a call fails.
+// download is a transfer of a configuration from other nodes. There is one at a time; it runs in
+// chunks, so that it completes on slow links, and keeps the received content when a call fails.
 type download struct {
 	document
 	active bool
 }
 
-// downloadConfiguration fetches a version from another node, unless a transfer is under
-// way. The store's own answer goes first: both at once would share the link.
+// downloadConfiguration downloads a version from another node unless a transfer is in progress,
+// including one from the store, which would share the link.
 func (n *Node) downloadConfiguration(address string, version int64) {
-	if n.download.active || n.storeBringsConfiguration() {
+	if n.download.active || n.storeTransferPending() {
 		return
 	}
 	if n.download.version < version {
@@ -74,7 +73,7 @@
 
 func (n *Node) downloadChunk(address string) {
 	request := chunkRequest{Version: n.download.version, Offset: len(n.download.content)}
-	n.callPeerFor(chunkTimeout, address, methodChunk, request, func(answer []byte, err error) {
+	n.callPeerWithTimeout(chunkTimeout, address, methodChunk, request, func(answer []byte, err error) {
 		var reply chunkReply
 		if err == nil {
 			err = json.Unmarshal(answer, &reply)
@@ -84,61 +83,61 @@
 			n.download.active = false
 			return
 		}
-		n.takeChunk(address, request, reply)
+		n.handleChunk(address, request, reply)
 	})
 }
 
-// takeChunk takes in a part of a configuration and asks for the next one.
-func (n *Node) takeChunk(address string, request chunkRequest, reply chunkReply) {
+// handleChunk appends a chunk and requests the next one.
+func (n *Node) handleChunk(address string, request chunkRequest, reply chunkReply) {
 	if reply.Version != request.Version {
 		n.download.document = document{version: reply.Version}
 	}
 	n.download.content = append(n.download.content, reply.Content...)
 	current := n.catalog.Load()
-	overtaken := current != nil && current.Version >= n.download.version
-	if !overtaken && len(reply.Content) > 0 && len(n.download.content) < reply.Size {
+	superseded := current != nil && current.Version >= n.download.version
+	if !superseded && len(reply.Content) > 0 && len(n.download.content) < reply.Size {
 		n.downloadChunk(address)
 		return
 	}
-	finished := n.download.document
+	completed := n.download.document
 	n.download = download{}
-	if !overtaken && len(finished.content) == reply.Size {
-		n.adopt(finished.content, "peer")
+	if !superseded && len(completed.content) == reply.Size {
+		n.applyDocument(completed.content, "peer")
 	}
 }
 
-// serveChunk answers another node with a part of this one's configuration. It may be
-// called anywhere.
+// serveChunk returns a chunk of this node's configuration to another node. It may be called from
+// any goroutine.
 func (n *Node) serveChunk(request chunkRequest) (chunkReply, error) {
-	own := n.served.find(request.Version, n.document.Load())
-	if own == nil {
+	served := n.servedDocuments.find(request.Version, n.document.Load())
+	if served == nil {
 		return chunkReply{}, fault.New(fault.ConfigurationOld, "this node has no configuration yet")
 	}
 	offset := request.Offset
-	if own.version != request.Version {
+	if served.version != request.Version {
 		offset = 0
 	}
-	if offset < 0 || offset > len(own.content) {
-		return chunkReply{}, fault.New(fault.InvalidRequest, "offset %d of a configuration of %d bytes", offset, len(own.content))
+	if offset < 0 || offset > len(served.content) {
+		return chunkReply{}, fault.New(fault.InvalidRequest, "offset %d of a configuration of %d bytes", offset, len(served.content))
 	}
-	end := min(offset+chunkBytes, len(own.content))
-	return chunkReply{Version: own.version, Size: len(own.content), Content: own.content[offset:end]}, nil
+	end := min(offset+maxChunkBytes, len(served.content))
+	return chunkReply{Version: served.version, Size: len(served.content), Content: served.content[offset:end]}, nil
 }
 
-// servedDocuments are the versions that other nodes are fetching. Its methods may be
-// called anywhere.
+// servedDocuments are the versions that other nodes are downloading. Its methods may be called from
+// any goroutine.
 type servedDocuments struct {
-	mutex sync.Mutex
-	kept  []servedDocument
+	mutex   sync.Mutex
+	entries []servedDocument
 }
 
 type servedDocument struct {
 	*document
-	askedAt time.Time
+	requestedAt time.Time
 }
 
-// find returns a version that is being fetched, and otherwise the newest one, which it
-// keeps for the calls to come. Versions that nobody fetches any more go with the next call.
+// find returns the requested version if it is retained, and otherwise the newest one, which it
+// retains for further requests. It evicts the versions that are no longer requested.
 func (s *servedDocuments) find(version int64, newest *document) *document {
 	if newest == nil {
 		return nil
@@ -146,41 +145,41 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := uptime.Now()
-	s.kept = slices.DeleteFunc(s.kept, func(d servedDocument) bool { return now.Sub(d.askedAt) > servedFor })
+	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return now.Sub(d.requestedAt) > servedRetention })
 	for _, wanted := range []int64{version, newest.version} {
-		for i := range s.kept {
-			if s.kept[i].version == wanted {
-				s.kept[i].askedAt = now
-				return s.kept[i].document
+		for i := range s.entries {
+			if s.entries[i].version == wanted {
+				s.entries[i].requestedAt = now
+				return s.entries[i].document
 			}
 		}
 	}
-	if len(s.kept) == mostServed {
-		s.dropLeastAsked()
+	if len(s.entries) == maxServedDocuments {
+		s.evictOldest()
 	}
-	s.kept = append(s.kept, servedDocument{document: newest, askedAt: now})
+	s.entries = append(s.entries, servedDocument{document: newest, requestedAt: now})
 	return newest
 }
 
-// dropLeastAsked drops the version whose last call is the oldest. The mutex is held.
-func (s *servedDocuments) dropLeastAsked() {
-	oldest := slices.MinFunc(s.kept, func(a, b servedDocument) int { return a.askedAt.Compare(b.askedAt) })
-	s.kept = slices.DeleteFunc(s.kept, func(d servedDocument) bool { return d.document == oldest.document })
+// evictOldest removes the version that was least recently requested. The mutex must be held.
+func (s *servedDocuments) evictOldest() {
+	oldest := slices.MinFunc(s.entries, func(a, b servedDocument) int { return a.requestedAt.Compare(b.requestedAt) })
+	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return d.document == oldest.document })
 }
 
-// noteArriving notes that an answer of the store about the configuration arrives, from its
-// first byte until the returned function is called.
-func (n *Node) noteArriving(ctx context.Context) (context.Context, func()) {
+// trackStoreTransfer returns a context that records when the store's answer with the configuration
+// starts to arrive, and a function that ends the tracking.
+func (n *Node) trackStoreTransfer(ctx context.Context) (context.Context, func()) {
 	observed := progress.With(ctx, func(int) {
 		now := uptime.Now()
-		n.configurationArriving.CompareAndSwap(nil, &now)
+		n.configurationTransferStart.CompareAndSwap(nil, &now)
 	})
-	return observed, func() { n.configurationArriving.Store(nil) }
+	return observed, func() { n.configurationTransferStart.Store(nil) }
 }
 
-// storeBringsConfiguration reports whether an answer about the configuration arrives that
-// still has its head start.
-func (n *Node) storeBringsConfiguration() bool {
-	began := n.configurationArriving.Load()
-	return began != nil && uptime.Since(*began) < storeHeadStart
+// storeTransferPending reports whether the store's answer with the configuration is arriving and
+// still within storeTransferGrace.
+func (n *Node) storeTransferPending() bool {
+	startedAt := n.configurationTransferStart.Load()
+	return startedAt != nil && uptime.Since(*startedAt) < storeTransferGrace
 }
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -19,7 +19,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// jsonCodec reads configurations that are catalogs in JSON.
+// jsonCodec decodes catalogs in JSON.
 type jsonCodec struct{}
 
 func (jsonCodec) ConfigurationTable() string { return "operator" }
@@ -37,87 +37,83 @@
 }
 func (jsonCodec) DecodeWorker(string, []byte) (*fleet.Worker, error) { return &fleet.Worker{}, nil }
 
-// link paces what arrives over all connections of one machine.
-type link struct {
+// throttledLink limits the bandwidth of all connections of one machine.
+type throttledLink struct {
 	bytesPerSecond int
 	mutex          sync.Mutex
-	free           time.Time
+	freeAt         time.Time
 }
 
-// pass waits until the link has carried some bytes.
-func (l *link) pass(count int) {
+// transmit waits until the link has carried the given bytes.
+func (l *throttledLink) transmit(count int) {
 	l.mutex.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(count) * time.Second / time.Duration(l.bytesPerSecond))
-	until := l.free
+	l.freeAt = l.freeAt.Add(time.Duration(count) * time.Second / time.Duration(l.bytesPerSecond))
+	until := l.freeAt
 	l.mutex.Unlock()
 	time.Sleep(time.Until(until))
 }
 
-// slowConnection is a connection over a link.
-type slowConnection struct {
+// throttledConnection is a connection over a link.
+type throttledConnection struct {
 	net.Conn
-	link *link
+	link *throttledLink
 }
 
-// segment is how much of one connection a link carries before others get their turn.
-const segment = 8 << 10
+// readSegmentBytes is how much a link carries for one connection before the others.
+const readSegmentBytes = 8 << 10
 
 // Read implements net.Conn.
-func (c *slowConnection) Read(buffer []byte) (int, error) {
-	count, err := c.Conn.Read(buffer[:min(len(buffer), segment)])
-	c.link.pass(count)
+func (c *throttledConnection) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer[:min(len(buffer), readSegmentBytes)])
+	c.link.transmit(count)
 	return count, err
 }
 
 // dial opens connections over the link.
-func (l *link) dial(ctx context.Context, address string) (net.Conn, error) {
+func (l *throttledLink) dial(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &slowConnection{Conn: connection, link: l}, nil
+	return &throttledConnection{Conn: connection, link: l}, nil
 }
 
 // listen opens a port of this machine.
-func (*link) listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
+func (*throttledLink) listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
 const (
-	largeConfiguration = 1 << 20
-	// smallLink carries the large configuration in some 3.5 s.
-	smallLink = 400_000
-	// arrival bounds the wait for what must arrive.
-	arrival = 40 * time.Second
+	largeConfigurationBytes = 1 << 20
+	// slowLinkBytesPerSecond carries the large configuration in some 3.5 s.
+	slowLinkBytesPerSecond = 400_000
+	// transferTimeout bounds the wait for a transfer.
+	transferTimeout = 40 * time.Second
 )
 
-// largeDocument is a configuration of a version.
+// largeDocument returns an encoded configuration of the given version.
 func largeDocument(t *testing.T, version int64) []byte {
 	document, err := json.Marshal(catalog.Catalog{Version: version})
 	require.NoError(t, err)
-	return append(document, bytes.Repeat([]byte(" "), largeConfiguration-len(document))...)
+	return append(document, bytes.Repeat([]byte(" "), largeConfigurationBytes-len(document))...)
 }
 
-// TestLargeConfigurationComesFromAnotherNodeOverASmallLink: at the end of a day accepted
-// jobs had no answer, since most nodes refused every request: their configuration was a
-// minute old. It had grown to 1.2 MB, and each node asked others for it all the time: in
-// each ping of a pool's owner and in each call for news, which end after 0.4 s. On links
-// of 10 Mbit/s none of these answers was ever whole; what had arrived was thrown away.
-// Their links were full at 1,160 KB/s while their processors were at 0 to 3%, 24 of the
-// 32 MB/s that all of them took in came from other nodes, and nothing ended it.
+// TestLargeConfigurationComesFromAnotherNodeOverASmallLink: a configuration that takes longer to
+// receive than one call may last must still arrive, or nodes on slow links refuse requests once
+// their configuration is too old.
 func TestLargeConfigurationComesFromAnotherNodeOverASmallLink(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
-	source.adopt(largeDocument(t, 2), "feed")
+	source.applyDocument(largeDocument(t, 2), "feed")
 
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	own := loop.NewGoroutine()
-	small := &link{bytesPerSecond: smallLink}
+	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 	n := New(ctx, Options{Name: "node-1"}, Edges{
-		Store: refusingStore{}, Peers: peer.NewClient(small.dial), Codec: jsonCodec{}, Loop: own, Record: silentRecorder{},
+		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 	})
 	n.sample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
 	own.Post(n.Start)
@@ -126,5 +122,5 @@
 	require.Eventually(t, func() bool {
 		current := n.catalog.Load()
 		return current != nil && current.Version == 2
-	}, arrival, 20*time.Millisecond)
+	}, transferTimeout, 20*time.Millisecond)
 }
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -16,23 +16,23 @@
 // Lookup returns a job's state.
 func (g *Gateway) Lookup(ctx context.Context, access Access, id string) (taskgraph.State, error) {
 	if !taskgraph.ValidID(id) {
-		return "", g.refused(fault.New(fault.UnknownJob, "no such job"))
+		return "", g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
 	}
-	state, err := g.lookupAnywhere(ctx, access.Queue.Pool, id)
+	state, err := g.lookupFromOwner(ctx, access.Queue.Pool, id)
 	if err != nil {
 		g.node.edges.Record.Decided("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
-		return "", g.refused(err)
+		return "", g.countRefusal(err)
 	}
 	return state, nil
 }
 
-func (g *Gateway) lookupAnywhere(ctx context.Context, poolName, id string) (taskgraph.State, error) {
+func (g *Gateway) lookupFromOwner(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
-	v := n.view.Load()
+	v := n.snapshot.Load()
 	lease := v.leases[poolName]
 	if v.owned[poolName] == nil && lease.Address != "" && lease.Owner != n.options.Name {
 		var reply lookupReply
-		err := limited(ctx, pingTimeout, func(ctx context.Context) error {
+		err := withTimeout(ctx, pingTimeout, func(ctx context.Context) error {
 			document, err := n.call(ctx, lease.Address, methodLookup, jobRequest{Pool: poolName, ID: id})
 			if err != nil {
 				return err
@@ -43,16 +43,16 @@
 			return reply.State, err
 		}
 	}
-	return g.lookupHere(ctx, poolName, id)
+	return g.lookupLocal(ctx, poolName, id)
 }
 
-// lookupHere answers from the pool, if this node owns it, or from the store.
-func (g *Gateway) lookupHere(ctx context.Context, poolName, id string) (taskgraph.State, error) {
+// lookupLocal reads the state from the pool if this node owns it, or else from the store.
+func (g *Gateway) lookupLocal(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
-	if p := n.view.Load().owned[poolName]; p != nil {
+	if p := n.snapshot.Load().owned[poolName]; p != nil {
 		var state taskgraph.State
 		known := false
-		err := limited(ctx, handOverLimit, func(ctx context.Context) error {
+		err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
 			return loop.Call(ctx, n.edges.Loop, func() { state, known = p.State(id) })
 		})
 		if err == nil && known {
@@ -80,13 +80,13 @@
 	return state, err
 }
 
-// storedJob returns the part that holds a job, empty if there is none, and whether
-// the job is cancelled. Absence takes an answer of every part.
+// storedJob returns the part that holds a job, empty if there is none, and whether the job is
+// canceled. A job counts as absent only if every part has answered.
 func (g *Gateway) storedJob(ctx context.Context, poolName, id string) (accepted string, cancelled bool, err error) {
 	for _, part := range pool.JobParts(poolName, id) {
 		listing, failure := g.node.ports.scan(ctx, pool.JobTable, part, id)
 		if failure != nil {
-			err = storeUnread(failure)
+			err = storeReadFault(failure)
 			continue
 		}
 		if hasRow(listing, pool.AcceptedKey(part, id)) {
@@ -100,13 +100,13 @@
 	return accepted, cancelled, err
 }
 
-// storedState returns the state in the newest of a job's rows of progress.
+// storedState returns the state of a job's newest progress row.
 func (g *Gateway) storedState(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	var newest pool.Progress
 	for _, part := range pool.ProgressParts(poolName) {
 		listing, err := g.node.ports.scan(ctx, pool.ProgressTable, part, id)
 		if err != nil {
-			return "", storeUnread(err)
+			return "", storeReadFault(err)
 		}
 		for i := range listing.Rows {
 			var record pool.Progress
@@ -124,7 +124,7 @@
 	return newest.State, nil
 }
 
-func storeUnread(err error) error {
+func storeReadFault(err error) error {
 	return fault.New(fault.StoreUnavailable, "the store could not be read: %v", err)
 }
 
@@ -137,24 +137,24 @@
 	return false
 }
 
-// waitingAge is how old a cached count of waiting jobs may be.
-const waitingAge = 1500 * time.Millisecond
+// waitingCacheMaxAge is the maximum age of a cached count of waiting jobs.
+const waitingCacheMaxAge = 1500 * time.Millisecond
 
-// Waiting returns how many jobs of a queue have no task begun.
+// Waiting returns how many jobs of a queue have started no task.
 func (g *Gateway) Waiting(ctx context.Context, access Access) (int, error) {
 	n := g.node
 	poolName, queue := access.Queue.Pool, access.Queue.Name
-	v := n.view.Load()
+	v := n.snapshot.Load()
 	lease := v.leases[poolName]
 	if v.owned[poolName] != nil || lease.Address == "" || lease.Owner == n.options.Name {
-		count, err := g.waitingHere(ctx, poolName, queue)
+		count, err := g.waitingLocal(ctx, poolName, queue)
 		if err != nil {
-			return 0, g.refused(err)
+			return 0, g.countRefusal(err)
 		}
 		return count, nil
 	}
 	var reply waitingReply
-	err := limited(ctx, pingTimeout, func(ctx context.Context) error {
+	err := withTimeout(ctx, pingTimeout, func(ctx context.Context) error {
 		document, err := n.call(ctx, lease.Address, methodWaiting, jobRequest{Pool: poolName, Queue: queue})
 		if err != nil {
 			return err
@@ -164,20 +164,20 @@
 	if err == nil {
 		return reply.Waiting, nil
 	}
-	if cached := v.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingAge {
+	if cached := v.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingCacheMaxAge {
 		return cached.counts[queue], nil
 	}
-	return 0, g.refused(fault.New(fault.NoOwner, "the pool's owner does not answer"))
+	return 0, g.countRefusal(fault.New(fault.NoOwner, "the pool's owner does not answer"))
 }
 
-func (g *Gateway) waitingHere(ctx context.Context, poolName, queue string) (int, error) {
+func (g *Gateway) waitingLocal(ctx context.Context, poolName, queue string) (int, error) {
 	n := g.node
-	p := n.view.Load().owned[poolName]
+	p := n.snapshot.Load().owned[poolName]
 	if p == nil {
 		return 0, fault.New(fault.NoOwner, "the pool has no owner here")
 	}
 	count, loaded := 0, false
-	err := limited(ctx, handOverLimit, func(ctx context.Context) error {
+	err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
 		return loop.Call(ctx, n.edges.Loop, func() {
 			loaded = p.Loaded()
 			count = p.Waiting()[queue]
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -20,15 +20,15 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// countingStore counts the rows that it gives out, and answers feeds.
+// countingStore counts the rows that it returns, and answers feeds.
 type countingStore struct {
 	mutex sync.Mutex
 	*fakeStore
-	given int
+	returned int
 }
 
 func (s *countingStore) count(listing rows.Listing, err error) (rows.Listing, error) {
-	s.given += len(listing.Rows)
+	s.returned += len(listing.Rows)
 	return listing, err
 }
 
@@ -77,36 +77,32 @@
 	return listing
 }
 
-// writeMember writes the rows of a node as it does when it starts.
+// writeMember writes a node's rows as it does when it starts.
 func (s *countingStore) writeMember(m member) {
 	var transaction rows.Transaction
-	for _, key := range []rows.Key{{Table: memberTable, Name: memberName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
+	for _, key := range []rows.Key{{Table: memberTable, Name: memberRowName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
 		transaction.Puts = append(transaction.Puts, rows.Put{Key: key, Value: pool.Encode(m)})
 	}
 	_, _ = s.Commit(context.Background(), transaction)
 }
 
-// serveOwner answers pings as an owner in good health and returns its address.
+// serveOwner answers pings as a healthy owner and returns its address.
 func serveOwner(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	answer := func(context.Context, *peerpb.Request) ([]byte, error) {
-		return json.Marshal(pingReply{Owner: true, catalogNews: catalogNews{Version: 1}})
+		return json.Marshal(pingReply{Owner: true, configurationStatus: configurationStatus{Version: 1}})
 	}
 	go func() { _ = peer.NewServer(answer).Serve(listener) }()
 	return listener.Addr().String()
 }
 
-// Symptom: a quiet day of 583 nodes made 72,000 calls to the store, 34,000 more than one on which 45
-// nodes died at once, and 0.17 GB.
-// Sequence: 37 nodes were restarted a second apart; each restart was two changes, each of which
-// answered the feeds of all 583 nodes. At the start, and when the store had forgotten its history, each
-// node read the rows of all.
-// Cause: every node followed the rows of all nodes, of which it needs a few.
-// Settled by: the store's calls and bytes, and 583 lines "feed read anew" of one table within 10 ms.
+// A node that follows the rows of all others makes each restart cost one answer of the store for
+// every node of the cluster.
 
-// TestWhatANodeReadsOfOthersDoesNotGrow with their number, neither at its start nor as they come and go.
+// TestWhatANodeReadsOfOthersDoesNotGrow with their number, neither at its start nor as they
+// restart.
 func TestWhatANodeReadsOfOthersDoesNotGrow(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
@@ -124,26 +120,26 @@
 			t.Cleanup(cancel)
 			own := loop.NewGoroutine()
 			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Edges{
-				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Record: silentRecorder{},
+				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
 			})
 			go own.Run(ctx)
 			own.Post(n.Start)
 			onLoop(t, n, func() {
-				n.adopt(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
+				n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
 			})
 			require.Eventually(t, func() bool {
-				v := n.view.Load()
-				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.toldByPeer.Load() != nil
+				v := n.snapshot.Load()
+				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.confirmedByPeer.Load() != nil
 			}, time.Minute, 5*time.Millisecond)
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
-			// Two rounds of pings later the node has seen what it follows.
-			told := *n.toldByPeer.Load()
-			require.Eventually(t, func() bool { return n.toldByPeer.Load().Sub(told) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
+			// After two rounds of pings the node has received the changes that it follows.
+			confirmedAt := *n.confirmedByPeer.Load()
+			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
-			require.LessOrEqual(t, store.given, 2*(candidateCount+neighbourCount+olderCount)+8)
+			require.LessOrEqual(t, store.returned, 2*(candidateCount+successorCount+legacyMemberCount)+8)
 		})
 	}
 }
@@ -151,14 +147,14 @@
 func TestNamesOfMembersAreInTheOrderOfTheirWeights(t *testing.T) {
 	var names []string
 	for _, weight := range []float64{1.6, 0.8, 0.801, 0.192, 0} {
-		names = append(names, memberName(member{Name: "b", Weight: weight}))
+		names = append(names, memberRowName(member{Name: "b", Weight: weight}))
 	}
 	require.Equal(t, []string{names[0], names[2], names[1], names[3], names[4]}, slices.Sorted(slices.Values(names)))
-	require.NotEqual(t, memberName(member{Name: "a", Weight: 1}), memberName(member{Name: "b", Weight: 1}))
+	require.NotEqual(t, memberRowName(member{Name: "a", Weight: 1}), memberRowName(member{Name: "b", Weight: 1}))
 }
 
-// takeSample lets a node read a sample of candidates beyond which there are others.
-func (n *watchingNode) takeSample(t *testing.T, candidates ...member) {
+// applyPartialSample applies a sample of candidates from a cluster that has more nodes.
+func (n *watchingNode) applyPartialSample(t *testing.T, candidates ...member) {
 	for i := len(candidates); i < candidateCount; i++ {
 		candidates = append(candidates, member{Name: fmt.Sprintf("candidate-%02d", i), Weight: 1})
 	}
@@ -167,28 +163,28 @@
 		listing.Rows = append(listing.Rows, rows.Row{Value: pool.Encode(m)})
 	}
 	own.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
-	n.takeMembers(listing, own)
+	n.applySample(listing, own)
 	require.True(t, n.sample.partial)
 }
 
-// TestNodesBeyondTheCandidatesTakePoolsLast, the light ones after the heavy ones.
+// TestNodesBeyondTheCandidatesTakePoolsLast: those with less weight try after those with more.
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
-	latest := maxRank * rankDelay
+	latest := maxTakeoverRank * takeoverRankDelay
 	among := newWatchingNode(t, 1, nil)
-	among.takeSample(t, among.self())
-	require.Less(t, among.takeDelay(poolName), latest+time.Millisecond)
+	among.applyPartialSample(t, among.self())
+	require.Less(t, among.takeoverDelay(poolName), latest+time.Millisecond)
 	heavy := newWatchingNode(t, 1, nil)
-	heavy.takeSample(t)
-	require.False(t, heavy.guards(poolName))
-	require.GreaterOrEqual(t, heavy.takeDelay(poolName), latest)
-	require.Less(t, heavy.takeDelay(poolName), latest+lightDelay)
+	heavy.applyPartialSample(t)
+	require.False(t, heavy.isStandby(poolName))
+	require.GreaterOrEqual(t, heavy.takeoverDelay(poolName), latest)
+	require.Less(t, heavy.takeoverDelay(poolName), latest+lowWeightDelay)
 	light := newWatchingNode(t, 0.2, nil)
-	light.takeSample(t)
-	require.GreaterOrEqual(t, light.takeDelay(poolName), latest+lightDelay)
+	light.applyPartialSample(t)
+	require.GreaterOrEqual(t, light.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
-// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover from
-// the answers to its pings.
+// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover
+// from the replies to its pings.
 func TestLeaseIsReadWhenTheOwnerIsAnother(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -200,47 +196,48 @@
 	read := make(chan struct{})
 	onLoop(t, n, func() {
 		n.sample.partial = true
-		n.watches[poolName] = &watch{pool: poolName}
+		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.readLease(poolName, func(int64) { close(read) })
 	})
 	<-read
 	lease("node-3")
 	onLoop(t, n, func() {
-		require.False(t, n.needsLeases())
-		n.pingAnswered(n.watches[poolName], pingReply{Owner: false})
+		require.False(t, n.shouldFollowLeases())
+		n.handlePingReply(n.watchers[poolName], pingReply{Owner: false})
 	})
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
-// TestRowsOfGoneNodesAreRemoved by an owner that hears from the others.
+// TestRowsOfGoneNodesAreRemoved: an owner removes the rows of nodes only while it receives the
+// pings of others.
 func TestRowsOfGoneNodesAreRemoved(t *testing.T) {
 	began := time.Now()
 	cases := map[string]struct {
-		// pings are the times, in seconds, at which each node asks.
+		// pings are the times, in seconds, at which each node pings the owner.
 		pings map[string][]float64
 		at    float64
 		gone  []string
 	}{
-		"nobody asked":      {nil, 60, nil},
-		"not heard so long": {map[string][]float64{"a": steady(0, 20)}, 14, nil},
-		"one is gone":       {map[string][]float64{"a": steady(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
-		"cut off itself":    {map[string][]float64{"a": steady(0, 20)}, 30, nil},
-		"after a gap":       {map[string][]float64{"a": append(steady(0, 20), steady(30, 40)...)}, 40, nil},
+		"no pings":                          {nil, 60, nil},
+		"pinged for less than memberExpiry": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
+		"one node stopped":                  {map[string][]float64{"a": everyHalfSecond(0, 20), "b": {0, 1}}, 20, []string{"b", "c"}},
+		"owner partitioned":                 {map[string][]float64{"a": everyHalfSecond(0, 20)}, 30, nil},
+		"pings resumed after a gap":         {map[string][]float64{"a": append(everyHalfSecond(0, 20), everyHalfSecond(30, 40)...)}, 40, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var h hearing
+			var h pingHistory
 			for second := 0.0; second <= c.at; second += 0.5 {
-				for who, times := range c.pings {
+				for name, times := range c.pings {
 					if slices.Contains(times, second) {
-						h.note(who, began.Add(time.Duration(second*float64(time.Second))))
+						h.record(name, began.Add(time.Duration(second*float64(time.Second))))
 					}
 				}
 			}
 			var gone []string
-			for _, who := range []string{"a", "b", "c"} {
-				if h.gone(who, began.Add(time.Duration(c.at*float64(time.Second)))) {
-					gone = append(gone, who)
+			for _, name := range []string{"a", "b", "c"} {
+				if h.expired(name, began.Add(time.Duration(c.at*float64(time.Second)))) {
+					gone = append(gone, name)
 				}
 			}
 			require.Equal(t, c.gone, gone)
@@ -248,8 +245,8 @@
 	}
 }
 
-// steady lists times half a second apart.
-func steady(from, until float64) []float64 {
+// everyHalfSecond lists times half a second apart.
+func everyHalfSecond(from, until float64) []float64 {
 	var times []float64
 	for at := from; at <= until; at += 0.5 {
 		times = append(times, at)
@@ -257,13 +254,13 @@
 	return times
 }
 
-// TestRowsThatWereWrittenAnewStay: the node came back between the reading and the removal.
+// TestRowsThatWereWrittenAnewStay: the node wrote its row again between the read and the removal.
 func TestRowsThatWereWrittenAnewStay(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
 	store.writeMember(member{Name: "gone", Weight: 1})
 	store.writeMember(member{Name: "back", Weight: 1})
-	listing, err := store.Page(context.Background(), memberTable, "", "", prunePage)
+	listing, err := store.Page(context.Background(), memberTable, "", "", prunePageSize)
 	require.NoError(t, err)
 	for _, row := range listing.Rows {
 		var m member
@@ -272,12 +269,12 @@
 			store.writeMember(member{Name: "back", Incarnation: "second", Weight: 1})
 		}
 		onLoop(t, n, func() {
-			n.hearing = hearing{heardAt: map[string]time.Time{}, since: n.now().Add(-time.Hour), lastAt: n.now()}
-			n.removeGone([]rows.Row{row})
+			n.pingHistory = pingHistory{lastPings: map[string]time.Time{}, since: n.now().Add(-time.Hour), latest: n.now()}
+			n.removeExpired([]rows.Row{row})
 		})
 	}
 	left := func() []string {
-		listing, _ := store.Page(context.Background(), memberTable, "", "", prunePage)
+		listing, _ := store.Page(context.Background(), memberTable, "", "", prunePageSize)
 		var names []string
 		for _, row := range listing.Rows {
 			var m member
@@ -289,26 +286,27 @@
 	require.Eventually(t, func() bool { return slices.Equal(left(), []string{"back"}) }, time.Minute, time.Millisecond)
 }
 
-// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was cut off from it had taken it for gone.
+// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from the node may have
+// removed its row.
 func TestNodeWhoseRowIsMissingWritesItAgain(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, n.readMembers)
 	require.Eventually(t, func() bool {
-		listing, err := store.Page(context.Background(), memberTable, "", memberName(n.self()), 1)
+		listing, err := store.Page(context.Background(), memberTable, "", memberRowName(n.self()), 1)
 		return err == nil && len(listing.Rows) == 1
 	}, time.Minute, time.Millisecond)
 }
 
-// TestOwnersAreAskedForTheStoreToo: the other known members may all be gone.
+// TestOwnersAreAskedForTheStoreToo: all other known members may have failed.
 func TestOwnersAreAskedForTheStoreToo(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
-	n.leaseOf("node-7", 3)
-	require.Equal(t, []string{"node-7"}, n.store.relays())
+	n.applyLeaseOf("node-7", 3)
+	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
 
-// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: it does not follow the leases, and looks at this one
-// before it takes the pool. That the lease is as it was must not clear the suspicion.
+// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: a node that does not follow the leases scans the
+// lease before it acquires the pool. An unchanged lease must not clear the suspicion.
 func TestLightNodeTakesAPoolOnceAllCandidatesAreGone(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	lease := pool.Lease{Owner: "candidate-00", Address: "127.0.0.1:9", Weight: 1}
@@ -319,15 +317,15 @@
 	}
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, func() {
-		n.adopt(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}}), "test")
+		n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}}), "test")
 		n.readMembers()
 		n.pingOwners()
 	})
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
 }
 
-// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that started before the others knew of none of them
-// until it read its sample again.
+// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that starts first must learn of the others
+// before it next reads its sample.
 func TestNodesOfASmallFleetLearnOfEachOtherAtOnce(t *testing.T) {
 	row := func(name string, gone bool) rows.Row {
 		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: gone}
@@ -336,36 +334,37 @@
 	n.applyNodeRow(row("node-2", false))
 	n.applyNodeRow(row("node-3", false))
 	n.applyNodeRow(row("node-3", true))
-	others := n.otherMembers("")
+	others := n.otherMembersExcept("")
 	require.Len(t, others, 1)
 	require.Equal(t, "node-2", others[0].Name)
 
 	n.sample.partial = true
 	n.applyNodeRow(row("node-4", false))
-	require.Len(t, n.otherMembers(""), 1, "the nodes of a large fleet are not all known")
+	require.Len(t, n.otherMembersExcept(""), 1, "nodes of a large cluster must not be added from the lease table")
 }
 
-// goneStore has no history before a version.
-type goneStore struct {
+// truncatedHistoryStore has no history before a version.
+type truncatedHistoryStore struct {
 	countingStore
 	horizon int64
 	feeds   int
 }
 
-func (s *goneStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
+func (s *truncatedHistoryStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	s.mutex.Lock()
 	s.feeds++
-	gone := after < s.horizon
+	truncated := after < s.horizon
 	s.mutex.Unlock()
-	if gone {
+	if truncated {
 		return rows.Listing{}, rows.ErrHistoryGone
 	}
 	return s.countingStore.Feed(ctx, table, after, wait)
 }
 
-// TestLeasesAreFollowedAgainOnceTheHistoryIsGone, from where they are read anew.
+// TestLeasesAreFollowedAgainOnceTheHistoryIsGone: the node reads the leases in full and follows
+// them from there.
 func TestLeasesAreFollowedAgainOnceTheHistoryIsGone(t *testing.T) {
-	store := &goneStore{countingStore: countingStore{fakeStore: newFakeStore()}}
+	store := &truncatedHistoryStore{countingStore: countingStore{fakeStore: newFakeStore()}}
 	store.writeMember(member{Name: "node-2", Weight: 1})
 	lease := func(owner string) {
 		_, err := store.Commit(context.Background(), rows.Transaction{Puts: []rows.Put{{Key: pool.LeaseKey(poolName), Value: pool.Encode(pool.Lease{Owner: owner, Address: "127.0.0.1:9"})}}})
@@ -376,12 +375,12 @@
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, func() {
 		n.sample.version, n.sample.readAt = 1, n.now()
-		n.watches[poolName] = &watch{pool: poolName}
+		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.followLeases()
 	})
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-2" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-2" }, time.Minute, time.Millisecond)
 	lease("node-3")
-	require.Eventually(t, func() bool { return n.view.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	require.Less(t, store.feeds, 20)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,124 +16,124 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// leaseView is a pool's lease as this node last read it.
-type leaseView struct {
+// versionedLease is a pool's lease with the version of its row.
+type versionedLease struct {
 	pool.Lease
 	version int64
 }
 
-// view is an immutable copy of what traffic needs to know.
-type view struct {
+// snapshot is an immutable copy of the state that request handlers read.
+type snapshot struct {
 	members []member
-	leases  map[string]leaseView
+	leases  map[string]versionedLease
 	owned   map[string]*pool.Pool
 	// waiting caches the owners' counts of waiting jobs by pool.
 	waiting map[string]waitingCounts
 }
 
-// waitingCounts are an owner's counts by queue at a time.
+// waitingCounts are an owner's counts of waiting jobs by queue at a time.
 type waitingCounts struct {
 	counts map[string]int
 	at     time.Time
 }
 
-// Node is the control state of one process. Unless said otherwise its methods run
-// on the loop.
+// Node is the control state of one process. Its methods run on the loop unless documented
+// otherwise.
 type Node struct {
 	options Options
 	edges   Edges
 	ports   *ports
-	feeds   openFeeds
-	// feedFailures counts direct feeds in a row that got no answer in time.
+	feeds   cancelableReads
+	// feedFailures counts consecutive direct feeds that were not answered in time.
 	feedFailures atomic.Int32
-	// storeRetries are calls to the store that wait to be made again.
+	// storeRetries are the store calls that wait for a retry.
 	storeRetries *loop.Retries
-	// store is the store as this node reaches it.
+	// store calls the store directly or through other nodes.
 	store   *relayedStore
 	catalog atomic.Pointer[catalog.Catalog]
-	// document is what the catalog was read from.
+	// document is the encoded form of the catalog.
 	document atomic.Pointer[document]
-	// served are the documents that other nodes fetch.
-	served servedDocuments
-	// configurationArriving is when the store's answer about the configuration began that
-	// arrives now, if one does. There is one such call at a time.
-	configurationArriving atomic.Pointer[time.Time]
+	// servedDocuments are the documents that other nodes are downloading.
+	servedDocuments servedDocuments
+	// configurationTransferStart is when the first byte of the store's current answer with the
+	// configuration arrived; nil if none is arriving. There is one such call at a time.
+	configurationTransferStart atomic.Pointer[time.Time]
 	// confirmed is when the catalog was last known to be the newest.
 	confirmed atomic.Pointer[time.Time]
-	// toldByPeer is for when another node last confirmed the catalog.
-	toldByPeer atomic.Pointer[time.Time]
-	view       atomic.Pointer[view]
-	// storeAnswered is when the store last answered this node directly, storeFailed when
-	// it last did not, and storeReached when it last answered in any way.
+	// confirmedByPeer is the time as of which another node last confirmed the catalog.
+	confirmedByPeer atomic.Pointer[time.Time]
+	snapshot        atomic.Pointer[snapshot]
+	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or a
+	// probe last failed, and storeReached when the store last answered directly or through another
+	// node.
 	storeAnswered atomic.Pointer[time.Time]
 	storeFailed   atomic.Pointer[time.Time]
 	storeReached  atomic.Pointer[time.Time]
-	// latency is that of this node's own calls to the store, and toldLatency what a pool's
-	// owner last told of it.
-	latency     latencyWindow
-	toldLatency atomic.Pointer[toldLatency]
-	// storeAway is true from a failure of the store until its next answer.
-	storeAway atomic.Bool
-	// look is the look under way whether the store is there, if any.
-	look     atomic.Pointer[storeLook]
-	stopping atomic.Bool
-	lateness lateness
-	// probing is true while the node looks whether a store that it lost is back.
-	probing bool
-
-	sample sample
+	// storeLatency is measured on this node's own calls, reportedLatency is what a pool's owner
+	// last reported.
+	storeLatency    latencyWindow
+	reportedLatency atomic.Pointer[reportedLatency]
+	// storeUnavailable is true from a failure of the store until its next answer.
+	storeUnavailable atomic.Bool
+	// currentProbe is the store probe in flight, nil if there is none.
+	currentProbe    atomic.Pointer[storeProbe]
+	stopping        atomic.Bool
+	schedulingDelay schedulingDelay
+	// recoveryProbing is true while the node probes a lost store for its recovery.
+	recoveryProbing bool
+
+	sample memberSample
 	// joining is true while this node's rows are being written.
 	joining bool
-	leases  map[string]leaseView
-	// followingLeases is true while this node follows the table of leases.
+	leases  map[string]versionedLease
+	// followingLeases is true while this node follows the lease table.
 	followingLeases bool
-	// hearing is what this node knows, as an owner, of the others; pruning is true while it removes
-	// the rows of those that are gone.
-	hearing hearing
-	pruning bool
-	watches map[string]*watch
-	owned   map[string]*pool.Pool
-	waiting map[string]waitingCounts
-	// evacuated has the zones that operators have evacuated.
-	evacuated evacuation.Set
-	released  func()
-	download  download
-	pings     pingSchedule
-}
-
-// New returns a node that does nothing until Start.
+	// pingHistory records, on an owner, the pings of other nodes. pruning is true while this node
+	// removes the rows of expired members.
+	pingHistory pingHistory
+	pruning     bool
+	watchers    map[string]*poolWatcher
+	owned       map[string]*pool.Pool
+	waiting     map[string]waitingCounts
+	// evacuated are the zones that operators have evacuated.
+	evacuated  evacuation.Set
+	onReleased func()
+	download   download
+	pings      pingSchedule
+}
+
+// New returns a node that is idle until Start.
 func New(ctx context.Context, options Options, edges Edges) *Node {
 	n := &Node{
 		options: options, edges: edges,
-		sample: sample{members: map[string]member{}}, leases: map[string]leaseView{},
-		watches: map[string]*watch{}, owned: map[string]*pool.Pool{},
+		sample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
+		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
-	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkShare*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
+	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(edges.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: edges.Store, node: n}}
-	n.view.Store(&view{})
+	n.snapshot.Store(&snapshot{})
 	return n
 }
 
-// Start begins the node's work.
+// Start joins the cluster and begins to follow the configuration and to ping the owners of pools.
 func (n *Node) Start() {
 	n.join()
 	n.readConfiguration()
 	n.readMembers()
-	n.keepMembers()
-	n.edges.Loop.After(spread(settlePeriod), n.refreshMembers)
+	n.refreshMembersPeriodically()
+	n.edges.Loop.After(jitter(startupRefreshDelay), n.refreshMembers)
 	n.pingOwners()
-	n.seekConfiguration()
+	n.pollConfiguration()
 	n.checkConfirmation()
 	n.watchSuspensions()
 }
 
-// now returns the loop's time.
 func (n *Node) now() time.Time { return n.edges.Loop.Now() }
 
-func (n *Node) publish() {
-	v := &view{leases: map[string]leaseView{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
+func (n *Node) publishSnapshot() {
+	v := &snapshot{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
 	for _, name := range sortedKeys(n.sample.members) {
 		if name != n.options.Name {
 			v.members = append(v.members, n.sample.members[name])
@@ -148,49 +148,51 @@
 	for name, counts := range n.waiting {
 		v.waiting[name] = counts
 	}
-	n.view.Store(v)
+	n.snapshot.Store(v)
 }
 
-// noteStore notes an answer of the store. It may be called anywhere.
-func (n *Node) noteStore(err error) {
+// recordStoreResult records a direct answer of the store; errors are ignored. It may be called from
+// any goroutine.
+func (n *Node) recordStoreResult(err error) {
 	if err != nil {
 		return
 	}
 	now := uptime.Now()
 	n.storeReached.Store(&now)
 	silentFor := age(n.storeAnswered.Swap(&now))
-	if n.storeAway.CompareAndSwap(true, false) {
-		n.edges.Loop.Post(n.storeBack)
+	if n.storeUnavailable.CompareAndSwap(true, false) {
+		n.edges.Loop.Post(n.handleStoreRecovery)
 		n.edges.Record.Decided("store answers again", "silent_ms", silentFor.Milliseconds())
 	}
 }
 
-// storeBack makes the calls again that wait for the store, by itself or through others.
-func (n *Node) storeBack() {
-	n.store.reads.callOff(0)
+// handleStoreRecovery retries the calls that wait for the store. Reads relayed through other nodes
+// are canceled, so that they go to the store directly.
+func (n *Node) handleStoreRecovery() {
+	n.store.relayedReads.cancelIdle(0)
 	n.storeRetries.Now()
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].StoreBack()
 	}
 }
 
-// noteStoreFailure notes that a feed got no answer. Feeds stand for the whole store;
-// a failed transaction may say no more than that one part is away.
-func (n *Node) noteStoreFailure(err error) {
+// recordStoreFailure records a failed feed or probe. Failed transactions are not recorded here, as
+// they may concern only one part of the store.
+func (n *Node) recordStoreFailure(err error) {
 	if err == nil || errors.Is(err, rows.ErrHistoryGone) {
 		return
 	}
 	now := uptime.Now()
 	n.storeFailed.Store(&now)
-	if n.storeAway.CompareAndSwap(false, true) {
-		n.edges.Loop.After(probePeriod, n.probeStore)
-		n.feeds.callOff(0)
+	if n.storeUnavailable.CompareAndSwap(false, true) {
+		n.edges.Loop.After(probePeriod, n.startRecoveryProbes)
+		n.feeds.cancelIdle(0)
 		n.edges.Record.Decided("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
 
-// noteStoreReached notes an answer of the store through another node.
-func (n *Node) noteStoreReached() {
+// recordStoreReached records an answer of the store through another node.
+func (n *Node) recordStoreReached() {
 	now := uptime.Now()
 	n.storeReached.Store(&now)
 }
@@ -204,38 +206,41 @@
 	return answered != nil && answered.After(at)
 }
 
-// storeReachedAge returns how long ago the store last answered this node in any way.
+// storeReachedAge returns how long ago the store last answered this node, directly or through
+// another node.
 func (n *Node) storeReachedAge() time.Duration { return age(n.storeReached.Load()) }
 
-// storeLost reports whether the store's last answer is older than its last failure.
+// storeLost reports whether the last failure of the store is more recent than its last direct
+// answer.
 func (n *Node) storeLost() bool {
 	answered, failed := n.storeAnswered.Load(), n.storeFailed.Load()
 	return failed != nil && (answered == nil || failed.After(*answered))
 }
 
-const forever = time.Hour
+const unknownAge = time.Hour
 
 func age(at *time.Time) time.Duration {
 	if at == nil {
-		return forever
+		return unknownAge
 	}
 	return uptime.Since(*at)
 }
 
-// Stop leaves the planned way: it hands over the pools, then calls done.
+// Stop shuts the node down gracefully: it removes its member rows, releases its pools, then calls
+// done.
 func (n *Node) Stop(done func()) {
 	n.stopping.Store(true)
-	n.released = done
-	n.ports.Commit(rows.Transaction{Removes: n.memberRows()}, func(rows.Result, error) {})
+	n.onReleased = done
+	n.ports.Commit(rows.Transaction{Removes: n.memberRowKeys()}, func(rows.Result, error) {})
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].Release()
 	}
-	n.checkReleased()
+	n.notifyIfReleased()
 }
 
-func (n *Node) checkReleased() {
-	if n.released != nil && len(n.owned) == 0 {
-		n.released()
-		n.released = nil
+func (n *Node) notifyIfReleased() {
+	if n.onReleased != nil && len(n.owned) == 0 {
+		n.onReleased()
+		n.onReleased = nil
 	}
 }
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -15,98 +15,99 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// watch is what a node knows of a pool's owner.
-type watch struct {
+// poolWatcher is what a node knows of a pool's owner and of its own attempts to acquire the pool.
+type poolWatcher struct {
 	pool string
-	// read is true once the lease row is read.
-	read bool
-	// failures counts pings in a row without an answer.
-	failures   int
-	answeredAt time.Time
-	acquiring  bool
-	// lost is true from an owner's first unanswered ping until it answers.
-	lost      bool
-	scheduled bool
-	serial    int
-	// outweighed counts answers in a row of an owner that this node outweighs.
-	outweighed int
-	// refreshing is true while the lease is read again.
-	refreshing bool
+	// leaseRead is true once the lease row has been read.
+	leaseRead bool
+	// failures counts consecutive failed pings.
+	failures    int
+	lastReplyAt time.Time
+	acquiring   bool
+	// unresponsive is true from the first unanswered ping until the owner replies again.
+	unresponsive     bool
+	acquireScheduled bool
+	acquireAttempts  int
+	// weakReplies counts consecutive replies of an owner that ownerIsWeak applies to.
+	weakReplies int
+	// refreshingLease is true while a scan of the lease is in flight.
+	refreshingLease bool
 }
 
-// watchPool begins to care for a pool.
+// watchPool starts watching a pool's lease and owner.
 func (n *Node) watchPool(name string) {
-	if n.watches[name] != nil {
+	if n.watchers[name] != nil {
 		return
 	}
-	n.watches[name] = &watch{pool: name, answeredAt: n.now()}
+	n.watchers[name] = &poolWatcher{pool: name, lastReplyAt: n.now()}
 	n.readLease(name, func(int64) { n.followLeases() })
 }
 
-// leaseChanged takes the pool if it has no owner.
-func (n *Node) leaseChanged(name string) {
-	w := n.watches[name]
+// handleLeaseChange clears the suspicion of the previous owner. It acquires the pool if it has no
+// owner, or if its owner is an earlier process of this node.
+func (n *Node) handleLeaseChange(name string) {
+	w := n.watchers[name]
 	if w == nil {
 		return
 	}
 	w.failures = 0
-	w.lost = false
-	w.outweighed = 0
+	w.unresponsive = false
+	w.weakReplies = 0
 	lease := n.leases[name]
 	switch {
-	case !w.read || n.owned[name] != nil:
+	case !w.leaseRead || n.owned[name] != nil:
 	case lease.Owner == "":
-		n.acquireLater(w, "no owner", n.unowned)
+		n.scheduleAcquire(w, "no owner", n.hasNoOwner)
 	case lease.Owner == n.options.Name && lease.Incarnation != n.options.Incarnation:
 		n.acquire(w, "own earlier life")
 	}
 }
 
-// rank is this node's place in the order in which nodes take a pool: the heaviest
-// first, and among equals by a hash.
-func (n *Node) rank(name string) int {
-	if !n.sample.mayTake(n.options.Name) {
-		return maxRank
+// takeoverRank returns this node's position in the order in which nodes take over a pool: by
+// descending weight, and by a hash among nodes of equal weight.
+func (n *Node) takeoverRank(name string) int {
+	if !n.sample.isCandidate(n.options.Name) {
+		return maxTakeoverRank
 	}
 	self, rank := n.self(), 0
-	for _, other := range n.candidates(n.leases[name].Owner) {
-		if precedes(name, other, self) {
+	for _, other := range n.candidatesExcept(n.leases[name].Owner) {
+		if takesOverBefore(name, other, self) {
 			rank++
 		}
 	}
-	return min(rank, maxRank)
+	return min(rank, maxTakeoverRank)
 }
 
-// takeDelay is how long this node leaves it to others to take a pool. Those that are not known to be
-// among the first do not all try at once, and light ones last.
-func (n *Node) takeDelay(name string) time.Duration {
-	delay := time.Duration(n.rank(name)) * rankDelay
-	if len(n.otherMembers("")) == 0 {
-		// All may have just started, and know nobody yet.
-		return delay + rand.N(startSpread)
+// takeoverDelay returns how long this node waits before it tries to acquire a pool, so that nodes
+// do not all try at once and those with little weight try last.
+func (n *Node) takeoverDelay(name string) time.Duration {
+	delay := time.Duration(n.takeoverRank(name)) * takeoverRankDelay
+	if len(n.otherMembersExcept("")) == 0 {
+		// The whole cluster may have just started, with no node knowing another yet.
+		return delay + rand.N(startupJitter)
 	}
-	if n.sample.mayTake(n.options.Name) {
+	if n.sample.isCandidate(n.options.Name) {
 		return delay
 	}
-	for _, other := range n.candidates("") {
+	for _, other := range n.candidatesExcept("") {
 		if other.Weight > n.options.Weight {
-			return delay + lightDelay + spread(lightDelay)
+			return delay + lowWeightDelay + jitter(lowWeightDelay)
 		}
 	}
-	return delay + rand.N(lightDelay)
+	return delay + rand.N(lowWeightDelay)
 }
 
-// startSpread is over how long nodes that know no other try to take a pool.
-const startSpread = 500 * time.Millisecond
+// startupJitter spreads the first attempts of nodes that know no other node.
+const startupJitter = 500 * time.Millisecond
 
-// lightDelay is how much later nodes try to take a pool that are not among its first candidates and
-// are lighter than these.
-const lightDelay = time.Second
+// lowWeightDelay is the extra delay of nodes that are not candidates and have less weight than the
+// candidates.
+const lowWeightDelay = time.Second
 
-// maxRank bounds the delay of the last node.
-const maxRank = 12
+// maxTakeoverRank bounds the delay of the last node.
+const maxTakeoverRank = 12
 
-func precedes(poolName string, a, b member) bool {
+func takesOverBefore(poolName string, a, b member) bool {
 	if a.Weight != b.Weight {
 		return a.Weight > b.Weight
 	}
@@ -115,73 +116,74 @@
 
 func rankHash(poolName, node string) uint64 { return xxhash.Sum64String(poolName + "/" + node) }
 
-// acquireLater tries to take a pool after a delay that differs among nodes, if the
-// lease is the same and still holds then.
-func (n *Node) acquireLater(w *watch, reason string, still func(*watch) bool) {
-	if w.scheduled || n.stopping.Load() {
+// scheduleAcquire tries to acquire a pool after takeoverDelay, provided that the lease is unchanged
+// and stillNeeded holds by then.
+func (n *Node) scheduleAcquire(w *poolWatcher, reason string, stillNeeded func(*poolWatcher) bool) {
+	if w.acquireScheduled || n.stopping.Load() {
 		return
 	}
-	w.scheduled = true
+	w.acquireScheduled = true
 	version := n.leases[w.pool].version
 	acquire := func() {
-		w.scheduled = false
-		if n.leases[w.pool].version == version && still(w) {
+		w.acquireScheduled = false
+		if n.leases[w.pool].version == version && stillNeeded(w) {
 			n.acquire(w, reason)
 		}
 	}
-	n.edges.Loop.After(n.takeDelay(w.pool), func() {
+	n.edges.Loop.After(n.takeoverDelay(w.pool), func() {
 		if n.followingLeases {
 			acquire()
 			return
 		}
-		// Another may have taken it meanwhile. To look costs the store less than a write that fails.
-		n.lookAtLease(w.pool, func(int64) { acquire() })
+		// Another node may have acquired the pool in the meantime. A scan costs the store less than
+		// a failed write.
+		n.scanLease(w.pool, func(int64) { acquire() })
 	})
 }
 
-// acquire takes a pool by a write that requires the lease as last read.
-func (n *Node) acquire(w *watch, reason string) {
+// acquire writes this node's lease on condition that the lease is as last read.
+func (n *Node) acquire(w *poolWatcher, reason string) {
 	if w.acquiring || n.owned[w.pool] != nil || n.stopping.Load() {
 		return
 	}
 	w.acquiring = true
-	w.serial++
-	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.serial)
+	w.acquireAttempts++
+	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.acquireAttempts)
 	n.edges.Record.Decided("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
 	options := n.poolOptions(w.pool)
 	n.ports.Commit(pool.Acquire(options, n.leases[w.pool].version, nonce), func(result rows.Result, err error) {
 		w.acquiring = false
 		switch {
 		case err != nil:
-			// If the write took effect after all, the feed shows it.
+			// If the write took effect after all, the feed delivers it.
 			n.edges.Record.Count("retries", "acquire")
 			w.failures = 0
 			n.edges.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
 		case result.Committed:
-			n.own(w.pool, result.Version, nonce)
+			n.addOwnedPool(w.pool, result.Version, nonce)
 		default:
-			n.lostRace(w, result, nonce)
+			n.handleAcquireConflict(w, result, nonce)
 		}
 	})
 }
 
-// acquireAfterFailure tries again unless another owner stands: that one is as it was
-// before the store failed this node, and has to be suspected anew.
-func (n *Node) acquireAfterFailure(w *watch, reason string) {
-	if n.unowned(w) || n.leases[w.pool].Owner == n.options.Name {
+// acquireAfterFailure retries unless the pool has another owner, whose failures have to be counted
+// again from zero.
+func (n *Node) acquireAfterFailure(w *poolWatcher, reason string) {
+	if n.hasNoOwner(w) || n.leases[w.pool].Owner == n.options.Name {
 		n.acquire(w, reason)
 	}
 }
 
-// lostRace takes in the lease that stood in the way.
-func (n *Node) lostRace(w *watch, result rows.Result, nonce string) {
+// handleAcquireConflict applies the lease that made an acquisition fail.
+func (n *Node) handleAcquireConflict(w *poolWatcher, result rows.Result, nonce string) {
 	for i := range result.Current {
 		row := result.Current[i]
 		var lease pool.Lease
 		if json.Unmarshal(row.Value, &lease) == nil && lease.Incarnation == n.options.Incarnation && row.Version > 0 {
-			// An earlier try of this life took effect: take it anew, so that the head
-			// row is surely ours.
-			n.leases[w.pool] = leaseView{Lease: lease, version: row.Version}
+			// An earlier attempt of this process took effect. Acquire again, so that the head row
+			// is this process's too.
+			n.leases[w.pool] = versionedLease{Lease: lease, version: row.Version}
 			n.acquire(w, "own earlier try")
 			return
 		}
@@ -195,21 +197,21 @@
 		Address: n.options.PeerAddress, Weight: n.options.Weight, Bounds: n.options.Bounds, Off: n.options.Off,
 		Catalog:   func() *catalog.Catalog { return n.catalog.Load() },
 		Evacuated: func() evacuation.Set { return n.evacuated },
-		Late:      n.lateness.allowance,
-		Ended:     func(reason string) { n.disown(name) },
+		Late:      n.schedulingDelay.timeoutExtension,
+		Ended:     func(reason string) { n.removeOwnedPool(name) },
 	}
 }
 
-func (n *Node) own(name string, token int64, nonce string) {
+func (n *Node) addOwnedPool(name string, token int64, nonce string) {
 	options := n.poolOptions(name)
 	lease := pool.Lease{Owner: options.Node, Incarnation: options.Incarnation, Address: options.Address, Nonce: nonce}
 	if n.leases[name].version < token {
-		n.leases[name] = leaseView{Lease: lease, version: token}
+		n.leases[name] = versionedLease{Lease: lease, version: token}
 	}
 	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Record, token)
 	n.owned[name] = p
-	n.publish()
-	n.watchLateness()
+	n.publishSnapshot()
+	n.startDelaySampling()
 	n.followLeases()
 	if !n.pruning {
 		n.pruning = true
@@ -222,42 +224,41 @@
 	p.Start()
 }
 
-func (n *Node) disown(name string) {
+func (n *Node) removeOwnedPool(name string) {
 	delete(n.owned, name)
-	n.publish()
-	n.checkReleased()
+	n.publishSnapshot()
+	n.notifyIfReleased()
 }
 
-// unowned reports whether a pool has no owner.
-func (n *Node) unowned(w *watch) bool { return n.leases[w.pool].Owner == "" }
+func (n *Node) hasNoOwner(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
 
-// An owner that a node outweighs by weightFactor is relieved by it once it has
-// answered that node relieveAfter times in a row.
+// An owner is replaced by a node with at least weakOwnerWeightRatio times its weight after
+// weakOwnerReplies consecutive replies to that node.
 const (
-	weightFactor = 2.0
-	relieveAfter = 4
+	weakOwnerWeightRatio = 2.0
+	weakOwnerReplies     = 4
 )
 
-// relieveIfWeak takes a pool from an owner that has much less processor time than
-// this node: at a takeover amid other trouble the first to try may be a weak one.
-func (n *Node) relieveIfWeak(w *watch) {
-	if !n.outweighs(w) {
-		w.outweighed = 0
+// replaceWeakOwner acquires a pool from an owner that has much less processor time than this node.
+// After a takeover during an outage the new owner may be such a node.
+func (n *Node) replaceWeakOwner(w *poolWatcher) {
+	if !n.ownerIsWeak(w) {
+		w.weakReplies = 0
 		return
 	}
-	if w.outweighed++; w.outweighed >= relieveAfter {
-		n.withStore(func() { n.acquireLater(w, "owner "+n.leases[w.pool].Owner+" is weak", n.outweighs) })
+	if w.weakReplies++; w.weakReplies >= weakOwnerReplies {
+		n.ifStoreReachable(func() { n.scheduleAcquire(w, "owner "+n.leases[w.pool].Owner+" is weak", n.ownerIsWeak) })
 	}
 }
 
-// outweighs reports whether this node is fit to relieve a pool's owner.
-func (n *Node) outweighs(w *watch) bool {
+// ownerIsWeak reports whether this node has enough weight to replace a pool's owner.
+func (n *Node) ownerIsWeak(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
-	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weightFactor*weight &&
+	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
 		!n.storeLost() && !n.stopping.Load()
 }
 
-// ownerWeight is the weight of a pool's owner; 0 if it is not known.
+// ownerWeight returns the weight of a pool's owner, or 0 if it is unknown.
 func (n *Node) ownerWeight(name string) float64 {
 	lease := n.leases[name]
 	if lease.Weight > 0 {
@@ -266,5 +267,5 @@
 	return n.sample.members[lease.Owner].Weight
 }
 
-// suspect reports whether a pool's owner should be replaced.
-func (n *Node) suspect(w *watch) bool { return w.failures >= pingFailures }
+// ownerSuspected reports whether a pool's owner should be replaced.
+func (n *Node) ownerSuspected(w *poolWatcher) bool { return w.failures >= suspectAfterFailures }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -8,100 +8,97 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// probeTimeout bounds a look whether the store is there. A store that is slow for all, by
-// some fifty times, still answers a reading call in 0.2 s.
+// probeTimeout bounds a probe of the store. A store at a fiftieth of its usual speed still answers
+// a read in 0.2 s.
 const probeTimeout = 400 * time.Millisecond
 
-// slowProbeTimeout bounds it while the store is slow for all: longer than its reading
-// calls take that are two hundred times slower.
+// slowProbeTimeout bounds a probe while the store is slow for all calls.
 const slowProbeTimeout = 1200 * time.Millisecond
 
-// probeLimit bounds a look whether the store is there.
-func (n *Node) probeLimit() time.Duration {
+// currentProbeTimeout returns the timeout for the next probe.
+func (n *Node) currentProbeTimeout() time.Duration {
 	if n.storeSlow() {
 		return slowProbeTimeout
 	}
 	return probeTimeout
 }
 
-// withStore runs fn on the loop if the store answers this node directly.
-func (n *Node) withStore(fn func()) {
+// ifStoreReachable runs fn on the loop if the store answers this node directly.
+func (n *Node) ifStoreReachable(fn func()) {
 	if n.storeLost() {
 		return
 	}
-	if n.storeAge() < storeFresh {
+	if n.storeAge() < storeFreshAge {
 		fn()
 		return
 	}
-	run(n.ports, exactly(n.probeLimit()), n.probe, func(_ struct{}, err error) {
+	runAsync(n.ports, fixedTimeout(n.currentProbeTimeout()), n.probe, func(_ struct{}, err error) {
 		if err == nil {
 			fn()
 		}
 	})
 }
 
-// storeFresh is the age of the store's last answer up to which a node need not ask
-// whether it is there.
-const storeFresh = time.Second
+// storeFreshAge is the age of the store's last answer below which no probe is needed.
+const storeFreshAge = time.Second
 
-// probe asks the store for this node's own row, directly.
+// probe reads this node's own row directly from the store.
 func (n *Node) probe(ctx context.Context) (struct{}, error) {
 	_, err := n.edges.Store.Scan(ctx, pool.NodeTable, "", n.options.Name)
-	n.noteStore(err)
+	n.recordStoreResult(err)
 	return struct{}{}, err
 }
 
-// losesStore looks whether the store still answers this node, after a call to it that
-// failed or takes long. Calls that ask at the same time share one look.
-func (n *Node) losesStore() bool {
+// confirmStoreLost probes the store after a call that failed or takes long, and reports whether
+// this node has lost it. Concurrent callers share one probe.
+func (n *Node) confirmStoreLost() bool {
 	if n.storeLost() {
 		return true
 	}
-	look := &storeLook{done: make(chan struct{})}
-	if !n.look.CompareAndSwap(nil, look) {
-		if other := n.look.Load(); other != nil {
+	probe := &storeProbe{done: make(chan struct{})}
+	if !n.currentProbe.CompareAndSwap(nil, probe) {
+		if other := n.currentProbe.Load(); other != nil {
 			<-other.done
 		}
 		return n.storeLost()
 	}
-	began := uptime.Now()
-	ctx, cancel := context.WithTimeout(n.ports.ctx, n.probeLimit())
+	startedAt := uptime.Now()
+	ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 	defer cancel()
 	_, err := n.probe(ctx)
-	if !n.storeAnsweredSince(began) {
-		n.noteStoreFailure(err)
+	if !n.storeAnsweredSince(startedAt) {
+		n.recordStoreFailure(err)
 	}
-	n.look.Store(nil)
-	close(look.done)
+	n.currentProbe.Store(nil)
+	close(probe.done)
 	return n.storeLost()
 }
 
-// storeLook is a look at the store under way.
-type storeLook struct{ done chan struct{} }
+// storeProbe is a probe in flight.
+type storeProbe struct{ done chan struct{} }
 
-// probePeriod is the pause between two direct calls that look whether the store is
-// back.
+// probePeriod is the interval between probes of a lost store.
 const probePeriod = 200 * time.Millisecond
 
-// probeStore looks whether a store that this node lost is back, until it is.
-func (n *Node) probeStore() {
-	if n.probing {
+// startRecoveryProbes probes a lost store until it answers.
+func (n *Node) startRecoveryProbes() {
+	if n.recoveryProbing {
 		return
 	}
-	n.probing = true
-	n.probeAgain()
+	n.recoveryProbing = true
+	n.probeUntilAnswered()
 }
 
-func (n *Node) probeAgain() {
+func (n *Node) probeUntilAnswered() {
 	if !n.storeLost() {
-		n.probing = false
+		n.recoveryProbing = false
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(n.ports.ctx, n.probeLimit())
+		ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 		defer cancel()
-		// A store that is still away shows by what noteStore does not note.
+		// recordStoreResult records a success; a failure is followed by the next probe.
 		_, _ = n.probe(ctx)
-		n.edges.Loop.After(probePeriod, n.probeAgain)
+		n.edges.Loop.After(probePeriod, n.probeUntilAnswered)
 	}()
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// hangingStore gives no answer before its caller leaves.
+// hangingStore does not answer before its caller gives up.
 type hangingStore struct{ rows.Store }
 
 func (hangingStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
@@ -33,7 +33,7 @@
 	return s.Scan(ctx, "", "", "")
 }
 
-// refusingStore turns every call away.
+// refusingStore refuses every call.
 type refusingStore struct{ rows.Store }
 
 func (refusingStore) Commit(context.Context, rows.Transaction) (rows.Result, error) {
@@ -52,7 +52,7 @@
 	return rows.Listing{}, rows.ErrRefused
 }
 
-// servePeers lets other nodes reach a node and returns its address.
+// servePeers serves a node's peer requests and returns its address.
 func servePeers(t *testing.T, n *Node) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -61,20 +61,20 @@
 	return listener.Addr().String()
 }
 
-// pairOfNodes returns a gateway on a node with one store whose only other node has
-// another.
-func pairOfNodes(t *testing.T, own, others rows.Store) *Gateway {
+// newGatewayWithPeer returns a gateway to a node with one store whose only other node has another
+// store.
+func newGatewayWithPeer(t *testing.T, own, others rows.Store) *Gateway {
 	gateway := newGateway(t, own)
 	address := servePeers(t, newGateway(t, others).node)
-	gateway.node.view.Store(&view{members: []member{{Name: "node-2", Address: address}}})
+	gateway.node.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 	return gateway
 }
 
 func TestNodeWithoutTheStoreWritesThroughAnother(t *testing.T) {
-	for name, own := range map[string]rows.Store{"turned away": refusingStore{}, "no answer": hangingStore{}} {
+	for name, own := range map[string]rows.Store{"store refuses": refusingStore{}, "no answer": hangingStore{}} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
-			gateway := pairOfNodes(t, own, store)
+			gateway := newGatewayWithPeer(t, own, store)
 			require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
 			require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[0], jobID))
 			require.Less(t, gateway.node.storeReachedAge(), time.Minute)
@@ -83,7 +83,7 @@
 }
 
 func TestFeedGoesThroughAnotherNodeOnceTheStoreIsLost(t *testing.T) {
-	gateway := pairOfNodes(t, refusingStore{}, feedingStore{})
+	gateway := newGatewayWithPeer(t, refusingStore{}, feedStore{})
 	n := gateway.node
 	_, err := n.store.Feed(context.Background(), "t", 1, time.Millisecond)
 	require.ErrorIs(t, err, rows.ErrRefused)
@@ -91,25 +91,25 @@
 	listing, err := n.store.Feed(context.Background(), "t", 1, time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, int64(7), listing.Version)
-	_, err = n.store.Feed(context.Background(), goneTable, 1, time.Millisecond)
+	_, err = n.store.Feed(context.Background(), truncatedTable, 1, time.Millisecond)
 	require.ErrorIs(t, err, rows.ErrHistoryGone)
-	require.True(t, n.storeLost(), "an answer through another node is not a direct one")
+	require.True(t, n.storeLost(), "a relayed answer must not count as a direct one")
 }
 
-const goneTable = "gone"
+const truncatedTable = "gone"
 
-// feedingStore answers feeds.
-type feedingStore struct{ rows.Store }
+// feedStore answers feeds.
+type feedStore struct{ rows.Store }
 
-func (feedingStore) Feed(_ context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
-	if table == goneTable {
+func (feedStore) Feed(_ context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
+	if table == truncatedTable {
 		return rows.Listing{}, rows.ErrHistoryGone
 	}
 	return rows.Listing{Version: 7}, nil
 }
 
 func TestStoreAwayForAllIsSaidAtOnce(t *testing.T) {
-	gateway := pairOfNodes(t, refusingStore{}, refusingStore{})
+	gateway := newGatewayWithPeer(t, refusingStore{}, refusingStore{})
 	err := gateway.Submit(context.Background(), testAccess(), testSpec())
 	require.True(t, fault.IsKind(err, fault.StoreUnavailable), "%v", err)
 }
@@ -119,7 +119,7 @@
 	require.True(t, fault.IsKind(err, fault.InvalidRequest), "%v", err)
 }
 
-// waitingStore answers a feed once its wait is over.
+// waitingStore answers a feed after its wait.
 type waitingStore struct{ rows.Store }
 
 func (waitingStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
@@ -141,45 +141,45 @@
 	require.Eventually(t, func() bool {
 		n.feeds.mutex.Lock()
 		defer n.feeds.mutex.Unlock()
-		return len(n.feeds.open) == 1
+		return len(n.feeds.pending) == 1
 	}, time.Minute, time.Millisecond)
-	n.feeds.callOff(2 * time.Hour)
-	require.Empty(t, ended, "short feeds go on")
-	n.feeds.callOff(time.Hour)
-	require.ErrorIs(t, <-ended, errCalledOff)
-	require.False(t, n.storeLost(), "that says nothing of the store")
+	n.feeds.cancelIdle(2 * time.Hour)
+	require.Empty(t, ended, "feeds with a shorter wait must not be canceled")
+	n.feeds.cancelIdle(time.Hour)
+	require.ErrorIs(t, <-ended, errReadCanceled)
+	require.False(t, n.storeLost(), "a canceled feed must not count as a failure of the store")
 }
 
-// TestWhoFollowsTheStoreForHowLong: an owner confirms the configuration often, a node
-// that an owner tells seldom, and one that nobody told lately at once.
+// TestWhoFollowsTheStoreForHowLong: feeds are short on owners, long on nodes whose configuration an
+// owner confirms, and immediate once the confirmation is stale.
 func TestWhoFollowsTheStoreForHowLong(t *testing.T) {
 	ago := func(d time.Duration) *time.Time {
 		at := time.Now().Add(-d)
 		return &at
 	}
 	cases := map[string]struct {
-		confirmed, told time.Duration
-		owner           bool
-		want            time.Duration
+		confirmed, confirmedByPeer time.Duration
+		owner                      bool
+		want                       time.Duration
 	}{
-		"told by an owner":  {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
-		"told by nobody":    {100 * time.Millisecond, time.Hour, false, aloneFeedWait},
-		"owner":             {100 * time.Millisecond, 100 * time.Millisecond, true, ownerFeedWait},
-		"not confirmed":     {2 * time.Second, time.Hour, false, confirmWait},
-		"owner unconfirmed": {2 * time.Second, time.Hour, true, confirmWait},
+		"confirmed by an owner":         {100 * time.Millisecond, 100 * time.Millisecond, false, longFeedWait},
+		"not confirmed by a peer":       {100 * time.Millisecond, time.Hour, false, defaultFeedWait},
+		"owner":                         {100 * time.Millisecond, 100 * time.Millisecond, true, ownerFeedWait},
+		"stale confirmation":            {2 * time.Second, time.Hour, false, immediateFeedWait},
+		"owner with stale confirmation": {2 * time.Second, time.Hour, true, immediateFeedWait},
 	}
 	for name, c := range cases {
 		n := newGateway(t, newFakeStore()).node
 		n.confirmed.Store(ago(c.confirmed))
-		n.toldByPeer.Store(ago(c.told))
+		n.confirmedByPeer.Store(ago(c.confirmedByPeer))
 		if c.owner {
 			n.owned[poolName] = &pool.Pool{}
 		}
-		require.Equal(t, c.want, n.configurationWait(), name)
+		require.Equal(t, c.want, n.configurationFeedWait(), name)
 	}
 }
 
-// slowStore takes its time for transactions and counts them.
+// slowStore delays transactions and counts them.
 type slowStore struct {
 	*fakeStore
 	commits atomic.Int32
@@ -188,48 +188,47 @@
 func (s *slowStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	s.commits.Add(1)
 	select {
-	case <-time.After(doubtAfter + 100*time.Millisecond):
+	case <-time.After(probeAfter + 100*time.Millisecond):
 		return s.fakeStore.Commit(ctx, transaction)
 	case <-ctx.Done():
 		return rows.Result{}, errors.Mark(ctx.Err(), rows.ErrNoAnswer)
 	}
 }
 
-// Scan answers the look whether the store is there.
+// Scan answers probes.
 func (s *slowStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestSlowStoreIsNotAskedTwice: on a day on which the store was slow for all, calls that
-// went through other nodes too doubled its load, and submissions ran into their deadline.
+// TestSlowStoreIsNotAskedTwice: relaying the calls to a slow store would double its load.
 func TestSlowStoreIsNotAskedTwice(t *testing.T) {
 	store := &slowStore{fakeStore: newFakeStore()}
-	gateway := pairOfNodes(t, store, store)
+	gateway := newGatewayWithPeer(t, store, store)
 	require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
 	require.Equal(t, int32(1), store.commits.Load())
 	require.False(t, gateway.node.storeLost())
 }
 
-// TestNewsAgesOverSlowLinks: the age of a confirmation counts from when it was asked for.
+// TestNewsAgesOverSlowLinks: the age of a confirmation counts from the time of the request.
 func TestNewsAgesOverSlowLinks(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	n.confirmed.Store(nil)
-	askedAt := time.Now().Add(-time.Minute)
-	n.takeNews("", catalogNews{Version: 1, AgeMillis: 500}, askedAt)
-	require.Equal(t, askedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
+	requestedAt := time.Now().Add(-time.Minute)
+	n.handleConfigurationStatus("", configurationStatus{Version: 1, AgeMillis: 500}, requestedAt)
+	require.Equal(t, requestedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
 }
 
-// TestFeedsOfAVerySlowStoreAreWaitedFor: a store whose answers took longer than a feed's
-// slack was never followed again, as each try ended before its answer (soak seed 619).
+// TestFeedsOfAVerySlowStoreAreWaitedFor: the slack must grow until it exceeds the latency of the
+// store.
 func TestFeedsOfAVerySlowStoreAreWaitedFor(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.Equal(t, feedSlack, n.feedSlack())
-	n.noteFeed(rows.ErrNoAnswer)
+	n.recordFeedResult(rows.ErrNoAnswer)
 	require.Equal(t, 2*feedSlack, n.feedSlack())
 	for range 40 {
-		n.noteFeed(rows.ErrNoAnswer)
+		n.recordFeedResult(rows.ErrNoAnswer)
 	}
 	require.Equal(t, maxFeedSlack, n.feedSlack())
-	n.noteFeed(rows.ErrHistoryGone)
+	n.recordFeedResult(rows.ErrHistoryGone)
 	require.Equal(t, feedSlack, n.feedSlack())
 }
--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// slowStoreLatency is the latency from which the store counts as slow for all: ten
-	// times what it takes at its usual speed, 4 to 15 ms.
+	// slowStoreLatency is the latency from which the store counts as overloaded. Its usual latency
+	// is 4 to 15 ms.
 	slowStoreLatency = 100 * time.Millisecond
-	// latencyPeriod is over how long the least latency is looked for, once or twice.
+	// latencyPeriod is the length of one window of latencies.
 	latencyPeriod = time.Second
-	// toldLatencyAge is how long what a pool's owner told of the store's latency holds.
-	toldLatencyAge = 2 * time.Second
+	// reportedLatencyMaxAge is how long a latency reported by a pool's owner is used.
+	reportedLatencyMaxAge = 2 * time.Second
 )
 
-// latencyWindow keeps the least latency of the calls of the last one to two periods. The
-// least one is the store's own: others may wait behind large answers on a small link.
+// latencyWindow keeps the minimum latency of the current and the previous period. The minimum is
+// the store's own latency: other calls may have queued behind large answers on a slow link.
 type latencyWindow struct {
 	mutex             sync.Mutex
-	began             time.Time
+	startedAt         time.Time
 	current, previous time.Duration
 }
 
-// note takes in a call that was answered at a time after a latency.
-func (w *latencyWindow) note(now time.Time, latency time.Duration) {
+// record adds the latency of a call that was answered at a time.
+func (w *latencyWindow) record(now time.Time, latency time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.turn(now)
+	w.rotate(now)
 	if w.current == 0 || latency < w.current {
 		w.current = latency
 	}
 }
 
-// least returns the least latency, and false if no call was answered lately.
+// least returns the minimum latency, and false if no call was answered recently.
 func (w *latencyWindow) least(now time.Time) (time.Duration, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.turn(now)
+	w.rotate(now)
 	switch {
 	case w.current == 0:
 		return w.previous, w.previous > 0
@@ -49,51 +49,52 @@
 	return min(w.current, w.previous), true
 }
 
-// turn begins a new period if the present one is over.
-func (w *latencyWindow) turn(now time.Time) {
-	passed := now.Sub(w.began)
+// rotate starts a new period if the current one is over.
+func (w *latencyWindow) rotate(now time.Time) {
+	elapsed := now.Sub(w.startedAt)
 	switch {
-	case passed < latencyPeriod:
+	case elapsed < latencyPeriod:
 		return
-	case passed < 2*latencyPeriod:
+	case elapsed < 2*latencyPeriod:
 		w.previous = w.current
 	default:
 		w.previous = 0
 	}
 	w.current = 0
-	w.began = now
+	w.startedAt = now
 }
 
-// toldLatency is what a pool's owner told of the store's latency.
-type toldLatency struct {
+// reportedLatency is the store's latency as reported by a pool's owner.
+type reportedLatency struct {
 	latency time.Duration
 	at      time.Time
 }
 
-// takeStoreLatency takes in what a pool's owner told, in milliseconds; 0 is nothing.
-func (n *Node) takeStoreLatency(millis int64) {
+// recordReportedLatency stores the latency reported by a pool's owner, in milliseconds; 0 means
+// unknown.
+func (n *Node) recordReportedLatency(millis int64) {
 	if millis > 0 {
-		n.toldLatency.Store(&toldLatency{latency: time.Duration(millis) * time.Millisecond, at: uptime.Now()})
+		n.reportedLatency.Store(&reportedLatency{latency: time.Duration(millis) * time.Millisecond, at: uptime.Now()})
 	}
 }
 
-// storeLatencyMillis is what this node tells of the store's latency; 0 if it knows nothing.
+// storeLatencyMillis returns the latency that this node reports to others; 0 if it is unknown.
 func (n *Node) storeLatencyMillis() int64 {
-	least, known := n.latency.least(uptime.Now())
+	least, known := n.storeLatency.least(uptime.Now())
 	if !known {
 		return 0
 	}
 	return max(1, least.Milliseconds())
 }
 
-// storeSlow reports whether the store takes long for every call, by this node's own calls
-// or, without any, by those of a pool's owner. To such a store a call without an answer is
-// not sent a second time, neither to another part nor through another node: copies of
-// calls add to the load under which it is slow. It may be called anywhere.
+// storeSlow reports whether the store is slow for all calls, judging by this node's own calls or
+// else by the latency that a pool's owner reported. Calls to a slow store are not hedged to another
+// part or relayed through another node, as duplicates add to its load. It may be called from any
+// goroutine.
 func (n *Node) storeSlow() bool {
-	if least, known := n.latency.least(uptime.Now()); known {
+	if least, known := n.storeLatency.least(uptime.Now()); known {
 		return least > slowStoreLatency
 	}
-	told := n.toldLatency.Load()
-	return told != nil && uptime.Since(told.at) < toldLatencyAge && told.latency > slowStoreLatency
+	reported := n.reportedLatency.Load()
+	return reported != nil && uptime.Since(reported.at) < reportedLatencyMaxAge && reported.latency > slowStoreLatency
 }
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// accountAge is how old the workers' accounts of themselves may be when a start goes out to
-// a worker that does not guard its capacity. Feeds are asked again each second. The platform
-// counts a capacity that has shrunk from its contact bound, 3 s at the least, and a heartbeat
-// on; the row shows it within that heartbeat.
-const accountAge = 2500 * time.Millisecond
+// maxCapacityAge is the maximum age of the workers' rows for a start on workers that do not enforce
+// their capacity. Feeds are polled each second; the platform counts a reduced capacity from at
+// least 3 s and a heartbeat after the change.
+const maxCapacityAge = 2500 * time.Millisecond
 
-// accountsKnown reports whether the workers' capacities are known from lately, where it is
-// the owner's to keep within them.
-func (p *Pool) accountsKnown() bool {
-	if p.options.Without.AccountAge || p.guarded() {
+// capacitiesFresh reports whether the workers' capacities are fresh enough for placement; always
+// true if the workers enforce them.
+func (p *Pool) capacitiesFresh() bool {
+	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
 		return true
 	}
-	return p.loop.Now().Sub(p.workersAsOf) <= accountAge
+	return p.loop.Now().Sub(p.workersReadAt) <= maxCapacityAge
 }
 
-// guarded reports whether the pool's workers refuse what does not fit.
-func (p *Pool) guarded() bool {
+// workersEnforceCapacity reports whether the pool's workers refuse starts that exceed their
+// capacity.
+func (p *Pool) workersEnforceCapacity() bool {
 	current := p.options.Catalog()
 	if current == nil {
 		return false
@@ -31,13 +31,13 @@
 	return false
 }
 
-// holdsItsMembers reports whether all that runs or is to run on the worker fits into the
-// capacity that it has now.
-func (w *worker) holdsItsMembers(now time.Time) bool {
+// fitsMembers reports whether all members and unexpected runs on the worker fit into its present
+// capacity.
+func (w *worker) fitsMembers(now time.Time) bool {
 	free := w.Capacity
 	for _, m := range w.members {
 		free = free.Minus(m.unit.spec().Room())
 	}
-	free = w.withoutUnwanted(free, now)
+	free = w.subtractUnexpected(free, now)
 	return free.CPU >= 0 && free.MemoryMB >= 0 && free.GPUs >= 0
 }
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -7,26 +7,25 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Operators evacuate zones: nothing new may start there later than Bounds.Evacuation after the
-// store has acknowledged it. No owner is told; it has to know from lately what the store says.
-// A start that is sent by news of an age up to evacuationAge and is carried out up to
-// startAhead later begins within that bound.
+// Operators evacuate zones: no run may start there later than Bounds.Evacuation after the store
+// acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of evacuated
+// zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay until the
+// start is carried out, it stays within the bound.
 const (
-	// evacuationAgeMost bounds that age. Chosen: several rounds of a node's feed, which is answered
-	// each 0.3 s; other values were not compared.
-	evacuationAgeMost = 2 * time.Second
-	// evacuationMargin is left of the bound: timers that fire late and clocks that drift by
-	// 2% in five seconds.
+	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which come
+	// every 0.3 s.
+	maxEvacuationAge = 2 * time.Second
+	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
-	// evacuationReadAgeMost bounds the age from which the owner reads the rows itself: the node's
-	// own feed is silent, or the store turns the node away while others reach it.
-	evacuationReadAgeMost = 800 * time.Millisecond
+	// maxEvacuationReadAge bounds the age from which the owner reads the rows itself, for example
+	// because its node's feed is unresponsive or the store refuses the node.
+	maxEvacuationReadAge = 800 * time.Millisecond
 )
 
-// startAhead is how far ahead of a worker's clock a start's deadline lies: no start is carried
-// out later than that.
-func (p *Pool) startAhead() time.Duration {
-	ahead := startLimit
+// maxStartDelay returns how far a start's deadline lies ahead of the worker's clock. No start is
+// carried out later.
+func (p *Pool) maxStartDelay() time.Duration {
+	ahead := startTimeout
 	if p.options.Late != nil {
 		ahead += p.options.Late()
 	}
@@ -36,91 +35,92 @@
 	return ahead
 }
 
-// evacuationAge is how old what is known of evacuations may be when a start goes out; 0 if
-// nothing bounds it.
-func (p *Pool) evacuationAge() time.Duration {
+// evacuationAgeLimit returns the maximum age of the set of evacuated zones for a start; 0 if it is
+// unlimited.
+func (p *Pool) evacuationAgeLimit() time.Duration {
 	bound := p.options.Bounds.Evacuation
 	if bound <= 0 || p.options.Without.EvacuationAge {
 		return 0
 	}
-	return min(evacuationAgeMost, bound-p.startAhead()-evacuationMargin)
+	return min(maxEvacuationAge, bound-p.maxStartDelay()-evacuationMargin)
 }
 
-// evacuationReadAge leaves half of the age that starts may go by to the reading.
-func (p *Pool) evacuationReadAge() time.Duration {
-	if limit := p.evacuationAge(); limit > 0 {
-		return min(evacuationReadAgeMost, limit/2)
+// evacuationReadAgeLimit returns the age of the set from which the owner reads it again. At most
+// half of evacuationAgeLimit, so that the other half is left for the read.
+func (p *Pool) evacuationReadAgeLimit() time.Duration {
+	if limit := p.evacuationAgeLimit(); limit > 0 {
+		return min(maxEvacuationReadAge, limit/2)
 	}
-	return evacuationReadAgeMost
+	return maxEvacuationReadAge
 }
 
-// evacuated returns the newest that is known of evacuated zones.
-func (p *Pool) evacuated() evacuation.Set {
+// evacuatedZones returns the newest known set of evacuated zones.
+func (p *Pool) evacuatedZones() evacuation.Set {
 	if p.options.Evacuated == nil {
-		return p.evacuatedRead
+		return p.evacuationsRead
 	}
-	return p.evacuatedRead.Newest(p.options.Evacuated())
+	return p.evacuationsRead.Newest(p.options.Evacuated())
 }
 
-// evacuationsKnown reports whether it is known from lately which zones are evacuated.
-func (p *Pool) evacuationsKnown(now time.Time) bool {
-	limit := p.evacuationAge()
-	return limit == 0 || now.Sub(p.evacuated().AsOf) <= limit
+// evacuationsFresh reports whether the set of evacuated zones is fresh enough for starts.
+func (p *Pool) evacuationsFresh(now time.Time) bool {
+	limit := p.evacuationAgeLimit()
+	return limit == 0 || now.Sub(p.evacuatedZones().AsOf) <= limit
 }
 
-// mayStartOn reports whether a start may go to a worker's zone.
+// mayStartOn reports whether a run may start on a worker: its zone is known not to be evacuated.
 func (p *Pool) mayStartOn(w *worker, now time.Time) bool {
 	if p.options.Without.Evacuations {
 		return true
 	}
-	return p.evacuationsKnown(now) && !p.evacuated().Contains(w.Zone)
+	return p.evacuationsFresh(now) && !p.evacuatedZones().Contains(w.Zone)
 }
 
-// checkEvacuations reads the operators' rows once nothing else has told of them, and tells of
-// changes.
+// checkEvacuations handles changes of the evacuated zones, and reads the operators' rows if the set
+// is older than evacuationReadAgeLimit.
 func (p *Pool) checkEvacuations() {
 	p.NoteEvacuations()
 	askedAt := p.loop.Now()
-	if p.readingEvacuations || askedAt.Sub(p.evacuated().AsOf) < p.evacuationReadAge() {
+	if p.evacuationReadInFlight || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
 		return
 	}
-	p.readingEvacuations = true
+	p.evacuationReadInFlight = true
 	table, prefix := p.ports.EvacuationRows()
 	p.ports.Scan(table, "", prefix, func(listing rows.Listing, err error) {
-		p.readingEvacuations = false
-		if p.gone || err != nil {
+		p.evacuationReadInFlight = false
+		if p.closed || err != nil {
 			return
 		}
-		p.noteStore()
+		p.recordStoreAnswer()
 		read := evacuation.Of(evacuation.Changes(listing.Rows, p.ports.EvacuatedZone), listing.Version, askedAt)
-		p.evacuatedRead = p.evacuatedRead.Newest(read)
+		p.evacuationsRead = p.evacuationsRead.Newest(read)
 		p.NoteEvacuations()
 	})
 }
 
-// NoteEvacuations tells of zones that were evacuated or taken back, and lets waiting units try
-// again.
+// NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change
+// and schedules a cycle.
 func (p *Pool) NoteEvacuations() {
-	if p.gone {
+	if p.closed {
 		return
 	}
-	current := p.evacuated()
-	known := p.evacuationsKnown(p.loop.Now())
-	if current.SameZones(p.evacuatedNoted) && known == p.evacuationsWereKnown {
+	current := p.evacuatedZones()
+	known := p.evacuationsFresh(p.loop.Now())
+	if current.SameZones(p.reportedEvacuations) && known == p.evacuationsWereFresh {
 		return
 	}
-	p.evacuatedNoted, p.evacuationsWereKnown = current, known
+	p.reportedEvacuations, p.evacuationsWereFresh = current, known
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
 	p.record.Decided("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
-	p.wake()
+	p.scheduleCycle()
 }
 
-// runsInEvacuatedZones counts the runs on workers of evacuated zones. They run on: to move them
-// would throw work away and take room from others while a zone is missing.
+// runsInEvacuatedZones returns the number of runs in evacuated zones. They continue: a restart
+// would lose work and take resources from others while a zone is missing.
 func (p *Pool) runsInEvacuatedZones() int {
 	count := 0
-	zones := p.evacuated()
+	zones := p.evacuatedZones()
 	for _, w := range p.workers {
 		if zones.Contains(w.Zone) {
 			count += len(w.members)
--- a/internal/pool/faults_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -13,14 +13,14 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestRandomFaults drives owners through kills, freezes, lost orders, lost writes
-// and crashing workers and asks that every job ends with all promises kept.
+// TestRandomFaults injects kills and freezes of owners, lost orders and writes, network
+// partitions and store outages. All invariants must hold and all jobs must complete.
 func TestRandomFaults(t *testing.T) {
-	for seed := range uint64(randomSeeds) {
+	for seed := range uint64(faultSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			w, jobs := randomFaults(seed, pool.Without{})
-			requireKept(t, w)
+			requireInvariants(t, w)
 			for n := range jobs {
 				require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "job %d", n)
 			}
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestJudgeCatchesMissingMechanisms takes one mechanism out at a time: among the
-// seeds that hold with all of them at least one must break.
-func TestJudgeCatchesMissingMechanisms(t *testing.T) {
+// TestCheckerDetectsDisabledSafeguards disables one safeguard at a time: at least one of the seeds
+// that pass with all of them must then violate an invariant.
+func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
 	cases := map[string]pool.Without{
 		"lease wait":     {LeaseWait: true},
 		"end rows":       {EndRows: true},
@@ -39,19 +39,19 @@
 	for name, without := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(randomSeeds) {
+			for seed := range uint64(faultSeeds) {
 				if w, _ := randomFaults(seed, without); len(w.Judge.Broken) > 0 {
 					t.Logf("seed %d: %s", seed, w.Judge.Broken[0])
 					return
 				}
 			}
-			require.Fail(t, "no seed breaks without it")
+			require.Fail(t, "no seed violates an invariant without the safeguard")
 		})
 	}
 }
 
-// stopUnderWay kills an owner just after it ordered a stop and lets another take over.
-func stopUnderWay(without pool.Without) *simulation.World {
+// takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
+func takeoverDuringStop(without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
@@ -70,14 +70,14 @@
 	return w
 }
 
-// TestStopUnderWayAtTakeover: a new owner took a stopping run for one that never
-// came (seeds 12, 22 and 24 of the random faults found it).
-func TestStopUnderWayAtTakeover(t *testing.T) {
-	requireKeptOnlyWith(t, stopUnderWay, pool.Without{StopWait: true})
+// TestTakeoverDuringStop: a new owner must not take a run that is being stopped for one that
+// was never started.
+func TestTakeoverDuringStop(t *testing.T) {
+	requireInvariantsNeed(t, takeoverDuringStop, pool.Without{StopWait: true})
 }
 
-// changePace lets a worker stand still, turn slow, or work again, now and then.
-func changePace(w *simulation.World, random *rand.Rand) {
+// changeWorkerSpeed stalls, resumes or changes the speed of a random worker, or does nothing.
+func changeWorkerSpeed(w *simulation.World, random *rand.Rand) {
 	worker := w.Workers[random.IntN(len(w.Workers))]
 	switch random.IntN(8) {
 	case 0:
@@ -89,11 +89,11 @@
 	}
 }
 
-// randomSeeds is how many seeds of random faults are played.
-const randomSeeds = 100
+// faultSeeds is the number of seeds for the random fault tests.
+const faultSeeds = 100
 
-// randomFaults plays a world with faults by seed and returns it, settled, with the
-// number of its jobs.
+// randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
+// It returns the simulation and its number of jobs.
 func randomFaults(seed uint64, without pool.Without) (*simulation.World, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := simulation.NewWorld(2, 5)
@@ -111,8 +111,8 @@
 	for _, worker := range w.Workers {
 		worker.LoseOrder = fate(0.05)
 	}
-	// The paces of workers are drawn apart, so that they leave a seed's other faults as
-	// they are.
+	// Worker speeds and evacuations have generators of their own, so that they do not change the
+	// other faults of a seed.
 	paces := rand.New(rand.NewPCG(seed, 2))
 	zones := rand.New(rand.NewPCG(seed, 8))
 	owner := w.Own()
@@ -152,8 +152,8 @@
 			w.Run(time.Duration(random.IntN(300)) * time.Millisecond)
 			owner = w.Own()
 		}
-		changePace(w, paces)
-		evacuateSome(w, zones)
+		changeWorkerSpeed(w, paces)
+		changeEvacuationsAtRandom(w, zones)
 		if owner.Ended != "" {
 			owner = w.Own()
 		}
@@ -162,7 +162,7 @@
 	w.Store.AwayAll = false
 	clear(w.Store.Away)
 	clear(w.Store.Silent)
-	takeAllBack(w)
+	endAllEvacuations(w)
 	w.Store.Lose = nil
 	for _, worker := range w.Workers {
 		worker.Cut, worker.LoseOrder = false, nil
--- /dev/null
+++ b/internal/pool/find_placement.go
@@ -0,0 +1,216 @@
+package pool
+
+import (
+	"math"
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/mechanism"
+	"github.com/wheatroad/wheatroad/internal/placement"
+	"github.com/wheatroad/wheatroad/internal/taskgraph"
+)
+
+// findPlacement returns workers with free resources for a unit, or nil.
+func (p *Pool) findPlacement(s *snapshot, u *unit, request *placement.Request) []int {
+	if s.starved(u) && !u.needsEmptyWorkers() {
+		return p.findAnyPlacement(s, u, request)
+	}
+	visible := *request
+	visible.Limit = s.reservationLimiter(u.estimate())
+	if p.deferrable(s, u) {
+		if p.inPreemptionBackoff(s, u) {
+			return nil
+		}
+		if places := p.findUnmeasuredWorker(s, u, &visible); places != nil {
+			return places
+		}
+		if !p.options.Off[mechanism.Headroom] {
+			visible.Allowed = s.excludeHeadroom(request.Allowed, u.job.Queue.Priority)
+		}
+	}
+	if u.hasUnexplainedLosses() {
+		return p.findIsolatedPlacement(s, u, &visible)
+	}
+	for _, preferred := range p.workerPreferences(s, u) {
+		if places := p.fitWithLocality(s, u, restrict(&visible, preferred), &visible); places != nil {
+			return places
+		}
+	}
+	return p.fitWithLocality(s, u, &visible, &visible)
+}
+
+// fitWithLocality prefers workers that satisfy the unit's locality, and takes any once the unit has
+// waited long enough for it. It places within visible; all decides whether waiting can help.
+func (p *Pool) fitWithLocality(s *snapshot, u *unit, visible, all *placement.Request) []int {
+	spec := u.spec()
+	if rack := spec.PreferredRack; rack != "" {
+		if places := placement.Fit(s.workers, s.racks.Members[rack], visible); places != nil {
+			return places
+		}
+	}
+	if spec.SameRack && len(u.members) > 1 && spec.PreferredRack == "" {
+		if places := placement.FitOneRack(s.workers, s.racks, visible); places != nil {
+			return places
+		}
+	}
+	if p.waitsForLocality(s, u, all) {
+		return nil
+	}
+	if len(u.members) > 1 && spec.Gang {
+		if places := placement.FitOneRack(s.workers, s.racks, visible); places != nil {
+			return places
+		}
+	}
+	return placement.Fit(s.workers, s.racks.All, visible)
+}
+
+// findAnyPlacement returns workers with free resources, ignoring reservations and headroom.
+func (p *Pool) findAnyPlacement(s *snapshot, u *unit, request *placement.Request) []int {
+	for _, scope := range s.localityGroups(u) {
+		if places := placement.Fit(s.workers, scope, request); places != nil {
+			return places
+		}
+	}
+	if places := placement.FitOneRack(s.workers, s.racks, request); places != nil {
+		return places
+	}
+	return placement.Fit(s.workers, s.racks.All, request)
+}
+
+// starved reports whether a unit has waited too long while much of the pool is free. It is
+// then placed anywhere, to prevent starvation.
+func (s *snapshot) starved(u *unit) bool {
+	return s.utilization < idleUtilization && s.now.Sub(u.readyAt) > starvationTimeout
+}
+
+// waitsForLocality reports whether a unit still waits for locality. It waits no longer than the
+// extra time that a remote run takes.
+func (p *Pool) waitsForLocality(s *snapshot, u *unit, request *placement.Request) bool {
+	if p.options.Off[mechanism.NearPlaces] || !s.hasLocalPlacement(u, request) {
+		return false
+	}
+	maxWait := (p.options.Bounds.RemoteFactor - 1) * float64(u.estimate())
+	return s.now.Sub(u.readyAt) < time.Duration(maxWait)
+}
+
+// hasLocalPlacement reports whether the unit's locality could be satisfied by workers whose
+// capacity suffices, whatever they run now.
+func (s *snapshot) hasLocalPlacement(u *unit, request *placement.Request) bool {
+	spec := u.spec()
+	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
+		return placement.Holds(s.workers, members, request)
+	}
+	if !spec.SameRack || len(u.members) < 2 {
+		return false
+	}
+	for _, name := range s.racks.Names {
+		if placement.Holds(s.workers, s.racks.Members[name], request) {
+			return true
+		}
+	}
+	return false
+}
+
+// deferrable reports whether a unit has enough slack to leave the emptiest racks to urgent jobs.
+func (p *Pool) deferrable(s *snapshot, u *unit) bool {
+	return u.job.Queue.Priority > 0 && u.spec().PreferredRack == "" &&
+		u.slack(s.now) > time.Duration(deferrableSlackShare*float64(u.job.objective))
+}
+
+// inPreemptionBackoff reports whether a deferrable unit waits because a unit of higher priority has
+// just preempted others.
+func (p *Pool) inPreemptionBackoff(s *snapshot, u *unit) bool {
+	return !p.options.Off[mechanism.Pressure] && u.job.Queue.Priority > p.preemptionBackoffPriority && s.now.Before(p.preemptionBackoffUntil)
+}
+
+// excludeHeadroom restricts allowed to workers outside the headroom of a priority.
+func (s *snapshot) excludeHeadroom(allowed func(int) bool, priority int) func(int) bool {
+	excluded := s.headroomFor(min(priority, len(headroomShares)-1))
+	return func(i int) bool { return !excluded[i] && (allowed == nil || allowed(i)) }
+}
+
+// headroomFor marks the workers of the emptiest racks, which deferrable units of a priority don't
+// use. The lower the priority, the more racks these are.
+func (s *snapshot) headroomFor(priority int) []bool {
+	if excluded := s.headroomWorkers[priority]; excluded != nil {
+		return excluded
+	}
+	excluded := make([]bool, len(s.workers))
+	count := int(math.Ceil(headroomShares[priority] * float64(len(s.racks.Names))))
+	if count < len(s.racks.Names) {
+		for _, name := range s.racks.Emptiest(s.workers)[:count] {
+			for _, i := range s.racks.Members[name] {
+				excluded[i] = true
+			}
+		}
+	}
+	s.headroomWorkers[priority] = excluded
+	return excluded
+}
+
+// reservationLimiter returns a limit that hides reserved resources from units whose estimate
+// exceeds the time until the reservation starts; nil if nothing is reserved.
+func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
+	if len(s.reservations) == 0 {
+		return nil
+	}
+	return func(i int, free taskgraph.Amount) taskgraph.Amount {
+		reserved, found := s.reservations[i]
+		if !found || estimate <= reserved.startsIn {
+			return free
+		}
+		return free.Least(reserved.unreserved)
+	}
+}
+
+// localityGroups returns the groups of workers of which one should hold the whole unit.
+func (s *snapshot) localityGroups(u *unit) [][]int {
+	spec := u.spec()
+	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
+		return [][]int{members}
+	}
+	if spec.SameRack && len(u.members) > 1 {
+		groups := make([][]int, 0, len(s.racks.Names))
+		for _, name := range s.racks.Names {
+			groups = append(groups, s.racks.Members[name])
+		}
+		return groups
+	}
+	return [][]int{s.racks.All}
+}
+
+// earliestPlacement returns the earliest future placement of a unit; nil if there is none, or if
+// the cycle has no reservations left and the unit's priority is not 0.
+func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.Promise {
+	if s.reservationsLeft == 0 && u.job.Queue.Priority > 0 {
+		return nil
+	}
+	var best *placement.Promise
+	limit := time.Duration(math.MaxInt64)
+	for _, scope := range s.localityGroups(u) {
+		if found := placement.EarliestFit(s.workers, scope, s.units, request, limit); found != nil {
+			best = found
+			limit = found.After
+		}
+	}
+	return best
+}
+
+// reserve reserves the resources of a future placement for a unit.
+func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.Promise) {
+	if promise == nil {
+		return
+	}
+	if u.job.Queue.Priority > 0 {
+		s.reservationsLeft--
+	}
+	for i, spare := range promise.Spare {
+		existing, found := s.reservations[i]
+		if found {
+			spare = spare.Least(existing.unreserved)
+		}
+		if !found || promise.After < existing.startsIn {
+			existing.startsIn = promise.After
+		}
+		s.reservations[i] = reservation{startsIn: existing.startsIn, unreserved: spare}
+	}
+}
--- /dev/null
+++ b/internal/pool/hedging.go
@@ -0,0 +1,73 @@
+package pool
+
+import (
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/fleet"
+)
+
+// Commands to workers are hedged: without a response within minHedgeDelay, or within
+// hedgeDelayRatio times the recent average latency if that is longer, a second copy is sent
+// while the first is pending. Workers handle starts and stops idempotently.
+const (
+	minHedgeDelay   = 60 * time.Millisecond
+	hedgeDelayRatio = 4
+	// orderLatencySamples is the number of commands over which the latency is averaged.
+	orderLatencySamples = 32
+)
+
+// hedgeDelay returns the time without a response after which a command is sent again.
+func (p *Pool) hedgeDelay() time.Duration {
+	delay := max(minHedgeDelay, hedgeDelayRatio*p.orderLatency)
+	if p.options.Late != nil {
+		delay += p.options.Late()
+	}
+	return delay
+}
+
+// hedgedCall is the state of one hedged command.
+type hedgedCall struct {
+	// pending is the number of copies without a response or failure.
+	pending int
+	// answered is true once the command's outcome is known or all copies failed.
+	answered bool
+}
+
+// awaitingFirst reports whether the first copy is pending and no other was sent.
+func (t *hedgedCall) awaitingFirst() bool { return t.pending == 1 && !t.answered }
+
+// hedgedOrder is a hedged command to a worker.
+type hedgedOrder struct {
+	// name is the command's name in counters.
+	name string
+	// isCurrent reports whether the command still concerns its member's latest run, and shouldRetry
+	// whether a second copy is still useful.
+	isCurrent, shouldRetry func() bool
+	send                   func(done func(fleet.Reply, error))
+	// onResult handles the response to one copy, or its failure.
+	onResult func(sent *hedgedCall, reply fleet.Reply, err error)
+}
+
+// sendHedged sends a command, and a second copy if there is no response after hedgeDelay. It
+// returns the state of the hedged command.
+func (p *Pool) sendHedged(order *hedgedOrder) *hedgedCall {
+	state := &hedgedCall{}
+	sendCopy := func() {
+		p.record.Count("worker_orders", order.name)
+		state.pending++
+		order.send(func(reply fleet.Reply, err error) {
+			state.pending--
+			if order.isCurrent() {
+				order.onResult(state, reply, err)
+			}
+		})
+	}
+	sendCopy()
+	p.loop.After(p.hedgeDelay(), func() {
+		if order.isCurrent() && order.shouldRetry() && state.awaitingFirst() {
+			p.record.Count("retries", order.name+"_unanswered")
+			sendCopy()
+		}
+	})
+	return state
+}
--- /dev/null
+++ b/internal/pool/incarnation_verification.go
@@ -0,0 +1,70 @@
+package pool
+
+import "github.com/wheatroad/wheatroad/internal/fleet"
+
+// verifyNextIncarnation handles a worker row that names another incarnation, which probably follows
+// the known one. If runs may exist in the known incarnation, the named one has to answer before it
+// replaces it.
+func (p *Pool) verifyNextIncarnation(w *worker, described *fleet.Worker) {
+	if len(w.members) == 0 && len(w.unexpected) == 0 {
+		p.recordRestart(w, described.Life, restartSeenInRow, 0)
+		p.updateFromRow(p.replaceIncarnation(w, *described), described)
+		return
+	}
+	w.claimedIncarnation = described
+	p.queryClaimedIncarnation(w)
+}
+
+// queryClaimedIncarnation requests a run report from the incarnation that a worker row names.
+func (p *Pool) queryClaimedIncarnation(w *worker) {
+	if w.verifying || w.claimedIncarnation == nil {
+		return
+	}
+	w.verifying = true
+	claimed, sentAt := w.claimedIncarnation, p.loop.Now()
+	p.record.Count("worker_orders", "ask_life")
+	p.ports.Hold(claimed, fleet.Hold{Token: p.token}, func(reply fleet.Reply, err error) {
+		if p.closed || p.workers[w.ID] != w {
+			return
+		}
+		w.verifying = false
+		if w.claimedIncarnation == nil {
+			return
+		}
+		if err == nil && p.isSuccessor(w, reply.Born, sentAt) {
+			p.handleRestart(w, reply, restartConfirmedByReply, sentAt)
+			return
+		}
+		p.claimedIncarnationUnverified(w, err)
+	})
+}
+
+// claimedIncarnationUnverified keeps the known incarnation. Without a response the row may still be
+// right, so the request is repeated.
+func (p *Pool) claimedIncarnationUnverified(w *worker, err error) {
+	if err == nil {
+		// The known incarnation answered at the address in the row.
+		p.rejectClaimedIncarnation(w)
+		return
+	}
+	switch fleet.ReasonOf(err) {
+	case fleet.Fenced:
+		p.Abandon("fenced by worker " + w.ID)
+	case fleet.NoAnswer, fleet.Unreachable, fleet.Unhealthy:
+		p.loop.After(pollRetryDelay, func() {
+			if !p.closed && p.workers[w.ID] == w {
+				p.queryClaimedIncarnation(w)
+			}
+		})
+	default:
+		p.rejectClaimedIncarnation(w)
+	}
+}
+
+// rejectClaimedIncarnation discards an incarnation that the worker did not confirm, and treats the
+// worker's row as gone.
+func (p *Pool) rejectClaimedIncarnation(w *worker) {
+	p.record.Count("refusals", "worker_row_refuted")
+	w.claimedIncarnation = nil
+	p.markUnlisted(w)
+}
--- /dev/null
+++ b/internal/pool/incarnations.go
@@ -0,0 +1,165 @@
+package pool
+
+import (
+	"time"
+
+	"github.com/wheatroad/wheatroad/internal/fleet"
+)
+
+// A worker value stands for one incarnation of a worker: everything kept there ends with it, except
+// the machine state. A worker row that names another incarnation is only a hint, since it may have
+// been written by someone else: runs are not given up until the worker itself has answered.
+
+// restartEvidence says how the owner learned that a worker has restarted.
+type restartEvidence string
+
+const (
+	// restartSeenInRow: the row named another incarnation, and no run was known in the former one.
+	restartSeenInRow restartEvidence = "row"
+	// restartConfirmedByReply: the row named another incarnation, and that one answered.
+	restartConfirmedByReply restartEvidence = "row and answer"
+	// restartSeenInReply: another incarnation answered at the address of the former one.
+	restartSeenInReply restartEvidence = "answer"
+	// restartSeenInProgress: the progress rows of an earlier owner name a later incarnation than the
+	// worker's row.
+	restartSeenInProgress restartEvidence = "progress row"
+)
+
+// incarnationOrder says how a reported incarnation relates to the known one.
+type incarnationOrder int
+
+const (
+	// sameIncarnation: the same incarnation, or one of the two start times is unknown.
+	sameIncarnation incarnationOrder = iota
+	// laterIncarnation: if the report is true, the known incarnation has ended.
+	laterIncarnation
+	// earlierIncarnation: the report is stale or false.
+	earlierIncarnation
+)
+
+// compareIncarnation compares a reported start time with that of the known incarnation.
+func (p *Pool) compareIncarnation(w *worker, born int64) incarnationOrder {
+	switch {
+	case p.options.Without.Lives, w.Born == 0, born == 0, born == w.Born:
+		return sameIncarnation
+	case born > w.Born:
+		return laterIncarnation
+	}
+	return earlierIncarnation
+}
+
+// isSuccessor reports whether the incarnation that answered a request sent at askedAt succeeds the
+// known one. Start times are wall-clock times, and the clock may be set back between two
+// incarnations. So an answer to a request that was sent after the known incarnation's last report
+// counts as that of a successor, even if its start time is earlier.
+func (p *Pool) isSuccessor(w *worker, born int64, askedAt time.Time) bool {
+	switch p.compareIncarnation(w, born) {
+	case laterIncarnation:
+		return true
+	case earlierIncarnation:
+		return w.contacted && askedAt.After(w.endAcks.reportAt)
+	}
+	return false
+}
+
+// handleRestart handles the report of an incarnation that succeeds the known one; the report was
+// requested at sentAt. Runs that were certainly in the former incarnation are lost; any other start
+// that was sent may still reach the new one.
+func (p *Pool) handleRestart(w *worker, reply fleet.Reply, evidence restartEvidence, sentAt time.Time) {
+	claimed := w.claimedIncarnation
+	next := w.Worker
+	if claimed != nil {
+		next = *claimed
+	}
+	next.Born = reply.Born
+	p.recordRestart(w, next.Life, evidence, len(w.members))
+	p.markFormerRunsLost(w, reply, sentAt)
+	replacement := p.replaceIncarnation(w, next)
+	replacement.contacted, replacement.contactedAt = true, p.loop.Now()
+	if claimed != nil {
+		p.updateFromRow(replacement, claimed)
+		// The row may name an incarnation later than the one that answered.
+		replacement.Born = reply.Born
+	}
+	if !p.options.Without.NextLifeLease {
+		// Orders addressed to the former incarnation carried lease deadlines on its clock.
+		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxHold.Milliseconds()
+	}
+	p.handlePollReply(replacement, reply, sentAt)
+}
+
+// recordRestart counts and logs a worker's restart.
+func (p *Pool) recordRestart(w *worker, next fleet.Life, evidence restartEvidence, runs int) {
+	p.record.Count("worker_restarts", string(evidence))
+	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(evidence), "runs", runs)
+}
+
+// replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members
+// and the machine state; the row of the new incarnation has not been read yet.
+func (p *Pool) replaceIncarnation(w *worker, next fleet.Worker) *worker {
+	if w.cancelPollTimer != nil {
+		w.cancelPollTimer()
+	}
+	replacement := p.addUnlistedWorker(next.Life)
+	replacement.Worker, replacement.rack = next, next.Rack()
+	replacement.Draining = false
+	replacement.rowMissing = true
+	replacement.machineState = w.machineState
+	replacement.restarts++
+	moved := w.members
+	w.members = nil
+	for _, m := range moved {
+		p.moveToIncarnation(m, replacement)
+	}
+	p.scheduleCycle()
+	return replacement
+}
+
+// moveToIncarnation moves a member to the next incarnation of its worker, whose report will show
+// whether the run is there. If the run is not listed, it is stopped there before the task is placed
+// again, because the start or a copy of it may still arrive. Answers to requests in flight are
+// ignored from here on.
+func (p *Pool) moveToIncarnation(m *member, replacement *worker) {
+	m.leaveIncarnation(m.worker.Life)
+	m.worker = replacement
+	replacement.members = append(replacement.members, m)
+	m.stopSent, m.stopAnswered = false, false
+	if m.stopTimer != nil {
+		m.stopTimer()
+		m.stopTimer = nil
+	}
+	if m.state == memberStarting || m.state == memberRunning {
+		m.state = memberUnconfirmed
+		m.sentAt = p.loop.Now()
+	}
+	p.persist(m.unit.job)
+	if m.stopAttempted {
+		p.sendStop(m)
+	}
+}
+
+// handleOtherIncarnation handles a reply that is not from the known incarnation. It returns false
+// if the reply is from the known one.
+func (p *Pool) handleOtherIncarnation(w *worker, reply fleet.Reply, sentAt time.Time) bool {
+	if w.Born == 0 {
+		w.Born = reply.Born
+	}
+	switch {
+	case p.isSuccessor(w, reply.Born, sentAt):
+		p.handleRestart(w, reply, restartSeenInReply, sentAt)
+		return true
+	case p.compareIncarnation(w, reply.Born) == earlierIncarnation:
+		if w.contacted {
+			// Replies on different connections may arrive out of order.
+			p.record.Count("refusals", "worker_answer_stale")
+			p.pollAfter(w, quickPollDelay)
+			return true
+		}
+		// Only a row named the known incarnation, and the row was false.
+		p.record.Count("refusals", "worker_row_refuted")
+		w.Born = reply.Born
+		p.markUnlisted(w)
+		return p.workers[w.ID] != w
+	}
+	return false
+}
--- a/internal/pool/lives_test.go
+++ b/internal/pool/incarnations_test.go
@@ -12,12 +12,13 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// farAhead is where the clock of a next life stands that is far ahead of the former one's.
-const farAhead = 7_000_000
+// farAheadClock is the clock of a restarted worker that is far ahead of the clock before the
+// restart.
+const farAheadClock = 7_000_000
 
-// oneWorker returns a world with a single worker, so that everything is placed there, and its
-// owner. Tasks take two seconds.
-func oneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
+// newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and
+// its owner. Tasks take two seconds.
+func newWorldWithOneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -26,11 +27,11 @@
 	return w, owner
 }
 
-// numbersOfFormerLife lets ends be written by a slow store while their worker starts again. Starts
-// that the former life left undone reach the next one, where they fail at once, with numbers below
-// those of the former life's ends. Answers to holds are lost for a while if holdsLost is true.
-func numbersOfFormerLife(without pool.Without, holdsLost bool) *simulation.World {
-	w, _ := oneWorker(without)
+// restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
+// sent before the restart reach the next incarnation, where they fail at once with lower numbers
+// than the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
+func restartWithUnwrittenEnds(without pool.Without, holdsLost bool) *simulation.World {
+	w, _ := newWorldWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
@@ -57,27 +58,28 @@
 	return w
 }
 
-// TestNumbersOfAFormerLifeDoNotReachTheNext: neither when the next life's account comes before the
-// ends are written, nor when no account comes at all.
-func TestNumbersOfAFormerLifeDoNotReachTheNext(t *testing.T) {
+// TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ends of a restarted worker
+// by the numbers of its former incarnation, whether or not a report of the new one arrives before
+// the ends are stored.
+func TestEndAcknowledgementsDoNotCrossRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
 		without   pool.Without
 	}{
-		"next life known":   {without: pool.Without{Lives: true}},
-		"next life unknown": {holdsLost: true, without: pool.Without{FreshAccount: true}},
+		"restart known":   {without: pool.Without{Lives: true}},
+		"restart unknown": {holdsLost: true, without: pool.Without{FreshAccount: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireKept(t, numbersOfFormerLife(pool.Without{}, c.holdsLost))
-			require.NotEmpty(t, numbersOfFormerLife(c.without, c.holdsLost).Judge.Broken, "without the mechanism")
+			requireInvariants(t, restartWithUnwrittenEnds(pool.Without{}, c.holdsLost))
+			require.NotEmpty(t, restartWithUnwrittenEnds(c.without, c.holdsLost).Judge.Broken, "without the mechanism")
 		})
 	}
 }
 
-// TestStartsForAFormerLifeAreBarredInTheNext: the second copy of a start was answered, and the
-// first one is carried out late, by the next life of the worker.
-func TestStartsForAFormerLifeAreBarredInTheNext(t *testing.T) {
-	play := func(without pool.Without) *simulation.World {
+// TestLateStartIsBlockedAfterRestart: the first copy of a start arrives late and reaches
+// the worker after a restart, although the second copy was answered before it.
+func TestLateStartIsBlockedAfterRestart(t *testing.T) {
+	simulate := func(without pool.Without) *simulation.World {
 		w := simulation.NewWorld(1, 2)
 		w.Without = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
@@ -95,25 +97,25 @@
 			}
 		}
 		w.Submit(spec(1, single(1)), batch)
-		// The late start's deadline lies ahead of the next life's clock.
+		// The deadline of the late start is ahead of the clock after the restart.
 		w.Run(2500 * time.Millisecond)
 		busyWorker(w).Restart(50*time.Millisecond, 0)
 		w.Run(40 * time.Second)
 		return w
 	}
-	requireKeptOnlyWith(t, play, pool.Without{OpenStarts: true})
+	requireInvariantsNeed(t, simulate, pool.Without{OpenStarts: true})
 }
 
-// leaseInNextLife lets a start that was meant for a former life give a lease of the platform's
-// longest, as its deadline lies far ahead on the next life's clock. The worker is cut off right
-// after its first account.
-func leaseInNextLife(without pool.Without) *simulation.World {
+// leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
+// deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
+// first report.
+func leaseAfterRestart(without pool.Without) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Bounds.MaxHold = 10 * time.Second
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
-	w.Workers[0].Restart(time.Millisecond, farAhead)
+	w.Workers[0].Restart(time.Millisecond, farAheadClock)
 	w.Run(2 * time.Millisecond)
 	owner := w.Own()
 	w.Run(time.Second)
@@ -132,14 +134,15 @@
 	return w
 }
 
-func TestLeasesInTheNextLifeAreCountedInFull(t *testing.T) {
-	requireKeptOnlyWith(t, leaseInNextLife, pool.Without{NextLifeLease: true})
+func TestLeaseAfterRestartIsWaitedOut(t *testing.T) {
+	requireInvariantsNeed(t, leaseAfterRestart, pool.Without{NextLifeLease: true})
 }
 
-// TestRunInTheNextLifeGoesOnUnderTheNextOwner: the worker starts again while a placement there is
-// written, the start goes to the next life, and the owner is killed. The row names the former life.
-func TestRunInTheNextLifeGoesOnUnderTheNextOwner(t *testing.T) {
-	w, owner := oneWorker(pool.Without{})
+// TestRunAfterRestartSurvivesTakeover: the worker restarts while a placement on it is being
+// written, the start reaches the next incarnation, and the owner is killed. The progress row names
+// the former incarnation.
+func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
+	w, owner := newWorldWithOneWorker(pool.Without{})
 	w.Store.FeedsSilent = true
 	w.Store.Latency = 400 * time.Millisecond
 	w.Submit(spec(1, single(2)), batch)
@@ -148,37 +151,37 @@
 	w.Run(100 * time.Millisecond)
 	w.Workers[0].Restart(50*time.Millisecond, 0)
 	w.Run(500 * time.Millisecond)
-	require.Equal(t, 2, w.Workers[1].Runs(), "started in the next life")
+	require.Equal(t, 2, w.Workers[1].Runs(), "started after the restart")
 	owner.Process.Kill()
 	w.Store.FeedsSilent, w.Store.Latency = false, 0
 	w.Own()
 	w.Run(30 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
 }
 
-// TestRunThatEndedWithItsLifeIsPlacedAgain: by an owner that saw the restart, by one that was
-// killed before it, and by one that was killed after it, with and without power lost by all nodes.
-func TestRunThatEndedWithItsLifeIsPlacedAgain(t *testing.T) {
+// TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, one that is
+// killed before it, one that is killed after it, and a time without an owner.
+func TestRunLostInRestartIsPlacedAgain(t *testing.T) {
 	cases := map[string]struct {
 		killBefore, killAfter bool
 		away                  time.Duration
 	}{
-		"owner stays":                   {},
-		"owner killed before":           {killBefore: true},
-		"owner killed after":            {killAfter: true},
-		"no owner for seconds, restart": {killBefore: true, away: 8 * time.Second},
+		"owner stays":                {},
+		"owner killed before":        {killBefore: true},
+		"owner killed after":         {killAfter: true},
+		"no owner for eight seconds": {killBefore: true, away: 8 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, owner := oneWorker(pool.Without{})
+			w, owner := newWorldWithOneWorker(pool.Without{})
 			w.Submit(spec(1, single(4)), batch)
 			w.Run(time.Second)
 			if c.killBefore {
 				owner.Process.Kill()
 			}
-			w.Workers[0].Restart(200*time.Millisecond, farAhead)
+			w.Workers[0].Restart(200*time.Millisecond, farAheadClock)
 			w.Run(250*time.Millisecond + c.away)
 			if c.killAfter {
 				owner.Process.Kill()
@@ -187,28 +190,30 @@
 				w.Own()
 			}
 			w.Run(20 * time.Second)
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			require.LessOrEqual(t, w.Judge.Starts(taskOf(1, 0, 0)), 2)
 		})
 	}
 }
 
-// TestRestartIsKnownAtOnce: what ran in a life that surely ended needs no wait for a lease.
+// TestRestartIsKnownAtOnce: runs that ended with a restart are placed again without waiting for the
+// lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
-	w, _ := oneWorker(pool.Without{})
+	w, _ := newWorldWithOneWorker(pool.Without{})
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(time.Second)
 	w.Workers[0].Restart(500*time.Millisecond, 0)
 	w.Run(1000 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[1].Runs(), "0.5 s after the restart")
 	require.Equal(t, 8, w.Judge.Counts["attempts/lost"])
-	requireKept(t, w)
+	requireInvariants(t, w)
 }
 
-// TestStaleRowOfAFormerLifeChangesNothing: a row of the former life comes after one of the next.
-func TestStaleRowOfAFormerLifeChangesNothing(t *testing.T) {
-	w, _ := oneWorker(pool.Without{})
+// TestStaleRowOfFormerIncarnationIsIgnored: a row of the former incarnation arrives after a row of
+// the next one.
+func TestStaleRowOfFormerIncarnationIsIgnored(t *testing.T) {
+	w, _ := newWorldWithOneWorker(pool.Without{})
 	former := w.Workers[0]
 	former.Restart(100*time.Millisecond, 0)
 	w.Run(time.Second)
@@ -219,26 +224,26 @@
 	w.Run(500 * time.Millisecond)
 	w.Submit(spec(2, single(2)), batch)
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "nothing was stopped for it")
+	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "the stale row stopped nothing")
 	require.NotZero(t, w.Judge.Counts["refusals/worker_row_stale"])
 }
 
-// TestUntrueRowOfALaterLifeEndsNothing: a row names a life that there is not. What runs goes on;
-// nothing new is placed there until a true row is back.
-func TestUntrueRowOfALaterLifeEndsNothing(t *testing.T) {
-	w, _ := oneWorker(pool.Without{})
-	requireRunsGoOnAlone(t, w, func() {
-		untrue := *w.Workers[0]
-		untrue.Born += 3_600_000
-		w.PutWorkerRow(&untrue)
+// TestFalseRowOfLaterIncarnationStopsNothing: a row names an incarnation that does not exist. Runs
+// continue, and nothing new is placed on the worker until a correct row is back.
+func TestFalseRowOfLaterIncarnationStopsNothing(t *testing.T) {
+	w, _ := newWorldWithOneWorker(pool.Without{})
+	requireRunsSurviveInvalidRow(t, w, func() {
+		falseRow := *w.Workers[0]
+		falseRow.Born += 3_600_000
+		w.PutWorkerRow(&falseRow)
 	})
 }
 
-// TestWorkersThatDoNotTellTheirBirth: on platforms whose workers do not, an identifier stands for
-// one life.
-func TestWorkersThatDoNotTellTheirBirth(t *testing.T) {
+// TestWorkersWithoutStartTime covers platforms whose workers do not report a start time: an
+// identifier stands for one incarnation.
+func TestWorkersWithoutStartTime(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	for _, worker := range w.Workers {
 		worker.Life = fleet.Life{ID: worker.ID}
@@ -247,13 +252,13 @@
 	w.Own()
 	w.Submit(spec(1, single(8), gang(2)), batch)
 	w.Run(10 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestNextLifeMayBeOfAnotherKind: its capacity, labels, zone and drain are its own, and work that
-// asks for what only the former life had goes elsewhere.
-func TestNextLifeMayBeOfAnotherKind(t *testing.T) {
+// TestRestartedWorkerMayChangeCapacity: a restarted worker has its own capacity, labels, zone and
+// drain state, and tasks that need a label of the former incarnation are not placed there.
+func TestRestartedWorkerMayChangeCapacity(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
 	w.Unguarded = true
 	w.Catalog.Pools[0].EnforcesCapacity = false
@@ -266,7 +271,7 @@
 	former.Draining, former.RemainingMillis = true, 8000
 	w.PutWorkerRow(former)
 	w.Run(200 * time.Millisecond)
-	former.Restart(100*time.Millisecond, farAhead)
+	former.Restart(100*time.Millisecond, farAheadClock)
 	w.Run(101 * time.Millisecond)
 	next := w.Workers[2]
 	require.Equal(t, former.ID, next.ID)
@@ -279,63 +284,63 @@
 	special.RequiredLabel = "special"
 	w.Submit(spec(2, special), batch)
 	w.Run(time.Second)
-	require.Equal(t, 3, next.Runs(), "the next life does not drain and has three accelerators")
+	require.Equal(t, 3, next.Runs(), "the restarted worker does not drain and has three accelerators")
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Zero(t, w.Judge.JobStarts(jobID(2)), "nobody has that label any more")
+	require.Zero(t, w.Judge.JobStarts(jobID(2)), "no worker has that label any more")
 }
 
-// TestRestartsDuringTakeovers: workers start again while no owner lives, twice in a row, while the
-// store is silent, and at each moment of a takeover.
+// TestRestartsDuringTakeovers: workers restart without an owner, twice in a row, during a store
+// outage, and at many points of a takeover.
 func TestRestartsDuringTakeovers(t *testing.T) {
-	for _, ahead := range []int64{0, farAhead} {
-		for moment := time.Duration(0); moment < 60*time.Millisecond; moment += 3 * time.Millisecond {
+	for _, ahead := range []int64{0, farAheadClock} {
+		for offset := time.Duration(0); offset < 60*time.Millisecond; offset += 3 * time.Millisecond {
 			w := simulation.NewWorld(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 			owner := w.Own()
 			w.Submit(spec(1, single(6), gang(2)), batch)
-			w.Run(time.Second + moment)
+			w.Run(time.Second + offset)
 			owner.Process.Kill()
 			w.Workers[0].Restart(20*time.Millisecond, ahead)
 			w.Run(30 * time.Millisecond)
 			w.Workers[2].Restart(20*time.Millisecond, 0)
 			w.Own()
-			w.Run(moment)
+			w.Run(offset)
 			w.Workers[1].RestartUnseen(15*time.Millisecond, ahead)
-			w.Run(moment)
+			w.Run(offset)
 			w.Store.AwayAll = true
 			w.Run(200 * time.Millisecond)
 			w.Store.AwayAll = false
 			w.Run(40 * time.Second)
-			requireKept(t, w)
-			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "%v", moment)
+			requireInvariants(t, w)
+			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "%v", offset)
 		}
 	}
 }
 
-// TestTwoLivesLostAreTwoLosses: a task that crashes its worker, which comes back under its
-// identifier, is found out as if each life had a name of its own.
-func TestTwoLivesLostAreTwoLosses(t *testing.T) {
+// TestEachIncarnationLostCountsOnce: a task that crashes a worker which restarts under its
+// identifier is detected as if each incarnation had an identifier of its own.
+func TestEachIncarnationLostCountsOnce(t *testing.T) {
 	w := simulation.NewWorld(1, 1)
 	w.RestartsInPlace = true
-	guilty := taskOf(1, 0, 0)
-	w.Crashing[guilty] = crashAtOnce
+	crashing := taskOf(1, 0, 0)
+	w.Crashing[crashing] = crashAfterStart
 	w.Own()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(30 * time.Second)
-	requireGivenUp(t, w, guilty, 2)
+	requireJobFailed(t, w, crashing, 2)
 }
 
-// TestRecordOfAMachineGoesOn: a worker that fails whatever it starts, and starts again, is still left
-// alone.
-func TestRecordOfAMachineGoesOn(t *testing.T) {
+// TestMachineStateSurvivesRestart: the exclusion of a worker that fails every task outlasts its
+// restart.
+func TestMachineStateSurvivesRestart(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	w.Own()
 	w.Run(100 * time.Millisecond)
-	bad := w.Workers[0]
-	bad.Failing = true
+	failing := w.Workers[0]
+	failing.Failing = true
 	w.Workers[1].Unwell = true
 	many := batch
 	many.MaxAttempts = 50
@@ -343,7 +348,7 @@
 		w.Submit(spec(n, single(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
-	bad.Restart(50*time.Millisecond, farAhead)
+	failing.Restart(50*time.Millisecond, farAheadClock)
 	w.Run(60 * time.Millisecond)
 	next := w.Workers[2]
 	w.Submit(spec(90, single(1)), many)
@@ -351,16 +356,16 @@
 	require.Zero(t, next.Runs(), "the penalty outlasts the restart")
 	w.Workers[1].Unwell = false
 	w.Run(60 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestClockSetBackBetweenLives: the next life's birth is before the former one's. Both its row and its
-// accounts seem to be out of date; it runs what is placed there all the same.
-func TestClockSetBackBetweenLives(t *testing.T) {
+// TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its
+// former incarnation, so its row and reports seem stale. It is used all the same.
+func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := oneWorker(pool.Without{})
+			w, _ := newWorldWithOneWorker(pool.Without{})
 			if busy {
 				w.Submit(spec(1, single(2)), batch)
 			}
@@ -378,7 +383,7 @@
 				w.PutWorkerRow(next)
 				w.Run(1500 * time.Millisecond)
 			}
-			requireKept(t, w)
+			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 			if busy {
 				require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -387,25 +392,19 @@
 	}
 }
 
-// Symptom: one of 4,000 plays of random faults ran a task twice at the same time.
-// Sequence: a worker started again under its identifier and its owner did not know. It sent a start, which
-// the next life answered; the row named the former life and the start as confirmed. The run was being
-// stopped, so that no account named it, when the next owner read the row, found a later life, and took
-// the run for lost with the former one.
-// Cause: an answer to a start does not say which life it is of, and counted as one of the life that
-// was known.
-// Settled by: "worker clock jumped" 1 ms after the start, "run lost" with reason "worker restarted", and
-// the end of the same run, as stopped, 0.25 s later.
+// An answer to a start does not identify the incarnation. If an unknown restart precedes it, the
+// next owner must not take the run for lost with the former incarnation, or the task runs twice.
 
-// TestStartAnsweredByALifeThatNobodyKnew is looked for in that life by the next owner too.
-func TestStartAnsweredByALifeThatNobodyKnew(t *testing.T) {
-	w := worldOfGangs(1, 2)
+// TestStartAnsweredByUnknownIncarnation: the next owner looks for the run in the new incarnation,
+// too.
+func TestStartAnsweredByUnknownIncarnation(t *testing.T) {
+	w := newGangCluster(1, 2)
 	w.StopTime, w.Bounds.StopTimeout = 1500*time.Millisecond, 2*time.Second
 	answersLost := false
 	w.Workers[0].LoseAnswer = func() bool { return answersLost }
 	owner := w.Own()
-	// The former life's clock is far ahead of that of the next one.
-	w.Run(2 * clockJumpSeen)
+	// The clock of the former incarnation is far ahead of that of the next one.
+	w.Run(2 * clockJumpThreshold)
 	w.Store.FeedsSilent = true
 	w.Workers[1].CrashAndRestart()
 	w.Run(4 * time.Second)
@@ -424,14 +423,14 @@
 		w.Run(time.Millisecond)
 	}
 	require.Positive(t, w.Judge.Decisions["stopped"])
-	// The row that tells of confirmed starts is written, and the run is being stopped.
+	// The row with the confirmed starts is written, and the run is being stopped.
 	w.Run(800 * time.Millisecond)
 	w.Store.FeedsSilent, answersLost = false, false
 	w.Own()
 	w.Run(20 * time.Second)
-	requireKept(t, w)
+	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// clockJumpSeen is by how much a clock has to jump to be noticed.
-const clockJumpSeen = 10 * time.Second
+// clockJumpThreshold is the least clock jump that the owner detects.
+const clockJumpThreshold = 10 * time.Second
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -9,33 +9,32 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// unitState is where a unit is on its way.
+// unitState is the scheduling phase of a unit.
 type unitState int
 
 const (
-	// unitWaiting units want a place.
+	// unitWaiting units wait for placement.
 	unitWaiting unitState = iota
-	// unitCommitting units have a place that is being written.
+	// unitCommitting units have a placement that is being persisted.
 	unitCommitting
 	// unitActive units have been ordered to start.
 	unitActive
 	// unitStopping units have been ordered to stop.
 	unitStopping
-	// unitEnded units are done; members may still be listed by workers.
+	// unitEnded units have finished; workers may still report runs of their members.
 	unitEnded
 )
 
-// memberState is what is known of one run of one task.
+// memberState is the known state of a member's present run.
 type memberState int
 
 const (
 	// memberNone members have no run.
 	memberNone memberState = iota
-	// memberStarting members have been ordered to start, without an answer yet.
+	// memberStarting members have a start order in flight.
 	memberStarting
-	// memberUncertain members got no answer to their start.
-	memberUncertain
-	// memberRunning members run.
+	// memberUnconfirmed members may run: their start got no response, or they were restored.
+	memberUnconfirmed
 	memberRunning
 )
 
@@ -43,87 +42,86 @@
 type job struct {
 	id string
 	Accepted
-	// acceptedAt is on the loop's clock.
+	// acceptedAt is converted to the loop's clock.
 	acceptedAt time.Time
-	// estimates has for each step how long its work is expected to take.
+	// estimates are the expected task durations by step.
 	estimates []time.Duration
-	// objective is how long the job, or one time of it, should take.
+	// objective is the target duration of one repetition of the job.
 	objective time.Duration
-	// tails has for each step the longest chain of work that begins with it.
-	tails []time.Duration
-	times []*jobTime
-	// state is what the store says; next is what it will say.
-	state taskgraph.State
-	next  taskgraph.State
-	// endedAt is a time of day.
+	// criticalPaths are the critical-path durations from each step to the end of the job.
+	criticalPaths []time.Duration
+	repetitions   []*repetition
+	// state is the persisted state, and pendingState the state once pending writes are committed.
+	state        taskgraph.State
+	pendingState taskgraph.State
+	// endedAt is wall-clock time, unlike acceptedAt.
 	endedAt   time.Time
 	cancelled bool
-	// begun is true once a task was started.
-	begun bool
-	// ordered is true once this owner sent a start of the job.
-	ordered bool
-	dirty   bool
+	// placed is true once a task of the job was placed, by any owner.
+	placed bool
+	// startSent is true once a start order was sent; assumed for restored jobs.
+	startSent bool
+	dirty     bool
 }
 
-// jobTime is one time of a job's steps.
-type jobTime struct {
+// repetition is one repetition of a job.
+type repetition struct {
 	number int
 	due    time.Time
 	steps  []*step
 	ended  int
 }
 
-// step is one step of one time.
+// step is one step of a repetition.
 type step struct {
 	spec  *taskgraph.Step
 	index int
-	// units exist once the earlier steps have ended.
+	// units are created once all preceding steps are complete.
 	units    []*unit
 	ended    int
 	complete bool
-	// waitsFor is what kept the step's units from a place at the last look, which was
-	// at waitSeenAt.
-	waitsFor   waitReason
-	waitSeenAt time.Time
-	// cohort compares the times of the step's tasks.
+	// waitReason is why the step's units could not be placed at waitReasonAt, the last time that
+	// was checked.
+	waitReason   waitReason
+	waitReasonAt time.Time
+	// cohort compares the durations of the step's tasks.
 	cohort speeds.Cohort
 }
 
-// unit is what is placed at once: one task, or all tasks of a gang.
+// unit is the unit of placement: a single task, or all tasks of a gang.
 type unit struct {
-	job   *job
-	time  *jobTime
-	step  *step
-	index int
-	state unitState
-	// run is the number of the latest run; 0 before the first.
+	job        *job
+	repetition *repetition
+	step       *step
+	index      int
+	state      unitState
+	// run numbers the runs from 1; 0 before the first.
 	run        int
 	failures   int
 	checkpoint string
 	members    []*member
 	readyAt    time.Time
 	startedAt  time.Time
-	// runningSince is when all members of the latest run were confirmed to run; zero
-	// before that.
+	// runningSince is when all members of the latest run were known to be running; zero before
+	// that.
 	runningSince time.Time
-	// startedHere is true if this owner started the latest run.
-	startedHere bool
-	// resumed is true if the latest run goes on from a checkpoint.
-	resumed bool
-	// stalls counts how often the unit was moved since it stood still.
+	// startedByThisOwner is true if this owner started the latest run.
+	startedByThisOwner bool
+	// fromCheckpoint is true if the latest run was started from a checkpoint.
+	fromCheckpoint bool
+	// stalls counts how often the unit was restarted for lack of progress.
 	stalls int
-	// snapshotNumber is the unit's number in the snapshot of snapshotSerial.
-	snapshotNumber, snapshotSerial int
-	// stopReason says why the unit is being stopped.
+	// snapshotIndex is the unit's index in the snapshot of snapshotGeneration.
+	snapshotIndex, snapshotGeneration int
+	// stopReason is set while the unit is being stopped.
 	stopReason string
-	// avoid has the workers on which the unit failed.
-	avoid map[string]bool
-	// slowness is how many times longer the unit's work took, on the slowest of its workers, than it
-	// takes on the median one, as far as speeds are known.
+	// excludedWorkers holds the workers on which the unit has failed.
+	excludedWorkers map[string]bool
+	// slowness is the slowdown of the unit's slowest worker relative to the median worker.
 	slowness float64
-	// comparedRun is the latest run of which the members' speeds were compared.
-	comparedRun int
-	// lossGroup joins what lost workers say of the members; nil if none was lost.
+	// measuredRun is the latest run whose members' speeds were compared.
+	measuredRun int
+	// lossGroup holds the crash histories of the members; nil if no worker was lost.
 	lossGroup *poison.Group
 }
 
@@ -132,54 +130,55 @@
 	unit  *unit
 	index int
 	state memberState
-	// worker is nil unless a run of the member may exist there.
+	// worker is where a run of the member may exist, or nil.
 	worker *worker
-	// stopTried is true once a stop of the present run was sent, whatever became of it;
-	// stopSent and stopAnswered tell how far a stop has come.
-	stopTried    bool
-	stopSent     bool
-	stopAnswered bool
-	stopTimer    func()
-	// doubtful is true once a start of the present run got no answer: it may be carried
-	// out later, whatever later tries are told.
-	doubtful bool
-	// inUnknownLife is true if the start was answered by what may be another life than the one that
-	// is known, which the next account tells.
-	inUnknownLife bool
-	// confirmedBefore is true if an earlier owner had the present run confirmed.
+	// stopAttempted is true once a stop of the present run was sent, whatever its outcome;
+	// stopSent and stopAnswered are the state of the current stop order.
+	stopAttempted bool
+	stopSent      bool
+	stopAnswered  bool
+	stopTimer     func()
+	// startUnanswered is true once a start of the present run got no response: the order may still
+	// be executed, whatever the response to a later attempt.
+	startUnanswered bool
+	// incarnationUnknown is true if the start may have been answered by an unknown incarnation of the
+	// worker; the next run report shows which.
+	incarnationUnknown bool
+	// confirmedBefore is true if the present run was confirmed to an earlier owner.
 	confirmedBefore bool
-	// formerLife is the life in which the present run was last known, if its worker has started
-	// again since.
-	formerLife fleet.Life
-	// startTries are the tries of the present run's latest start; nil before it.
-	startTries *tries
-	sentAt     time.Time
-	// startDeadline is that of the present run's start on the worker's clock; 0 before it is sent.
+	// formerIncarnation is the worker's incarnation in which the present run was last known, if the
+	// worker has restarted since.
+	formerIncarnation fleet.Life
+	// startCall is the state of the present run's latest start order; nil before it.
+	startCall *hedgedCall
+	sentAt    time.Time
+	// startDeadline is the deadline of the present run's start order, in milliseconds of the
+	// worker's clock; 0 before it is sent.
 	startDeadline int64
-	// percent is the progress that the worker last listed, percentAt when it last
-	// changed, and listedAt when it was last listed.
-	percent   int
-	percentAt time.Time
-	listedAt  time.Time
-	// losses is what workers that were lost under the member say of it; nil if none was.
+	// percent is the last reported progress, percentChangedAt when it last changed, and reportedAt
+	// when the run was last reported.
+	percent          int
+	percentChangedAt time.Time
+	reportedAt       time.Time
+	// losses is the history of workers lost while the member ran there; nil if there are none.
 	losses *poison.History
-	// logTime is the logarithm of the seconds that the run takes as a whole, told at timedPercent of
-	// its progress; 0 if it is not told yet.
-	logTime      float64
-	timedPercent int
-	// inCohort is what the task says beside the others of its step.
-	inCohort speeds.Member
+	// logRunTime is the logarithm of the run's projected duration in seconds, estimated at
+	// runTimePercent of its progress; 0 before the first estimate.
+	logRunTime     float64
+	runTimePercent int
+	// cohortEntry is the member's entry in the step's cohort.
+	cohortEntry speeds.Member
 }
 
 func (m *member) name() taskgraph.TaskName {
 	u := m.unit
-	return taskgraph.TaskName{Job: u.job.id, Time: u.time.number, Step: u.step.index, Index: m.index}
+	return taskgraph.TaskName{Job: u.job.id, Time: u.repetition.number, Step: u.step.index, Index: m.index}
 }
 
 func (u *unit) spec() *taskgraph.Step { return u.step.spec }
 
-// active counts the members that may run somewhere.
-func (u *unit) active() int {
+// activeMembers returns the number of members that may be running.
+func (u *unit) activeMembers() int {
 	count := 0
 	for _, m := range u.members {
 		if m.worker != nil {
@@ -192,38 +191,39 @@
 func newJob(id string, accepted Accepted, acceptedAt time.Time) *job {
 	return &job{
 		id: id, Accepted: accepted, acceptedAt: acceptedAt,
-		state: taskgraph.Queued, next: taskgraph.Queued,
+		state: taskgraph.Queued, pendingState: taskgraph.Queued,
 	}
 }
 
-// wantedAt returns when the unit's work, with all that follows it, should end.
-func (u *unit) wantedAt() time.Time {
+// deadline returns the target completion time of the unit's repetition.
+func (u *unit) deadline() time.Time {
 	begin := u.job.acceptedAt
-	if !u.time.due.IsZero() {
-		begin = u.time.due
+	if !u.repetition.due.IsZero() {
+		begin = u.repetition.due
 	}
 	return begin.Add(u.job.objective)
 }
 
-// slack is how much later than now the unit may start and still end in time.
+// slack returns how long the unit's start may be delayed without missing the target
+// completion time; negative if it is missed already.
 func (u *unit) slack(now time.Time) time.Duration {
-	return u.wantedAt().Sub(now) - u.job.tails[u.step.index]
+	return u.deadline().Sub(now) - u.job.criticalPaths[u.step.index]
 }
 
-// timeAt returns time k, creating it if need be.
-func (j *job) timeAt(k int) *jobTime {
-	for len(j.times) <= k {
-		number := len(j.times)
-		created := &jobTime{number: number, due: j.Spec.Due(number)}
+// repetitionAt returns repetition k, creating it and those before it if needed.
+func (j *job) repetitionAt(k int) *repetition {
+	for len(j.repetitions) <= k {
+		number := len(j.repetitions)
+		created := &repetition{number: number, due: j.Spec.Due(number)}
 		for i := range j.Spec.Steps {
 			created.steps = append(created.steps, &step{spec: &j.Spec.Steps[i], index: i})
 		}
-		j.times = append(j.times, created)
+		j.repetitions = append(j.repetitions, created)
 	}
-	return j.times[k]
+	return j.repetitions[k]
 }
 
-// unitCount is how many units a step has.
+// unitCount returns 1 for a gang, and otherwise the number of tasks.
 func (s *step) unitCount() int {
 	if s.spec.Gang {
 		return 1
@@ -231,11 +231,10 @@
 	return s.spec.Count
 }
 
-// createUnits makes the step's units.
-func (s *step) createUnits(j *job, t *jobTime, now time.Time) {
+func (s *step) createUnits(j *job, t *repetition, now time.Time) {
 	s.units = make([]*unit, s.unitCount())
 	for i := range s.units {
-		created := &unit{job: j, time: t, step: s, index: i, readyAt: now}
+		created := &unit{job: j, repetition: t, step: s, index: i, readyAt: now}
 		if s.spec.Gang {
 			for index := range s.spec.Count {
 				created.members = append(created.members, &member{unit: created, index: index})
@@ -247,12 +246,12 @@
 	}
 }
 
-// unitOf returns the unit and member of a task name, or nil.
-func (j *job) memberOf(name taskgraph.TaskName) *member {
-	if name.Time >= len(j.times) || name.Step >= len(j.Spec.Steps) {
+// member returns the member of a task name, or nil if it does not exist.
+func (j *job) member(name taskgraph.TaskName) *member {
+	if name.Time >= len(j.repetitions) || name.Step >= len(j.Spec.Steps) {
 		return nil
 	}
-	s := j.times[name.Time].steps[name.Step]
+	s := j.repetitions[name.Time].steps[name.Step]
 	if s.units == nil || name.Index >= s.spec.Count {
 		return nil
 	}
--- /dev/null
+++ b/internal/pool/lease_expiry_test.go
@@ -0,0 +1,189 @@
+package pool_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheatroad/wheatroad/internal/pool"
+	"github.com/wheatroad/wheatroad/internal/simulation"
+	"github.com/wheatroad/wheatroad/internal/taskgraph"
+)
+
+// newWorldWithLongTask returns a world of two workers in which the first owner has started one long
+// task, and that owner.
+func newWorldWithLongTask() (*simulation.World, *simulation.Owner) {
+	w := simulation.NewWorld(1, 2)
+	return w, startLongTask(w)
+}
+
+// startLongTask starts a job of one long task under a first owner.
+func startLongTask(w *simulation.World) *simulation.Owner {
+	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
+	long := single(1)
+	long.EstimateMillis = 30000
+	w.Submit(spec(1, long), batch)
+	owner := w.Own()
+	w.Run(5 * time.Second)
+	return owner
+}
+
+// busyWorker returns the first worker that has a run, or nil.
+func busyWorker(w *simulation.World) *simulation.Worker {
+	for _, worker := range w.Workers {
+		if worker.Runs() > 0 {
+			return worker
+		}
+	}
+	return nil
+}
+
+// TestLeaseWaitBeginsWithTheRows: an owner that gets the progress rows long after the worker list
+// must wait out leases from the time of the progress rows, because the former owner may have
+// renewed them in between.
+func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
+	w, _ := newWorldWithLongTask()
+	busy := busyWorker(w)
+	for _, part := range pool.ProgressParts(simulation.PoolName) {
+		w.Store.Silent[part] = true
+	}
+	w.Own()
+	w.Run(8 * time.Second)
+	lossy := true
+	busy.LoseAnswer = func() bool { return lossy }
+	clear(w.Store.Silent)
+	w.Run(3 * time.Second)
+	lossy = false
+	w.Run(45 * time.Second)
+	requireInvariants(t, w)
+	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
+}
+
+// delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
+// the worker list.
+func delaySuccessorRead(without pool.Without) *simulation.World {
+	w, _ := newWorldWithLongTask()
+	w.Without = without
+	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
+	busy := busyWorker(w)
+	next := w.Own()
+	next.CutFrom[busy.ID] = true
+	w.Run(3 * time.Millisecond)
+	next.CutFromStore = true
+	for n := 2; n < 22; n++ {
+		w.Submit(spec(n, single(1)), batch)
+		w.Run(400 * time.Millisecond)
+	}
+	next.CutFromStore = false
+	w.Run(3 * time.Second)
+	next.CutFrom[busy.ID] = false
+	w.Run(45 * time.Second)
+	return w
+}
+
+// TestLeaseWaitBehindABusyOwner is the same case with a former owner whose own writes confirm that
+// it has not been replaced.
+func TestLeaseWaitBehindABusyOwner(t *testing.T) {
+	requireInvariantsNeed(t, delaySuccessorRead, pool.Without{ClaimWait: true})
+}
+
+// pauseFunc stops a process for a while in one of several ways.
+type pauseFunc func(*simulation.World, *simulation.Owner, time.Duration)
+
+func freeze(w *simulation.World, owner *simulation.Owner, d time.Duration) {
+	owner.Process.Freeze(w.Clock.Now().Add(d))
+}
+
+func suspend(w *simulation.World, owner *simulation.Owner, d time.Duration) {
+	owner.Process.Suspend(w.Clock.Now().Add(d))
+}
+
+func noPause(*simulation.World, *simulation.Owner, time.Duration) {}
+
+// replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
+// one that cannot reach the worker of the run.
+func replaceCutOffOwner(stop pauseFunc, without pool.Without, steadyTime bool) *simulation.World {
+	w := simulation.NewWorld(1, 2)
+	w.Without, w.SteadyTime = without, steadyTime
+	former := startLongTask(w)
+	busy := busyWorker(w)
+	former.CutFromStore = true
+	stop(w, former, 5*time.Second)
+	w.Run(500 * time.Millisecond)
+	next := w.Own()
+	next.CutFrom[busy.ID] = true
+	w.Run(30 * time.Second)
+	next.CutFrom[busy.ID] = false
+	w.Run(40 * time.Second)
+	return w
+}
+
+// TestReplacedOwnerDoesNotExtendLeases guards against a replaced owner renewing a lease that its
+// successor is waiting out, which would run the task twice. On the steady clock a suspended owner
+// does not notice the time that has passed.
+func TestReplacedOwnerDoesNotExtendLeases(t *testing.T) {
+	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
+		t.Run(name, func(t *testing.T) {
+			requireInvariantsNeed(t, func(without pool.Without) *simulation.World {
+				return replaceCutOffOwner(stop, without, false)
+			}, pool.Without{Confirmation: true})
+		})
+	}
+	briefly := func(w *simulation.World, owner *simulation.Owner, _ time.Duration) { suspend(w, owner, 2*time.Second) }
+	requireInvariants(t, replaceCutOffOwner(briefly, pool.Without{}, false))
+	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.Without{}, true).Judge.Broken, "with the steady clock")
+}
+
+// pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
+// by one that cannot reach the worker.
+func pauseBeforeStart(stop pauseFunc, without pool.Without) *simulation.World {
+	w := simulation.NewWorld(1, 2)
+	// With evacuations enabled, stale zone information would delay the start as well.
+	w.Bounds.Evacuation = 0
+	w.Without = without
+	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
+	former := w.Own()
+	w.Run(time.Second)
+	w.Store.Latency = 40 * time.Millisecond
+	long := single(1)
+	long.EstimateMillis = 30000
+	w.Submit(spec(1, long), batch)
+	// The feed delivers the job at once; the write is in flight.
+	w.Run(20 * time.Millisecond)
+	stop(w, former, 6800*time.Millisecond)
+	former.CutFromStore = true
+	w.Run(200 * time.Millisecond)
+	next := w.Own()
+	next.CutFrom["w-0-0"], next.CutFrom["w-0-1"] = true, true
+	w.Run(6400 * time.Millisecond)
+	next.CutFrom["w-0-1"] = false
+	w.Run(20 * time.Second)
+	next.CutFrom["w-0-0"] = false
+	w.Run(60 * time.Second)
+	return w
+}
+
+// TestStartIsNotSentLongAfterItsRow: an owner that was paused between the write of a placement and
+// its start must not send the start after its successor has waited out the leases.
+func TestStartIsNotSentLongAfterItsRow(t *testing.T) {
+	for name, stop := range map[string]pauseFunc{"frozen": freeze, "suspended": suspend} {
+		t.Run(name, func(t *testing.T) {
+			requireInvariantsNeed(t, func(without pool.Without) *simulation.World {
+				return pauseBeforeStart(stop, without)
+			}, pool.Without{Confirmation: true})
+		})
+	}
+}
+
+// TestLateRefusalUpdatesClockEstimate: after minutes of idleness the estimate of a worker's clock
+// is so low that its first start is refused as late. The clock in the refusal must correct the
+// estimate.
+func TestLateRefusalUpdatesClockEstimate(t *testing.T) {
+	w := simulation.NewWorld(1, 1)
+	w.Own()
+	w.Run(10 * time.Minute)
+	w.Submit(spec(1, single(1)), batch)
+	w.Run(100 * time.Millisecond)
+	require.Equal(t, 1, w.Workers[0].Runs())
+}
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -7,31 +7,31 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// advance creates the units of all steps that may start.
-func (p *Pool) advance(j *job) {
-	if j.next.Final() {
+// createReadyUnits creates the units of all steps that may start.
+func (p *Pool) createReadyUnits(j *job) {
+	if j.pendingState.Final() {
 		return
 	}
 	now := p.loop.Now()
 	for k := 0; k < j.Spec.Times(); k++ {
 		due := j.Spec.Due(k)
 		if timeOfDay := p.loop.TimeOfDay(); !due.IsZero() && due.After(timeOfDay) {
-			p.loop.After(due.Sub(timeOfDay)+dueMargin, func() { p.advance(j); p.wake() })
+			p.loop.After(due.Sub(timeOfDay)+dueTimeMargin, func() { p.createReadyUnits(j); p.scheduleCycle() })
 			break
 		}
-		t := j.timeAt(k)
+		t := j.repetitionAt(k)
 		for _, s := range t.steps {
-			if s.units == nil && !s.complete && t.earlierEnded(s) {
+			if s.units == nil && !s.complete && t.dependenciesComplete(s) {
 				s.createUnits(j, t, now)
 			}
 		}
 	}
 }
 
-// dueMargin keeps a start from coming before its time on a slow clock.
-const dueMargin = 5 * time.Millisecond
+// dueTimeMargin delays a scheduled start so that a slow clock does not make it early.
+const dueTimeMargin = 5 * time.Millisecond
 
-func (t *jobTime) earlierEnded(s *step) bool {
+func (t *repetition) dependenciesComplete(s *step) bool {
 	for _, earlier := range s.spec.After {
 		if !t.steps[earlier].complete {
 			return false
@@ -40,14 +40,14 @@
 	return true
 }
 
-// applyCancel ends a job because a caller asked for it.
+// applyCancel ends a job at the request of a caller.
 func (p *Pool) applyCancel(id string) {
 	j := p.jobs[id]
 	if j == nil {
-		p.earlyCancels[id] = true
+		p.pendingCancels[id] = true
 		return
 	}
-	if j.cancelled || j.next.Final() {
+	if j.cancelled || j.pendingState.Final() {
 		return
 	}
 	j.cancelled = true
@@ -55,14 +55,14 @@
 	p.finishJob(j, taskgraph.Cancelled)
 }
 
-// finishJob gives a job its final state and stops what still runs of it.
+// finishJob puts a job into its final state and stops its remaining runs.
 func (p *Pool) finishJob(j *job, state taskgraph.State) {
-	j.next = state
+	j.pendingState = state
 	j.endedAt = p.loop.TimeOfDay()
-	for _, t := range j.times {
+	for _, t := range j.repetitions {
 		for _, s := range t.steps {
 			for _, u := range s.units {
-				p.dropUnit(u, string(state))
+				p.cancelUnit(u, string(state))
 			}
 		}
 	}
@@ -72,44 +72,44 @@
 	p.persist(j)
 }
 
-func (p *Pool) dropUnit(u *unit, reason string) {
+func (p *Pool) cancelUnit(u *unit, reason string) {
 	switch u.state {
 	case unitWaiting, unitCommitting:
-		p.clearMembers(u)
+		p.unassignAll(u)
 		u.state = unitEnded
 	case unitActive:
 		p.stopUnit(u, reason)
 	}
 }
 
-// dropOldJobs removes the rows of a job that ended long ago. Its progress goes
-// last, so that the job cannot appear to be new.
-func (p *Pool) dropOldJobs() {
-	if p.dropping || p.releasing {
+// removeExpiredJobs deletes the rows of one job whose retention has expired. The progress row is
+// deleted last, so that the job cannot appear to be new.
+func (p *Pool) removeExpiredJobs() {
+	if p.removingExpiredJob || p.releasing {
 		return
 	}
 	limit := p.loop.TimeOfDay().Add(-p.options.Bounds.StatusRetention - retentionMargin)
 	for id, j := range p.jobs {
 		if j.state.Final() && j.endedAt.Before(limit) {
-			p.dropJob(id)
+			p.removeJobRows(id)
 			return
 		}
 	}
 }
 
-func (p *Pool) dropJob(id string) {
-	p.dropping = true
+func (p *Pool) removeJobRows(id string) {
+	p.removingExpiredJob = true
 	parts := JobParts(p.options.Pool, id)
-	left, failed := len(parts), false
+	pending, failed := len(parts), false
 	for _, part := range parts {
 		removes := []rows.Key{AcceptedKey(part, id), CancelledKey(part, id)}
 		p.ports.Commit(rows.Transaction{Removes: removes}, func(_ rows.Result, err error) {
 			failed = failed || err != nil
-			if left--; left > 0 {
+			if pending--; pending > 0 {
 				return
 			}
-			p.dropping = false
-			if p.gone || failed {
+			p.removingExpiredJob = false
+			if p.closed || failed {
 				return
 			}
 			delete(p.jobs, id)
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -11,62 +11,62 @@
 type lossReason string
 
 const (
-	// lostWithInstance: another instance answers at the worker's address.
-	lostWithInstance lossReason = "worker replaced"
-	// lostWithLife: the worker has started again, and runs nothing of before.
-	lostWithLife lossReason = "worker restarted"
-	// lostWithLease: the worker was silent until its lease had run out.
-	lostWithLease lossReason = "lease ran out"
+	// lostInstanceReplaced: another instance answers at the worker's address.
+	lostInstanceReplaced lossReason = "worker replaced"
+	// lostWorkerRestarted: the worker has restarted and runs nothing from before.
+	lostWorkerRestarted lossReason = "worker restarted"
+	// lostLeaseExpired: the worker did not respond until its lease had expired.
+	lostLeaseExpired lossReason = "lease ran out"
 )
 
-// loseRuns settles all members on a worker that no longer runs anything and will list no
-// ends. One of them may have crashed it.
-func (p *Pool) loseRuns(w *worker, reason lossReason) {
+// markRunsLost marks all members as lost on a worker that no longer runs anything and will report
+// no ends. One of the runs may have crashed the worker.
+func (p *Pool) markRunsLost(w *worker, reason lossReason) {
 	lost := w.members
-	p.recordLoss(w, reason)
+	p.recordWorkerLoss(w, reason)
 	for _, m := range lost {
-		p.noteLostRun(m, reason)
+		p.recordLostRun(m, reason)
 		p.memberEnded(m, fleet.Lapsed)
 	}
 	for _, m := range lost {
-		p.giveUpPoison(m.unit)
+		p.failPoisonJob(m.unit)
 	}
 }
 
-// noteLostRun records a run that was lost with its worker. A member whose placement is
+// recordLostRun counts and logs a run that was lost with its worker. A member whose placement is
 // still being written has no run.
-func (p *Pool) noteLostRun(m *member, reason lossReason) {
+func (p *Pool) recordLostRun(m *member, reason lossReason) {
 	u, w := m.unit, m.worker
 	if m.state == memberNone {
 		return
 	}
 	p.record.Count("attempts", "lost")
 	p.record.Decided("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason),
-		"confirmed", m.state == memberRunning, "ran_ms", u.ranMillis(w.lastAlive(p.loop.Now())))
+		"confirmed", m.state == memberRunning, "ran_ms", u.runMillis(w.lastResponsive(p.loop.Now())))
 }
 
-// ranMillis is how long the unit's run had run at a time, for logs: 0 if an earlier owner started
-// it, whose line tells when.
-func (u *unit) ranMillis(at time.Time) int64 {
-	if !u.startedHere {
+// runMillis returns how long the unit's run had been running at a given time, for logs. It is 0 if
+// an earlier owner started the run.
+func (u *unit) runMillis(at time.Time) int64 {
+	if !u.startedByThisOwner {
 		return 0
 	}
 	return max(0, at.Sub(u.startedAt).Milliseconds())
 }
 
-// lastAlive is when the worker fell silent, or now if it did not.
-func (w *worker) lastAlive(now time.Time) time.Time {
-	if w.unanswered > 0 {
-		return w.silentAt
+// lastResponsive returns the time at which the worker stopped responding, or now if it responds.
+func (w *worker) lastResponsive(now time.Time) time.Time {
+	if w.unansweredCalls > 0 {
+		return w.unresponsiveSince
 	}
 	return now
 }
 
-// recordLoss notes a lost worker against the tasks that ran there, since one that crashes
-// workers lists no end and would else be started for ever.
-func (p *Pool) recordLoss(w *worker, reason lossReason) {
-	if w.Draining || w.departing {
-		// It left by plan, and took with it what was not moved in time.
+// recordWorkerLoss records a lost worker against the tasks that ran there. A task that crashes its
+// workers is never reported as failed, so without this record it would be restarted forever.
+func (p *Pool) recordWorkerLoss(w *worker, reason lossReason) {
+	if w.Draining || w.leftWithoutDrain {
+		// The worker left as planned, with the runs that were not moved in time.
 		for _, m := range w.members {
 			if m.losses.Count() > 0 {
 				m.losses.AddUnexplained(w.Life.String())
@@ -74,39 +74,39 @@
 		}
 		return
 	}
-	at := w.lastAlive(p.loop.Now())
+	at := w.lastResponsive(p.loop.Now())
 	loss := poison.Loss{
 		Worker: w.Life.String(), Address: w.Address, At: at,
-		Unwatched: !w.greeted,
-		Replaced:  reason != lostWithLease || p.addressTaken(w),
+		Unwatched: !w.contacted,
+		Replaced:  reason != lostLeaseExpired || p.addressTaken(w),
 	}
 	for _, m := range w.members {
-		m.addLoss(&loss, m.presenceAt(at))
+		m.addSuspect(&loss, m.runPresenceAt(at))
 	}
-	p.lossLedger.SetWorkers(len(p.workers))
-	p.lossLedger.Lost(loss)
+	p.lossTracker.SetWorkers(len(p.workers))
+	p.lossTracker.Lost(loss)
 }
 
-// addLoss adds the member to the suspects of a loss, if its run was on the worker.
-func (m *member) addLoss(loss *poison.Loss, was presence) {
-	if was == neverThere {
+// addSuspect adds the member to the suspects of a loss if its run was on the worker.
+func (m *member) addSuspect(loss *poison.Loss, ran runPresence) {
+	if ran == notStarted {
 		return
 	}
 	history := m.lossHistory()
 	switch {
 	case history == nil:
-		// The unit has too many: whatever struck it was none of its members.
-	case was == perhapsThere:
+		// Losses of this many members at once have a cause outside the unit.
+	case ran == possiblyStarted:
 		history.AddUnexplained(loss.Worker)
 	default:
-		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.ageAt(loss.At), AgeAssumed: !m.unit.startedHere})
+		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.runAgeAt(loss.At), AgeAssumed: !m.unit.startedByThisOwner})
 	}
 }
 
-// addressTaken reports whether another worker is listed at a worker's address.
+// addressTaken reports whether another worker is listed at the worker's address.
 func (p *Pool) addressTaken(w *worker) bool {
 	for _, other := range p.workers {
-		if other != w && other.listed && other.Address == w.Address && w.Address != "" {
+		if other != w && other.hasRow && other.Address == w.Address && w.Address != "" {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/pool/poison_full_pool_test.go
@@ -0,0 +1,94 @@
+package pool_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheatroad/wheatroad/internal/simulation"
+	"github.com/wheatroad/wheatroad/internal/taskgraph"
+)
+
+// runPoisonInFullPool simulates a full pool in which one of every so many jobs has a task that
+// crashes the workers that run it. It requires that these jobs fail, and returns the number of the
+// other, healthy jobs and how many of them failed.
+func runPoisonInFullPool(t *testing.T, seed uint64, jobs, every int, crash simulation.Crash) (healthy, failed int) {
+	random := rand.New(rand.NewPCG(seed, 7))
+	w := simulation.NewWorld(3, 4)
+	crashing := map[string]bool{}
+	w.Work = func(name taskgraph.TaskName) time.Duration { return w.Estimate(name) }
+	w.Own()
+	w.Run(time.Second)
+	for n := range jobs {
+		step := single(1 + random.IntN(6))
+		step.GPUs = 1 << random.IntN(3)
+		step.EstimateMillis = max(int64(200+random.IntN(1300)), 2*crash.After.Milliseconds())
+		step.Gang = random.IntN(10) < 3
+		if n%every == every-1 {
+			crashing[jobID(n)] = true
+			w.Crashing[taskOf(n, 0, 0)] = crash
+		}
+		queue := batch
+		queue.MaxAttempts = 40
+		w.Submit(spec(n, step), queue)
+		w.Run(85 * time.Millisecond)
+	}
+	submittedAt := w.Clock.Now()
+	for open := true; open && w.Clock.Now().Sub(submittedAt) < 300*time.Second; {
+		w.Run(time.Second)
+		open = false
+		for n := range jobs {
+			open = open || !w.StoredState(jobID(n)).Final()
+		}
+	}
+	t.Logf("all jobs ended %v after the last submission; %d runs were lost", w.Clock.Now().Sub(submittedAt), w.Judge.Counts["attempts/lost"])
+	requireInvariants(t, w)
+	for n := range jobs {
+		state := w.StoredState(jobID(n))
+		if crashing[jobID(n)] {
+			require.Equal(t, taskgraph.Failed, state, "job %d has a task that crashes workers", n)
+			continue
+		}
+		healthy++
+		if state == taskgraph.Failed {
+			failed++
+			for _, line := range w.Judge.Trace {
+				if strings.Contains(line, "job given up") && strings.Contains(line, jobID(n)) {
+					t.Log(line)
+				}
+			}
+			continue
+		}
+		require.Equal(t, taskgraph.Completed, state, "job %d", n)
+	}
+	return healthy, failed
+}
+
+// TestHealthyJobsAmongCrashingTasksComplete guards against healthy jobs that fail because a
+// suspected task is placed beside others that crash its worker.
+func TestHealthyJobsAmongCrashingTasksComplete(t *testing.T) {
+	for _, seed := range []uint64{1, 2, 7} {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			t.Parallel()
+			healthy, failed := runPoisonInFullPool(t, seed, 440, 11, simulation.Crash{From: simulation.AtWork, After: 10 * time.Millisecond})
+			require.Zero(t, failed, "failed jobs of %d healthy ones", healthy)
+		})
+	}
+}
+
+// TestDelayedCrashesFailJobsInFullPool guards against a pool without progress: tasks that
+// crash all workers raise the rate of chance losses, so that their own odds stay low and no job
+// fails.
+func TestDelayedCrashesFailJobsInFullPool(t *testing.T) {
+	for _, seed := range []uint64{1, 2} {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			t.Parallel()
+			healthy, failed := runPoisonInFullPool(t, seed, 200, 6, simulation.Crash{From: simulation.AtStart, After: 553 * time.Millisecond})
+			require.LessOrEqual(t, 100*failed, healthy, "more than 1% of the healthy jobs failed")
+		})
+	}
+}
