--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -125,11 +125,11 @@
 		Name: s.Name, Incarnation: newIncarnation(), PeerAddress: s.Peers, Weight: s.CPUShare,
 		LinkBytesPerSecond: s.LinkMbps * bytesPerMbit,
 		Bounds: pool.Bounds{
-			MaxHold: settings.Millis(b.MaxHoldMillis), StopTimeout: settings.Millis(b.StopTimeoutMillis),
-			GangTimeout: settings.Millis(b.GangTimeoutMillis), Reclaim: settings.Millis(b.ReclaimMillis),
+			MaxLease: settings.Millis(b.MaxHoldMillis), StopTimeout: settings.Millis(b.StopTimeoutMillis),
+			GangTimeout: settings.Millis(b.GangTimeoutMillis), GuaranteedStartTimeout: settings.Millis(b.ReclaimMillis),
 			CheckpointInterval: settings.Seconds(b.CheckpointSeconds),
-			StatusRetention:    settings.Seconds(b.StatusSeconds), RemoteFactor: b.RemoteFactor,
-			Evacuation: settings.Millis(b.EvacuationMillis),
+			StatusRetention:    settings.Seconds(b.StatusSeconds), CrossRackSlowdown: b.RemoteFactor,
+			EvacuationTimeout: settings.Millis(b.EvacuationMillis),
 		},
 		ConfigurationAge: settings.Millis(b.ConfigurationMillis),
 	}
--- a/internal/cli/node_status.go
+++ b/internal/cli/node_status.go
@@ -76,13 +76,13 @@
 		fmt.Fprintf(&text, "  pool %s: owner %s, token %d, unanswered pings %d\n", p.Pool, p.Owner, p.Token, p.OwnerFailures)
 		if o := p.Owned; o != nil {
 			fmt.Fprintf(&text, "    owned here: jobs %v, waiting units %d, runs %d, workers %d (unusable %d, slow %d, silent %d), suspects %d, known to stand %d ms ago\n",
-				o.Jobs, o.WaitingUnits, o.Runs, o.Workers, o.Unusable, o.Slow, o.Silent, o.Suspects, o.ConfirmedMillis)
+				o.Jobs, o.WaitingUnits, o.Runs, o.Workers, o.Unusable, o.Slow, o.Unresponsive, o.Suspects, o.SinceOwnershipConfirmedMillis)
 			fmt.Fprintf(&text, "    evacuated zones %v (known %d ms ago, new enough to start work %v): %d runs there, %d units wait for them\n",
-				o.EvacuatedZones, o.EvacuationsMillis, o.EvacuationsKnown, o.RunsThere, o.WaitingForZones)
-			fmt.Fprintf(&text, "    restarts of workers %d, rows of another writer %d\n", o.Restarts, o.ForeignRows)
+				o.EvacuatedZones, o.EvacuationsAgeMillis, o.EvacuationsFresh, o.RunsInEvacuatedZones, o.WaitingForZones)
+			fmt.Fprintf(&text, "    restarts of workers %d, rows of another writer %d\n", o.Restarts, o.InvalidWorkerRows)
 			for _, restarted := range o.Restarted {
 				fmt.Fprintf(&text, "      %s came back %d times, last born %s, %d runs\n",
-					restarted.Worker, restarted.Times, time.UnixMilli(restarted.Born).UTC().Format(time.RFC3339Nano), restarted.Runs)
+					restarted.Worker, restarted.Restarts, time.UnixMilli(restarted.StartMillis).UTC().Format(time.RFC3339Nano), restarted.Runs)
 			}
 		}
 	}
--- a/internal/loadplay/simulate.go
+++ b/internal/loadplay/simulate.go
@@ -57,7 +57,7 @@
 	arrivals := l.generateArrivals(seed)
 	w := simulation.NewWorld(l.Racks, l.PerRack)
 	w.Off, w.StopTime, w.Judge.Quiet = off, stopTime, true
-	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.Reclaim = stopTime, checkpointInterval, reclaimTime
+	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.GuaranteedStartTimeout = stopTime, checkpointInterval, reclaimTime
 	slowness := l.randomSlowdowns(seed)
 	for i, worker := range w.Workers {
 		worker.SetCapacity(workerCapacity, 0)
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -42,7 +42,7 @@
 // handleAnnouncedJob passes a row to the pool if this node owns it.
 func (n *Node) handleAnnouncedJob(poolName string, row rows.Row) {
 	if p := n.owned[poolName]; p != nil {
-		p.TakeAnnounced(row)
+		p.HandleJobAnnouncement(row)
 	}
 }
 
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	select {
 	case notice := <-notices:
-		key := pool.AcceptedKey(pool.JobParts(poolName, jobID)[0], jobID)
+		key := pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[0], jobID)
 		require.Equal(t, poolName, notice.Pool)
 		require.Equal(t, store.rows[key], notice.Row, "the notice must hold the stored row")
 	case <-time.After(10 * time.Second):
@@ -54,7 +54,7 @@
 // TestRefusedJobIsNotAnnounced: the owner must not receive a job that is not in the store.
 func TestRefusedJobIsNotAnnounced(t *testing.T) {
 	store := newFakeStore()
-	store.refuse = allOf(pool.JobParts(poolName, jobID))
+	store.refuse = allOf(pool.JobPartitions(poolName, jobID))
 	gateway := newGateway(t, store)
 	notices := receiveNotices(t, gateway)
 	require.Error(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -23,7 +23,7 @@
 	}
 	n.edges.Record.Decided("evacuated zones read", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
 	for _, name := range sortedKeys(n.owned) {
-		n.owned[name].NoteEvacuations()
+		n.owned[name].EvacuationsChanged()
 	}
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -139,7 +139,7 @@
 // takes long while the store is otherwise fast. Writing the job to several parts is harmless.
 func (g *Gateway) commitJob(ctx context.Context, poolName string, job *pool.Accepted) error {
 	value := pool.Encode(job)
-	parts := pool.JobParts(poolName, job.Spec.ID)
+	parts := pool.JobPartitions(poolName, job.Spec.ID)
 	results := make(chan error, len(parts))
 	inFlight := 0
 	startAttempt := func() {
@@ -238,7 +238,7 @@
 		return nil
 	}
 	value := pool.Encode(cancellation{AtMillis: time.Now().UnixMilli()})
-	parts := append([]string{accepted}, pool.JobParts(poolName, id)...)
+	parts := append([]string{accepted}, pool.JobPartitions(poolName, id)...)
 	var failure error
 	for _, part := range parts {
 		_, err := g.node.ports.commit(ctx, rows.Transaction{Puts: []rows.Put{{Key: pool.CancelledKey(part, id), Value: value}}})
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -128,7 +128,7 @@
 }
 
 func TestSubmitByWhatTheStoreSays(t *testing.T) {
-	parts := pool.JobParts(poolName, jobID)
+	parts := pool.JobPartitions(poolName, jobID)
 	cases := map[string]struct {
 		prepare func(*fakeStore)
 		want    fault.Kind
@@ -169,9 +169,9 @@
 // TestPartWithoutAnswerIsPassedOver: one unresponsive part must not use up the time of a
 // submission.
 func TestPartWithoutAnswerIsPassedOver(t *testing.T) {
-	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
-	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
+	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[1], jobID))
 }
 
 func allOf(parts []string) map[string]bool {
@@ -197,7 +197,7 @@
 	gateway := newGateway(t, store)
 	_, err := gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.True(t, fault.IsKind(err, fault.UnknownJob), "%v", err)
-	store.refuse[pool.JobParts(poolName, jobID)[2]] = true
+	store.refuse[pool.JobPartitions(poolName, jobID)[2]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.True(t, fault.IsKind(err, fault.StoreUnavailable), "%v", err)
 }
@@ -209,7 +209,7 @@
 	state, err := gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.NoError(t, err)
 	require.Equal(t, taskgraph.Queued, state)
-	parts := pool.ProgressParts(poolName)
+	parts := pool.ProgressPartitions(poolName)
 	put := func(part string, record pool.Progress) {
 		key := rows.Key{Table: pool.ProgressTable, Part: part, Name: jobID}
 		store.rows[key] = rows.Row{Key: key, Value: pool.Encode(record), Version: 1}
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -83,7 +83,7 @@
 // storedJob returns the part that holds a job, empty if there is none, and whether the job is
 // canceled. A job counts as absent only if every part has answered.
 func (g *Gateway) storedJob(ctx context.Context, poolName, id string) (accepted string, cancelled bool, err error) {
-	for _, part := range pool.JobParts(poolName, id) {
+	for _, part := range pool.JobPartitions(poolName, id) {
 		listing, failure := g.node.ports.scan(ctx, pool.JobTable, part, id)
 		if failure != nil {
 			err = storeReadFault(failure)
@@ -103,7 +103,7 @@
 // storedState returns the state of a job's newest progress row.
 func (g *Gateway) storedState(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	var newest pool.Progress
-	for _, part := range pool.ProgressParts(poolName) {
+	for _, part := range pool.ProgressPartitions(poolName) {
 		listing, err := g.node.ports.scan(ctx, pool.ProgressTable, part, id)
 		if err != nil {
 			return "", storeReadFault(err)
@@ -180,7 +180,7 @@
 	err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
 		return loop.Call(ctx, n.edges.Loop, func() {
 			loaded = p.Loaded()
-			count = p.Waiting()[queue]
+			count = p.WaitingJobs()[queue]
 		})
 	})
 	if err != nil || !loaded {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,7 +172,7 @@
 	n.store.relayedReads.cancelIdle(0)
 	n.storeRetries.Now()
 	for _, name := range sortedKeys(n.owned) {
-		n.owned[name].StoreBack()
+		n.owned[name].StoreRecovered()
 	}
 }
 
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -194,11 +194,11 @@
 func (n *Node) poolOptions(name string) pool.Options {
 	return pool.Options{
 		Pool: name, Node: n.options.Name, Incarnation: n.options.Incarnation,
-		Address: n.options.PeerAddress, Weight: n.options.Weight, Bounds: n.options.Bounds, Off: n.options.Off,
-		Catalog:   func() *catalog.Catalog { return n.catalog.Load() },
-		Evacuated: func() evacuation.Set { return n.evacuated },
-		Late:      n.schedulingDelay.timeoutExtension,
-		Ended:     func(reason string) { n.removeOwnedPool(name) },
+		Address: n.options.PeerAddress, Weight: n.options.Weight, Bounds: n.options.Bounds, DisabledMechanisms: n.options.Off,
+		Catalog:          func() *catalog.Catalog { return n.catalog.Load() },
+		EvacuatedZones:   func() evacuation.Set { return n.evacuated },
+		SchedulingDelay:  n.schedulingDelay.timeoutExtension,
+		OnOwnershipEnded: func(reason string) { n.removeOwnedPool(name) },
 	}
 }
 
--- a/internal/node/ownership_confirmation_test.go
+++ b/internal/node/ownership_confirmation_test.go
@@ -20,7 +20,7 @@
 
 // sinceConfirmed returns how long ago the pool's owner was last confirmed.
 func (n *watchingNode) sinceConfirmed() time.Duration {
-	return time.Duration(n.owned[poolName].Summary().ConfirmedMillis) * time.Millisecond
+	return time.Duration(n.owned[poolName].Summary().SinceOwnershipConfirmedMillis) * time.Millisecond
 }
 
 // TestPingsTellAnOwnerWhetherItStands: the lease known to the pinging node confirms the owner or
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -188,7 +188,7 @@
 		return false
 	}
 	if request.Token == p.Token() && request.StoreLost {
-		p.Confirm(n.now())
+		p.ConfirmOwnership(n.now())
 	}
 	return true
 }
@@ -200,7 +200,7 @@
 		return
 	}
 	for _, name := range sortedKeys(n.owned) {
-		n.owned[name].Confirm(n.now())
+		n.owned[name].ConfirmOwnership(n.now())
 	}
 }
 
@@ -218,7 +218,7 @@
 		n.pingHistory.record(request.From, n.now())
 		reply.Owner = true
 		if p.Loaded() {
-			reply.Waiting = p.Waiting()
+			reply.Waiting = p.WaitingJobs()
 		}
 	})
 	return reply, err
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -76,7 +76,7 @@
 			store := newFakeStore()
 			gateway := newGatewayWithPeer(t, own, store)
 			require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
-			require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[0], jobID))
+			require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[0], jobID))
 			require.Less(t, gateway.node.storeReachedAge(), time.Minute)
 		})
 	}
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -80,11 +80,11 @@
 // TestSilentPartIsPassedOverWhileTheStoreIsQuick: a write is still hedged to a second part while
 // the store is otherwise fast.
 func TestSilentPartIsPassedOverWhileTheStoreIsQuick(t *testing.T) {
-	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
 	gateway.node.recordReportedLatency(5)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
-	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
+	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[1], jobID))
 }
 
 func TestLeastLatencyFollowsTheStore(t *testing.T) {
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -89,7 +89,7 @@
 		if !m.worker.fitsMembers(p.loop.Now()) {
 			return false
 		}
-		if !p.options.Without.StartZones && !p.mayStartOn(m.worker, p.loop.Now()) {
+		if !p.options.DisabledSafeguards.ZoneRecheckAtStart && !p.mayStartOn(m.worker, p.loop.Now()) {
 			return false
 		}
 	}
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -10,7 +10,7 @@
 // capacitiesFresh reports whether the workers' capacities are fresh enough for placement; always
 // true if the workers enforce them.
 func (p *Pool) capacitiesFresh() bool {
-	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
+	if p.options.DisabledSafeguards.CapacityAge || p.workersEnforceCapacity() {
 		return true
 	}
 	return p.loop.Now().Sub(p.workersReadAt) <= maxCapacityAge
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -47,7 +47,7 @@
 }
 
 // shrinkDuringStoreOutage shrinks a worker while its new owner waits for an unavailable store.
-func shrinkDuringStoreOutage(without pool.Without) *simulation.World {
+func shrinkDuringStoreOutage(without pool.DisabledSafeguards) *simulation.World {
 	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Submit(spec(1, single(8)), batch)
@@ -65,7 +65,7 @@
 
 // shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are
 // unresponsive for a while afterwards.
-func shrinkWhileSuspended(without pool.Without) *simulation.World {
+func shrinkWhileSuspended(without pool.DisabledSafeguards) *simulation.World {
 	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
@@ -86,19 +86,19 @@
 // TestStartsWaitForFreshCapacities guards against starts by a stale capacity: after a store outage
 // or a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
 func TestStartsWaitForFreshCapacities(t *testing.T) {
-	for name, shrink := range map[string]func(pool.Without) *simulation.World{
+	for name, shrink := range map[string]func(pool.DisabledSafeguards) *simulation.World{
 		"takeover during a store outage": shrinkDuringStoreOutage,
 		"suspended":                      shrinkWhileSuspended,
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireInvariantsNeed(t, shrink, pool.Without{AccountAge: true})
+			requireInvariantsNeed(t, shrink, pool.DisabledSafeguards{CapacityAge: true})
 		})
 	}
 }
 
 // takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job
 // that fills a worker, while another job waits.
-func takeOverWhileStopping(without pool.Without) *simulation.World {
+func takeOverWhileStopping(without pool.DisabledSafeguards) *simulation.World {
 	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
@@ -120,7 +120,7 @@
 // TestStoppingRunsUseResourcesAfterTakeover guards against a new owner that counts the resources of
 // stopping runs as free, since neither its rows nor the worker's report list these runs.
 func TestStoppingRunsUseResourcesAfterTakeover(t *testing.T) {
-	requireInvariants(t, takeOverWhileStopping(pool.Without{}))
+	requireInvariants(t, takeOverWhileStopping(pool.DisabledSafeguards{}))
 }
 
 // TestUnexpectedRunsUseResourcesUntilStopped guards against the same fault for runs that the new
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -105,7 +105,7 @@
 		}
 	}
 	now := p.loop.Now()
-	timelyFirst := !p.options.Off[mechanism.TimelyFirst]
+	timelyFirst := !p.options.DisabledMechanisms[mechanism.TimelyFirst]
 	slices.SortFunc(waiting, func(a, b *unit) int { return compareUnits(a, b, now, timelyFirst) })
 	return waiting
 }
@@ -161,7 +161,7 @@
 	if !u.likelyPoison() && p.mayPreempt(s, u) && p.preemptFor(s, u, request) {
 		return false
 	}
-	if !p.options.Off[mechanism.Reservations] {
+	if !p.options.DisabledMechanisms[mechanism.Reservations] {
 		s.reserve(u, request, s.earliestPlacement(u, request))
 	}
 	return false
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -34,8 +34,8 @@
 	Y      float64 `json:"y"`
 	XX     float64 `json:"xx"`
 	XY     float64 `json:"xy"`
-	// Squares is the weighted sum of squared prediction errors.
-	Squares float64 `json:"rr,omitempty"`
+	// SquaredErrors is the weighted sum of squared prediction errors.
+	SquaredErrors float64 `json:"rr,omitempty"`
 }
 
 // learn adds a run's estimate and duration with a weight of at most one job.
@@ -45,11 +45,11 @@
 	}
 	if total := d.Weight + weight; total > maxDurationWeight {
 		scale := maxDurationWeight / total
-		d.Weight, d.X, d.Y, d.XX, d.XY, d.Squares = d.Weight*scale, d.X*scale, d.Y*scale, d.XX*scale, d.XY*scale, d.Squares*scale
+		d.Weight, d.X, d.Y, d.XX, d.XY, d.SquaredErrors = d.Weight*scale, d.X*scale, d.Y*scale, d.XX*scale, d.XY*scale, d.SquaredErrors*scale
 	}
 	x, y := math.Log(estimate.Seconds()), math.Log(duration.Seconds())
 	predictionError := y - math.Log(d.predict(estimate).Seconds())
-	d.Squares += weight * min(maxSquaredError, predictionError*predictionError)
+	d.SquaredErrors += weight * min(maxSquaredError, predictionError*predictionError)
 	d.Weight += weight
 	d.X += weight * x
 	d.Y += weight * y
@@ -73,12 +73,12 @@
 
 // variance returns the variance of the logarithmic prediction error.
 func (d *durationModel) variance() float64 {
-	return (d.Squares + priorVariance*priorLevelWeight) / (d.Weight + priorLevelWeight)
+	return (d.SquaredErrors + priorVariance*priorLevelWeight) / (d.Weight + priorLevelWeight)
 }
 
 // updateDurationModel updates the queue's model from a completed unit.
 func (p *Pool) updateDurationModel(u *unit) {
-	if !u.startedByThisOwner || u.fromCheckpoint || u.spec().LongRunning || p.options.Off[mechanism.LearnedDurations] {
+	if !u.startedByThisOwner || u.fromCheckpoint || u.spec().LongRunning || p.options.DisabledMechanisms[mechanism.LearnedDurations] {
 		return
 	}
 	model := p.durations[u.job.Queue.Name]
@@ -94,7 +94,7 @@
 // mergeDurations takes over the models of an earlier owner. Of several head rows it keeps, for
 // each queue, the model with the largest weight.
 func (p *Pool) mergeDurations(earlier headRecord) {
-	if p.options.Off[mechanism.LearnedDurations] {
+	if p.options.DisabledMechanisms[mechanism.LearnedDurations] {
 		return
 	}
 	for queue, model := range earlier.Durations {
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -26,10 +26,10 @@
 // carried out later.
 func (p *Pool) maxStartDelay() time.Duration {
 	ahead := startTimeout
-	if p.options.Late != nil {
-		ahead += p.options.Late()
+	if p.options.SchedulingDelay != nil {
+		ahead += p.options.SchedulingDelay()
 	}
-	if bound := p.options.Bounds.Evacuation; bound > 0 {
+	if bound := p.options.Bounds.EvacuationTimeout; bound > 0 {
 		return min(ahead, bound/2)
 	}
 	return ahead
@@ -38,8 +38,8 @@
 // evacuationAgeLimit returns the maximum age of the set of evacuated zones for a start; 0 if it is
 // unlimited.
 func (p *Pool) evacuationAgeLimit() time.Duration {
-	bound := p.options.Bounds.Evacuation
-	if bound <= 0 || p.options.Without.EvacuationAge {
+	bound := p.options.Bounds.EvacuationTimeout
+	if bound <= 0 || p.options.DisabledSafeguards.EvacuationAge {
 		return 0
 	}
 	return min(maxEvacuationAge, bound-p.maxStartDelay()-evacuationMargin)
@@ -56,10 +56,10 @@
 
 // evacuatedZones returns the newest known set of evacuated zones.
 func (p *Pool) evacuatedZones() evacuation.Set {
-	if p.options.Evacuated == nil {
+	if p.options.EvacuatedZones == nil {
 		return p.evacuationsRead
 	}
-	return p.evacuationsRead.Newest(p.options.Evacuated())
+	return p.evacuationsRead.Newest(p.options.EvacuatedZones())
 }
 
 // evacuationsFresh reports whether the set of evacuated zones is fresh enough for starts.
@@ -70,7 +70,7 @@
 
 // mayStartOn reports whether a run may start on a worker: its zone is known not to be evacuated.
 func (p *Pool) mayStartOn(w *worker, now time.Time) bool {
-	if p.options.Without.Evacuations {
+	if p.options.DisabledSafeguards.Evacuations {
 		return true
 	}
 	return p.evacuationsFresh(now) && !p.evacuatedZones().Contains(w.Zone)
@@ -79,7 +79,7 @@
 // checkEvacuations handles changes of the evacuated zones, and reads the operators' rows if the set
 // is older than evacuationReadAgeLimit.
 func (p *Pool) checkEvacuations() {
-	p.NoteEvacuations()
+	p.EvacuationsChanged()
 	askedAt := p.loop.Now()
 	if p.evacuationReadInFlight || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
 		return
@@ -94,13 +94,13 @@
 		p.recordStoreAnswer()
 		read := evacuation.Of(evacuation.Changes(listing.Rows, p.ports.EvacuatedZone), listing.Version, askedAt)
 		p.evacuationsRead = p.evacuationsRead.Newest(read)
-		p.NoteEvacuations()
+		p.EvacuationsChanged()
 	})
 }
 
-// NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change
+// EvacuationsChanged handles a change of the evacuated zones or of their freshness: it logs the change
 // and schedules a cycle.
-func (p *Pool) NoteEvacuations() {
+func (p *Pool) EvacuationsChanged() {
 	if p.closed {
 		return
 	}
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -28,7 +28,7 @@
 
 // newEvacuatedCluster returns a simulation of two racks, each a zone, of which the first is
 // evacuated.
-func newEvacuatedCluster(without pool.Without) (*simulation.World, *simulation.Owner, string) {
+func newEvacuatedCluster(without pool.DisabledSafeguards) (*simulation.World, *simulation.Owner, string) {
 	w := simulation.NewWorld(2, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
@@ -42,7 +42,7 @@
 // TestNothingStartsInAnEvacuatedZone checks that neither single tasks nor urgent gangs start in an
 // evacuated zone, and that waiting ones start once the evacuation ends.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
-	runScenario := func(without pool.Without) *simulation.World {
+	runScenario := func(without pool.DisabledSafeguards) *simulation.World {
 		w, _, zone := newEvacuatedCluster(without)
 		w.Run(evacuationElapsed)
 		w.Submit(spec(1, single(30)), batch)
@@ -53,13 +53,13 @@
 		w.Run(20 * time.Second)
 		return w
 	}
-	requireInvariantsNeed(t, runScenario, pool.Without{Evacuations: true})
+	requireInvariantsNeed(t, runScenario, pool.DisabledSafeguards{Evacuations: true})
 }
 
 // TestZoneIsUsedAfterEvacuationEnds checks that runs start in a zone within a heartbeat after its
 // evacuation ends.
 func TestZoneIsUsedAfterEvacuationEnds(t *testing.T) {
-	w, _, zone := newEvacuatedCluster(pool.Without{})
+	w, _, zone := newEvacuatedCluster(pool.DisabledSafeguards{})
 	w.Run(2 * time.Second)
 	w.Submit(spec(1, single(40)), batch)
 	w.Run(time.Second)
@@ -89,7 +89,7 @@
 // TestAllZonesEvacuated checks that jobs are accepted, wait and complete after an evacuation of all
 // zones.
 func TestAllZonesEvacuated(t *testing.T) {
-	w, _, zone := newEvacuatedCluster(pool.Without{})
+	w, _, zone := newEvacuatedCluster(pool.DisabledSafeguards{})
 	other := w.Workers[len(w.Workers)-1].Zone
 	require.NotEqual(t, zone, other)
 	w.Evacuate(other)
@@ -109,7 +109,7 @@
 // or it is new.
 func TestOwnerWithStaleEvacuationsStartsNothing(t *testing.T) {
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
-		runScenario := func(without pool.Without) *simulation.World {
+		runScenario := func(without pool.DisabledSafeguards) *simulation.World {
 			w := simulation.NewWorld(2, 3)
 			w.Without = without
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -120,16 +120,16 @@
 			w.Run(evacuationElapsed)
 			w.Submit(spec(1, single(40)), urgent)
 			row := acceptedRow(w, jobID(1))
-			owner.Process.Post(func() { owner.TakeAnnounced(row) })
+			owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 			w.Run(3 * time.Second)
 			w.Store.FeedsSilent, w.Store.ScansSilent = false, false
 			w.Run(20 * time.Second)
 			return w
 		}
-		requireInvariantsNeed(t, runScenario, pool.Without{EvacuationAge: true})
+		requireInvariantsNeed(t, runScenario, pool.DisabledSafeguards{EvacuationAge: true})
 	})
 	t.Run("owner was suspended", func(t *testing.T) {
-		runScenario := func(without pool.Without) *simulation.World {
+		runScenario := func(without pool.DisabledSafeguards) *simulation.World {
 			w := simulation.NewWorld(2, 3)
 			w.Without = without
 			owner := w.Own()
@@ -139,16 +139,16 @@
 			owner.Process.Suspend(w.Clock.Now().Add(evacuationElapsed))
 			w.Submit(spec(1, single(40)), urgent)
 			row := acceptedRow(w, jobID(1))
-			owner.Process.Post(func() { owner.TakeAnnounced(row) })
+			owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 			w.Run(evacuationElapsed + time.Second)
 			w.Store.FeedsSilent, w.Store.ScansSilent = false, false
 			w.Run(25 * time.Second)
 			return w
 		}
-		requireInvariantsNeed(t, runScenario, pool.Without{EvacuationAge: true, Confirmation: true})
+		requireInvariantsNeed(t, runScenario, pool.DisabledSafeguards{EvacuationAge: true, Confirmation: true})
 	})
 	t.Run("new owner", func(t *testing.T) {
-		w, owner, zone := newEvacuatedCluster(pool.Without{})
+		w, owner, zone := newEvacuatedCluster(pool.DisabledSafeguards{})
 		w.Run(evacuationElapsed)
 		owner.Process.Kill()
 		w.Store.ScansSilent = true
@@ -166,9 +166,9 @@
 // TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile checks that a placement is not started if its
 // zone is evacuated while its row is being written.
 func TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile(t *testing.T) {
-	runScenario := func(without pool.Without) *simulation.World {
+	runScenario := func(without pool.DisabledSafeguards) *simulation.World {
 		w := simulation.NewWorld(2, 3)
-		w.Bounds.Evacuation = 2 * time.Second
+		w.Bounds.EvacuationTimeout = 2 * time.Second
 		w.Without = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 		w.Own()
@@ -182,14 +182,14 @@
 		w.Run(20 * time.Second)
 		return w
 	}
-	requireInvariantsNeed(t, runScenario, pool.Without{StartZones: true})
+	requireInvariantsNeed(t, runScenario, pool.DisabledSafeguards{ZoneRecheckAtStart: true})
 }
 
 // TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone checks that an unanswered start is not sent
 // again after its zone was evacuated.
 func TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
 	w := simulation.NewWorld(2, 1)
-	w.Bounds.Evacuation = 2 * time.Second
+	w.Bounds.EvacuationTimeout = 2 * time.Second
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	w.Own()
 	w.Run(time.Second)
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -28,7 +28,7 @@
 
 // exploring reports whether enough workers are too slow for urgent units.
 func (p *Pool) exploring(now time.Time) bool {
-	if p.options.Off[mechanism.LearnedSpeeds] {
+	if p.options.DisabledMechanisms[mechanism.LearnedSpeeds] {
 		return false
 	}
 	p.currentMedianLogRunTime(now)
--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -19,7 +19,7 @@
 	for seed := range uint64(faultSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			w, jobs := randomFaults(seed, pool.Without{})
+			w, jobs := randomFaults(seed, pool.DisabledSafeguards{})
 			requireInvariants(t, w)
 			for n := range jobs {
 				require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "job %d", n)
@@ -31,9 +31,9 @@
 // TestCheckerDetectsDisabledSafeguards disables one safeguard at a time: at least one of the seeds
 // that pass with all of them must then violate an invariant.
 func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
-	cases := map[string]pool.Without{
-		"lease wait":     {LeaseWait: true},
-		"end rows":       {EndRows: true},
+	cases := map[string]pool.DisabledSafeguards{
+		"lease wait":     {LeaseExpiryWait: true},
+		"end rows":       {PersistEndsBeforeAcknowledging: true},
 		"head condition": {HeadCondition: true},
 	}
 	for name, without := range cases {
@@ -51,7 +51,7 @@
 }
 
 // takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
-func takeoverDuringStop(without pool.Without) *simulation.World {
+func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.World {
 	w := simulation.NewWorld(1, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
@@ -73,7 +73,7 @@
 // TestTakeoverDuringStop: a new owner must not take a run that is being stopped for one that
 // was never started.
 func TestTakeoverDuringStop(t *testing.T) {
-	requireInvariantsNeed(t, takeoverDuringStop, pool.Without{StopWait: true})
+	requireInvariantsNeed(t, takeoverDuringStop, pool.DisabledSafeguards{StopConfirmation: true})
 }
 
 // changeWorkerSpeed stalls, resumes or changes the speed of a random worker, or does nothing.
@@ -94,7 +94,7 @@
 
 // randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
 // It returns the simulation and its number of jobs.
-func randomFaults(seed uint64, without pool.Without) (*simulation.World, int) {
+func randomFaults(seed uint64, without pool.DisabledSafeguards) (*simulation.World, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := simulation.NewWorld(2, 5)
 	w.Without = without
@@ -142,10 +142,10 @@
 		case 3:
 			w.Store.AwayAll = !w.Store.AwayAll
 		case 4:
-			part := pool.ProgressParts(simulation.PoolName)[random.IntN(3)]
+			part := pool.ProgressPartitions(simulation.PoolName)[random.IntN(3)]
 			w.Store.Away[part] = !w.Store.Away[part]
 		case 5:
-			part := pool.ProgressParts(simulation.PoolName)[random.IntN(3)]
+			part := pool.ProgressPartitions(simulation.PoolName)[random.IntN(3)]
 			w.Store.Silent[part] = !w.Store.Silent[part]
 		case 6:
 			owner.Process.Post(owner.Release)
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -21,7 +21,7 @@
 	w.members = nil
 	var kept []*member
 	for _, m := range all {
-		if m.endedWithIncarnation(sentAt, p.options.Without) && !listed[runID{task: m.name(), run: m.unit.run}] {
+		if m.endedWithIncarnation(sentAt, p.options.DisabledSafeguards) && !listed[runID{task: m.name(), run: m.unit.run}] {
 			w.members = append(w.members, m)
 		} else {
 			kept = append(kept, m)
@@ -36,7 +36,7 @@
 // this owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner
 // is fenced there by the request. A run that is being stopped is missing from reports, so it counts
 // as ended only if an earlier owner had it confirmed in the former incarnation.
-func (m *member) endedWithIncarnation(sentAt time.Time, without Without) bool {
+func (m *member) endedWithIncarnation(sentAt time.Time, without DisabledSafeguards) bool {
 	switch m.state {
 	case memberNone:
 		return true
@@ -44,7 +44,7 @@
 		return m.confirmedBefore
 	case memberRunning:
 		open := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
-		return (!open || without.OpenStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
+		return (!open || without.UnansweredStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
 	}
 	return false
 }
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -38,7 +38,7 @@
 		f.Add([]byte(damaged))
 	}
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		key := rows.Key{Table: pool.ProgressTable, Part: pool.ProgressParts(simulation.PoolName)[0], Name: jobID(1)}
+		key := rows.Key{Table: pool.ProgressTable, Part: pool.ProgressPartitions(simulation.PoolName)[0], Name: jobID(1)}
 		takeOverWithRow(key, value)
 	})
 }
@@ -51,7 +51,7 @@
 			t.Skip("20,000 tasks that ask for nothing take 6 s on two workers")
 		}
 		// The simulation does not know the job, so the workers must not start it.
-		takeOverWithRow(pool.AcceptedKey(pool.JobParts(simulation.PoolName, jobID(3))[0], jobID(3)), value)
+		takeOverWithRow(pool.AcceptedKey(pool.JobPartitions(simulation.PoolName, jobID(3))[0], jobID(3)), value)
 	})
 }
 
@@ -70,6 +70,6 @@
 func FuzzHeadRow(f *testing.F) {
 	f.Add([]byte(`{"token":1,"nonce":"n","durations":{"q":{}}}`))
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		takeOverWithRow(rows.Key{Table: pool.ProgressTable, Part: pool.ProgressParts(simulation.PoolName)[0], Name: "!head"}, value)
+		takeOverWithRow(rows.Key{Table: pool.ProgressTable, Part: pool.ProgressPartitions(simulation.PoolName)[0], Name: "!head"}, value)
 	})
 }
--- a/internal/pool/hedging.go
+++ b/internal/pool/hedging.go
@@ -19,8 +19,8 @@
 // hedgeDelay returns the time without a response after which a command is sent again.
 func (p *Pool) hedgeDelay() time.Duration {
 	delay := max(minHedgeDelay, hedgeDelayRatio*p.orderLatency)
-	if p.options.Late != nil {
-		delay += p.options.Late()
+	if p.options.SchedulingDelay != nil {
+		delay += p.options.SchedulingDelay()
 	}
 	return delay
 }
--- a/internal/pool/incarnations.go
+++ b/internal/pool/incarnations.go
@@ -40,7 +40,7 @@
 // compareIncarnation compares a reported start time with that of the known incarnation.
 func (p *Pool) compareIncarnation(w *worker, born int64) incarnationOrder {
 	switch {
-	case p.options.Without.Lives, w.Born == 0, born == 0, born == w.Born:
+	case p.options.DisabledSafeguards.Incarnations, w.Born == 0, born == 0, born == w.Born:
 		return sameIncarnation
 	case born > w.Born:
 		return laterIncarnation
@@ -81,9 +81,9 @@
 		// The row may name an incarnation later than the one that answered.
 		replacement.Born = reply.Born
 	}
-	if !p.options.Without.NextLifeLease {
+	if !p.options.DisabledSafeguards.RestartLease {
 		// Orders addressed to the former incarnation carried lease deadlines on its clock.
-		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxHold.Milliseconds()
+		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxLease.Milliseconds()
 	}
 	p.handlePollReply(replacement, reply, sentAt)
 }
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -18,7 +18,7 @@
 
 // newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and
 // its owner. Tasks take two seconds.
-func newWorldWithOneWorker(without pool.Without) (*simulation.World, *simulation.Owner) {
+func newWorldWithOneWorker(without pool.DisabledSafeguards) (*simulation.World, *simulation.Owner) {
 	w := simulation.NewWorld(1, 1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -30,7 +30,7 @@
 // restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
 // sent before the restart reach the next incarnation, where they fail at once with lower numbers
 // than the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
-func restartWithUnwrittenEnds(without pool.Without, holdsLost bool) *simulation.World {
+func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.World {
 	w, _ := newWorldWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(1990 * time.Millisecond)
@@ -64,13 +64,13 @@
 func TestEndAcknowledgementsDoNotCrossRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
-		without   pool.Without
+		without   pool.DisabledSafeguards
 	}{
-		"restart known":   {without: pool.Without{Lives: true}},
-		"restart unknown": {holdsLost: true, without: pool.Without{FreshAccount: true}},
+		"restart known":   {without: pool.DisabledSafeguards{Incarnations: true}},
+		"restart unknown": {holdsLost: true, without: pool.DisabledSafeguards{FreshReport: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireInvariants(t, restartWithUnwrittenEnds(pool.Without{}, c.holdsLost))
+			requireInvariants(t, restartWithUnwrittenEnds(pool.DisabledSafeguards{}, c.holdsLost))
 			require.NotEmpty(t, restartWithUnwrittenEnds(c.without, c.holdsLost).Judge.Broken, "without the mechanism")
 		})
 	}
@@ -79,7 +79,7 @@
 // TestLateStartIsBlockedAfterRestart: the first copy of a start arrives late and reaches
 // the worker after a restart, although the second copy was answered before it.
 func TestLateStartIsBlockedAfterRestart(t *testing.T) {
-	simulate := func(without pool.Without) *simulation.World {
+	simulate := func(without pool.DisabledSafeguards) *simulation.World {
 		w := simulation.NewWorld(1, 2)
 		w.Without = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
@@ -103,15 +103,15 @@
 		w.Run(40 * time.Second)
 		return w
 	}
-	requireInvariantsNeed(t, simulate, pool.Without{OpenStarts: true})
+	requireInvariantsNeed(t, simulate, pool.DisabledSafeguards{UnansweredStarts: true})
 }
 
 // leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
 // deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
 // first report.
-func leaseAfterRestart(without pool.Without) *simulation.World {
+func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.World {
 	w := simulation.NewWorld(1, 2)
-	w.Bounds.MaxHold = 10 * time.Second
+	w.Bounds.MaxLease = 10 * time.Second
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
@@ -124,7 +124,7 @@
 	w.Run(100 * time.Millisecond)
 	w.Submit(spec(1, single(1)), batch)
 	row := acceptedRow(w, jobID(1))
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	for w.Judge.Decisions["worker restarted"] == 0 {
 		w.Run(time.Millisecond / 2)
 	}
@@ -135,19 +135,19 @@
 }
 
 func TestLeaseAfterRestartIsWaitedOut(t *testing.T) {
-	requireInvariantsNeed(t, leaseAfterRestart, pool.Without{NextLifeLease: true})
+	requireInvariantsNeed(t, leaseAfterRestart, pool.DisabledSafeguards{RestartLease: true})
 }
 
 // TestRunAfterRestartSurvivesTakeover: the worker restarts while a placement on it is being
 // written, the start reaches the next incarnation, and the owner is killed. The progress row names
 // the former incarnation.
 func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
-	w, owner := newWorldWithOneWorker(pool.Without{})
+	w, owner := newWorldWithOneWorker(pool.DisabledSafeguards{})
 	w.Store.FeedsSilent = true
 	w.Store.Latency = 400 * time.Millisecond
 	w.Submit(spec(1, single(2)), batch)
 	row := acceptedRow(w, jobID(1))
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(100 * time.Millisecond)
 	w.Workers[0].Restart(50*time.Millisecond, 0)
 	w.Run(500 * time.Millisecond)
@@ -175,7 +175,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, owner := newWorldWithOneWorker(pool.Without{})
+			w, owner := newWorldWithOneWorker(pool.DisabledSafeguards{})
 			w.Submit(spec(1, single(4)), batch)
 			w.Run(time.Second)
 			if c.killBefore {
@@ -200,7 +200,7 @@
 // TestRestartIsKnownAtOnce: runs that ended with a restart are placed again without waiting for the
 // lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
-	w, _ := newWorldWithOneWorker(pool.Without{})
+	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(time.Second)
 	w.Workers[0].Restart(500*time.Millisecond, 0)
@@ -213,7 +213,7 @@
 // TestStaleRowOfFormerIncarnationIsIgnored: a row of the former incarnation arrives after a row of
 // the next one.
 func TestStaleRowOfFormerIncarnationIsIgnored(t *testing.T) {
-	w, _ := newWorldWithOneWorker(pool.Without{})
+	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
 	former := w.Workers[0]
 	former.Restart(100*time.Millisecond, 0)
 	w.Run(time.Second)
@@ -233,7 +233,7 @@
 // TestFalseRowOfLaterIncarnationStopsNothing: a row names an incarnation that does not exist. Runs
 // continue, and nothing new is placed on the worker until a correct row is back.
 func TestFalseRowOfLaterIncarnationStopsNothing(t *testing.T) {
-	w, _ := newWorldWithOneWorker(pool.Without{})
+	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
 	requireRunsSurviveInvalidRow(t, w, func() {
 		falseRow := *w.Workers[0]
 		falseRow.Born += 3_600_000
@@ -365,7 +365,7 @@
 func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := newWorldWithOneWorker(pool.Without{})
+			w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
 			if busy {
 				w.Submit(spec(1, single(2)), batch)
 			}
@@ -415,7 +415,7 @@
 	step.GPUs, step.CPU, step.MaxPerWorker = 4, 4000, 1
 	w.Submit(spec(1, step), batch)
 	row := acceptedRow(w, jobID(1))
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	for range 200 {
 		if w.Judge.Decisions["stopped"] > 0 {
 			break
--- a/internal/pool/invalid_worker_rows_test.go
+++ b/internal/pool/invalid_worker_rows_test.go
@@ -36,7 +36,7 @@
 func TestRunsSurviveInvalidWorkerRow(t *testing.T) {
 	for name, value := range map[string]string{"no JSON document": "{", "null": "null", "another service": `{"ID":"w-0-0","Pool":"other","Address":"w-0-0"}`} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := newWorldWithOneWorker(pool.Without{})
+			w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
 			w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 			requireRunsSurviveInvalidRow(t, w, func() { w.PutForeignRow(w.Workers[0].ID, []byte(value)) })
 		})
--- a/internal/pool/job_announcement.go
+++ b/internal/pool/job_announcement.go
@@ -2,12 +2,12 @@
 
 import "github.com/wheatroad/wheatroad/internal/rows"
 
-// TakeAnnounced applies the row of an accepted job as announced by the node that wrote it,
+// HandleJobAnnouncement applies the row of an accepted job as announced by the node that wrote it,
 // ahead of the change feed, which may stall for seconds while the store still accepts writes.
 //
 // Rows at or below the feed's version are ignored: the feed has delivered them already, and
 // a job whose rows have been removed since would run again.
-func (p *Pool) TakeAnnounced(row rows.Row) {
+func (p *Pool) HandleJobAnnouncement(row rows.Row) {
 	if p.closed || !p.loaded || row.Version <= p.jobsVersion {
 		return
 	}
--- a/internal/pool/job_announcement_test.go
+++ b/internal/pool/job_announcement_test.go
@@ -17,7 +17,7 @@
 
 // acceptedRow returns the stored row of an accepted job.
 func acceptedRow(w *simulation.World, id string) rows.Row {
-	part := pool.JobParts(simulation.PoolName, id)[0]
+	part := pool.JobPartitions(simulation.PoolName, id)[0]
 	return w.Store.List(pool.JobTable, part, id).Rows[0]
 }
 
@@ -30,10 +30,10 @@
 	w.Run(100 * time.Millisecond)
 	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 	row := acceptedRow(w, jobID(1))
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(100 * time.Millisecond)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Store.FeedsSilent = false
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
@@ -49,7 +49,7 @@
 	row := acceptedRow(w, jobID(1))
 	w.Run(5 * time.Minute)
 	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "removed")
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -45,7 +45,7 @@
 func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
 	w, _ := newWorldWithLongTask()
 	busy := busyWorker(w)
-	for _, part := range pool.ProgressParts(simulation.PoolName) {
+	for _, part := range pool.ProgressPartitions(simulation.PoolName) {
 		w.Store.Silent[part] = true
 	}
 	w.Own()
@@ -62,7 +62,7 @@
 
 // delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
 // the worker list.
-func delaySuccessorRead(without pool.Without) *simulation.World {
+func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.World {
 	w, _ := newWorldWithLongTask()
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
@@ -85,7 +85,7 @@
 // TestLeaseWaitBehindABusyOwner is the same case with a former owner whose own writes confirm that
 // it has not been replaced.
 func TestLeaseWaitBehindABusyOwner(t *testing.T) {
-	requireInvariantsNeed(t, delaySuccessorRead, pool.Without{ClaimWait: true})
+	requireInvariantsNeed(t, delaySuccessorRead, pool.DisabledSafeguards{FormerOwnerLeaseWait: true})
 }
 
 // pauseFunc stops a process for a while in one of several ways.
@@ -103,7 +103,7 @@
 
 // replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
 // one that cannot reach the worker of the run.
-func replaceCutOffOwner(stop pauseFunc, without pool.Without, steadyTime bool) *simulation.World {
+func replaceCutOffOwner(stop pauseFunc, without pool.DisabledSafeguards, steadyTime bool) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	w.Without, w.SteadyTime = without, steadyTime
 	former := startLongTask(w)
@@ -125,22 +125,22 @@
 func TestReplacedOwnerDoesNotExtendLeases(t *testing.T) {
 	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
-			requireInvariantsNeed(t, func(without pool.Without) *simulation.World {
+			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.World {
 				return replaceCutOffOwner(stop, without, false)
-			}, pool.Without{Confirmation: true})
+			}, pool.DisabledSafeguards{Confirmation: true})
 		})
 	}
 	briefly := func(w *simulation.World, owner *simulation.Owner, _ time.Duration) { suspend(w, owner, 2*time.Second) }
-	requireInvariants(t, replaceCutOffOwner(briefly, pool.Without{}, false))
-	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.Without{}, true).Judge.Broken, "with the steady clock")
+	requireInvariants(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, false))
+	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, true).Judge.Broken, "with the steady clock")
 }
 
 // pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
 // by one that cannot reach the worker.
-func pauseBeforeStart(stop pauseFunc, without pool.Without) *simulation.World {
+func pauseBeforeStart(stop pauseFunc, without pool.DisabledSafeguards) *simulation.World {
 	w := simulation.NewWorld(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
-	w.Bounds.Evacuation = 0
+	w.Bounds.EvacuationTimeout = 0
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	former := w.Own()
@@ -169,9 +169,9 @@
 func TestStartIsNotSentLongAfterItsRow(t *testing.T) {
 	for name, stop := range map[string]pauseFunc{"frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
-			requireInvariantsNeed(t, func(without pool.Without) *simulation.World {
+			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.World {
 				return pauseBeforeStart(stop, without)
-			}, pool.Without{Confirmation: true})
+			}, pool.DisabledSafeguards{Confirmation: true})
 		})
 	}
 }
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -23,17 +23,17 @@
 // leasesExpired reports whether all leases of the worker have certainly expired.
 func (p *Pool) leasesExpired(w *worker) bool {
 	deadline := w.deadline
-	if p.options.Without.LeaseWait {
+	if p.options.DisabledSafeguards.LeaseExpiryWait {
 		return true
 	}
 	if deadline == 0 {
 		// This owner granted no lease. The former owner may have granted some until this one had
 		// fenced the progress partitions.
 		since := w.clockAt
-		if p.progressFencedAt.After(since) && !p.options.Without.ClaimWait {
+		if p.progressFencedAt.After(since) && !p.options.DisabledSafeguards.FormerOwnerLeaseWait {
 			since = p.progressFencedAt
 		}
-		return p.loop.Now().Sub(since) > time.Duration(float64(p.options.Bounds.MaxHold)*(1+clockDrift))+leaseExpiryMargin
+		return p.loop.Now().Sub(since) > time.Duration(float64(p.options.Bounds.MaxLease)*(1+clockDrift))+leaseExpiryMargin
 	}
 	return w.estimatedClock(p.loop.Now()) > deadline+leaseExpiryMargin.Milliseconds()
 }
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -99,7 +99,7 @@
 
 func (p *Pool) removeJobRows(id string) {
 	p.removingExpiredJob = true
-	parts := JobParts(p.options.Pool, id)
+	parts := JobPartitions(p.options.Pool, id)
 	pending, failed := len(parts), false
 	for _, part := range parts {
 		removes := []rows.Key{AcceptedKey(part, id), CancelledKey(part, id)}
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -68,7 +68,7 @@
 // failPoisonJob fails the unit's job if one of its tasks crashes the workers that run it, since
 // each further start would crash another worker. It returns true if it failed the job.
 func (p *Pool) failPoisonJob(u *unit) bool {
-	if p.options.Without.LossRecords || u.job.pendingState.Final() {
+	if p.options.DisabledSafeguards.LossRecords || u.job.pendingState.Final() {
 		return false
 	}
 	for _, m := range u.suspects() {
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -99,7 +99,7 @@
 	w.Run(5 * time.Second)
 	w.Submit(spec(1, single(3)), urgent)
 	row := acceptedRow(w, jobID(1))
-	owner.Process.Post(func() { owner.TakeAnnounced(row) })
+	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(8 * time.Second)
 	w.Store.FeedsSilent = false
 	w.AddWorker("fresh", "r-9")
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -12,23 +12,23 @@
 
 // Bounds are limits that the platform sets.
 type Bounds struct {
-	// MaxHold is the longest lease of the runs on a worker.
-	MaxHold time.Duration
+	// MaxLease is the longest lease of the runs on a worker.
+	MaxLease time.Duration
 	// StopTimeout is the longest time that a stop takes.
 	StopTimeout time.Duration
 	// GangTimeout is how long members of a gang wait for the others.
 	GangTimeout time.Duration
-	// Reclaim is the time within which a job with guaranteed capacity must start.
-	Reclaim time.Duration
+	// GuaranteedStartTimeout is the time within which a job with guaranteed capacity must start.
+	GuaranteedStartTimeout time.Duration
 	// CheckpointInterval is the running time between two checkpoints.
 	CheckpointInterval time.Duration
 	// StatusRetention is how long the state of an ended job must stay readable.
 	StatusRetention time.Duration
-	// Evacuation is the delay after the acknowledgement of a zone's evacuation from which no
+	// EvacuationTimeout is the delay after the acknowledgement of a zone's evacuation from which no
 	// run may start there; 0 for no limit.
-	Evacuation time.Duration
-	// RemoteFactor is the slowdown of a step outside its preferred rack.
-	RemoteFactor float64
+	EvacuationTimeout time.Duration
+	// CrossRackSlowdown is the slowdown of a step outside its preferred rack.
+	CrossRackSlowdown float64
 }
 
 // Options configure a pool's owner.
@@ -43,52 +43,52 @@
 	Bounds Bounds
 	// Catalog returns the current configuration.
 	Catalog func() *catalog.Catalog
-	// Evacuated returns the evacuated zones known to the node; nil if it tracks none.
-	Evacuated func() evacuation.Set
-	// Off disables parts of the scheduling policy, for measurements.
-	Off mechanism.Off
-	// Without disables safeguards, for tests that show what they prevent.
-	Without Without
-	// Late returns the current delay of this process, which is added to timeouts and deadlines
+	// EvacuatedZones returns the evacuated zones known to the node; nil if it tracks none.
+	EvacuatedZones func() evacuation.Set
+	// DisabledMechanisms disables parts of the scheduling policy, for measurements.
+	DisabledMechanisms mechanism.Off
+	// DisabledSafeguards disables safeguards, for tests that show what they prevent.
+	DisabledSafeguards DisabledSafeguards
+	// SchedulingDelay returns the current delay of this process, which is added to timeouts and deadlines
 	// of orders; nil means no delay.
-	Late func() time.Duration
-	// Ended is called once the node is no longer the owner.
-	Ended func(reason string)
+	SchedulingDelay func() time.Duration
+	// OnOwnershipEnded is called once the node is no longer the owner.
+	OnOwnershipEnded func(reason string)
 }
 
-// Without selects safeguards to disable. Each comment says what happens without it.
-type Without struct {
-	// StopWait: a run that a contacted worker does not report counts as ended immediately.
-	StopWait bool
-	// LeaseWait: runs on an unresponsive worker count as ended immediately.
-	LeaseWait bool
-	// EndRows: run results are acknowledged before they are persisted.
-	EndRows bool
+// DisabledSafeguards selects safeguards to disable. Each comment says what happens without it.
+type DisabledSafeguards struct {
+	// StopConfirmation: a run that a contacted worker does not report counts as ended immediately.
+	StopConfirmation bool
+	// LeaseExpiryWait: runs on an unresponsive worker count as ended immediately.
+	LeaseExpiryWait bool
+	// PersistEndsBeforeAcknowledging: run results are acknowledged before they are persisted.
+	PersistEndsBeforeAcknowledging bool
 	// HeadCondition: writes are not conditional on this owner's head row.
 	HeadCondition bool
 	// Confirmation: leases are extended even if the owner may have been replaced.
 	Confirmation bool
-	// ClaimWait: the wait for former owners' leases begins when the workers are read, not
+	// FormerOwnerLeaseWait: the wait for former owners' leases begins when the workers are read, not
 	// when the progress partitions are fenced.
-	ClaimWait bool
-	// AccountAge: starts on workers that do not enforce their capacity rely on capacities of
+	FormerOwnerLeaseWait bool
+	// CapacityAge: starts on workers that do not enforce their capacity rely on capacities of
 	// any age.
-	AccountAge bool
+	CapacityAge bool
 	// Evacuations: evacuated zones are used like others.
 	Evacuations bool
 	// EvacuationAge: starts rely on knowledge of evacuated zones of any age.
 	EvacuationAge bool
-	// StartZones: a placement is started even if its zone was evacuated during the write.
-	StartZones bool
-	// Lives: the incarnations of a worker are not distinguished.
-	Lives bool
-	// NextLifeLease: orders meant for a worker's former incarnation do not count as leases in
+	// ZoneRecheckAtStart: a placement is started even if its zone was evacuated during the write.
+	ZoneRecheckAtStart bool
+	// Incarnations: the incarnations of a worker are not distinguished.
+	Incarnations bool
+	// RestartLease: orders meant for a worker's former incarnation do not count as leases in
 	// the next one.
-	NextLifeLease bool
-	// OpenStarts: unanswered starts are assumed not to reach a worker's next incarnation.
-	OpenStarts bool
-	// FreshAccount: run results are acknowledged however old the worker's last report is.
-	FreshAccount bool
+	RestartLease bool
+	// UnansweredStarts: unanswered starts are assumed not to reach a worker's next incarnation.
+	UnansweredStarts bool
+	// FreshReport: run results are acknowledged however old the worker's last report is.
+	FreshReport bool
 	// LossRecords: jobs are not failed for crashing workers.
 	LossRecords bool
 }
--- a/internal/pool/ownership_confirmation.go
+++ b/internal/pool/ownership_confirmation.go
@@ -11,11 +11,11 @@
 // too.
 const ownershipCheckInterval = time.Second
 
-// Confirm records that this owner held the pool at a given time. Leases of runs may extend at
+// ConfirmOwnership records that this owner held the pool at a given time. Leases of runs may extend at
 // most MaxHold beyond it, which is how long a successor waits for workers that it cannot reach.
 // Otherwise an owner that was replaced while partitioned or suspended could keep runs alive
 // that its successor has started elsewhere.
-func (p *Pool) Confirm(at time.Time) {
+func (p *Pool) ConfirmOwnership(at time.Time) {
 	if at.After(p.ownershipConfirmedAt) {
 		p.ownershipConfirmedAt = at
 	}
@@ -23,15 +23,15 @@
 
 // remainingLease returns the longest lease that may be granted now.
 func (p *Pool) remainingLease(now time.Time) time.Duration {
-	if p.options.Without.Confirmation {
-		return p.options.Bounds.MaxHold
+	if p.options.DisabledSafeguards.Confirmation {
+		return p.options.Bounds.MaxLease
 	}
-	return p.ownershipConfirmedAt.Add(p.options.Bounds.MaxHold).Sub(now)
+	return p.ownershipConfirmedAt.Add(p.options.Bounds.MaxLease).Sub(now)
 }
 
 // canStartWithinLease reports whether the remaining lease is long enough to start a run.
 func (p *Pool) canStartWithinLease(now time.Time) bool {
-	return p.remainingLease(now) >= min(startTimeout, p.options.Bounds.MaxHold/2)
+	return p.remainingLease(now) >= min(startTimeout, p.options.Bounds.MaxLease/2)
 }
 
 // checkOwnership reads the lease row if the last confirmation of ownership is older than
@@ -54,6 +54,6 @@
 				return
 			}
 		}
-		p.Confirm(askedAt)
+		p.ConfirmOwnership(askedAt)
 	})
 }
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -24,10 +24,10 @@
 	}
 	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Hold{Token: p.token, LastSeen: w.endAcks.acknowledgeable(now, p.options.Without)}
+	order := fleet.Hold{Token: p.token, LastSeen: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
 	if w.contacted && w.unansweredCalls == 0 {
 		order.Wait = p.pollWaitFor(w, order.LastSeen)
-		if extension := min(leaseDuration, p.options.Bounds.MaxHold, p.remainingLease(now)); extension > 0 {
+		if extension := min(leaseDuration, p.options.Bounds.MaxLease, p.remainingLease(now)); extension > 0 {
 			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
 			w.deadline = max(w.deadline, order.DeadlineMillis)
 		}
@@ -117,7 +117,7 @@
 	if jumped {
 		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
 		// identifies the incarnation; the answer to a start does not.
-		w.deadline = clock + p.options.Bounds.MaxHold.Milliseconds()
+		w.deadline = clock + p.options.Bounds.MaxLease.Milliseconds()
 		p.pollNow(w)
 	}
 	if w.unansweredCalls > 0 {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -137,8 +137,8 @@
 // Token returns the owner's fencing token.
 func (p *Pool) Token() int64 { return p.token }
 
-// StoreAge returns the time since the store's last response to this owner.
-func (p *Pool) StoreAge() time.Duration { return p.loop.Now().Sub(p.lastStoreAnswerAt) }
+// StoreAnswerAge returns the time since the store's last response to this owner.
+func (p *Pool) StoreAnswerAge() time.Duration { return p.loop.Now().Sub(p.lastStoreAnswerAt) }
 
 // recordStoreAnswer records a response of the store.
 func (p *Pool) recordStoreAnswer() {
@@ -149,9 +149,9 @@
 	p.lastStoreAnswerAt = now
 }
 
-// StoreBack retries pending store calls immediately. It is called when the store is available
+// StoreRecovered retries pending store calls immediately. It is called when the store is available
 // again.
-func (p *Pool) StoreBack() {
+func (p *Pool) StoreRecovered() {
 	if !p.closed {
 		p.storeRetries.Now()
 	}
@@ -169,7 +169,7 @@
 	p.closed = true
 	p.record.Count("takeovers", "lost")
 	p.record.Decided("pool lost", "pool", p.options.Pool, "token", p.token, "reason", reason)
-	p.options.Ended(reason)
+	p.options.OnOwnershipEnded(reason)
 }
 
 // tick runs the periodic checks.
@@ -203,8 +203,8 @@
 	return j.state, true
 }
 
-// Waiting returns the number of jobs by queue of which no task was placed yet.
-func (p *Pool) Waiting() map[string]int {
+// WaitingJobs returns the number of jobs by queue of which no task was placed yet.
+func (p *Pool) WaitingJobs() map[string]int {
 	counts := map[string]int{}
 	for _, j := range p.jobs {
 		if !j.placed && !j.pendingState.Final() {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -49,9 +49,9 @@
 
 // requireInvariantsNeed requires that a scenario holds all invariants and completes its first job,
 // and that it violates an invariant with the given safeguards disabled.
-func requireInvariantsNeed(t *testing.T, scenario func(pool.Without) *simulation.World, without pool.Without) {
+func requireInvariantsNeed(t *testing.T, scenario func(pool.DisabledSafeguards) *simulation.World, without pool.DisabledSafeguards) {
 	t.Helper()
-	w := scenario(pool.Without{})
+	w := scenario(pool.DisabledSafeguards{})
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.NotEmpty(t, scenario(without).Judge.Broken, "no invariant violated without the safeguard")
@@ -176,7 +176,7 @@
 	w := simulation.NewWorld(1, 3)
 	w.Own()
 	w.Run(time.Second)
-	w.Store.Away[pool.ProgressParts(simulation.PoolName)[0]] = true
+	w.Store.Away[pool.ProgressPartitions(simulation.PoolName)[0]] = true
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(3 * time.Second)
 	requireInvariants(t, w)
@@ -204,7 +204,7 @@
 	w := simulation.NewWorld(1, 2)
 	w.Own()
 	w.Run(time.Second)
-	w.Store.Silent[pool.ProgressParts(simulation.PoolName)[0]] = true
+	w.Store.Silent[pool.ProgressPartitions(simulation.PoolName)[0]] = true
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(700 * time.Millisecond)
 	require.Equal(t, 1, w.Judge.JobStarts(jobID(1)))
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -104,12 +104,12 @@
 		return true
 	}
 	slack := u.slack(s.now)
-	return !p.options.Off[mechanism.PressingGangs] && len(u.members) > 1 && slack > 0 && slack < time.Duration(preemptionSlackShare*float64(u.job.objective))
+	return !p.options.DisabledMechanisms[mechanism.PressingGangs] && len(u.members) > 1 && slack > 0 && slack < time.Duration(preemptionSlackShare*float64(u.job.objective))
 }
 
 // guaranteeDue reports whether the tenant's guarantee requires the unit to start now.
 func (p *Pool) guaranteeDue(s *snapshot, u *unit) bool {
-	latest := u.job.acceptedAt.Add(p.options.Bounds.Reclaim - p.options.Bounds.StopTimeout - guaranteeMargin)
+	latest := u.job.acceptedAt.Add(p.options.Bounds.GuaranteedStartTimeout - p.options.Bounds.StopTimeout - guaranteeMargin)
 	return s.now.After(latest.Add(-tickInterval)) && p.withinGuarantee(u.job)
 }
 
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -25,7 +25,7 @@
 }
 
 func (s *step) progress(number int) (stepProgress, bool) {
-	record := stepProgress{Time: number, Step: s.index, Complete: s.complete}
+	record := stepProgress{Repetition: number, Step: s.index, Complete: s.complete}
 	if s.complete || s.units == nil {
 		return record, s.complete
 	}
@@ -45,7 +45,7 @@
 // activeProgress returns the record of an ended job's units that may still run on workers without a
 // row, which the next owner could not find otherwise.
 func (s *step) activeProgress(number int) (stepProgress, bool) {
-	record := stepProgress{Time: number, Step: s.index}
+	record := stepProgress{Repetition: number, Step: s.index}
 	for _, u := range s.units {
 		if u.activeMembers() == 0 {
 			continue
@@ -90,10 +90,10 @@
 	if life.Born == 0 {
 		return
 	}
-	if r.Born == nil {
-		r.Born = make([]int64, len(r.Workers))
+	if r.WorkerStartMillis == nil {
+		r.WorkerStartMillis = make([]int64, len(r.Workers))
 	}
-	r.Born[member] = life.Born
+	r.WorkerStartMillis[member] = life.Born
 }
 
 func (r *unitProgress) setAddress(w *fleet.Worker) {
--- a/internal/pool/progress_batch.go
+++ b/internal/pool/progress_batch.go
@@ -73,7 +73,7 @@
 		Conditions: []rows.Condition{{Key: headKey(partition), Version: w.headVersions[part]}},
 		Puts:       []rows.Put{{Key: headKey(partition), Value: w.pool.encodeHead(strconv.Itoa(b.serial))}},
 	}
-	if w.pool.options.Without.HeadCondition {
+	if w.pool.options.DisabledSafeguards.HeadCondition {
 		transaction.Conditions = nil
 	}
 	for i, j := range b.jobs {
@@ -108,7 +108,7 @@
 			w.retry(b, err)
 		case result.Committed:
 			w.headVersions[part] = max(w.headVersions[part], result.Version)
-			w.pool.Confirm(sentAt)
+			w.pool.ConfirmOwnership(sentAt)
 			w.finish(b)
 		default:
 			w.conditionFailed(b, part, result)
--- a/internal/pool/progress_fencing.go
+++ b/internal/pool/progress_fencing.go
@@ -39,7 +39,7 @@
 		case w.pool.closed:
 		case err == nil && result.Committed:
 			w.headVersions[part] = result.Version
-			w.pool.Confirm(sentAt)
+			w.pool.ConfirmOwnership(sentAt)
 			done()
 		default:
 			w.pool.record.Count("retries", "claim")
--- a/internal/pool/progress_restore.go
+++ b/internal/pool/progress_restore.go
@@ -35,7 +35,7 @@
 func (p *Pool) restore(j *job, record Progress) {
 	for i := range record.Steps {
 		saved := &record.Steps[i]
-		t := j.repetitionAt(saved.Time)
+		t := j.repetitionAt(saved.Repetition)
 		if saved.Step >= len(t.steps) {
 			continue
 		}
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -96,7 +96,7 @@
 func (p *Progress) validFor(spec *taskgraph.Spec) bool {
 	for i := range p.Steps {
 		saved := &p.Steps[i]
-		if saved.Time < 0 || saved.Time >= spec.Times() || saved.Step < 0 || saved.Step >= len(spec.Steps) {
+		if saved.Repetition < 0 || saved.Repetition >= spec.Times() || saved.Step < 0 || saved.Step >= len(spec.Steps) {
 			return false
 		}
 		for k := range saved.Units {
@@ -115,9 +115,9 @@
 
 // stepProgress is the progress of one step of a repetition.
 type stepProgress struct {
-	Time     int  `json:"k,omitempty"`
-	Step     int  `json:"s"`
-	Complete bool `json:"c,omitempty"`
+	Repetition int  `json:"k,omitempty"`
+	Step       int  `json:"s"`
+	Complete   bool `json:"c,omitempty"`
 	// Ended is a bit set of the units that have finished.
 	Ended []byte         `json:"e,omitempty"`
 	Units []unitProgress `json:"u,omitempty"`
@@ -131,9 +131,9 @@
 	Checkpoint string `json:"p,omitempty"`
 	// Workers holds the worker of each member that may be running, and otherwise "".
 	Workers []string `json:"w,omitempty"`
-	// Born holds the start time of the worker incarnation in which each member may be running;
+	// WorkerStartMillis holds the start time of the worker incarnation in which each member may be running;
 	// nil if none is known, as in rows of older versions.
-	Born []int64 `json:"b,omitempty"`
+	WorkerStartMillis []int64 `json:"b,omitempty"`
 	// Confirmed is a bit set of the members whose run was confirmed by the worker. It is written
 	// with a delay, so the bit of a confirmed run may be missing.
 	Confirmed []byte `json:"n,omitempty"`
@@ -148,8 +148,8 @@
 // empty if there is none.
 func (r *unitProgress) incarnationOf(member int) fleet.Life {
 	life := fleet.Life{ID: r.Workers[member]}
-	if member < len(r.Born) {
-		life.Born = r.Born[member]
+	if member < len(r.WorkerStartMillis) {
+		life.Born = r.WorkerStartMillis[member]
 	}
 	return life
 }
@@ -172,8 +172,8 @@
 // unavailable, the row is written to the next. Rows in several partitions are the same job.
 const jobPartitionChoices = 3
 
-// JobParts returns the partitions that may hold a job's accepted row, in order of preference.
-func JobParts(pool, id string) []string {
+// JobPartitions returns the partitions that may hold a job's accepted row, in order of preference.
+func JobPartitions(pool, id string) []string {
 	first := int(xxhash.Sum64String(id) % jobPartitions)
 	parts := make([]string, jobPartitionChoices)
 	for i := range parts {
@@ -207,8 +207,8 @@
 	return rows.Key{Table: JobTable, Part: part, Name: id + cancelledSuffix}
 }
 
-// ProgressParts returns the partitions that may hold the progress of a pool's jobs.
-func ProgressParts(pool string) []string {
+// ProgressPartitions returns the partitions that may hold the progress of a pool's jobs.
+func ProgressPartitions(pool string) []string {
 	parts := make([]string, progressPartitions)
 	for i := range parts {
 		parts[i] = progressPartition(pool, i)
--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -86,13 +86,13 @@
 			m.recordUnexplainedLoss()
 			p.memberEnded(m, fleet.Stopped)
 		}
-	case m.stopAttempted && m.state == memberRunning && !p.options.Without.StopWait:
+	case m.stopAttempted && m.state == memberRunning && !p.options.DisabledSafeguards.StopConfirmation:
 		// The worker may be carrying out a stop whose answer was lost: a run that is being stopped
 		// is not listed but may still run. A run whose start was never confirmed may still arrive,
 		// and is gone only once a stop is answered.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
-	case m.state == memberUnconfirmed && m.sentAt.IsZero() && p.options.Without.StopWait:
+	case m.state == memberUnconfirmed && m.sentAt.IsZero() && p.options.DisabledSafeguards.StopConfirmation:
 		p.memberEnded(m, fleet.Lapsed)
 	case m.state == memberUnconfirmed && m.sentAt.IsZero():
 		// The worker has seen this owner's token, so a pending start of an earlier owner is fenced.
@@ -132,7 +132,7 @@
 		return
 	}
 	w.endAcks.writing = highest
-	if p.options.Without.EndRows {
+	if p.options.DisabledSafeguards.PersistEndsBeforeAcknowledging {
 		w.endAcks.markWritten(highest)
 	}
 	takenAt := p.loop.Now()
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -87,7 +87,7 @@
 		Closed:  zones.Contains(w.Zone),
 		Holders: reusedHolders(s.workers),
 	}
-	if !p.options.Without.Evacuations && (entry.Closed || !zonesKnown) {
+	if !p.options.DisabledSafeguards.Evacuations && (entry.Closed || !zonesKnown) {
 		entry.Usable = false
 	}
 	for _, m := range w.members {
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -151,12 +151,12 @@
 	if now.Before(w.gangsExcludedUntil) || w.cold(now) {
 		return true
 	}
-	return !p.options.Off[mechanism.LearnedSpeeds] && w.speed.Exceeds(p.currentMedianLogRunTime(now), slowRatio)
+	return !p.options.DisabledMechanisms[mechanism.LearnedSpeeds] && w.speed.Exceeds(p.currentMedianLogRunTime(now), slowRatio)
 }
 
 // speedKnown reports whether a worker's speed is known and learned speeds are in use.
 func (p *Pool) speedKnown(w *worker) bool {
-	return !p.options.Off[mechanism.LearnedSpeeds] && w.speed.Known()
+	return !p.options.DisabledMechanisms[mechanism.LearnedSpeeds] && w.speed.Known()
 }
 
 // maxSlowness returns the slowness of a unit's slowest worker, rounded to two decimals for logs.
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -83,10 +83,12 @@
 	if p.adaptiveStallTimeout() && m.percent == 0 {
 		return true
 	}
-	return !p.options.Off[mechanism.Laggards] && len(u.members) > 1 && m.reportedAt.Sub(u.runningSince) < minProjectionAge
+	return !p.options.DisabledMechanisms[mechanism.Laggards] && len(u.members) > 1 && m.reportedAt.Sub(u.runningSince) < minProjectionAge
 }
 
-func (p *Pool) adaptiveStallTimeout() bool { return !p.options.Off[mechanism.QuickStalls] }
+func (p *Pool) adaptiveStallTimeout() bool {
+	return !p.options.DisabledMechanisms[mechanism.QuickStalls]
+}
 
 // stalledFor returns for how long a run has been stalled according to its worker's reports; 0 if it
 // makes progress, may wait for other members of its gang, or has no reports yet.
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -10,11 +10,11 @@
 // RestartedWorker is a worker that restarted under the same identifier.
 type RestartedWorker struct {
 	Worker string `json:"worker"`
-	// Born is the start time of the present incarnation, in milliseconds of Unix time.
-	Born int64 `json:"born"`
-	// Times is the number of restarts since this owner first knew the worker.
-	Times int `json:"times"`
-	Runs  int `json:"runs"`
+	// StartMillis is the start time of the present incarnation, in milliseconds of Unix time.
+	StartMillis int64 `json:"born"`
+	// Restarts is the number of restarts since this owner first knew the worker.
+	Restarts int `json:"times"`
+	Runs     int `json:"runs"`
 }
 
 // maxRestartedWorkers limits the number of workers in Summary.Restarted.
@@ -31,17 +31,17 @@
 	Workers      int `json:"workers"`
 	// Unusable counts workers that get no new runs, Slow those slower than most, and Silent
 	// those with unanswered calls.
-	Unusable int `json:"unusable"`
-	Slow     int `json:"slow"`
-	Silent   int `json:"silent"`
-	Runs     int `json:"runs"`
+	Unusable     int `json:"unusable"`
+	Slow         int `json:"slow"`
+	Unresponsive int `json:"silent"`
+	Runs         int `json:"runs"`
 	// EvacuatedZones get no new runs, and RunsThere counts the runs that continue in them.
 	// EvacuationsMillis is the age of this information, and EvacuationsKnown is false if it is too
 	// old for starts.
-	EvacuatedZones    []string `json:"evacuated_zones"`
-	RunsThere         int      `json:"runs_in_evacuated_zones"`
-	EvacuationsMillis int64    `json:"evacuations_age_ms"`
-	EvacuationsKnown  bool     `json:"evacuations_known"`
+	EvacuatedZones       []string `json:"evacuated_zones"`
+	RunsInEvacuatedZones int      `json:"runs_in_evacuated_zones"`
+	EvacuationsAgeMillis int64    `json:"evacuations_age_ms"`
+	EvacuationsFresh     bool     `json:"evacuations_known"`
 	// WaitingForZones counts units that could be placed if no zone was evacuated.
 	WaitingForZones int `json:"waiting_for_evacuated_zones"`
 	// Suspects counts the waiting and running tasks and gangs that are suspected of crashing
@@ -51,10 +51,10 @@
 	// workers.
 	Restarted []RestartedWorker `json:"restarted"`
 	Restarts  int               `json:"restarts"`
-	// ForeignRows counts invalid worker rows.
-	ForeignRows int `json:"foreign_rows"`
-	// ConfirmedMillis is the time since the owner last was known to hold the pool.
-	ConfirmedMillis int64 `json:"confirmed_ms"`
+	// InvalidWorkerRows counts invalid worker rows.
+	InvalidWorkerRows int `json:"foreign_rows"`
+	// SinceOwnershipConfirmedMillis is the time since the owner last was known to hold the pool.
+	SinceOwnershipConfirmedMillis int64 `json:"confirmed_ms"`
 }
 
 // Summary returns the pool's current status.
@@ -64,10 +64,10 @@
 		summary.Jobs[j.pendingState]++
 	}
 	now := p.loop.Now()
-	summary.ConfirmedMillis = now.Sub(p.ownershipConfirmedAt).Milliseconds()
+	summary.SinceOwnershipConfirmedMillis = now.Sub(p.ownershipConfirmedAt).Milliseconds()
 	zones := p.evacuatedZones()
-	summary.EvacuatedZones, summary.EvacuationsKnown = zones.Zones(), p.evacuationsFresh(now)
-	summary.EvacuationsMillis, summary.RunsThere = now.Sub(zones.AsOf).Milliseconds(), p.runsInEvacuatedZones()
+	summary.EvacuatedZones, summary.EvacuationsFresh = zones.Zones(), p.evacuationsFresh(now)
+	summary.EvacuationsAgeMillis, summary.RunsInEvacuatedZones = now.Sub(zones.AsOf).Milliseconds(), p.runsInEvacuatedZones()
 	for u := range p.openUnits() {
 		if u.state == unitWaiting && u.lastWaitReason() == waitEvacuated {
 			summary.WaitingForZones++
@@ -76,7 +76,7 @@
 			summary.Suspects++
 		}
 	}
-	summary.ForeignRows = len(p.invalidRows.faults)
+	summary.InvalidWorkerRows = len(p.invalidRows.faults)
 	summary.addRestarted(p.sortedWorkers())
 	for _, w := range p.workers {
 		summary.Runs += len(w.members)
@@ -87,7 +87,7 @@
 			summary.Slow++
 		}
 		if w.unansweredCalls > 0 {
-			summary.Silent++
+			summary.Unresponsive++
 		}
 	}
 	return summary
@@ -98,9 +98,9 @@
 	for _, w := range workers {
 		if w.restarts > 0 {
 			s.Restarts += w.restarts
-			s.Restarted = append(s.Restarted, RestartedWorker{Worker: w.ID, Born: w.Born, Times: w.restarts, Runs: len(w.members)})
+			s.Restarted = append(s.Restarted, RestartedWorker{Worker: w.ID, StartMillis: w.Born, Restarts: w.restarts, Runs: len(w.members)})
 		}
 	}
-	slices.SortStableFunc(s.Restarted, func(a, b RestartedWorker) int { return cmp.Compare(b.Times, a.Times) })
+	slices.SortStableFunc(s.Restarted, func(a, b RestartedWorker) int { return cmp.Compare(b.Restarts, a.Restarts) })
 	s.Restarted = s.Restarted[:min(len(s.Restarted), maxRestartedWorkers)]
 }
--- a/internal/pool/unexpected_runs.go
+++ b/internal/pool/unexpected_runs.go
@@ -81,7 +81,7 @@
 // that do not enforce their capacity. Runs that the former owner was stopping at the first contact
 // are in no report; they end within the time of a stop.
 func (p *Pool) usageKnown(w *worker, now time.Time) bool {
-	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
+	if p.options.DisabledSafeguards.CapacityAge || p.workersEnforceCapacity() {
 		return true
 	}
 	return now.Sub(w.contactedAt) > p.options.Bounds.StopTimeout+stopMargin
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -51,7 +51,7 @@
 		for seed := *firstWorkerSeed; seed < *firstWorkerSeed+*workerSeeds; seed++ {
 			t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 				t.Parallel()
-				f := runWorkerFaults(uint64(seed), pool.Without{}, false)
+				f := runWorkerFaults(uint64(seed), pool.DisabledSafeguards{}, false)
 				requireInvariants(t, f.World)
 				soundHere, givenUpHere := f.countRegularJobs(t)
 				mutex.Lock()
@@ -76,13 +76,13 @@
 // seeds that pass with all of them must then violate an invariant.
 func TestCheckerDetectsDisabledWorkerSafeguards(t *testing.T) {
 	cases := map[string]struct {
-		without pool.Without
+		without pool.DisabledSafeguards
 		steady  bool
 	}{
-		"loss records": {without: pool.Without{LossRecords: true}},
-		"lease wait":   {without: pool.Without{LeaseWait: true}},
-		"end rows":     {without: pool.Without{EndRows: true}},
-		"evacuations":  {without: pool.Without{Evacuations: true}},
+		"loss records": {without: pool.DisabledSafeguards{LossRecords: true}},
+		"lease wait":   {without: pool.DisabledSafeguards{LeaseExpiryWait: true}},
+		"end rows":     {without: pool.DisabledSafeguards{PersistEndsBeforeAcknowledging: true}},
+		"evacuations":  {without: pool.DisabledSafeguards{Evacuations: true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -131,7 +131,7 @@
 	return sound, givenUp
 }
 
-func runWorkerFaults(seed uint64, without pool.Without, steady bool) *workerFaults {
+func runWorkerFaults(seed uint64, without pool.DisabledSafeguards, steady bool) *workerFaults {
 	return runWorkerFaultsWithMaxLease(seed, without, steady, 0)
 }
 
@@ -140,7 +140,7 @@
 	for seed := range uint64(*workerSeeds) / 3 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			f := runWorkerFaultsWithMaxLease(seed, pool.Without{}, false, 10*time.Second)
+			f := runWorkerFaultsWithMaxLease(seed, pool.DisabledSafeguards{}, false, 10*time.Second)
 			requireInvariants(t, f.World)
 			f.countRegularJobs(t)
 		})
@@ -149,7 +149,7 @@
 
 // runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the
 // jobs finish. A maxHold of 0 leaves the default maximum lease.
-func runWorkerFaultsWithMaxLease(seed uint64, without pool.Without, steady bool, maxHold time.Duration) *workerFaults {
+func runWorkerFaultsWithMaxLease(seed uint64, without pool.DisabledSafeguards, steady bool, maxHold time.Duration) *workerFaults {
 	f := &workerFaults{
 		World: simulation.NewWorld(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
 		invalidRows: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
@@ -158,7 +158,7 @@
 	f.Catalog.Pools[0].EnforcesCapacity = !f.Unguarded
 	f.LateOrdersOutliveWorkers = seed%3 == 0
 	if maxHold > 0 {
-		f.Bounds.MaxHold = maxHold
+		f.Bounds.MaxLease = maxHold
 	}
 	f.Work = func(taskgraph.TaskName) time.Duration { return f.between(500, 3500) }
 	f.Store.Lose = f.randomFate(0.03)
@@ -282,7 +282,7 @@
 	case 5:
 		f.Store.AwayAll = !f.Store.AwayAll
 	case 6:
-		part := pool.ProgressParts(simulation.PoolName)[f.random.IntN(3)]
+		part := pool.ProgressPartitions(simulation.PoolName)[f.random.IntN(3)]
 		f.Store.Silent[part] = !f.Store.Silent[part]
 	case 7:
 		f.owner.Process.Post(f.owner.Release)
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -216,7 +216,7 @@
 // checkZone reports a violation if a run starts in a zone after the evacuation bound. Faults are
 // no exception: owners that cannot read the rows start nothing, and workers refuse late orders.
 func (j *Judge) checkZone(r *run) {
-	if evacuatedFor := j.world.evacuatedFor(r.worker.Zone); evacuatedFor > j.world.Bounds.Evacuation {
+	if evacuatedFor := j.world.evacuatedFor(r.worker.Zone); evacuatedFor > j.world.Bounds.EvacuationTimeout {
 		j.violated("%v run %d starts on %s, whose zone was evacuated %v before", r.name, r.number, r.worker.ID, evacuatedFor)
 	}
 }
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -84,7 +84,7 @@
 		}, "have crashed under it"},
 		"in an evacuated zone": {func(w *World) {
 			w.Evacuate(w.Workers[0].Zone)
-			w.Run(w.Bounds.Evacuation + time.Millisecond)
+			w.Run(w.Bounds.EvacuationTimeout + time.Millisecond)
 			order := startOrder(0, 1)
 			order.DeadlineMillis = 60000
 			_, _ = w.Workers[0].start(order)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -26,7 +26,7 @@
 	Bounds  pool.Bounds
 	Catalog *catalog.Catalog
 	// Without is passed to every owner.
-	Without pool.Without
+	Without pool.DisabledSafeguards
 	// Work returns the duration of a task.
 	Work    func(taskgraph.TaskName) time.Duration
 	Workers []*Worker
@@ -80,9 +80,9 @@
 		OperatorTable: "operator", evacuatedAt: map[string]time.Time{},
 		Crashing: map[taskgraph.TaskName]Crash{},
 		Bounds: pool.Bounds{
-			MaxHold: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
-			Reclaim: 3 * time.Second, CheckpointInterval: time.Second, StatusRetention: 120 * time.Second, RemoteFactor: 3,
-			Evacuation: EvacuationBound,
+			MaxLease: 6 * time.Second, StopTimeout: 400 * time.Millisecond, GangTimeout: 3 * time.Second,
+			GuaranteedStartTimeout: 3 * time.Second, CheckpointInterval: time.Second, StatusRetention: 120 * time.Second, CrossRackSlowdown: 3,
+			EvacuationTimeout: EvacuationBound,
 		},
 		Catalog:     &catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: PoolName, EnforcesCapacity: true}}},
 		OrderDelay:  lateWriteDelay,
@@ -198,7 +198,7 @@
 	queue.Pool = PoolName
 	w.Expect(spec, queue)
 	accepted := pool.Accepted{Spec: spec, Tenant: "tenant", Queue: queue, AcceptedMillis: w.Clock.Now().UnixMilli()}
-	key := pool.AcceptedKey(pool.JobParts(PoolName, spec.ID)[0], spec.ID)
+	key := pool.AcceptedKey(pool.JobPartitions(PoolName, spec.ID)[0], spec.ID)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: pool.Encode(accepted)}}})
 }
 
@@ -213,7 +213,7 @@
 
 // Cancel writes the cancellation of a job to the store.
 func (w *World) Cancel(id string) {
-	key := pool.CancelledKey(pool.JobParts(PoolName, id)[0], id)
+	key := pool.CancelledKey(pool.JobPartitions(PoolName, id)[0], id)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: []byte("{}")}}})
 	w.Judge.cancelled(id)
 }
@@ -221,7 +221,7 @@
 // StoredState returns the state of a job in the store.
 func (w *World) StoredState(id string) taskgraph.State {
 	var newest pool.Progress
-	for _, part := range pool.ProgressParts(PoolName) {
+	for _, part := range pool.ProgressPartitions(PoolName) {
 		for _, row := range w.Store.List(pool.ProgressTable, part, id).Rows {
 			var record pool.Progress
 			if err := json.Unmarshal(row.Value, &record); err != nil {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if remote {
-		return w.Bounds.RemoteFactor
+		return w.Bounds.CrossRackSlowdown
 	}
 	return 1
 }
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -30,9 +30,9 @@
 	owner := &Owner{world: w, Process: emulator.NewProcess(w.Clock), CutFrom: map[string]bool{}}
 	owner.Process.SteadyTime = w.SteadyTime
 	options := pool.Options{
-		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, Without: w.Without, Off: w.Off,
-		Catalog: func() *catalog.Catalog { return w.Catalog },
-		Ended:   func(reason string) { owner.Ended = reason },
+		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, DisabledSafeguards: w.Without, DisabledMechanisms: w.Off,
+		Catalog:          func() *catalog.Catalog { return w.Catalog },
+		OnOwnershipEnded: func(reason string) { owner.Ended = reason },
 	}
 	result := w.Store.Apply(pool.Acquire(options, w.leaseVersion(), name))
 	w.ownerOf[result.Version] = owner
@@ -52,7 +52,7 @@
 		return
 	}
 	if w.Store.AwayAll && !owner.CutFromStore && w.leaseVersion() == owner.Token() {
-		owner.Process.Post(func() { owner.Confirm(w.Clock.Now()) })
+		owner.Process.Post(func() { owner.ConfirmOwnership(w.Clock.Now()) })
 	}
 	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -81,7 +81,7 @@
 		return
 	}
 	end := w.clockEpoch.Add(time.Duration(deadline) * time.Millisecond)
-	if limit := w.clock.Now().Add(w.world.Bounds.MaxHold); end.After(limit) {
+	if limit := w.clock.Now().Add(w.world.Bounds.MaxLease); end.After(limit) {
 		end = limit
 	}
 	if end.After(w.leaseEnd) {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -93,7 +93,7 @@
 	case StoreLossy:
 		begin, end = func() { world.Store.Lose = r.randomOutcomes(writeLoss) }, func() { world.Store.Lose = nil }
 	case PartUnavailable:
-		parts := append(pool.ProgressParts(simulation.PoolName), pool.JobParts(simulation.PoolName, strconv.Itoa(fault.Target))...)
+		parts := append(pool.ProgressPartitions(simulation.PoolName), pool.JobPartitions(simulation.PoolName, strconv.Itoa(fault.Target))...)
 		part := parts[fault.Target%len(parts)]
 		begin, end = func() { world.Store.Away[part] = true }, func() { delete(world.Store.Away, part) }
 	default:
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -131,9 +131,9 @@
 			Tenant: "tenant", Queue: catalog.Queue{Name: standin.QueueName, Pool: simulation.PoolName},
 			AcceptedMillis: time.Now().UnixMilli(),
 		}
-		part := pool.JobParts(simulation.PoolName, id)[0]
+		part := pool.JobPartitions(simulation.PoolName, id)[0]
 		world.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: pool.AcceptedKey(part, id), Value: pool.Encode(accepted)}}})
-		progressPart := pool.ProgressParts(simulation.PoolName)[0]
+		progressPart := pool.ProgressPartitions(simulation.PoolName)[0]
 		ended := pool.Progress{Token: 1, State: taskgraph.Completed, EndedMillis: time.Now().UnixMilli()}
 		world.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: pool.ProgressTable, Part: progressPart, Name: id}, Value: pool.Encode(ended)}}})
 	}
