--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -41,7 +41,7 @@
 
 // format describes the end of the run and identifies the worker process.
 func (e *runEnd) format(decision string) string {
-	life := fleet.Life{ID: e.Worker, Born: e.StartedAt}
+	life := fleet.Incarnation{ID: e.Worker, StartMillis: e.StartedAt}
 	result := e.Result
 	if result == "" {
 		result = strings.TrimPrefix(decision, "run ")
--- a/internal/fleet/failure.go
+++ b/internal/fleet/failure.go
@@ -10,10 +10,10 @@
 	Fenced Reason = "fenced"
 	// Superseded: a run with the same or a higher number has stopped or ended on the worker.
 	Superseded Reason = "superseded"
-	// Late: the order's deadline has passed.
-	Late Reason = "late"
-	// NoRoom: the worker lacks capacity for the task.
-	NoRoom Reason = "no_room"
+	// DeadlinePassed: the order's deadline has passed.
+	DeadlinePassed Reason = "late"
+	// InsufficientCapacity: the worker lacks capacity for the task.
+	InsufficientCapacity Reason = "no_room"
 	// Unhealthy: the worker is unhealthy and did not execute the order.
 	Unhealthy Reason = "unhealthy"
 	// OtherInstance: the address belongs to another worker instance.
@@ -22,12 +22,12 @@
 	Invalid Reason = "invalid"
 	// Unreachable: the order did not reach the worker and had no effect.
 	Unreachable Reason = "unreachable"
-	// NoAnswer: the order may have been executed, or may be later.
-	NoAnswer Reason = "no_answer"
+	// OutcomeUnknown: the order may have been executed, or may be later.
+	OutcomeUnknown Reason = "no_answer"
 )
 
-// Failure is the error of a failed order.
-type Failure struct {
+// OrderError is the error of a failed order.
+type OrderError struct {
 	Reason Reason
 	// cause is the underlying error, or nil.
 	cause error
@@ -35,22 +35,24 @@
 
 // Failures without a cause.
 var (
-	ErrFenced        = &Failure{Reason: Fenced}
-	ErrSuperseded    = &Failure{Reason: Superseded}
-	ErrLate          = &Failure{Reason: Late}
-	ErrNoRoom        = &Failure{Reason: NoRoom}
-	ErrUnhealthy     = &Failure{Reason: Unhealthy}
-	ErrOtherInstance = &Failure{Reason: OtherInstance}
-	ErrInvalid       = &Failure{Reason: Invalid}
-	ErrUnreachable   = &Failure{Reason: Unreachable}
-	ErrNoAnswer      = &Failure{Reason: NoAnswer}
+	ErrFenced               = &OrderError{Reason: Fenced}
+	ErrSuperseded           = &OrderError{Reason: Superseded}
+	ErrDeadlinePassed       = &OrderError{Reason: DeadlinePassed}
+	ErrInsufficientCapacity = &OrderError{Reason: InsufficientCapacity}
+	ErrUnhealthy            = &OrderError{Reason: Unhealthy}
+	ErrOtherInstance        = &OrderError{Reason: OtherInstance}
+	ErrInvalid              = &OrderError{Reason: Invalid}
+	ErrUnreachable          = &OrderError{Reason: Unreachable}
+	ErrOutcomeUnknown       = &OrderError{Reason: OutcomeUnknown}
 )
 
-// Fail returns a Failure with a cause.
-func Fail(reason Reason, cause error) *Failure { return &Failure{Reason: reason, cause: cause} }
+// NewOrderError returns a Failure with a cause.
+func NewOrderError(reason Reason, cause error) *OrderError {
+	return &OrderError{Reason: reason, cause: cause}
+}
 
 // Error implements error.
-func (f *Failure) Error() string {
+func (f *OrderError) Error() string {
 	if f.cause == nil {
 		return "order: " + string(f.Reason)
 	}
@@ -58,19 +60,19 @@
 }
 
 // Unwrap returns the underlying error.
-func (f *Failure) Unwrap() error { return f.cause }
+func (f *OrderError) Unwrap() error { return f.cause }
 
 // Is reports whether target is a Failure with the same reason.
-func (f *Failure) Is(target error) bool {
-	other, ok := target.(*Failure)
+func (f *OrderError) Is(target error) bool {
+	other, ok := target.(*OrderError)
 	return ok && other.Reason == f.Reason
 }
 
 // ReasonOf returns the reason of a failed order. Errors of other types count as NoAnswer.
 func ReasonOf(err error) Reason {
-	var failure *Failure
+	var failure *OrderError
 	if errors.As(err, &failure) {
 		return failure.Reason
 	}
-	return NoAnswer
+	return OutcomeUnknown
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,7 +12,7 @@
 
 // Worker is one incarnation of a worker as described by its row.
 type Worker struct {
-	Life
+	Incarnation
 	Pool     string
 	Address  string
 	Zone     string
@@ -66,19 +66,19 @@
 	Token int64
 }
 
-// Hold extends the lease of all runs on a worker and requests a list of them.
-type Hold struct {
+// Poll extends the lease of all runs on a worker and requests a list of them.
+type Poll struct {
 	Token int64
-	// LastSeen acknowledges ended runs up to that number.
-	LastSeen int64
+	// AcknowledgedEnd acknowledges ended runs up to that number.
+	AcknowledgedEnd int64
 	// DeadlineMillis is the new expiry on the worker's clock; 0 extends nothing.
 	DeadlineMillis int64
 	// Wait is how long the worker may delay its reply until a run ends.
 	Wait time.Duration
 }
 
-// Running is a run in progress as listed by a worker.
-type Running struct {
+// ActiveRun is a run in progress as listed by a worker.
+type ActiveRun struct {
 	Task       taskgraph.TaskName
 	Run        int
 	Checkpoint string
@@ -87,44 +87,44 @@
 	Load int
 }
 
-// How is the way in which a run ended.
-type How string
+// EndReason is the way in which a run ended.
+type EndReason string
 
 // Values of How.
 const (
-	Done    How = "done"
-	Failed  How = "failed"
-	Stopped How = "stopped"
-	Lapsed  How = "lapsed"
-	Broken  How = "broken"
-	Alone   How = "alone"
+	EndDone           EndReason = "done"
+	EndFailed         EndReason = "failed"
+	EndStopped        EndReason = "stopped"
+	EndLeaseExpired   EndReason = "lapsed"
+	EndGangBroken     EndReason = "broken"
+	EndGangIncomplete EndReason = "alone"
 )
 
-// Ended is an ended run. A worker lists it until it is acknowledged.
-type Ended struct {
+// EndedRun is an ended run. A worker lists it until it is acknowledged.
+type EndedRun struct {
 	Number     int64
 	Task       taskgraph.TaskName
 	Run        int
-	How        How
+	Reason     EndReason
 	Checkpoint string
 }
 
 // Reply is a worker's response to an order.
 type Reply struct {
-	// Born is the start time of the incarnation that replied, 0 if unknown. Replies that list runs
+	// StartMillis is the start time of the incarnation that replied, 0 if unknown. Replies that list runs
 	// contain it.
-	Born        int64
+	StartMillis int64
 	ClockMillis int64
-	Running     []Running
-	Ended       []Ended
+	Running     []ActiveRun
+	Ended       []EndedRun
 	// MoreEnded is true if the worker may have more ended runs than it listed. A run that is not
 	// listed may then have ended.
 	MoreEnded bool
 }
 
-// Orders sends orders to workers.
-type Orders interface {
+// WorkerClient sends orders to workers.
+type WorkerClient interface {
 	Start(ctx context.Context, to *Worker, order Start) (Reply, error)
 	Stop(ctx context.Context, to *Worker, order Stop) (Reply, error)
-	Hold(ctx context.Context, to *Worker, order Hold) (Reply, error)
+	Poll(ctx context.Context, to *Worker, order Poll) (Reply, error)
 }
--- a/internal/fleet/row.go
+++ b/internal/fleet/row.go
@@ -8,10 +8,10 @@
 const (
 	// RowUnreadable: the row is not a JSON object.
 	RowUnreadable RowFault = "unreadable"
-	// RowIncomplete: a mandatory field is missing or empty.
-	RowIncomplete RowFault = "missing_field"
-	// RowMistyped: a field has the wrong type.
-	RowMistyped RowFault = "wrong_type"
+	// RowMissingField: a mandatory field is missing or empty.
+	RowMissingField RowFault = "missing_field"
+	// RowWrongType: a field has the wrong type.
+	RowWrongType RowFault = "wrong_type"
 	// RowOutOfRange: a field has an impossible value, such as a negative capacity or an address
 	// without a port.
 	RowOutOfRange RowFault = "out_of_range"
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -49,7 +49,7 @@
 // Edges are the external services that a node uses.
 type Edges struct {
 	Store  rows.Store
-	Orders fleet.Orders
+	Orders fleet.WorkerClient
 	Peers  *peer.Client
 	Codec  Codec
 	Loop   loop.Loop
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -146,11 +146,11 @@
 	}, done)
 }
 
-// Hold implements pool.Ports.
-func (p *ports) Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error)) {
+// Poll implements pool.Ports.
+func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+holdSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Orders.Hold(ctx, &target, order)
+		return p.node.edges.Orders.Poll(ctx, &target, order)
 	}, done)
 }
 
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -15,7 +15,7 @@
 
 // countingOrders counts the orders that reach workers.
 type countingOrders struct {
-	fleet.Orders
+	fleet.WorkerClient
 	stops atomic.Int32
 }
 
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -15,7 +15,7 @@
 	m.state = memberNone
 	m.stopAttempted, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
 	m.startCall = nil
-	m.confirmedBefore, m.formerIncarnation = false, fleet.Life{}
+	m.confirmedBefore, m.formerIncarnation = false, fleet.Incarnation{}
 	m.percent, m.percentChangedAt, m.reportedAt = 0, time.Time{}, time.Time{}
 	m.sentAt = time.Time{}
 	m.startDeadline = 0
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -57,10 +57,10 @@
 		if m.formerIncarnation.ID == "" || m.state != memberUnconfirmed || !m.sentAt.IsZero() || listed[m] {
 			continue
 		}
-		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerIncarnation })
+		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Incarnation == m.formerIncarnation })
 		if index < 0 {
 			index = len(formers)
-			formers = append(formers, &worker{Worker: fleet.Worker{Life: m.formerIncarnation, Address: w.Address}})
+			formers = append(formers, &worker{Worker: fleet.Worker{Incarnation: m.formerIncarnation, Address: w.Address}})
 		}
 		former := formers[index]
 		w.members = slices.DeleteFunc(w.members, func(other *member) bool { return other == m })
@@ -74,7 +74,7 @@
 
 // leaveIncarnation records that the member's run was last known in an incarnation that has ended.
 // The next incarnation has not confirmed the run yet.
-func (m *member) leaveIncarnation(life fleet.Life) {
+func (m *member) leaveIncarnation(life fleet.Incarnation) {
 	if m.wasConfirmed() {
 		m.formerIncarnation = life
 	}
--- a/internal/pool/incarnation_verification.go
+++ b/internal/pool/incarnation_verification.go
@@ -7,7 +7,7 @@
 // replaces it.
 func (p *Pool) verifyNextIncarnation(w *worker, described *fleet.Worker) {
 	if len(w.members) == 0 && len(w.unexpected) == 0 {
-		p.recordRestart(w, described.Life, restartSeenInRow, 0)
+		p.recordRestart(w, described.Incarnation, restartSeenInRow, 0)
 		p.updateFromRow(p.replaceIncarnation(w, *described), described)
 		return
 	}
@@ -23,7 +23,7 @@
 	w.verifying = true
 	claimed, sentAt := w.claimedIncarnation, p.loop.Now()
 	p.record.Count("worker_orders", "ask_life")
-	p.ports.Hold(claimed, fleet.Hold{Token: p.token}, func(reply fleet.Reply, err error) {
+	p.ports.Poll(claimed, fleet.Poll{Token: p.token}, func(reply fleet.Reply, err error) {
 		if p.closed || p.workers[w.ID] != w {
 			return
 		}
@@ -31,7 +31,7 @@
 		if w.claimedIncarnation == nil {
 			return
 		}
-		if err == nil && p.isSuccessor(w, reply.Born, sentAt) {
+		if err == nil && p.isSuccessor(w, reply.StartMillis, sentAt) {
 			p.handleRestart(w, reply, restartConfirmedByReply, sentAt)
 			return
 		}
@@ -50,7 +50,7 @@
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
 		p.Abandon("fenced by worker " + w.ID)
-	case fleet.NoAnswer, fleet.Unreachable, fleet.Unhealthy:
+	case fleet.OutcomeUnknown, fleet.Unreachable, fleet.Unhealthy:
 		p.loop.After(pollRetryDelay, func() {
 			if !p.closed && p.workers[w.ID] == w {
 				p.queryClaimedIncarnation(w)
--- a/internal/pool/incarnations.go
+++ b/internal/pool/incarnations.go
@@ -40,9 +40,9 @@
 // compareIncarnation compares a reported start time with that of the known incarnation.
 func (p *Pool) compareIncarnation(w *worker, born int64) incarnationOrder {
 	switch {
-	case p.options.DisabledSafeguards.Incarnations, w.Born == 0, born == 0, born == w.Born:
+	case p.options.DisabledSafeguards.Incarnations, w.StartMillis == 0, born == 0, born == w.StartMillis:
 		return sameIncarnation
-	case born > w.Born:
+	case born > w.StartMillis:
 		return laterIncarnation
 	}
 	return earlierIncarnation
@@ -71,15 +71,15 @@
 	if claimed != nil {
 		next = *claimed
 	}
-	next.Born = reply.Born
-	p.recordRestart(w, next.Life, evidence, len(w.members))
+	next.StartMillis = reply.StartMillis
+	p.recordRestart(w, next.Incarnation, evidence, len(w.members))
 	p.markFormerRunsLost(w, reply, sentAt)
 	replacement := p.replaceIncarnation(w, next)
 	replacement.contacted, replacement.contactedAt = true, p.loop.Now()
 	if claimed != nil {
 		p.updateFromRow(replacement, claimed)
 		// The row may name an incarnation later than the one that answered.
-		replacement.Born = reply.Born
+		replacement.StartMillis = reply.StartMillis
 	}
 	if !p.options.DisabledSafeguards.RestartLease {
 		// Orders addressed to the former incarnation carried lease deadlines on its clock.
@@ -89,9 +89,9 @@
 }
 
 // recordRestart counts and logs a worker's restart.
-func (p *Pool) recordRestart(w *worker, next fleet.Life, evidence restartEvidence, runs int) {
+func (p *Pool) recordRestart(w *worker, next fleet.Incarnation, evidence restartEvidence, runs int) {
 	p.record.Count("worker_restarts", string(evidence))
-	p.record.Decided("worker restarted", "worker", w.ID, "born", next.Born, "former", w.Born, "known_by", string(evidence), "runs", runs)
+	p.record.Decided("worker restarted", "worker", w.ID, "born", next.StartMillis, "former", w.StartMillis, "known_by", string(evidence), "runs", runs)
 }
 
 // replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members
@@ -100,7 +100,7 @@
 	if w.cancelPollTimer != nil {
 		w.cancelPollTimer()
 	}
-	replacement := p.addUnlistedWorker(next.Life)
+	replacement := p.addUnlistedWorker(next.Incarnation)
 	replacement.Worker, replacement.rack = next, next.Rack()
 	replacement.Draining = false
 	replacement.rowMissing = true
@@ -120,7 +120,7 @@
 // again, because the start or a copy of it may still arrive. Answers to requests in flight are
 // ignored from here on.
 func (p *Pool) moveToIncarnation(m *member, replacement *worker) {
-	m.leaveIncarnation(m.worker.Life)
+	m.leaveIncarnation(m.worker.Incarnation)
 	m.worker = replacement
 	replacement.members = append(replacement.members, m)
 	m.stopSent, m.stopAnswered = false, false
@@ -141,14 +141,14 @@
 // handleOtherIncarnation handles a reply that is not from the known incarnation. It returns false
 // if the reply is from the known one.
 func (p *Pool) handleOtherIncarnation(w *worker, reply fleet.Reply, sentAt time.Time) bool {
-	if w.Born == 0 {
-		w.Born = reply.Born
+	if w.StartMillis == 0 {
+		w.StartMillis = reply.StartMillis
 	}
 	switch {
-	case p.isSuccessor(w, reply.Born, sentAt):
+	case p.isSuccessor(w, reply.StartMillis, sentAt):
 		p.handleRestart(w, reply, restartSeenInReply, sentAt)
 		return true
-	case p.compareIncarnation(w, reply.Born) == earlierIncarnation:
+	case p.compareIncarnation(w, reply.StartMillis) == earlierIncarnation:
 		if w.contacted {
 			// Replies on different connections may arrive out of order.
 			p.record.Count("refusals", "worker_answer_stale")
@@ -157,7 +157,7 @@
 		}
 		// Only a row named the known incarnation, and the row was false.
 		p.record.Count("refusals", "worker_row_refuted")
-		w.Born = reply.Born
+		w.StartMillis = reply.StartMillis
 		p.markUnlisted(w)
 		return p.workers[w.ID] != w
 	}
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -236,7 +236,7 @@
 	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
 	requireRunsSurviveInvalidRow(t, w, func() {
 		falseRow := *w.Workers[0]
-		falseRow.Born += 3_600_000
+		falseRow.StartMillis += 3_600_000
 		w.PutWorkerRow(&falseRow)
 	})
 }
@@ -246,7 +246,7 @@
 func TestWorkersWithoutStartTime(t *testing.T) {
 	w := simulation.NewWorld(1, 2)
 	for _, worker := range w.Workers {
-		worker.Life = fleet.Life{ID: worker.ID}
+		worker.Incarnation = fleet.Incarnation{ID: worker.ID}
 		w.PutWorkerRow(worker)
 	}
 	w.Own()
@@ -374,7 +374,7 @@
 			former.Restart(50*time.Millisecond, 0)
 			w.Run(51 * time.Millisecond)
 			next := w.Workers[1]
-			next.Born = former.Born - 60_000
+			next.StartMillis = former.StartMillis - 60_000
 			w.PutWorkerRow(next)
 			w.Run(time.Second)
 			w.Submit(spec(2, single(2)), batch)
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -148,7 +148,7 @@
 	confirmedBefore bool
 	// formerIncarnation is the worker's incarnation in which the present run was last known, if the
 	// worker has restarted since.
-	formerIncarnation fleet.Life
+	formerIncarnation fleet.Incarnation
 	// startCall is the state of the present run's latest start order; nil before it.
 	startCall *hedgedCall
 	sentAt    time.Time
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -26,7 +26,7 @@
 	p.recordWorkerLoss(w, reason)
 	for _, m := range lost {
 		p.recordLostRun(m, reason)
-		p.memberEnded(m, fleet.Lapsed)
+		p.memberEnded(m, fleet.EndLeaseExpired)
 	}
 	for _, m := range lost {
 		p.failPoisonJob(m.unit)
@@ -41,7 +41,7 @@
 		return
 	}
 	p.record.Count("attempts", "lost")
-	p.record.Decided("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason),
+	p.record.Decided("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason),
 		"confirmed", m.state == memberRunning, "ran_ms", u.runMillis(w.lastResponsive(p.loop.Now())))
 }
 
@@ -69,14 +69,14 @@
 		// The worker left as planned, with the runs that were not moved in time.
 		for _, m := range w.members {
 			if m.losses.Count() > 0 {
-				m.losses.AddUnexplained(w.Life.String())
+				m.losses.AddUnexplained(w.Incarnation.String())
 			}
 		}
 		return
 	}
 	at := w.lastResponsive(p.loop.Now())
 	loss := poison.Loss{
-		Worker: w.Life.String(), Address: w.Address, At: at,
+		Worker: w.Incarnation.String(), Address: w.Address, At: at,
 		Unwatched: !w.contacted,
 		Replaced:  reason != lostLeaseExpired || p.addressTaken(w),
 	}
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -101,7 +101,7 @@
 	Feed(table string, after int64, done func(rows.Listing, error))
 	Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error))
 	Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error))
-	Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error))
+	Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error))
 	// EvacuationRows returns the table and key prefix of the rows by which operators evacuate
 	// zones.
 	EvacuationRows() (table, prefix string)
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -24,16 +24,16 @@
 	}
 	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Hold{Token: p.token, LastSeen: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
+	order := fleet.Poll{Token: p.token, AcknowledgedEnd: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
 	if w.contacted && w.unansweredCalls == 0 {
-		order.Wait = p.pollWaitFor(w, order.LastSeen)
+		order.Wait = p.pollWaitFor(w, order.AcknowledgedEnd)
 		if extension := min(leaseDuration, p.options.Bounds.MaxLease, p.remainingLease(now)); extension > 0 {
 			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
 			w.deadline = max(w.deadline, order.DeadlineMillis)
 		}
 	}
 	p.record.Count("worker_orders", "hold")
-	p.ports.Hold(&w.Worker, order, func(reply fleet.Reply, err error) {
+	p.ports.Poll(&w.Worker, order, func(reply fleet.Reply, err error) {
 		p.queuedPollDone(w)
 		if p.closed || p.workers[w.ID] != w {
 			return
@@ -46,7 +46,7 @@
 		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
-		w.endAcks.acknowledge(order.LastSeen)
+		w.endAcks.acknowledge(order.AcknowledgedEnd)
 		p.handlePollReply(w, reply, now)
 	})
 }
@@ -93,7 +93,7 @@
 	}
 	sentAt := p.loop.Now()
 	p.record.Count("worker_orders", "look")
-	p.ports.Hold(&w.Worker, fleet.Hold{Token: p.token}, func(reply fleet.Reply, err error) {
+	p.ports.Poll(&w.Worker, fleet.Poll{Token: p.token}, func(reply fleet.Reply, err error) {
 		if p.closed || p.workers[w.ID] != w {
 			return
 		}
@@ -132,7 +132,7 @@
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	p.noteReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
-	if p.lossTracker.Alive(w.Life.String()) {
+	if p.lossTracker.Alive(w.Incarnation.String()) {
 		p.record.Decided("worker lives after all", "worker", w.ID)
 	}
 	p.applyReport(w, reply, sentAt)
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -65,7 +65,7 @@
 			if m.worker == nil {
 				continue
 			}
-			record.setIncarnation(i, m.worker.Life)
+			record.setIncarnation(i, m.worker.Incarnation)
 			if m.wasConfirmed() {
 				record.setConfirmed(i)
 			}
@@ -85,15 +85,15 @@
 }
 
 // setIncarnation records the worker incarnation on which a member may run.
-func (r *unitProgress) setIncarnation(member int, life fleet.Life) {
+func (r *unitProgress) setIncarnation(member int, life fleet.Incarnation) {
 	r.Workers[member] = life.ID
-	if life.Born == 0 {
+	if life.StartMillis == 0 {
 		return
 	}
 	if r.WorkerStartMillis == nil {
 		r.WorkerStartMillis = make([]int64, len(r.Workers))
 	}
-	r.WorkerStartMillis[member] = life.Born
+	r.WorkerStartMillis[member] = life.StartMillis
 }
 
 func (r *unitProgress) setAddress(w *fleet.Worker) {
--- a/internal/pool/progress_restore.go
+++ b/internal/pool/progress_restore.go
@@ -77,7 +77,7 @@
 		p.assign(m, p.workerFromProgress(life, saved.Addresses[id]))
 		m.state = memberUnconfirmed
 		m.confirmedBefore = bitset(saved.Confirmed).has(i)
-		if p.compareIncarnation(m.worker, life.Born) == earlierIncarnation {
+		if p.compareIncarnation(m.worker, life.StartMillis) == earlierIncarnation {
 			m.leaveIncarnation(life)
 		}
 		u.state = unitActive
@@ -91,18 +91,18 @@
 // worker's own row was gone at the time of the write. If a later incarnation than the named one
 // is known, it is returned: it may run the task, as the worker may have restarted between the
 // write and the start.
-func (p *Pool) workerFromProgress(life fleet.Life, address string) *worker {
+func (p *Pool) workerFromProgress(life fleet.Incarnation, address string) *worker {
 	known := p.workers[life.ID]
 	if known == nil {
 		w := p.addUnlistedWorker(life)
 		w.Address = address
 		return w
 	}
-	if p.compareIncarnation(known, life.Born) != laterIncarnation {
+	if p.compareIncarnation(known, life.StartMillis) != laterIncarnation {
 		return known
 	}
 	next := known.Worker
-	next.Life = life
+	next.Incarnation = life
 	if address != "" {
 		next.Address = address
 	}
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -146,10 +146,10 @@
 
 // incarnationOf returns the worker incarnation in which a member may be running; its identifier is
 // empty if there is none.
-func (r *unitProgress) incarnationOf(member int) fleet.Life {
-	life := fleet.Life{ID: r.Workers[member]}
+func (r *unitProgress) incarnationOf(member int) fleet.Incarnation {
+	life := fleet.Incarnation{ID: r.Workers[member]}
 	if member < len(r.WorkerStartMillis) {
-		life.Born = r.WorkerStartMillis[member]
+		life.StartMillis = r.WorkerStartMillis[member]
 	}
 	return life
 }
--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -57,7 +57,7 @@
 	return m
 }
 
-func (p *Pool) reconcileListed(m *member, entry *fleet.Running, now time.Time) {
+func (p *Pool) reconcileListed(m *member, entry *fleet.ActiveRun, now time.Time) {
 	if m.state != memberRunning {
 		m.state = memberRunning
 		m.unit.updateRunningSince(now)
@@ -84,7 +84,7 @@
 		// A completed stop is reported as an end; if none was reported in time, there was no run.
 		if sentAt.Sub(m.sentAt) > p.options.Bounds.StopTimeout {
 			m.recordUnexplainedLoss()
-			p.memberEnded(m, fleet.Stopped)
+			p.memberEnded(m, fleet.EndStopped)
 		}
 	case m.stopAttempted && m.state == memberRunning && !p.options.DisabledSafeguards.StopConfirmation:
 		// The worker may be carrying out a stop whose answer was lost: a run that is being stopped
@@ -93,7 +93,7 @@
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 	case m.state == memberUnconfirmed && m.sentAt.IsZero() && p.options.DisabledSafeguards.StopConfirmation:
-		p.memberEnded(m, fleet.Lapsed)
+		p.memberEnded(m, fleet.EndLeaseExpired)
 	case m.state == memberUnconfirmed && m.sentAt.IsZero():
 		// The worker has seen this owner's token, so a pending start of an earlier owner is fenced.
 		// A stop of that owner may still be in progress.
@@ -104,7 +104,7 @@
 		p.sendStop(m)
 	case m.state == memberRunning && m.sentAt.Before(sentAt):
 		p.recordUnlistedRun(m)
-		p.memberEnded(m, fleet.Lapsed)
+		p.memberEnded(m, fleet.EndLeaseExpired)
 	}
 }
 
@@ -113,13 +113,13 @@
 func (p *Pool) recordUnlistedRun(m *member) {
 	u, w := m.unit, m.worker
 	p.record.Count("attempts", "unlisted")
-	p.record.Decided("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born,
+	p.record.Decided("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis,
 		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.endAcks.acknowledged)
 }
 
 // applyEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
 // Ends are matched by run rather than by number, because a list may be received twice.
-func (p *Pool) applyEnds(w *worker, ends []fleet.Ended) {
+func (p *Pool) applyEnds(w *worker, ends []fleet.EndedRun) {
 	var highest int64
 	for i := range ends {
 		end := &ends[i]
@@ -143,23 +143,23 @@
 	})
 }
 
-func (p *Pool) applyEnd(w *worker, m *member, end *fleet.Ended) {
+func (p *Pool) applyEnd(w *worker, m *member, end *fleet.EndedRun) {
 	u := m.unit
 	if end.Checkpoint != "" {
 		u.checkpoint = end.Checkpoint
 	}
-	p.record.Count("attempts", string(end.How))
+	p.record.Count("attempts", string(end.Reason))
 	now := p.loop.Now()
-	p.record.Decided("run ended", "job", u.job.id, "task", end.Task.String(), "run", end.Run, "worker", w.ID, "born", w.Born, "how", string(end.How),
-		"reason", u.stopReason, "ran_ms", u.runMillis(now), "slowness", u.slowness, "unsaved_core_s", p.unsavedWork(u, end.How, now.Sub(u.startedAt)))
-	switch end.How {
-	case fleet.Done:
+	p.record.Decided("run ended", "job", u.job.id, "task", end.Task.String(), "run", end.Run, "worker", w.ID, "born", w.StartMillis, "how", string(end.Reason),
+		"reason", u.stopReason, "ran_ms", u.runMillis(now), "slowness", u.slowness, "unsaved_core_s", p.unsavedWork(u, end.Reason, now.Sub(u.startedAt)))
+	switch end.Reason {
+	case fleet.EndDone:
 		if u.startedByThisOwner {
 			w.reliability.recordProgress(u.startedAt)
 		}
 		p.completeUnit(u)
-	case fleet.Failed:
+	case fleet.EndFailed:
 		p.recordUnitFailure(u, w)
 	}
-	p.memberEnded(m, end.How)
+	p.memberEnded(m, end.Reason)
 }
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -61,7 +61,7 @@
 // handleStartReply handles the result of one copy of a start.
 func (p *Pool) handleStartReply(m *member, sent *hedgedCall, reply fleet.Reply, err error) {
 	reason := fleet.ReasonOf(err)
-	lost := err != nil && reason == fleet.NoAnswer
+	lost := err != nil && reason == fleet.OutcomeUnknown
 	if err != nil && reply.ClockMillis > 0 {
 		// A refusal also carries the worker's clock, which explains a start refused as late.
 		p.noteReply(m.worker, reply.ClockMillis)
@@ -102,26 +102,26 @@
 	w, u := m.worker, m.unit
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
-	p.record.Decided("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.Born, "reason", string(reason))
+	p.record.Decided("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason))
 	if p.handleOrderError(w, err) {
 		return
 	}
-	m.startUnanswered = m.startUnanswered || reason == fleet.NoAnswer
+	m.startUnanswered = m.startUnanswered || reason == fleet.OutcomeUnknown
 	if m.startUnanswered {
-		if reason == fleet.NoAnswer && p.mayRetryStart(m) {
+		if reason == fleet.OutcomeUnknown && p.mayRetryStart(m) {
 			p.retryStart(m)
 			return
 		}
 		p.blockStart(m)
 		return
 	}
-	if reason == fleet.NoRoom {
+	if reason == fleet.InsufficientCapacity {
 		// The worker runs something that this owner does not know of.
 		w.excludedUntil = p.loop.Now().Add(noRoomExclusionPeriod)
 		p.pollNow(w)
 	}
 	// The start was refused, so nothing runs.
-	p.memberEnded(m, fleet.Stopped)
+	p.memberEnded(m, fleet.EndStopped)
 }
 
 // blockStart sends a stop so that a start that may still be in flight is not carried out, and polls
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -57,7 +57,7 @@
 		if m.state != memberRunning {
 			p.pollNow(w)
 		}
-	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.NoAnswer:
+	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.OutcomeUnknown:
 		// The other copy is still in flight.
 	case p.handleOrderError(w, err):
 	default:
--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -98,7 +98,7 @@
 	for _, w := range workers {
 		if w.restarts > 0 {
 			s.Restarts += w.restarts
-			s.Restarted = append(s.Restarted, RestartedWorker{Worker: w.ID, StartMillis: w.Born, Restarts: w.restarts, Runs: len(w.members)})
+			s.Restarted = append(s.Restarted, RestartedWorker{Worker: w.ID, StartMillis: w.StartMillis, Restarts: w.restarts, Runs: len(w.members)})
 		}
 	}
 	slices.SortStableFunc(s.Restarted, func(a, b RestartedWorker) int { return cmp.Compare(b.Restarts, a.Restarts) })
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -9,11 +9,11 @@
 
 // memberEnded releases a member's resources. It stops the rest of its gang unless the member
 // is done, and otherwise requeues the unit once no member is active.
-func (p *Pool) memberEnded(m *member, outcome fleet.How) {
+func (p *Pool) memberEnded(m *member, outcome fleet.EndReason) {
 	u := m.unit
 	p.unassign(m)
 	p.scheduleCycle()
-	if u.state == unitActive && outcome != fleet.Done && u.activeMembers() > 0 {
+	if u.state == unitActive && outcome != fleet.EndDone && u.activeMembers() > 0 {
 		p.stopUnit(u, "member "+string(outcome))
 		return
 	}
--- a/internal/pool/wait_reasons.go
+++ b/internal/pool/wait_reasons.go
@@ -89,8 +89,8 @@
 }
 
 // unsavedWork returns the work of one member's run that its end loses, in core-seconds.
-func (p *Pool) unsavedWork(u *unit, outcome fleet.How, runTime time.Duration) float64 {
-	if outcome == fleet.Done {
+func (p *Pool) unsavedWork(u *unit, outcome fleet.EndReason, runTime time.Duration) float64 {
+	if outcome == fleet.EndDone {
 		return 0
 	}
 	if u.spec().Checkpoints {
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -50,9 +50,9 @@
 		return
 	}
 	if w == nil {
-		w = p.addUnlistedWorker(described.Life)
+		w = p.addUnlistedWorker(described.Incarnation)
 	}
-	switch order := p.compareIncarnation(w, described.Born); {
+	switch order := p.compareIncarnation(w, described.StartMillis); {
 	case order == laterIncarnation, order == earlierIncarnation && w.unansweredCalls > 0:
 		// If the known incarnation does not respond, an earlier start time may come from a clock
 		// that was set back.
@@ -67,12 +67,12 @@
 // updateFromRow applies the content of a worker row to the known incarnation.
 func (p *Pool) updateFromRow(w *worker, described *fleet.Worker) {
 	if !w.hasRow {
-		p.lossTracker.Replaced(described.Address, described.Life.String())
+		p.lossTracker.Replaced(described.Address, described.Incarnation.String())
 	}
 	wasDraining := w.Draining
-	born := max(w.Born, described.Born)
+	born := max(w.StartMillis, described.StartMillis)
 	w.Worker = *described
-	w.Born = born
+	w.StartMillis = born
 	w.claimedIncarnation = nil
 	if rack := described.Rack(); w.rack != rack {
 		w.rack = rack
@@ -89,9 +89,9 @@
 }
 
 // addUnlistedWorker adds a worker of which only the incarnation is known.
-func (p *Pool) addUnlistedWorker(life fleet.Life) *worker {
+func (p *Pool) addUnlistedWorker(life fleet.Incarnation) *worker {
 	w := &worker{
-		Worker:     fleet.Worker{Life: life},
+		Worker:     fleet.Worker{Incarnation: life},
 		unexpected: map[runID]unexpectedRun{},
 		clockAt:    p.loop.Now(),
 	}
@@ -163,7 +163,7 @@
 	case fleet.OtherInstance:
 		p.handleWorkerReplaced(w, "another instance answers")
 		return true
-	case fleet.NoAnswer, fleet.Unreachable:
+	case fleet.OutcomeUnknown, fleet.Unreachable:
 		p.noteNoReply(w)
 	case fleet.Unhealthy:
 		w.excludedUntil = p.loop.Now().Add(exclusionPeriod)
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -248,18 +248,18 @@
 	}
 }
 
-func (j *Judge) ended(r *run, how fleet.How) {
+func (j *Judge) ended(r *run, how fleet.EndReason) {
 	t := j.task(r.name)
 	delete(t.running, r)
 	j.Decided("over", "task", r.name.String(), "run", r.number, "worker", r.worker.ID, "how", how)
 	switch how {
-	case fleet.Done:
+	case fleet.EndDone:
 		t.done = true
 		t.doneRuns[r.number] = true
 		if j.world.step(r.name).Gang {
 			j.markGangDone(r)
 		}
-	case fleet.Failed:
+	case fleet.EndFailed:
 		t.failures++
 	}
 }
@@ -275,8 +275,8 @@
 
 // endAcknowledged records that an owner acknowledged a completion. It ignores the completion if
 // the worker's lease expired in between.
-func (j *Judge) endAcknowledged(w *Worker, entry fleet.Ended) {
-	if entry.How != fleet.Done || w.endedAt[entry.Number] != w.leaseExpirations {
+func (j *Judge) endAcknowledged(w *Worker, entry fleet.EndedRun) {
+	if entry.Reason != fleet.EndDone || w.endedAt[entry.Number] != w.leaseExpirations {
 		return
 	}
 	t := j.task(entry.Task)
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -40,14 +40,14 @@
 		"after an acknowledged end": {func(w *World) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
-			w.Workers[0].hold(fleet.Hold{LastSeen: 1}, func(fleet.Reply, error) {})
+			w.Workers[0].hold(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 		}, "taken note of"},
 		"after an end that is acknowledged later": {func(w *World) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			_, _ = w.Workers[1].start(startOrder(0, 2))
-			w.Workers[0].hold(fleet.Hold{LastSeen: 1}, func(fleet.Reply, error) {})
+			w.Workers[0].hold(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 		}, "only now"},
 		"before an earlier step": {func(w *World) {
 			_, _ = w.Workers[0].start(startOrder(1, 1))
@@ -116,7 +116,7 @@
 	require.ErrorIs(t, err, fleet.ErrFenced)
 	order.Token, order.DeadlineMillis = 5, -1
 	_, err = first.start(order)
-	require.ErrorIs(t, err, fleet.ErrLate)
+	require.ErrorIs(t, err, fleet.ErrDeadlinePassed)
 	require.Empty(t, w.Judge.Broken)
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -106,8 +106,8 @@
 func (w *World) AddWorker(id, rack string) *Worker {
 	added := &Worker{
 		Worker: fleet.Worker{
-			Life: fleet.Life{ID: id, Born: w.Clock.Now().UnixMilli()},
-			Pool: PoolName, Address: id, Zone: zoneOf(rack), Labels: []string{"a", rack}, Capacity: WorkerCapacity,
+			Incarnation: fleet.Incarnation{ID: id, StartMillis: w.Clock.Now().UnixMilli()},
+			Pool:        PoolName, Address: id, Zone: zoneOf(rack), Labels: []string{"a", rack}, Capacity: WorkerCapacity,
 		},
 		world: w, clock: w.Clock, clockEpoch: w.epoch,
 		runs: map[taskgraph.TaskName]*run{}, supersededRuns: map[taskgraph.TaskName]int{}, endedAt: map[int64]int{},
@@ -158,7 +158,7 @@
 		w.carryOut(worker, func() (fleet.Reply, error) { return worker.start(order) }, done)
 	case fleet.Stop:
 		w.carryOut(worker, func() (fleet.Reply, error) { return worker.stop(order) }, done)
-	case fleet.Hold:
+	case fleet.Poll:
 		worker.hold(order, done)
 	}
 }
--- a/internal/simulation/foreignrows.go
+++ b/internal/simulation/foreignrows.go
@@ -55,7 +55,7 @@
 		return nil, &fleet.RowError{Fault: fleet.RowUnreadable}
 	}
 	if decoded.ID == "" || decoded.Pool == "" || decoded.Address == "" {
-		return nil, &fleet.RowError{Fault: fleet.RowIncomplete}
+		return nil, &fleet.RowError{Fault: fleet.RowMissingField}
 	}
 	return &decoded, nil
 }
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -43,7 +43,7 @@
 	if len(members) < w.step(r.name).Count {
 		w.Clock.After(w.Bounds.GangTimeout, func() {
 			if !r.working {
-				r.worker.end(r, fleet.Alone, "")
+				r.worker.end(r, fleet.EndGangIncomplete, "")
 			}
 		})
 		return
@@ -73,7 +73,7 @@
 func (w *World) finish(r *run) {
 	r.finished = true
 	if !w.step(r.name).Gang {
-		r.worker.end(r, fleet.Done, "")
+		r.worker.end(r, fleet.EndDone, "")
 		return
 	}
 	members := w.gang(r)
@@ -83,18 +83,18 @@
 		}
 	}
 	for _, member := range members {
-		member.worker.end(member, fleet.Done, "")
+		member.worker.end(member, fleet.EndDone, "")
 	}
 }
 
 // breakGang ends the other members of a gang as broken unless the run completed.
-func (w *World) breakGang(r *run, how fleet.How) {
-	if how == fleet.Done || !w.step(r.name).Gang || !r.working {
+func (w *World) breakGang(r *run, how fleet.EndReason) {
+	if how == fleet.EndDone || !w.step(r.name).Gang || !r.working {
 		return
 	}
 	for _, member := range w.gang(r) {
 		if !member.stopping {
-			member.worker.end(member, fleet.Broken, "")
+			member.worker.end(member, fleet.EndGangBroken, "")
 		}
 	}
 }
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -112,12 +112,12 @@
 				}
 			})
 		}
-		clock.After(orderTimeout, func() { done(fleet.Reply{}, fleet.ErrNoAnswer) })
+		clock.After(orderTimeout, func() { done(fleet.Reply{}, fleet.ErrOutcomeUnknown) })
 	})
 }
 
-// Hold implements pool.Ports.
-func (p *ports) Hold(to *fleet.Worker, order fleet.Hold, done func(fleet.Reply, error)) {
+// Poll implements pool.Ports.
+func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	clock := p.world.Clock
 	answer := postAnswer(p, done)
 	over := false
@@ -127,7 +127,7 @@
 			answer(reply, err)
 		}
 	}
-	clock.After(order.Wait+orderTimeout, func() { once(fleet.Reply{}, fleet.ErrNoAnswer) })
+	clock.After(order.Wait+orderTimeout, func() { once(fleet.Reply{}, fleet.ErrOutcomeUnknown) })
 	clock.After(orderLatency/2, func() {
 		w := p.world.worker(to.ID)
 		if w == nil {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -21,7 +21,7 @@
 	leaseEnd       time.Time
 	runs           map[taskgraph.TaskName]*run
 	supersededRuns map[taskgraph.TaskName]int
-	ended          []fleet.Ended
+	ended          []fleet.EndedRun
 	lastEndNumber  int64
 	// leaseExpirations counts expired leases; endedAt contains the count at each ended run.
 	leaseExpirations int
@@ -96,7 +96,7 @@
 	}
 	w.leaseExpirations++
 	for _, r := range w.sortedRuns() {
-		w.end(r, fleet.Lapsed, "")
+		w.end(r, fleet.EndLeaseExpired, "")
 	}
 }
 
@@ -117,12 +117,12 @@
 		return reply, fleet.ErrSuperseded
 	}
 	if order.DeadlineMillis < reply.ClockMillis {
-		return reply, fleet.ErrLate
+		return reply, fleet.ErrDeadlinePassed
 	}
 	w.extendLease(order.DeadlineMillis)
 	step := w.world.step(order.Task)
 	if !w.world.Unguarded && !step.Room().Within(w.free()) {
-		return reply, fleet.ErrNoRoom
+		return reply, fleet.ErrInsufficientCapacity
 	}
 	w.begin(order)
 	return reply, nil
@@ -142,7 +142,7 @@
 	w.world.addToGang(r)
 	w.world.Judge.started(r, order)
 	if w.Failing {
-		w.clock.After(failureDelay, func() { w.end(r, fleet.Failed, "") })
+		w.clock.After(failureDelay, func() { w.end(r, fleet.EndFailed, "") })
 		return
 	}
 	w.scheduleCrash(r, AtStart)
@@ -186,7 +186,7 @@
 }
 
 // end removes a run and adds it to the ended runs that the worker reports.
-func (w *Worker) end(r *run, how fleet.How, checkpoint string) {
+func (w *Worker) end(r *run, how fleet.EndReason, checkpoint string) {
 	if r.over || w.Dead {
 		return
 	}
@@ -196,7 +196,7 @@
 	w.supersededRuns[r.name] = max(w.supersededRuns[r.name], r.number)
 	w.lastEndNumber++
 	w.endedAt[w.lastEndNumber] = w.leaseExpirations
-	w.ended = append(w.ended, fleet.Ended{Number: w.lastEndNumber, Task: r.name, Run: r.number, How: how, Checkpoint: checkpoint})
+	w.ended = append(w.ended, fleet.EndedRun{Number: w.lastEndNumber, Task: r.name, Run: r.number, Reason: how, Checkpoint: checkpoint})
 	w.world.Judge.ended(r, how)
 	w.world.breakGang(r, how)
 	waiters := w.waiters
@@ -215,14 +215,14 @@
 	w.supersededRuns[order.Task] = max(w.supersededRuns[order.Task], order.Run)
 	if r := w.runs[order.Task]; r != nil && r.number <= order.Run && !r.stopping {
 		r.stopping = true
-		w.clock.After(w.world.StopTime, func() { w.end(r, fleet.Stopped, w.newCheckpoint(r)) })
+		w.clock.After(w.world.StopTime, func() { w.end(r, fleet.EndStopped, w.newCheckpoint(r)) })
 	}
 	return reply, nil
 }
 
 // hold passes the reply to done: immediately if there is something to report, otherwise when a run
 // ends or the wait is over.
-func (w *Worker) hold(order fleet.Hold, done func(fleet.Reply, error)) {
+func (w *Worker) hold(order fleet.Poll, done func(fleet.Reply, error)) {
 	if order.Token < w.token {
 		done(fleet.Reply{ClockMillis: w.clockMillis()}, fleet.ErrFenced)
 		return
@@ -231,7 +231,7 @@
 	w.extendLease(order.DeadlineMillis)
 	kept := w.ended[:0]
 	for _, entry := range w.ended {
-		if entry.Number > order.LastSeen {
+		if entry.Number > order.AcknowledgedEnd {
 			kept = append(kept, entry)
 		} else {
 			w.world.Judge.endAcknowledged(w, entry)
@@ -253,17 +253,17 @@
 	w.resets = append(w.resets, func() {
 		if !answered {
 			answered = true
-			done(fleet.Reply{}, fleet.ErrNoAnswer)
+			done(fleet.Reply{}, fleet.ErrOutcomeUnknown)
 		}
 	})
 	w.clock.After(order.Wait, answer)
 }
 
 func (w *Worker) status() fleet.Reply {
-	reply := fleet.Reply{Born: w.Born, ClockMillis: w.clockMillis(), Ended: append([]fleet.Ended(nil), w.ended...)}
+	reply := fleet.Reply{StartMillis: w.StartMillis, ClockMillis: w.clockMillis(), Ended: append([]fleet.EndedRun(nil), w.ended...)}
 	for _, r := range w.sortedRuns() {
 		if !r.stopping {
-			reply.Running = append(reply.Running, fleet.Running{Task: r.name, Run: r.number, Percent: w.percent(r)})
+			reply.Running = append(reply.Running, fleet.ActiveRun{Task: r.name, Run: r.number, Percent: w.percent(r)})
 		}
 	}
 	return reply
@@ -285,8 +285,8 @@
 		r.over = true
 		w.world.Judge.crashed(r)
 		w.world.removeFromGang(r)
-		w.world.Judge.ended(r, fleet.Lapsed)
-		w.world.breakGang(r, fleet.Lapsed)
+		w.world.Judge.ended(r, fleet.EndLeaseExpired)
+		w.world.breakGang(r, fleet.EndLeaseExpired)
 	}
 	w.runs = map[taskgraph.TaskName]*run{}
 }
