--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -22,23 +22,23 @@
 	Slow bool
 	// Usable is false for workers that accept no new tasks.
 	Usable bool
-	// Closed workers are cordoned by an operator.
-	Closed bool
-	// Holders are the runs that occupy the worker.
-	Holders []Holder
+	// Cordoned workers are cordoned by an operator.
+	Cordoned bool
+	// Allocations are the runs that occupy the worker.
+	Allocations []Allocation
 }
 
-// Holder is a run that occupies part of a worker.
-type Holder struct {
+// Allocation is a run that occupies part of a worker.
+type Allocation struct {
 	// Unit is the index of the run's unit in the snapshot.
-	Unit int
-	Room taskgraph.Amount
+	Unit      int
+	Resources taskgraph.Amount
 }
 
 // Request asks for Count identical tasks to be placed, all or none.
 type Request struct {
-	Room  taskgraph.Amount
-	Count int
+	Resources taskgraph.Amount
+	Count     int
 	// Priority 0 is the highest.
 	Priority int
 	// Allowed filters workers; nil allows all.
@@ -68,14 +68,14 @@
 // i.
 func (r *Request) taskCapacity(i int, available taskgraph.Amount) int {
 	count := r.Count
-	if r.Room.CPU > 0 {
-		count = min(count, available.CPU/r.Room.CPU)
+	if r.Resources.CPU > 0 {
+		count = min(count, available.CPU/r.Resources.CPU)
 	}
-	if r.Room.MemoryMB > 0 {
-		count = min(count, available.MemoryMB/r.Room.MemoryMB)
+	if r.Resources.MemoryMB > 0 {
+		count = min(count, available.MemoryMB/r.Resources.MemoryMB)
 	}
-	if r.Room.GPUs > 0 {
-		count = min(count, available.GPUs/r.Room.GPUs)
+	if r.Resources.GPUs > 0 {
+		count = min(count, available.GPUs/r.Resources.GPUs)
 	}
 	if r.MaxPerWorker > 0 {
 		present := 0
@@ -116,7 +116,7 @@
 		if fits == 0 {
 			continue
 		}
-		remaining := available.Minus(request.Room.Times(fits)).Cores()
+		remaining := available.Minus(request.Resources.Times(fits)).Cores()
 		selected.add(candidate{worker: i, position: position, fits: fits, remaining: remaining, rackFree: workers[i].RackFree})
 	}
 	return assignTasks(selected.sorted(), request.Count)
@@ -128,7 +128,7 @@
 	total := 0
 	for _, i := range indexes {
 		free := workers[i].Free
-		if request.Room.GPUs > free.GPUs || request.Room.CPU > free.CPU || !request.allowed(workers, i) {
+		if request.Resources.GPUs > free.GPUs || request.Resources.CPU > free.CPU || !request.allowed(workers, i) {
 			continue
 		}
 		total += request.taskCapacity(i, request.visibleFree(workers, i))
@@ -139,12 +139,12 @@
 	return total >= request.Count
 }
 
-// Holds reports whether the request would fit if nothing ran on the workers and all that are not
+// FitsWhenEmpty reports whether the request would fit if nothing ran on the workers and all that are not
 // cordoned were usable.
-func Holds(workers []Worker, indexes []int, request *Request) bool {
+func FitsWhenEmpty(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
-		if !workers[i].Closed && (request.Allowed == nil || request.Allowed(i)) {
+		if !workers[i].Cordoned && (request.Allowed == nil || request.Allowed(i)) {
 			total += request.taskCapacity(i, workers[i].Capacity)
 		}
 		if total >= request.Count {
@@ -185,8 +185,8 @@
 	return racks
 }
 
-// Emptiest returns the rack names by descending free capacity.
-func (r *Racks) Emptiest(workers []Worker) []string {
+// ByFreeCapacity returns the rack names by descending free capacity.
+func (r *Racks) ByFreeCapacity(workers []Worker) []string {
 	names := slices.Clone(r.Names)
 	slices.SortStableFunc(names, func(a, b string) int {
 		return cmp.Compare(workers[r.Members[b][0]].RackFree, workers[r.Members[a][0]].RackFree)
@@ -216,8 +216,8 @@
 	return best
 }
 
-// MeasureRacks updates RackFree of every worker.
-func MeasureRacks(workers []Worker, racks *Racks) {
+// UpdateRackFree updates RackFree of every worker.
+func UpdateRackFree(workers []Worker, racks *Racks) {
 	for _, name := range racks.Names {
 		free := 0.0
 		for _, i := range racks.Members[name] {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -19,53 +19,53 @@
 		workers[i] = Worker{Rack: string(rune('a' + i/2)), Capacity: gpus(8), Free: gpus(n), Usable: true}
 	}
 	racks := NewRacks(workers)
-	MeasureRacks(workers, racks)
+	UpdateRackFree(workers, racks)
 	return workers, racks
 }
 
 func TestFitPrefersFullestRack(t *testing.T) {
 	workers, racks := newTestWorkers(8, 8, 8, 2)
-	require.Equal(t, []int{3, 3}, Fit(workers, racks.All, &Request{Room: gpus(1), Count: 2}))
-	require.Equal(t, []int{2, 0, 1}, Fit(workers, racks.All, &Request{Room: gpus(8), Count: 3}))
-	require.Nil(t, Fit(workers, racks.All, &Request{Room: gpus(8), Count: 4}))
+	require.Equal(t, []int{3, 3}, Fit(workers, racks.All, &Request{Resources: gpus(1), Count: 2}))
+	require.Equal(t, []int{2, 0, 1}, Fit(workers, racks.All, &Request{Resources: gpus(8), Count: 3}))
+	require.Nil(t, Fit(workers, racks.All, &Request{Resources: gpus(8), Count: 4}))
 }
 
 func TestFitRespectsLimits(t *testing.T) {
 	workers, racks := newTestWorkers(8, 8)
 	workers[0].Usable = false
-	require.Equal(t, []int{1}, Fit(workers, racks.All, &Request{Room: gpus(1), Count: 1}))
+	require.Equal(t, []int{1}, Fit(workers, racks.All, &Request{Resources: gpus(1), Count: 1}))
 	present := func(int) int { return 1 }
-	require.Nil(t, Fit(workers, racks.All, &Request{Room: gpus(1), Count: 2, MaxPerWorker: 2, Present: present}))
+	require.Nil(t, Fit(workers, racks.All, &Request{Resources: gpus(1), Count: 2, MaxPerWorker: 2, Present: present}))
 }
 
 func TestEarliestFitUsesEarliestCompletion(t *testing.T) {
 	workers, racks := newTestWorkers(0, 0)
 	units := []Unit{
-		{Places: []int{0}, Room: gpus(8), Remaining: 3 * time.Second},
-		{Places: []int{1}, Room: gpus(8), Remaining: time.Second},
+		{Workers: []int{0}, Resources: gpus(8), Remaining: 3 * time.Second},
+		{Workers: []int{1}, Resources: gpus(8), Remaining: time.Second},
 	}
-	workers[0].Holders = []Holder{{Unit: 0, Room: gpus(8)}}
-	workers[1].Holders = []Holder{{Unit: 1, Room: gpus(8)}}
-	promise := EarliestFit(workers, racks.All, units, &Request{Room: gpus(4), Count: 1}, time.Hour)
-	require.Equal(t, []int{1}, promise.Places)
-	require.Equal(t, time.Second, promise.After)
-	require.Equal(t, gpus(4), promise.Spare[1])
-	require.Nil(t, EarliestFit(workers, racks.All, units, &Request{Room: gpus(9), Count: 1}, time.Hour))
+	workers[0].Allocations = []Allocation{{Unit: 0, Resources: gpus(8)}}
+	workers[1].Allocations = []Allocation{{Unit: 1, Resources: gpus(8)}}
+	promise := EarliestFit(workers, racks.All, units, &Request{Resources: gpus(4), Count: 1}, time.Hour)
+	require.Equal(t, []int{1}, promise.Workers)
+	require.Equal(t, time.Second, promise.Wait)
+	require.Equal(t, gpus(4), promise.Unreserved[1])
+	require.Nil(t, EarliestFit(workers, racks.All, units, &Request{Resources: gpus(9), Count: 1}, time.Hour))
 }
 
 func TestPreemptChoosesLowestCost(t *testing.T) {
 	workers, racks := newTestWorkers(0, 0)
 	units := []Unit{
-		{Places: []int{0}, Room: gpus(8), Loss: 50, Priority: 2},
-		{Places: []int{1}, Room: gpus(8), Loss: 10, Priority: 2},
+		{Workers: []int{0}, Resources: gpus(8), PreemptionCost: 50, Priority: 2},
+		{Workers: []int{1}, Resources: gpus(8), PreemptionCost: 10, Priority: 2},
 	}
-	workers[0].Holders = []Holder{{Unit: 0, Room: gpus(8)}}
-	workers[1].Holders = []Holder{{Unit: 1, Room: gpus(8)}}
-	places, victims, loss := Preempt(workers, racks.All, units, &Request{Room: gpus(8), Count: 1, Priority: 1})
+	workers[0].Allocations = []Allocation{{Unit: 0, Resources: gpus(8)}}
+	workers[1].Allocations = []Allocation{{Unit: 1, Resources: gpus(8)}}
+	places, victims, loss := Preempt(workers, racks.All, units, &Request{Resources: gpus(8), Count: 1, Priority: 1})
 	require.Equal(t, []int{1}, places)
 	require.Equal(t, []int{1}, victims)
 	require.InDelta(t, 10, loss, 0)
-	places, _, _ = Preempt(workers, racks.All, units, &Request{Room: gpus(8), Count: 1, Priority: 2})
+	places, _, _ = Preempt(workers, racks.All, units, &Request{Resources: gpus(8), Count: 1, Priority: 2})
 	require.Nil(t, places, "units of equal priority must not preempt each other")
 }
 
@@ -78,14 +78,14 @@
 			free[i] = random.IntN(9)
 		}
 		workers, racks := newTestWorkers(free...)
-		request := &Request{Room: gpus(1 + random.IntN(4)), Count: 1 + random.IntN(8)}
+		request := &Request{Resources: gpus(1 + random.IntN(4)), Count: 1 + random.IntN(8)}
 		total := 0
 		for _, n := range free {
-			total += n / request.Room.GPUs
+			total += n / request.Resources.GPUs
 		}
 		places := Fit(workers, racks.All, request)
 		require.Equal(t, total >= request.Count, places != nil, "seed %d", seed)
-		Reserve(workers, places, request.Room)
+		Reserve(workers, places, request.Resources)
 		for i := range workers {
 			require.GreaterOrEqual(t, workers[i].Free.GPUs, 0, "seed %d", seed)
 		}
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -8,30 +8,30 @@
 
 // Unit is a running unit, which may be preempted or will end.
 type Unit struct {
-	// Places lists the workers of the unit's runs.
-	Places []int
-	Room   taskgraph.Amount
+	// Workers lists the workers of the unit's runs.
+	Workers   []int
+	Resources taskgraph.Amount
 	// Remaining is the expected time until the unit releases its resources.
 	Remaining time.Duration
-	// Loss is the cost of preempting the unit now; negative if it must not be preempted.
-	Loss float64
+	// PreemptionCost is the cost of preempting the unit now; negative if it must not be preempted.
+	PreemptionCost float64
 	// Priority 0 is the highest; only requests of a higher priority preempt the unit.
 	Priority int
 }
 
-// Promise is a placement that becomes possible once running units have ended.
-type Promise struct {
-	Places []int
-	// After is the expected wait.
-	After time.Duration
-	// Spare maps each place to the resources that other tasks may occupy beyond that time.
-	Spare map[int]taskgraph.Amount
+// FuturePlacement is a placement that becomes possible once running units have ended.
+type FuturePlacement struct {
+	Workers []int
+	// Wait is the expected wait.
+	Wait time.Duration
+	// Unreserved maps each place to the resources that other tasks may occupy beyond that time.
+	Unreserved map[int]taskgraph.Amount
 }
 
 // EarliestFit returns when and where the request fits if running units end as expected and nothing
 // new starts. It returns nil if the wait would reach limit.
-func EarliestFit(workers []Worker, indexes []int, units []Unit, request *Request, limit time.Duration) *Promise {
-	if !Holds(workers, indexes, request) {
+func EarliestFit(workers []Worker, indexes []int, units []Unit, request *Request, limit time.Duration) *FuturePlacement {
+	if !FitsWhenEmpty(workers, indexes, request) {
 		return nil
 	}
 	s := newSimulation(workers, indexes, units, request)
@@ -69,7 +69,7 @@
 	}
 	victims = s.dropUnneeded(victims)
 	for _, number := range victims {
-		loss += units[number].Loss
+		loss += units[number].PreemptionCost
 	}
 	return Fit(workers, indexes, request), victims, loss
 }
@@ -77,5 +77,5 @@
 // preemptibleBy reports whether the request may preempt the unit. Units with zero loss are already
 // stopping.
 func (u *Unit) preemptibleBy(request *Request) bool {
-	return u.Loss == 0 || u.Loss > 0 && u.Priority > request.Priority
+	return u.PreemptionCost == 0 || u.PreemptionCost > 0 && u.Priority > request.Priority
 }
--- a/internal/placement/simulation.go
+++ b/internal/placement/simulation.go
@@ -99,9 +99,9 @@
 // evict releases the resources that a unit occupies in the group.
 func (s *simulation) evict(unit int) {
 	s.evicted[unit] = true
-	for _, i := range s.units[unit].Places {
+	for _, i := range s.units[unit].Workers {
 		if s.inGroup[i] {
-			s.workers[i].Free = s.workers[i].Free.Plus(s.units[unit].Room)
+			s.workers[i].Free = s.workers[i].Free.Plus(s.units[unit].Resources)
 			s.updateFit(i)
 		}
 	}
@@ -110,9 +110,9 @@
 // restore reverts evict.
 func (s *simulation) restore(unit int) {
 	s.evicted[unit] = false
-	for _, i := range s.units[unit].Places {
+	for _, i := range s.units[unit].Workers {
 		if s.inGroup[i] {
-			s.workers[i].Free = s.workers[i].Free.Minus(s.units[unit].Room)
+			s.workers[i].Free = s.workers[i].Free.Minus(s.units[unit].Resources)
 			s.updateFit(i)
 		}
 	}
@@ -120,7 +120,7 @@
 
 // placementAfter returns the current placement of the request, to become possible after the given
 // wait.
-func (s *simulation) placementAfter(after time.Duration) *Promise {
+func (s *simulation) placementAfter(after time.Duration) *FuturePlacement {
 	places := Fit(s.workers, s.indexes, s.request)
 	spare := make(map[int]taskgraph.Amount, len(places))
 	for _, i := range places {
@@ -128,17 +128,17 @@
 		if !known {
 			free = s.workers[i].Free
 		}
-		spare[i] = free.Minus(s.request.Room)
+		spare[i] = free.Minus(s.request.Resources)
 	}
-	return &Promise{Places: places, After: after, Spare: spare}
+	return &FuturePlacement{Workers: places, Wait: after, Unreserved: spare}
 }
 
 // rankUnits returns the units that occupy workers of the group by ascending rank, then by index.
 // Units of negative rank are excluded.
 func (s *simulation) rankUnits(rank func(unit int) float64) []rankedUnit {
 	for _, i := range s.indexes {
-		for _, holder := range s.workers[i].Holders {
-			if s.seen[holder.Unit] || len(s.units[holder.Unit].Places) == 0 {
+		for _, holder := range s.workers[i].Allocations {
+			if s.seen[holder.Unit] || len(s.units[holder.Unit].Workers) == 0 {
 				continue
 			}
 			s.seen[holder.Unit] = true
@@ -169,7 +169,7 @@
 			return excludedRank
 		}
 		useful := 0
-		for _, i := range unit.Places {
+		for _, i := range unit.Workers {
 			if s.inGroup[i] && s.request.allowed(s.workers, i) {
 				useful++
 			}
@@ -177,14 +177,14 @@
 		if useful == 0 {
 			return excludedRank
 		}
-		return unit.Loss / (float64(useful)*unit.Room.Cores() + 1)
+		return unit.PreemptionCost / (float64(useful)*unit.Resources.Cores() + 1)
 	})
 }
 
 // dropUnneeded restores victims that are not needed for the request to fit, the most costly first.
 func (s *simulation) dropUnneeded(victims []int) []int {
 	byLoss := slices.Clone(victims)
-	slices.SortStableFunc(byLoss, func(a, b int) int { return cmp.Compare(s.units[b].Loss, s.units[a].Loss) })
+	slices.SortStableFunc(byLoss, func(a, b int) int { return cmp.Compare(s.units[b].PreemptionCost, s.units[a].PreemptionCost) })
 	for _, number := range byLoss {
 		s.restore(number)
 		if !s.satisfied() {
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -168,7 +168,7 @@
 }
 
 func (p *Pool) assignTo(s *snapshot, u *unit, request *placement.Request, places []int) {
-	placement.Reserve(s.workers, places, request.Room)
+	placement.Reserve(s.workers, places, request.Resources)
 	workers := make([]*worker, len(places))
 	for i, place := range places {
 		workers[i] = s.poolWorkers[place]
--- a/internal/pool/find_placement.go
+++ b/internal/pool/find_placement.go
@@ -97,13 +97,13 @@
 func (s *snapshot) hasLocalPlacement(u *unit, request *placement.Request) bool {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
-		return placement.Holds(s.workers, members, request)
+		return placement.FitsWhenEmpty(s.workers, members, request)
 	}
 	if !spec.SameRack || len(u.members) < 2 {
 		return false
 	}
 	for _, name := range s.racks.Names {
-		if placement.Holds(s.workers, s.racks.Members[name], request) {
+		if placement.FitsWhenEmpty(s.workers, s.racks.Members[name], request) {
 			return true
 		}
 	}
@@ -137,7 +137,7 @@
 	excluded := make([]bool, len(s.workers))
 	count := int(math.Ceil(headroomShares[priority] * float64(len(s.racks.Names))))
 	if count < len(s.racks.Names) {
-		for _, name := range s.racks.Emptiest(s.workers)[:count] {
+		for _, name := range s.racks.ByFreeCapacity(s.workers)[:count] {
 			for _, i := range s.racks.Members[name] {
 				excluded[i] = true
 			}
@@ -180,36 +180,36 @@
 
 // earliestPlacement returns the earliest future placement of a unit; nil if there is none, or if
 // the cycle has no reservations left and the unit's priority is not 0.
-func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.Promise {
+func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.FuturePlacement {
 	if s.reservationsLeft == 0 && u.job.Queue.Priority > 0 {
 		return nil
 	}
-	var best *placement.Promise
+	var best *placement.FuturePlacement
 	limit := time.Duration(math.MaxInt64)
 	for _, scope := range s.localityGroups(u) {
 		if found := placement.EarliestFit(s.workers, scope, s.units, request, limit); found != nil {
 			best = found
-			limit = found.After
+			limit = found.Wait
 		}
 	}
 	return best
 }
 
 // reserve reserves the resources of a future placement for a unit.
-func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.Promise) {
+func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.FuturePlacement) {
 	if promise == nil {
 		return
 	}
 	if u.job.Queue.Priority > 0 {
 		s.reservationsLeft--
 	}
-	for i, spare := range promise.Spare {
+	for i, spare := range promise.Unreserved {
 		existing, found := s.reservations[i]
 		if found {
 			spare = spare.Least(existing.unreserved)
 		}
-		if !found || promise.After < existing.startsIn {
-			existing.startsIn = promise.After
+		if !found || promise.Wait < existing.startsIn {
+			existing.startsIn = promise.Wait
 		}
 		s.reservations[i] = reservation{startsIn: existing.startsIn, unreserved: spare}
 	}
--- a/internal/pool/isolation.go
+++ b/internal/pool/isolation.go
@@ -116,8 +116,8 @@
 	if promise == nil {
 		return
 	}
-	for i := range promise.Spare {
-		promise.Spare[i] = taskgraph.Amount{}
+	for i := range promise.Unreserved {
+		promise.Unreserved[i] = taskgraph.Amount{}
 	}
 	s.reserve(u, request, promise)
 }
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -50,7 +50,7 @@
 
 // preempt stops the victims and reserves the workers on which the unit will start.
 func (p *Pool) preempt(s *snapshot, u *unit, request *placement.Request, places, victims []int) {
-	s.reallocate(victims, places, request.Room)
+	s.reallocate(victims, places, request.Resources)
 	if len(victims) > 0 {
 		p.preemptionBackoffPriority = u.job.Queue.Priority
 		p.preemptionBackoffUntil = s.now.Add(preemptionBackoff)
@@ -82,14 +82,14 @@
 func (s *snapshot) reallocate(victims, places []int, room taskgraph.Amount) {
 	freeBefore := map[int]taskgraph.Amount{}
 	for _, index := range victims {
-		for _, i := range s.units[index].Places {
+		for _, i := range s.units[index].Workers {
 			if _, seen := freeBefore[i]; !seen {
 				freeBefore[i] = s.workers[i].Free
 			}
-			s.workers[i].Free = s.workers[i].Free.Plus(s.units[index].Room)
+			s.workers[i].Free = s.workers[i].Free.Plus(s.units[index].Resources)
 		}
-		s.units[index].Loss = -1
-		s.units[index].Places = nil
+		s.units[index].PreemptionCost = -1
+		s.units[index].Workers = nil
 	}
 	placement.Reserve(s.workers, places, room)
 	for i, free := range freeBefore {
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -75,7 +75,7 @@
 		buffers.racks = placement.NewRacks(s.workers)
 	}
 	s.racks = buffers.racks
-	placement.MeasureRacks(s.workers, s.racks)
+	placement.UpdateRackFree(s.workers, s.racks)
 	return s
 }
 
@@ -84,10 +84,10 @@
 	workerIndex := len(s.workers)
 	entry := placement.Worker{
 		Rack: w.rack, Capacity: w.Capacity, Slow: p.avoidedByGangs(w), Free: w.Capacity, Usable: p.usable(w, s.now),
-		Closed:  zones.Contains(w.Zone),
-		Holders: reusedHolders(s.workers),
+		Cordoned:    zones.Contains(w.Zone),
+		Allocations: reusedHolders(s.workers),
 	}
-	if !p.options.DisabledSafeguards.Evacuations && (entry.Closed || !zonesKnown) {
+	if !p.options.DisabledSafeguards.Evacuations && (entry.Cordoned || !zonesKnown) {
 		entry.Usable = false
 	}
 	for _, m := range w.members {
@@ -97,8 +97,8 @@
 		room := m.unit.spec().Room()
 		entry.Free = entry.Free.Minus(room)
 		index := p.unitIndex(s, m.unit)
-		s.units[index].Places = append(s.units[index].Places, workerIndex)
-		entry.Holders = append(entry.Holders, placement.Holder{Unit: index, Room: room})
+		s.units[index].Workers = append(s.units[index].Workers, workerIndex)
+		entry.Allocations = append(entry.Allocations, placement.Allocation{Unit: index, Resources: room})
 	}
 	entry.Free = w.subtractUnexpected(entry.Free, s.now)
 	s.workers = append(s.workers, entry)
@@ -107,11 +107,11 @@
 
 // reusedHolders returns the next entry's list of holders in the previous snapshot, emptied
 // for reuse.
-func reusedHolders(workers []placement.Worker) []placement.Holder {
+func reusedHolders(workers []placement.Worker) []placement.Allocation {
 	if len(workers) == cap(workers) {
 		return nil
 	}
-	return workers[:len(workers)+1][len(workers)].Holders[:0]
+	return workers[:len(workers)+1][len(workers)].Allocations[:0]
 }
 
 // reusedPlaces returns the next entry's list of places in the previous snapshot, emptied for
@@ -120,7 +120,7 @@
 	if len(units) == cap(units) {
 		return nil
 	}
-	return units[:len(units)+1][len(units)].Places[:0]
+	return units[:len(units)+1][len(units)].Workers[:0]
 }
 
 // unitIndex returns the index of a unit in the snapshot and adds the unit if it is new.
@@ -130,7 +130,7 @@
 	}
 	u.snapshotGeneration, u.snapshotIndex = p.snapshotBuffers.generation, len(s.units)
 	described := p.placementUnit(u, s.now)
-	described.Places = reusedPlaces(s.units)
+	described.Workers = reusedPlaces(s.units)
 	s.units = append(s.units, described)
 	s.running = append(s.running, u)
 	return u.snapshotIndex
@@ -162,13 +162,13 @@
 
 // placementUnit returns the placement view of a unit that uses resources.
 func (p *Pool) placementUnit(u *unit, now time.Time) placement.Unit {
-	described := placement.Unit{Room: u.spec().Room(), Remaining: p.remaining(u, now), Loss: -1, Priority: u.job.Queue.Priority}
+	described := placement.Unit{Resources: u.spec().Room(), Remaining: p.remaining(u, now), PreemptionCost: -1, Priority: u.job.Queue.Priority}
 	switch {
 	case u.state == unitStopping || u.state == unitEnded:
 		described.Remaining = min(described.Remaining, p.options.Bounds.StopTimeout)
-		described.Loss = 0
+		described.PreemptionCost = 0
 	case u.state == unitActive && u.job.Queue.Priority > 0 && !u.spec().LongRunning:
-		described.Loss = max(minPreemptionCost, p.preemptionCost(u, now))
+		described.PreemptionCost = max(minPreemptionCost, p.preemptionCost(u, now))
 	}
 	return described
 }
@@ -176,7 +176,7 @@
 // request returns the placement request of a unit.
 func (s *snapshot) request(u *unit) *placement.Request {
 	spec := u.spec()
-	request := &placement.Request{Room: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
+	request := &placement.Request{Resources: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
 	if len(u.excludedWorkers) > 0 || spec.RequiredLabel != "" {
 		request.Allowed = func(i int) bool {
 			w := s.poolWorkers[i]
