--- a/internal/poison/history.go
+++ b/internal/poison/history.go
@@ -93,8 +93,8 @@
 	return strings.Join(names, " ")
 }
 
-// Count returns the number of workers that were lost under the task.
-func (h *History) Count() int {
+// LossCount returns the number of workers that were lost under the task.
+func (h *History) LossCount() int {
 	if h == nil {
 		return 0
 	}
@@ -141,7 +141,7 @@
 
 // Verdict classifies the task.
 func (h *History) Verdict() Verdict {
-	count := h.Count()
+	count := h.LossCount()
 	if count == 0 {
 		return Sound
 	}
@@ -159,8 +159,8 @@
 	return Sound
 }
 
-// Suspicious reports whether the odds alone make the task suspected.
-func (h *History) Suspicious() bool { return h.Odds() >= suspectedOdds }
+// SuspectedByOdds reports whether the odds alone make the task suspected.
+func (h *History) SuspectedByOdds() bool { return h.Odds() >= suspectedOdds }
 
 // oddsWithout returns the odds without the evidence of one loss.
 func (h *History) oddsWithout(loss *workerLoss) float64 {
--- a/internal/poison/loss_tracker.go
+++ b/internal/poison/loss_tracker.go
@@ -14,8 +14,8 @@
 	estimateIterations = 4
 )
 
-// Ledger correlates recent losses of workers to find the tasks that caused them.
-type Ledger struct {
+// LossTracker correlates recent losses of workers to find the tasks that caused them.
+type LossTracker struct {
 	// losses is sorted by time.
 	losses []*workerLoss
 	// settled holds losses with final evidence, oldest first, so that they can still be withdrawn.
@@ -56,13 +56,13 @@
 	History *History
 	// Age is the age of the run when the worker was last known to be alive.
 	Age time.Duration
-	// AgeAssumed is true if an earlier owner started the run, so that Age is an estimate.
-	AgeAssumed bool
+	// AgeEstimated is true if an earlier owner started the run, so that Age is an estimate.
+	AgeEstimated bool
 }
 
 // knownAge returns the age of the run, or unknownAge if it is an estimate.
 func (s *Suspect) knownAge() time.Duration {
-	if s.AgeAssumed {
+	if s.AgeEstimated {
 		return unknownAge
 	}
 	return max(0, s.Age)
@@ -74,23 +74,23 @@
 	// Address is empty if unknown.
 	Address string
 	At      time.Time
-	// Unwatched is true if the worker was lost before its owner heard from it.
-	Unwatched bool
+	// Unobserved is true if the worker was lost before its owner heard from it.
+	Unobserved bool
 	// Replaced is true if another instance runs at the worker's address, so that the lost one
 	// certainly runs nothing.
 	Replaced bool
 	Suspects []Suspect
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{tracked: map[string]bool{}} }
+// NewLossTracker returns an empty ledger.
+func NewLossTracker() *LossTracker { return &LossTracker{tracked: map[string]bool{}} }
 
 // SetWorkers sets the number of workers in the pool.
-func (l *Ledger) SetWorkers(count int) { l.workers = max(1, count) }
+func (l *LossTracker) SetWorkers(count int) { l.workers = max(1, count) }
 
-// Lost records a lost worker and updates the evidence.
-func (l *Ledger) Lost(lost Loss) {
-	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unobserved: lost.Unwatched, chanceProbability: 1}
+// RecordLoss records a lost worker and updates the evidence.
+func (l *LossTracker) RecordLoss(lost Loss) {
+	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unobserved: lost.Unobserved, chanceProbability: 1}
 	for _, suspect := range lost.Suspects {
 		if suspect.Age < ageHorizon && !suspect.History.has(lost.Worker) {
 			loss.suspects = append(loss.suspects, suspect)
@@ -116,13 +116,13 @@
 }
 
 // Restore registers a history that was read from the store.
-func (l *Ledger) Restore(h *History) {
+func (l *LossTracker) Restore(h *History) {
 	for i := range h.losses {
 		l.settle(h, h.losses[i].worker)
 	}
 }
 
-func (l *Ledger) settle(h *History, worker string) {
+func (l *LossTracker) settle(h *History, worker string) {
 	l.tracked[worker] = true
 	l.settled = append(l.settled, settledLoss{worker: worker, history: h})
 	if len(l.settled) > maxSettledLosses {
@@ -133,7 +133,7 @@
 
 // prune finalizes the evidence of losses older than recentWindow, and of the oldest beyond
 // maxRecentLosses.
-func (l *Ledger) prune(now time.Time) {
+func (l *LossTracker) prune(now time.Time) {
 	for len(l.losses) > 0 && (now.Sub(l.losses[0].at) > recentWindow || len(l.losses) >= maxRecentLosses) {
 		l.removeLoss(l.losses[0], func(h *History, loss *workerLoss) {
 			h.freeze(loss)
@@ -143,7 +143,7 @@
 	}
 }
 
-func (l *Ledger) removeLoss(loss *workerLoss, settle func(*History, *workerLoss)) {
+func (l *LossTracker) removeLoss(loss *workerLoss, settle func(*History, *workerLoss)) {
 	for _, suspect := range loss.suspects {
 		settle(suspect.History, loss)
 		group := suspect.History.group
@@ -151,8 +151,8 @@
 	}
 }
 
-// Replaced records that another instance runs at the address of a lost worker.
-func (l *Ledger) Replaced(address, successor string) {
+// MarkReplaced records that another instance runs at the address of a lost worker.
+func (l *LossTracker) MarkReplaced(address, successor string) {
 	for _, loss := range l.losses {
 		if loss.address == address && address != "" && loss.worker != successor && !loss.replaced {
 			loss.replaced = true
@@ -161,9 +161,9 @@
 	}
 }
 
-// Alive withdraws the loss of a worker that is alive. It returns true if the worker was recorded
+// WithdrawLoss withdraws the loss of a worker that is alive. It returns true if the worker was recorded
 // as lost.
-func (l *Ledger) Alive(worker string) bool {
+func (l *LossTracker) WithdrawLoss(worker string) bool {
 	if !l.tracked[worker] {
 		return false
 	}
@@ -179,7 +179,7 @@
 	return l.withdrawSettled(worker)
 }
 
-func (l *Ledger) withdrawSettled(worker string) bool {
+func (l *LossTracker) withdrawSettled(worker string) bool {
 	found := false
 	l.settled = slices.DeleteFunc(l.settled, func(settled settledLoss) bool {
 		if settled.worker != worker {
@@ -193,7 +193,7 @@
 
 // updateEvidence recomputes the evidence of all recent losses. It starts from the assumption that
 // all are chance losses, which favours sound tasks: only losses above that rate change the odds.
-func (l *Ledger) updateEvidence() {
+func (l *LossTracker) updateEvidence() {
 	for _, loss := range l.losses {
 		loss.chanceProbability = 1
 		for _, suspect := range loss.suspects {
--- a/internal/poison/loss_tracker_test.go
+++ b/internal/poison/loss_tracker_test.go
@@ -17,8 +17,8 @@
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func newTestLedger(workers int) *Ledger {
-	l := NewLedger()
+func newTestLedger(workers int) *LossTracker {
+	l := NewLossTracker()
 	l.SetWorkers(workers)
 	return l
 }
@@ -28,7 +28,7 @@
 var lossCount int
 
 // loseWorker records the loss of a worker under tasks whose runs have the same age.
-func loseWorker(l *Ledger, when float64, age time.Duration, tasks ...*History) string {
+func loseWorker(l *LossTracker, when float64, age time.Duration, tasks ...*History) string {
 	suspects := make([]Suspect, 0, len(tasks))
 	for _, task := range tasks {
 		suspects = append(suspects, Suspect{History: task, Age: age})
@@ -36,10 +36,10 @@
 	return loseWorkerRunning(l, when, suspects)
 }
 
-func loseWorkerRunning(l *Ledger, when float64, suspects []Suspect) string {
+func loseWorkerRunning(l *LossTracker, when float64, suspects []Suspect) string {
 	lossCount++
 	worker := fmt.Sprintf("w-%d", lossCount)
-	l.Lost(Loss{Worker: worker, Address: worker, At: at(when), Replaced: true, Suspects: suspects})
+	l.RecordLoss(Loss{Worker: worker, Address: worker, At: at(when), Replaced: true, Suspects: suspects})
 	return worker
 }
 
@@ -121,9 +121,9 @@
 func TestLiveWorkerIsWithdrawnFromEvidence(t *testing.T) {
 	l, task := newTestLedger(48), newHistory()
 	first := loseWorker(l, 0, earlyAge, task)
-	require.True(t, l.Alive(first))
-	require.False(t, l.Alive(first))
-	require.Zero(t, task.Count())
+	require.True(t, l.WithdrawLoss(first))
+	require.False(t, l.WithdrawLoss(first))
+	require.Zero(t, task.LossCount())
 	loseWorker(l, 4, earlyAge, task)
 	require.Equal(t, Suspected, task.Verdict())
 }
@@ -137,8 +137,8 @@
 	require.InDelta(t, task.Odds(), restored.Odds(), 1e-9)
 	loseWorker(next, 4, earlyAge, restored)
 	require.Equal(t, PoisonByOdds, restored.Verdict())
-	require.True(t, next.Alive(worker))
-	require.Equal(t, 1, restored.Count())
+	require.True(t, next.WithdrawLoss(worker))
+	require.Equal(t, 1, restored.LossCount())
 }
 
 func TestLossLimitIgnoresOdds(t *testing.T) {
@@ -165,7 +165,7 @@
 	for number := range maxLosses - 1 {
 		task.AddUnexplained(fmt.Sprint("unexplained ", number))
 		task.AddUnexplained(fmt.Sprint("unexplained ", number))
-		require.Equal(t, number+1, task.Count())
+		require.Equal(t, number+1, task.LossCount())
 		require.Equal(t, Sound, task.Verdict())
 	}
 	restored := NewGroup().NewHistory(task.Records())
@@ -219,7 +219,7 @@
 // simulatedPool is a pool whose tasks stay on their workers, which are replaced immediately.
 type simulatedPool struct {
 	random     *rand.Rand
-	ledger     *Ledger
+	ledger     *LossTracker
 	tasks      []*History
 	startTimes []float64
 	counts     errorCounts
@@ -272,7 +272,7 @@
 		if task.Verdict().Poison() {
 			p.counts.falsePositives++
 		}
-		if task.Count() > 1 {
+		if task.LossCount() > 1 {
 			p.counts.lostRepeatedly++
 		}
 		p.tasks[i], p.startTimes[i] = newHistory(), now
@@ -323,7 +323,7 @@
 // do not contradict others.
 func TestAssumedAgesAgreeWithAny(t *testing.T) {
 	l, task := newTestLedger(12), newHistory()
-	loseWorkerRunning(l, 0, []Suspect{{History: task, Age: 2 * time.Second, AgeAssumed: true}})
+	loseWorkerRunning(l, 0, []Suspect{{History: task, Age: 2 * time.Second, AgeEstimated: true}})
 	loseWorker(l, 4, earlyAge, task)
 	require.Equal(t, PoisonByOdds, task.Verdict())
 }
--- a/internal/poison/rates.go
+++ b/internal/poison/rates.go
@@ -29,7 +29,7 @@
 func withinWindow(a, b *workerLoss, window time.Duration) bool { return a.at.Sub(b.at).Abs() <= window }
 
 // updateChanceRates recomputes the rate of chance losses at the time of each loss.
-func (l *Ledger) updateChanceRates() {
+func (l *LossTracker) updateChanceRates() {
 	for i, window := range rateWindows {
 		sum, first, next := 0.0, 0, 0
 		for _, loss := range l.losses {
--- a/internal/pool/isolation.go
+++ b/internal/pool/isolation.go
@@ -49,7 +49,7 @@
 // loss beside another suspected unit proves nothing.
 func (u *unit) needsEmptyWorkers() bool {
 	for _, m := range u.suspects() {
-		if m.losses.Count() >= isolationLosses || m.losses.Count() > 1 && m.losses.Suspicious() {
+		if m.losses.LossCount() >= isolationLosses || m.losses.LossCount() > 1 && m.losses.SuspectedByOdds() {
 			return true
 		}
 	}
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -33,7 +33,7 @@
 	}
 	var suspects []*member
 	for _, m := range u.members {
-		if m.losses.Count() > 0 {
+		if m.losses.LossCount() > 0 {
 			suspects = append(suspects, m)
 		}
 	}
@@ -78,7 +78,7 @@
 		}
 		p.record.Count("given_up", string(verdict))
 		p.record.Decided("job given up", "job", u.job.id, "task", m.name().String(), "reason", string(verdict),
-			"losses", m.losses.Count(), "odds", m.losses.Odds(), "workers", m.losses.Workers())
+			"losses", m.losses.LossCount(), "odds", m.losses.Odds(), "workers", m.losses.Workers())
 		p.finishJob(u.job, taskgraph.Failed)
 		return true
 	}
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -68,7 +68,7 @@
 	if w.Draining || w.leftWithoutDrain {
 		// The worker left as planned, with the runs that were not moved in time.
 		for _, m := range w.members {
-			if m.losses.Count() > 0 {
+			if m.losses.LossCount() > 0 {
 				m.losses.AddUnexplained(w.Incarnation.String())
 			}
 		}
@@ -77,14 +77,14 @@
 	at := w.lastResponsive(p.loop.Now())
 	loss := poison.Loss{
 		Worker: w.Incarnation.String(), Address: w.Address, At: at,
-		Unwatched: !w.contacted,
-		Replaced:  reason != lostLeaseExpired || p.addressTaken(w),
+		Unobserved: !w.contacted,
+		Replaced:   reason != lostLeaseExpired || p.addressTaken(w),
 	}
 	for _, m := range w.members {
 		m.addSuspect(&loss, m.runPresenceAt(at))
 	}
 	p.lossTracker.SetWorkers(len(p.workers))
-	p.lossTracker.Lost(loss)
+	p.lossTracker.RecordLoss(loss)
 }
 
 // addSuspect adds the member to the suspects of a loss if its run was on the worker.
@@ -99,7 +99,7 @@
 	case ran == possiblyStarted:
 		history.AddUnexplained(loss.Worker)
 	default:
-		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.runAgeAt(loss.At), AgeAssumed: !m.unit.startedByThisOwner})
+		loss.Suspects = append(loss.Suspects, poison.Suspect{History: history, Age: m.unit.runAgeAt(loss.At), AgeEstimated: !m.unit.startedByThisOwner})
 	}
 }
 
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -132,7 +132,7 @@
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	p.noteReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
-	if p.lossTracker.Alive(w.Incarnation.String()) {
+	if p.lossTracker.WithdrawLoss(w.Incarnation.String()) {
 		p.record.Decided("worker lives after all", "worker", w.ID)
 	}
 	p.applyReport(w, reply, sentAt)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -82,7 +82,7 @@
 	// jobsVersion is the store version up to which the job feed was read.
 	jobsVersion int64
 	// lossTracker correlates losses of workers, to find tasks that crash workers.
-	lossTracker *poison.Ledger
+	lossTracker *poison.LossTracker
 	// progressFencedAt is when all progress partitions were fenced against former owners.
 	progressFencedAt time.Time
 	// ownershipConfirmedAt is when this owner last was known to hold the pool; confirmingOwnership is
@@ -106,7 +106,7 @@
 		options: options, loop: l, ports: ports, record: record, token: token,
 		jobs: map[string]*job{}, workers: map[string]*worker{},
 		lastStoreAnswerAt: l.Now(), pendingCancels: map[string]bool{},
-		durations: map[string]*durationModel{}, storeRetries: loop.NewRetries(l), lossTracker: poison.NewLedger(),
+		durations: map[string]*durationModel{}, storeRetries: loop.NewRetries(l), lossTracker: poison.NewLossTracker(),
 		invalidRows: invalidWorkerRows{faults: map[string]fleet.RowFault{}},
 	}
 	p.writer = writer{pool: p}
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -67,7 +67,7 @@
 // updateFromRow applies the content of a worker row to the known incarnation.
 func (p *Pool) updateFromRow(w *worker, described *fleet.Worker) {
 	if !w.hasRow {
-		p.lossTracker.Replaced(described.Address, described.Incarnation.String())
+		p.lossTracker.MarkReplaced(described.Address, described.Incarnation.String())
 	}
 	wasDraining := w.Draining
 	born := max(w.StartMillis, described.StartMillis)
