--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -21,7 +21,7 @@
 	m.startDeadline = 0
 	m.incarnationUnknown = false
 	m.runTimePercent = 0
-	m.unit.step.cohort.Forget(&m.cohortEntry)
+	m.unit.step.cohort.Remove(&m.cohortEntry)
 	w.members = append(w.members, m)
 }
 
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -72,7 +72,7 @@
 	// unresponsive detects that many workers become unresponsive at once.
 	unresponsive unresponsiveWorkers
 	// runTimeSpread is the variation of task durations within a step.
-	runTimeSpread speeds.Spread
+	runTimeSpread speeds.WorkVariance
 	// removingExpiredJob is true while the rows of an expired job are being removed.
 	removingExpiredJob bool
 	// durations holds the learned duration model of each queue; estimatesRefreshedAt is when the
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -37,7 +37,7 @@
 	m.logRunTime = math.Log(elapsed.Seconds() * 100 / float64(percent))
 	m.runTimePercent = percent
 	if len(u.members) == 1 {
-		u.step.cohort.Note(&m.cohortEntry, &m.worker.speed, m.logRunTime)
+		u.step.cohort.Record(&m.cohortEntry, &m.worker.speed, m.logRunTime)
 		if percent >= reliableSpeedPercent {
 			p.updateSpeedFromTask(u)
 		}
@@ -76,17 +76,17 @@
 		}
 	}
 	u.measuredRun = u.run
-	speeds.Compare(samples, p.priorWork(u))
+	speeds.UpdateEstimates(samples, p.priorWork(u))
 	u.slowness = p.maxSlowness(u)
 }
 
 // priorWork returns the prior estimate of the work of a unit's members.
-func (p *Pool) priorWork(u *unit) speeds.Work {
+func (p *Pool) priorWork(u *unit) speeds.ExpectedWork {
 	model := p.durations[u.job.Queue.Name]
 	if model == nil || u.spec().Estimate() <= 0 {
-		return speeds.Work{}
+		return speeds.ExpectedWork{}
 	}
-	return speeds.Work{LogTime: math.Log(u.estimate().Seconds()) + p.currentMedianLogRunTime(p.loop.Now()), Variance: model.variance()}
+	return speeds.ExpectedWork{LogTime: math.Log(u.estimate().Seconds()) + p.currentMedianLogRunTime(p.loop.Now()), Variance: model.variance()}
 }
 
 // updateSpeedFromEndedTask updates its worker's speed from the duration of a completed single task.
@@ -96,7 +96,7 @@
 		return
 	}
 	duration := max(time.Millisecond, p.loop.Now().Sub(u.runningSince))
-	u.step.cohort.Note(&m.cohortEntry, &m.worker.speed, math.Log(duration.Seconds()))
+	u.step.cohort.Record(&m.cohortEntry, &m.worker.speed, math.Log(duration.Seconds()))
 	p.updateSpeedFromTask(u)
 }
 
@@ -107,7 +107,7 @@
 	if u.measuredRun == u.run || m.worker.cold(p.loop.Now()) {
 		return
 	}
-	if u.step.cohort.Learn(&m.cohortEntry, &m.worker.speed, &p.runTimeSpread) {
+	if u.step.cohort.UpdateEstimate(&m.cohortEntry, &m.worker.speed, &p.runTimeSpread) {
 		u.measuredRun = u.run
 	}
 }
--- a/internal/speeds/cohort.go
+++ b/internal/speeds/cohort.go
@@ -19,17 +19,17 @@
 // minCohortPeers is the minimum number of other tasks for a comparison.
 const minCohortPeers = 4
 
-// Note records the total duration of a task, extrapolated from its progress or measured at its
+// Record records the total duration of a task, extrapolated from its progress or measured at its
 // end.
-func (c *Cohort) Note(m *Member, worker *Estimate, logTime float64) {
-	c.Forget(m)
+func (c *Cohort) Record(m *Member, worker *Estimate, logTime float64) {
+	c.Remove(m)
 	m.work, m.added = logTime-worker.mean, true
 	c.sum += m.work
 	c.count++
 }
 
-// Forget removes a task's contribution, for example when its run failed.
-func (c *Cohort) Forget(m *Member) {
+// Remove removes a task's contribution, for example when its run failed.
+func (c *Cohort) Remove(m *Member) {
 	if m.added {
 		c.sum -= m.work
 		c.count--
@@ -37,9 +37,9 @@
 	}
 }
 
-// Learn compares a task with the others of its cohort and updates the worker's estimate and the
+// UpdateEstimate compares a task with the others of its cohort and updates the worker's estimate and the
 // spread. It returns false if there are too few other tasks.
-func (c *Cohort) Learn(m *Member, worker *Estimate, spread *Spread) bool {
+func (c *Cohort) UpdateEstimate(m *Member, worker *Estimate, spread *WorkVariance) bool {
 	peers := c.count - 1
 	if !m.added || peers < minCohortPeers {
 		return false
@@ -52,9 +52,9 @@
 	return true
 }
 
-// Spread estimates the variance of the logarithm of work among tasks of one step. The zero value
+// WorkVariance estimates the variance of the logarithm of work among tasks of one step. The zero value
 // is the prior.
-type Spread struct {
+type WorkVariance struct {
 	sum, weight float64
 }
 
@@ -69,12 +69,12 @@
 	maxSquaredDeviation = 1.0
 )
 
-func (s *Spread) variance() float64 {
+func (s *WorkVariance) variance() float64 {
 	return (s.sum + spreadPrior*spreadPriorWeight) / (s.weight + spreadPriorWeight)
 }
 
 // update adds a deviation, less the variance that the worker explains.
-func (s *Spread) update(deviation, workerVariance float64) {
+func (s *WorkVariance) update(deviation, workerVariance float64) {
 	if s.weight >= maxSpreadWeight {
 		s.sum *= (maxSpreadWeight - 1) / s.weight
 		s.weight = maxSpreadWeight - 1
--- a/internal/speeds/estimate.go
+++ b/internal/speeds/estimate.go
@@ -72,16 +72,16 @@
 	return math.Pow(roundingError/float64(max(1, percent)), 2)
 }
 
-// Work is the expected amount of work before it began: the logarithm of its time on a worker whose
+// ExpectedWork is the expected amount of work before it began: the logarithm of its time on a worker whose
 // estimate is 0. A zero Variance means that there is no expectation.
-type Work struct {
+type ExpectedWork struct {
 	LogTime, Variance float64
 }
 
-// Compare updates the workers' estimates from samples of equal work that began together. The
+// UpdateEstimates updates the workers' estimates from samples of equal work that began together. The
 // amount of work is estimated from the expectation and from the other samples; without an
 // expectation, a gang whose workers are all slow is indistinguishable from one with more work.
-func Compare(samples []Sample, work Work) {
+func UpdateEstimates(samples []Sample, work ExpectedWork) {
 	sum, weight := 0.0, 0.0
 	if work.Variance > 0 {
 		weight = 1 / work.Variance
--- a/internal/speeds/speeds_test.go
+++ b/internal/speeds/speeds_test.go
@@ -31,11 +31,11 @@
 		percent := max(1, int(25/math.Exp(p.actual[i])))
 		samples = append(samples, Sample{Worker: &p.estimates[i], LogTime: work + p.actual[i], Variance: RoundingVariance(percent)})
 	}
-	Compare(samples, Work{})
+	UpdateEstimates(samples, ExpectedWork{})
 }
 
 // runStep runs unequal tasks on random workers; one in thirty takes seven times as long.
-func (p *testPool) runStep(tasks int, spread *Spread) {
+func (p *testPool) runStep(tasks int, spread *WorkVariance) {
 	cohort, members, on := &Cohort{}, make([]Member, tasks), make([]int, tasks)
 	for k := range members {
 		on[k] = p.random.IntN(len(p.estimates))
@@ -43,10 +43,10 @@
 		if p.random.IntN(30) == 0 {
 			work += math.Log(7)
 		}
-		cohort.Note(&members[k], &p.estimates[on[k]], work+p.actual[on[k]])
+		cohort.Record(&members[k], &p.estimates[on[k]], work+p.actual[on[k]])
 	}
 	for k := range members {
-		cohort.Learn(&members[k], &p.estimates[on[k]], spread)
+		cohort.UpdateEstimate(&members[k], &p.estimates[on[k]], spread)
 	}
 }
 
@@ -87,7 +87,7 @@
 // TestCohortsRevealWorkerSpeeds does the same with tasks of unequal work.
 func TestCohortsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
-		p, spread := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &Spread{}
+		p, spread := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &WorkVariance{}
 		for range 30 {
 			p.runStep(40, spread)
 		}
@@ -101,7 +101,7 @@
 // TestLongTasksDoNotMarkWorkersSlow guards against taking a long tail of work for slow workers.
 func TestLongTasksDoNotMarkWorkersSlow(t *testing.T) {
 	for seed := range uint64(20) {
-		p, spread := newTestPool(seed, 60, 1), &Spread{}
+		p, spread := newTestPool(seed, 60, 1), &WorkVariance{}
 		for range 20 {
 			p.runStep(40, spread)
 		}
@@ -123,10 +123,10 @@
 		samples = append(samples, Sample{Worker: &p.estimates[4+i], Variance: 0.001})
 	}
 	before := disturbed.LogTime()
-	Compare(samples, Work{})
+	UpdateEstimates(samples, ExpectedWork{})
 	require.Less(t, disturbed.LogTime()-before, math.Log(1.25))
 	for range 30 {
-		Compare(samples, Work{})
+		UpdateEstimates(samples, ExpectedWork{})
 	}
 	require.Greater(t, disturbed.LogTime()-before, math.Log(2), "a lasting slowdown must be learned")
 }
@@ -135,13 +135,13 @@
 func TestCohortForgetRemovesSample(t *testing.T) {
 	cohort, worker, members := &Cohort{}, &Estimate{}, make([]Member, 3)
 	for k := range members {
-		cohort.Note(&members[k], worker, float64(k))
+		cohort.Record(&members[k], worker, float64(k))
 	}
-	cohort.Note(&members[2], worker, 7)
+	cohort.Record(&members[2], worker, 7)
 	require.Equal(t, 3, cohort.count)
 	require.InDelta(t, 8, cohort.sum, 1e-9)
-	cohort.Forget(&members[2])
-	cohort.Forget(&members[2])
+	cohort.Remove(&members[2])
+	cohort.Remove(&members[2])
 	require.Equal(t, 2, cohort.count)
 	require.InDelta(t, 1, cohort.sum, 1e-9)
 }
@@ -150,12 +150,12 @@
 // recognized only by the expected work.
 func TestExpectedWorkRevealsUniformlySlowGang(t *testing.T) {
 	for name, c := range map[string]struct {
-		work Work
+		work ExpectedWork
 		slow bool
 	}{
-		"no expectation":      {Work{}, false},
-		"precise expectation": {Work{LogTime: 0, Variance: 0.04}, true},
-		"vague expectation":   {Work{LogTime: 0, Variance: 2}, false},
+		"no expectation":      {ExpectedWork{}, false},
+		"precise expectation": {ExpectedWork{LogTime: 0, Variance: 0.04}, true},
+		"vague expectation":   {ExpectedWork{LogTime: 0, Variance: 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			workers := make([]Estimate, 4)
@@ -163,7 +163,7 @@
 			for i := range workers {
 				samples = append(samples, Sample{Worker: &workers[i], LogTime: math.Log(1.8), Variance: 0.001})
 			}
-			Compare(samples, c.work)
+			UpdateEstimates(samples, c.work)
 			for i := range workers {
 				require.Equal(t, c.slow, workers[i].Exceeds(0, 1.3))
 			}
