--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -14,17 +14,17 @@
 type Change struct {
 	Zone     string
 	Revision int64
-	// Ended is true if the row was removed.
-	Ended bool
+	// Removed is true if the row was removed.
+	Removed bool
 }
 
-// Changes extracts the changes from rows. zoneOf returns the zone that a row evacuates, or false
+// ParseChanges extracts the changes from rows. zoneOf returns the zone that a row evacuates, or false
 // for any other row.
-func Changes(listed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
+func ParseChanges(listed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
 	var changes []Change
 	for i := range listed {
 		if zone, ok := zoneOf(listed[i].Key); ok {
-			changes = append(changes, Change{Zone: zone, Revision: listed[i].Version, Ended: listed[i].Gone})
+			changes = append(changes, Change{Zone: zone, Revision: listed[i].Version, Removed: listed[i].Gone})
 		}
 	}
 	return changes
@@ -40,13 +40,13 @@
 	AsOf time.Time
 }
 
-// Of returns the set for a complete listing of the rows.
-func Of(changes []Change, revision int64, asOf time.Time) Set {
-	return Set{}.With(changes, revision, asOf)
+// NewSet returns the set for a complete listing of the rows.
+func NewSet(changes []Change, revision int64, asOf time.Time) Set {
+	return Set{}.Apply(changes, revision, asOf)
 }
 
-// With returns the set after applying changes up to a revision.
-func (s Set) With(changes []Change, revision int64, asOf time.Time) Set {
+// Apply returns the set after applying changes up to a revision.
+func (s Set) Apply(changes []Change, revision int64, asOf time.Time) Set {
 	next := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: latest(s.AsOf, asOf)}
 	if len(changes) == 0 {
 		return next
@@ -59,7 +59,7 @@
 		if change.Revision < next.zones[change.Zone] {
 			continue
 		}
-		if change.Ended {
+		if change.Removed {
 			delete(next.zones, change.Zone)
 			continue
 		}
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -14,12 +14,12 @@
 func TestWithAddsAndRemovesZones(t *testing.T) {
 	empty := Set{}
 	require.False(t, empty.Contains("a"))
-	first := Of([]Change{{Zone: "a", Revision: 5}}, 7, at(1))
+	first := NewSet([]Change{{Zone: "a", Revision: 5}}, 7, at(1))
 	require.True(t, first.Contains("a"))
-	both := first.With([]Change{{Zone: "b", Revision: 9}}, 9, at(2))
+	both := first.Apply([]Change{{Zone: "b", Revision: 9}}, 9, at(2))
 	require.Equal(t, []string{"a", "b"}, both.Zones())
 	require.Equal(t, []string{"a"}, first.Zones(), "With must not modify its receiver")
-	removed := both.With([]Change{{Zone: "a", Revision: 11, Ended: true}}, 12, at(3))
+	removed := both.Apply([]Change{{Zone: "a", Revision: 11, Removed: true}}, 12, at(3))
 	require.Equal(t, []string{"b"}, removed.Zones())
 	require.Equal(t, at(3), removed.AsOf)
 	require.EqualValues(t, 12, removed.Revision)
@@ -27,19 +27,19 @@
 
 // TestWithIgnoresStaleChanges covers responses of the store that arrive out of order.
 func TestWithIgnoresStaleChanges(t *testing.T) {
-	known := Of([]Change{{Zone: "a", Revision: 10}}, 10, at(5))
-	stale := known.With([]Change{{Zone: "a", Revision: 4, Ended: true}}, 6, at(1))
+	known := NewSet([]Change{{Zone: "a", Revision: 10}}, 10, at(5))
+	stale := known.Apply([]Change{{Zone: "a", Revision: 4, Removed: true}}, 6, at(1))
 	require.True(t, stale.Contains("a"))
 	require.EqualValues(t, 10, stale.Revision)
 	require.Equal(t, at(5), stale.AsOf)
 }
 
 func TestNewest(t *testing.T) {
-	older := Of(nil, 5, at(1))
-	newer := Of([]Change{{Zone: "a", Revision: 6}}, 6, at(1))
+	older := NewSet(nil, 5, at(1))
+	newer := NewSet([]Change{{Zone: "a", Revision: 6}}, 6, at(1))
 	require.Equal(t, newer, older.Newest(newer))
 	require.Equal(t, newer, newer.Newest(older))
-	laterAsOf := Of([]Change{{Zone: "a", Revision: 6}}, 6, at(2))
+	laterAsOf := NewSet([]Change{{Zone: "a", Revision: 6}}, 6, at(2))
 	require.Equal(t, laterAsOf, newer.Newest(laterAsOf))
 	require.Equal(t, laterAsOf, laterAsOf.Newest(newer))
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -22,7 +22,7 @@
 			n.applyConfiguration(listing.Rows[i])
 		}
 		n.confirm(listing.AsOf)
-		n.applyEvacuations(evacuation.Of(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
+		n.applyEvacuations(evacuation.NewSet(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 		n.follow(subscription{
 			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
 			onAnswer: n.handleOperatorFeed, onEnd: n.readConfiguration,
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -11,7 +11,7 @@
 // applied: the configuration and the evacuations are current as of it.
 func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
 	n.confirm(listing.AsOf)
-	n.applyEvacuations(n.evacuated.With(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
+	n.applyEvacuations(n.evacuated.Apply(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 }
 
 // applyEvacuations updates the set of evacuated zones and notifies the owned pools of changes.
@@ -28,5 +28,5 @@
 }
 
 func (n *Node) evacuationChanges(listed []rows.Row) []evacuation.Change {
-	return evacuation.Changes(listed, n.edges.Codec.EvacuatedZone)
+	return evacuation.ParseChanges(listed, n.edges.Codec.EvacuatedZone)
 }
