--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -44,9 +44,9 @@
 
 // Tenant is a customer with keys and a guarantee.
 type Tenant struct {
-	Name       string           `json:"name"`
-	Keys       []string         `json:"keys"`
-	Guaranteed taskgraph.Amount `json:"guaranteed"`
+	Name       string              `json:"name"`
+	Keys       []string            `json:"keys"`
+	Guaranteed taskgraph.Resources `json:"guaranteed"`
 }
 
 // Limits restrict the size of requests.
@@ -110,13 +110,13 @@
 }
 
 // Guarantee returns the guaranteed resources of a tenant.
-func (c *Catalog) Guarantee(tenant string) taskgraph.Amount {
+func (c *Catalog) Guarantee(tenant string) taskgraph.Resources {
 	for i := range c.Tenants {
 		if c.Tenants[i].Name == tenant {
 			return c.Tenants[i].Guaranteed
 		}
 	}
-	return taskgraph.Amount{}
+	return taskgraph.Resources{}
 }
 
 // PoolNames returns the pools that run queues, in order of declaration.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,7 +16,7 @@
 	Pool     string
 	Address  string
 	Zone     string
-	Capacity taskgraph.Amount
+	Capacity taskgraph.Resources
 	Labels   []string
 	Draining bool
 	// RemainingMillis is the minimum time left until a draining worker stops.
--- a/internal/loadplay/load.go
+++ b/internal/loadplay/load.go
@@ -33,7 +33,7 @@
 	// GPUs are the choices for the accelerators of a task, equal for all tasks of a job.
 	GPUs []int
 	// Request is the resource request of a task without its accelerators.
-	Request taskgraph.Amount
+	Request taskgraph.Resources
 	// Gang, SameRack and Checkpoints are shares of jobs; SameRack is a share of the gangs.
 	Gang, SameRack, Checkpoints float64
 	// Value and LateValue are the values of a job of mean size that completes in time or late.
@@ -103,7 +103,7 @@
 	}
 	step := taskgraph.Step{
 		Count:          min(c.MaxWidth, max(1, int(math.Round(c.Width*logNormalFactor(random, c.WidthSigma))))),
-		Amount:         c.Request,
+		Resources:      c.Request,
 		EstimateMillis: int64(float64(work.Milliseconds()) * math.Exp((2*random.Float64()-1)*c.EstimateError)),
 		Gang:           random.Float64() < c.Gang,
 		Checkpoints:    random.Float64() < c.Checkpoints,
@@ -148,7 +148,7 @@
 }
 
 // workerCapacity is the capacity of each worker.
-var workerCapacity = taskgraph.Amount{CPU: 128000, MemoryMB: 524288, GPUs: 8}
+var workerCapacity = taskgraph.Resources{CPU: 128000, MemoryMB: 524288, GPUs: 8}
 
 // logNormalFactor returns a log-normal random factor of mean 1; deviation is the standard
 // deviation of its logarithm.
--- a/internal/loadplay/loads.go
+++ b/internal/loadplay/loads.go
@@ -24,17 +24,17 @@
 		{
 			Queue: catalog.Queue{Name: urgentClass, Priority: 0, MaxAttempts: 3, Stretch: 1.5, TargetMillis: 300},
 			Rate:  3.6, Width: 5.4, WidthSigma: 0.8, MaxWidth: 32, Work: 2500 * time.Millisecond, WorkSigma: 0.5, EstimateError: 0.9,
-			GPUs: accelerators, Request: taskgraph.Amount{CPU: 15000, MemoryMB: 44000}, Gang: 1, SameRack: 0.8, Value: 4, LateValue: 0.8,
+			GPUs: accelerators, Request: taskgraph.Resources{CPU: 15000, MemoryMB: 44000}, Gang: 1, SameRack: 0.8, Value: 4, LateValue: 0.8,
 		},
 		{
 			Queue: catalog.Queue{Name: middleClass, Priority: 1, MaxAttempts: 4, Stretch: 3, TargetMillis: 1000},
 			Rate:  0.39, Width: 13, WidthSigma: 0.8, MaxWidth: 64, Work: 8500 * time.Millisecond, WorkSigma: 0.3, EstimateError: 0.2,
-			GPUs: accelerators, Request: taskgraph.Amount{CPU: 52000, MemoryMB: 270000}, Gang: 1, SameRack: 0.4, Checkpoints: 0.45, Value: 3, LateValue: 0.9,
+			GPUs: accelerators, Request: taskgraph.Resources{CPU: 52000, MemoryMB: 270000}, Gang: 1, SameRack: 0.4, Checkpoints: 0.45, Value: 3, LateValue: 0.9,
 		},
 		{
 			Queue: catalog.Queue{Name: wideClass, Priority: 2, MaxAttempts: 2, Stretch: 3, TargetMillis: 3000},
 			Rate:  0.48, Width: 39, WidthSigma: 0.8, MaxWidth: 230, Work: 6100 * time.Millisecond, WorkSigma: 0.3, EstimateError: 0.2,
-			GPUs: []int{1}, Request: taskgraph.Amount{CPU: 11000, MemoryMB: 59000}, Checkpoints: 0.45, Value: 1, LateValue: 0.3,
+			GPUs: []int{1}, Request: taskgraph.Resources{CPU: 11000, MemoryMB: 59000}, Checkpoints: 0.45, Value: 1, LateValue: 0.3,
 		},
 	}
 }
--- a/internal/loadplay/simulate.go
+++ b/internal/loadplay/simulate.go
@@ -156,7 +156,7 @@
 // size returns the job's work in core-seconds.
 func (a *arrival) size() float64 {
 	step := &a.spec.Steps[0]
-	return step.Amount.Cores() * float64(step.Count) * a.work.Seconds()
+	return step.Resources.Cores() * float64(step.Count) * a.work.Seconds()
 }
 
 func (l *Load) meanSizes(arrivals []arrival) []float64 {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -13,9 +13,9 @@
 type Worker struct {
 	Rack string
 	// Capacity is the total resources of the worker.
-	Capacity taskgraph.Amount
+	Capacity taskgraph.Resources
 	// Free is what is unallocated, less the reservations made in this cycle.
-	Free taskgraph.Amount
+	Free taskgraph.Resources
 	// RackFree is the unallocated capacity of the worker's rack, in cores.
 	RackFree float64
 	// Slow marks workers that take longer than most.
@@ -32,12 +32,12 @@
 type Allocation struct {
 	// Unit is the index of the run's unit in the snapshot.
 	Unit      int
-	Resources taskgraph.Amount
+	Resources taskgraph.Resources
 }
 
 // Request asks for Count identical tasks to be placed, all or none.
 type Request struct {
-	Resources taskgraph.Amount
+	Resources taskgraph.Resources
 	Count     int
 	// Priority 0 is the highest.
 	Priority int
@@ -49,11 +49,11 @@
 	Present      func(worker int) int
 	// Limit restricts the free resources of a worker that the request may use; nil means no
 	// restriction.
-	Limit func(worker int, free taskgraph.Amount) taskgraph.Amount
+	Limit func(worker int, free taskgraph.Resources) taskgraph.Resources
 }
 
 // visibleFree returns the free resources of a worker that the request may use.
-func (r *Request) visibleFree(workers []Worker, i int) taskgraph.Amount {
+func (r *Request) visibleFree(workers []Worker, i int) taskgraph.Resources {
 	if r.Limit == nil {
 		return workers[i].Free
 	}
@@ -66,7 +66,7 @@
 
 // taskCapacity returns how many of the request's tasks fit into the available resources of worker
 // i.
-func (r *Request) taskCapacity(i int, available taskgraph.Amount) int {
+func (r *Request) taskCapacity(i int, available taskgraph.Resources) int {
 	count := r.Count
 	if r.Resources.CPU > 0 {
 		count = min(count, available.CPU/r.Resources.CPU)
@@ -116,7 +116,7 @@
 		if fits == 0 {
 			continue
 		}
-		remaining := available.Minus(request.Resources.Times(fits)).Cores()
+		remaining := available.Minus(request.Resources.Multiply(fits)).Cores()
 		selected.add(candidate{worker: i, position: position, fits: fits, remaining: remaining, rackFree: workers[i].RackFree})
 	}
 	return assignTasks(selected.sorted(), request.Count)
@@ -232,7 +232,7 @@
 }
 
 // Reserve deducts perTask from the free resources of each placed task's worker.
-func Reserve(workers []Worker, places []int, perTask taskgraph.Amount) {
+func Reserve(workers []Worker, places []int, perTask taskgraph.Resources) {
 	for _, i := range places {
 		workers[i].Free = workers[i].Free.Minus(perTask)
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-func gpus(n int) taskgraph.Amount { return taskgraph.Amount{GPUs: n} }
+func gpus(n int) taskgraph.Resources { return taskgraph.Resources{GPUs: n} }
 
 // newTestWorkers returns usable workers with the given numbers of free GPUs, two workers per rack.
 func newTestWorkers(free ...int) ([]Worker, *Racks) {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -10,7 +10,7 @@
 type Unit struct {
 	// Workers lists the workers of the unit's runs.
 	Workers   []int
-	Resources taskgraph.Amount
+	Resources taskgraph.Resources
 	// Remaining is the expected time until the unit releases its resources.
 	Remaining time.Duration
 	// PreemptionCost is the cost of preempting the unit now; negative if it must not be preempted.
@@ -25,7 +25,7 @@
 	// Wait is the expected wait.
 	Wait time.Duration
 	// Unreserved maps each place to the resources that other tasks may occupy beyond that time.
-	Unreserved map[int]taskgraph.Amount
+	Unreserved map[int]taskgraph.Resources
 }
 
 // EarliestFit returns when and where the request fits if running units end as expected and nothing
--- a/internal/placement/simulation.go
+++ b/internal/placement/simulation.go
@@ -122,7 +122,7 @@
 // wait.
 func (s *simulation) placementAfter(after time.Duration) *FuturePlacement {
 	places := Fit(s.workers, s.indexes, s.request)
-	spare := make(map[int]taskgraph.Amount, len(places))
+	spare := make(map[int]taskgraph.Resources, len(places))
 	for _, i := range places {
 		free, known := spare[i]
 		if !known {
--- a/internal/pool/benchmark_test.go
+++ b/internal/pool/benchmark_test.go
@@ -16,16 +16,16 @@
 func submitMix(w *simulation.World, random *rand.Rand, first, count, racks int) {
 	sizes := []int{1, 2, 4, 8, 8}
 	for n := first; n < first+count; n++ {
-		step := taskgraph.Step{Amount: taskgraph.Amount{CPU: 7500, MemoryMB: 22000, GPUs: sizes[random.IntN(5)]},
+		step := taskgraph.Step{Resources: taskgraph.Resources{CPU: 7500, MemoryMB: 22000, GPUs: sizes[random.IntN(5)]},
 			Count: 1 + random.IntN(9), EstimateMillis: 2500, Gang: true, SameRack: random.IntN(5) > 0}
 		queue := urgent
 		switch kind := random.IntN(10); {
 		case kind >= 8:
 			queue = batch
-			step = taskgraph.Step{Amount: taskgraph.Amount{CPU: 5600, MemoryMB: 23000, GPUs: 1}, Count: 1 + random.IntN(70), EstimateMillis: 7600, Checkpoints: true}
+			step = taskgraph.Step{Resources: taskgraph.Resources{CPU: 5600, MemoryMB: 23000, GPUs: 1}, Count: 1 + random.IntN(70), EstimateMillis: 7600, Checkpoints: true}
 		case kind >= 6:
 			queue = catalog.Queue{Name: "middle", Priority: 1, MaxAttempts: 4, Stretch: 3, TargetMillis: 1000}
-			step.Amount = taskgraph.Amount{CPU: 26000, MemoryMB: 140000, GPUs: step.GPUs}
+			step.Resources = taskgraph.Resources{CPU: 26000, MemoryMB: 140000, GPUs: step.GPUs}
 			step.Count, step.EstimateMillis = 1+random.IntN(24), 6800
 			if random.IntN(3) == 0 {
 				step.PreferredRack = fmt.Sprintf("r-%d", random.IntN(racks))
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -36,7 +36,7 @@
 func (w *worker) fitsMembers(now time.Time) bool {
 	free := w.Capacity
 	for _, m := range w.members {
-		free = free.Minus(m.unit.spec().Room())
+		free = free.Minus(m.unit.spec().Requirements())
 	}
 	free = w.subtractUnexpected(free, now)
 	return free.CPU >= 0 && free.MemoryMB >= 0 && free.GPUs >= 0
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -40,7 +40,7 @@
 }
 
 // shrunkCapacity returns the capacity of a worker that has lost five of its eight accelerators.
-func shrunkCapacity() taskgraph.Amount {
+func shrunkCapacity() taskgraph.Resources {
 	shrunk := simulation.WorkerCapacity
 	shrunk.GPUs = 3
 	return shrunk
--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -132,7 +132,7 @@
 			j.estimates[i] = model.predict(j.estimates[i])
 		}
 	}
-	j.criticalPaths = j.Spec.Tails(j.estimates)
+	j.criticalPaths = j.Spec.CriticalPaths(j.estimates)
 	longest := time.Duration(0)
 	for _, tail := range j.criticalPaths {
 		longest = max(longest, tail)
--- a/internal/pool/find_placement.go
+++ b/internal/pool/find_placement.go
@@ -149,16 +149,16 @@
 
 // reservationLimiter returns a limit that hides reserved resources from units whose estimate
 // exceeds the time until the reservation starts; nil if nothing is reserved.
-func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
+func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Resources) taskgraph.Resources {
 	if len(s.reservations) == 0 {
 		return nil
 	}
-	return func(i int, free taskgraph.Amount) taskgraph.Amount {
+	return func(i int, free taskgraph.Resources) taskgraph.Resources {
 		reserved, found := s.reservations[i]
 		if !found || estimate <= reserved.startsIn {
 			return free
 		}
-		return free.Least(reserved.unreserved)
+		return free.Min(reserved.unreserved)
 	}
 }
 
@@ -206,7 +206,7 @@
 	for i, spare := range promise.Unreserved {
 		existing, found := s.reservations[i]
 		if found {
-			spare = spare.Least(existing.unreserved)
+			spare = spare.Min(existing.unreserved)
 		}
 		if !found || promise.Wait < existing.startsIn {
 			existing.startsIn = promise.Wait
--- a/internal/pool/isolation.go
+++ b/internal/pool/isolation.go
@@ -98,9 +98,9 @@
 // these are the workers that will have none.
 func (s *snapshot) restrictToEmpty(request *placement.Request) *placement.Request {
 	restricted := *request
-	restricted.Limit = func(i int, free taskgraph.Amount) taskgraph.Amount {
+	restricted.Limit = func(i int, free taskgraph.Resources) taskgraph.Resources {
 		if free != s.workers[i].Capacity {
-			return taskgraph.Amount{}
+			return taskgraph.Resources{}
 		}
 		if request.Limit != nil {
 			return request.Limit(i, free)
@@ -117,7 +117,7 @@
 		return
 	}
 	for i := range promise.Unreserved {
-		promise.Unreserved[i] = taskgraph.Amount{}
+		promise.Unreserved[i] = taskgraph.Resources{}
 	}
 	s.reserve(u, request, promise)
 }
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -172,7 +172,7 @@
 
 func (m *member) name() taskgraph.TaskName {
 	u := m.unit
-	return taskgraph.TaskName{Job: u.job.id, Time: u.repetition.number, Step: u.step.index, Index: m.index}
+	return taskgraph.TaskName{Job: u.job.id, Repetition: u.repetition.number, Step: u.step.index, Index: m.index}
 }
 
 func (u *unit) spec() *taskgraph.Step { return u.step.spec }
@@ -214,7 +214,7 @@
 func (j *job) repetitionAt(k int) *repetition {
 	for len(j.repetitions) <= k {
 		number := len(j.repetitions)
-		created := &repetition{number: number, due: j.Spec.Due(number)}
+		created := &repetition{number: number, due: j.Spec.DueTime(number)}
 		for i := range j.Spec.Steps {
 			created.steps = append(created.steps, &step{spec: &j.Spec.Steps[i], index: i})
 		}
@@ -248,10 +248,10 @@
 
 // member returns the member of a task name, or nil if it does not exist.
 func (j *job) member(name taskgraph.TaskName) *member {
-	if name.Time >= len(j.repetitions) || name.Step >= len(j.Spec.Steps) {
+	if name.Repetition >= len(j.repetitions) || name.Step >= len(j.Spec.Steps) {
 		return nil
 	}
-	s := j.repetitions[name.Time].steps[name.Step]
+	s := j.repetitions[name.Repetition].steps[name.Step]
 	if s.units == nil || name.Index >= s.spec.Count {
 		return nil
 	}
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -13,8 +13,8 @@
 		return
 	}
 	now := p.loop.Now()
-	for k := 0; k < j.Spec.Times(); k++ {
-		due := j.Spec.Due(k)
+	for k := 0; k < j.Spec.RepetitionCount(); k++ {
+		due := j.Spec.DueTime(k)
 		if timeOfDay := p.loop.TimeOfDay(); !due.IsZero() && due.After(timeOfDay) {
 			p.loop.After(due.Sub(timeOfDay)+dueTimeMargin, func() { p.createReadyUnits(j); p.scheduleCycle() })
 			break
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -24,7 +24,7 @@
 
 // single returns a step of identical tasks with one accelerator each.
 func single(count int) taskgraph.Step {
-	return taskgraph.Step{Count: count, Amount: taskgraph.Amount{CPU: 4000, MemoryMB: 20000, GPUs: 1}, EstimateMillis: 1000}
+	return taskgraph.Step{Count: count, Resources: taskgraph.Resources{CPU: 4000, MemoryMB: 20000, GPUs: 1}, EstimateMillis: 1000}
 }
 
 // gang returns a gang step whose tasks use all accelerators of a worker.
@@ -333,7 +333,7 @@
 	w.Run(900 * time.Millisecond)
 	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
 	w.Run(4500 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1), Time: 2}))
+	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1), Repetition: 2}))
 	w.Run(3 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -22,7 +22,7 @@
 		lost = min(lost, p.options.Bounds.CheckpointInterval)
 		restart = p.remaining(u, now)
 	}
-	loss := u.spec().Amount.Cores() * float64(len(u.members)) * lost.Seconds()
+	loss := u.spec().Resources.Cores() * float64(len(u.members)) * lost.Seconds()
 	timeToEnd := u.deadline().Sub(now) - u.job.criticalPaths[u.step.index] + u.estimate()
 	if timeToEnd > p.remaining(u, now) && timeToEnd < restart+assumedRequeueWait {
 		loss += onTimeGain(u)
@@ -79,8 +79,8 @@
 
 // reallocate reserves the victims' resources at places. The victims' other resources stay in use
 // until they have stopped, so no other unit of this cycle gets them.
-func (s *snapshot) reallocate(victims, places []int, room taskgraph.Amount) {
-	freeBefore := map[int]taskgraph.Amount{}
+func (s *snapshot) reallocate(victims, places []int, room taskgraph.Resources) {
+	freeBefore := map[int]taskgraph.Resources{}
 	for _, index := range victims {
 		for _, i := range s.units[index].Workers {
 			if _, seen := freeBefore[i]; !seen {
@@ -93,7 +93,7 @@
 	}
 	placement.Reserve(s.workers, places, room)
 	for i, free := range freeBefore {
-		s.workers[i].Free = s.workers[i].Free.Least(free)
+		s.workers[i].Free = s.workers[i].Free.Min(free)
 	}
 }
 
@@ -130,7 +130,7 @@
 // work returns the unit's estimated work in core-seconds.
 func (u *unit) work() float64 {
 	spec := u.spec()
-	return spec.Amount.Cores() * float64(len(u.members)) * u.estimate().Seconds()
+	return spec.Resources.Cores() * float64(len(u.members)) * u.estimate().Seconds()
 }
 
 func cheapestPreemption(s *snapshot, scopes [][]int, request *placement.Request) (places, victims []int, lowestLoss float64) {
@@ -149,11 +149,11 @@
 	if j.Queue.Priority != 0 {
 		return false
 	}
-	demand := taskgraph.Amount{}
+	demand := taskgraph.Resources{}
 	for _, other := range p.jobs {
 		if other.Tenant == j.Tenant && other.Queue.Priority == 0 && !other.pendingState.Final() {
 			for i := range other.Spec.Steps {
-				demand = demand.Plus(other.Spec.Steps[i].Amount.Times(other.Spec.Steps[i].Count))
+				demand = demand.Plus(other.Spec.Steps[i].Resources.Multiply(other.Spec.Steps[i].Count))
 			}
 		}
 	}
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -96,7 +96,7 @@
 func (p *Progress) validFor(spec *taskgraph.Spec) bool {
 	for i := range p.Steps {
 		saved := &p.Steps[i]
-		if saved.Repetition < 0 || saved.Repetition >= spec.Times() || saved.Step < 0 || saved.Step >= len(spec.Steps) {
+		if saved.Repetition < 0 || saved.Repetition >= spec.RepetitionCount() || saved.Step < 0 || saved.Step >= len(spec.Steps) {
 			return false
 		}
 		for k := range saved.Units {
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -31,7 +31,7 @@
 type reservation struct {
 	startsIn time.Duration
 	// unreserved has the resources that other units may use past the start.
-	unreserved taskgraph.Amount
+	unreserved taskgraph.Resources
 }
 
 // equivalenceClass groups units that one cycle either places or cannot place alike.
@@ -94,7 +94,7 @@
 		if m.unit.isolated(s.now) {
 			entry.Usable = false
 		}
-		room := m.unit.spec().Room()
+		room := m.unit.spec().Requirements()
 		entry.Free = entry.Free.Minus(room)
 		index := p.unitIndex(s, m.unit)
 		s.units[index].Workers = append(s.units[index].Workers, workerIndex)
@@ -138,7 +138,7 @@
 
 // utilizationOf returns the utilization of the most used resource on usable workers.
 func utilizationOf(owners []*worker, workers []placement.Worker) float64 {
-	var total, free taskgraph.Amount
+	var total, free taskgraph.Resources
 	for i := range workers {
 		if workers[i].Usable {
 			total = total.Plus(owners[i].Capacity)
@@ -162,7 +162,7 @@
 
 // placementUnit returns the placement view of a unit that uses resources.
 func (p *Pool) placementUnit(u *unit, now time.Time) placement.Unit {
-	described := placement.Unit{Resources: u.spec().Room(), Remaining: p.remaining(u, now), PreemptionCost: -1, Priority: u.job.Queue.Priority}
+	described := placement.Unit{Resources: u.spec().Requirements(), Remaining: p.remaining(u, now), PreemptionCost: -1, Priority: u.job.Queue.Priority}
 	switch {
 	case u.state == unitStopping || u.state == unitEnded:
 		described.Remaining = min(described.Remaining, p.options.Bounds.StopTimeout)
@@ -176,7 +176,7 @@
 // request returns the placement request of a unit.
 func (s *snapshot) request(u *unit) *placement.Request {
 	spec := u.spec()
-	request := &placement.Request{Resources: spec.Room(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
+	request := &placement.Request{Resources: spec.Requirements(), Count: len(u.members), Priority: u.job.Queue.Priority, MaxPerWorker: spec.MaxPerWorker}
 	if len(u.excludedWorkers) > 0 || spec.RequiredLabel != "" {
 		request.Allowed = func(i int) bool {
 			w := s.poolWorkers[i]
--- a/internal/pool/unexpected_runs.go
+++ b/internal/pool/unexpected_runs.go
@@ -16,7 +16,7 @@
 // unexpectedRun is a run that a worker listed and that this owner did not expect there. It occupies
 // capacity until it has ended.
 type unexpectedRun struct {
-	room taskgraph.Amount
+	room taskgraph.Resources
 	// endedBy is the time by which the run has certainly ended; zero while the worker lists it.
 	endedBy time.Time
 }
@@ -32,9 +32,9 @@
 
 // stopUnexpected stops a run that should not be on a worker.
 func (p *Pool) stopUnexpected(w *worker, name taskgraph.TaskName, run int) {
-	room := taskgraph.Amount{}
+	room := taskgraph.Resources{}
 	if j := p.jobs[name.Job]; j != nil && name.Step < len(j.Spec.Steps) {
-		room = j.Spec.Steps[name.Step].Room()
+		room = j.Spec.Steps[name.Step].Requirements()
 	}
 	w.unexpected[runID{task: name, run: run}] = unexpectedRun{room: room}
 	p.record.Count("worker_orders", "stop_stranger")
@@ -68,7 +68,7 @@
 }
 
 // subtractUnexpected subtracts the capacity of a worker's unexpected runs from its free capacity.
-func (w *worker) subtractUnexpected(free taskgraph.Amount, now time.Time) taskgraph.Amount {
+func (w *worker) subtractUnexpected(free taskgraph.Resources, now time.Time) taskgraph.Resources {
 	for _, run := range w.unexpected {
 		if run.endedBy.IsZero() || now.Before(run.endedBy) {
 			free = free.Minus(run.room)
--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -61,7 +61,7 @@
 }
 
 func (p *Pool) completeJobIfDone(j *job) {
-	if len(j.repetitions) < j.Spec.Times() {
+	if len(j.repetitions) < j.Spec.RepetitionCount() {
 		return
 	}
 	for _, t := range j.repetitions {
--- a/internal/pool/wait_reasons.go
+++ b/internal/pool/wait_reasons.go
@@ -96,5 +96,5 @@
 	if u.spec().Checkpoints {
 		runTime = min(runTime, p.options.Bounds.CheckpointInterval)
 	}
-	return u.spec().Amount.Cores() * runTime.Seconds()
+	return u.spec().Resources.Cores() * runTime.Seconds()
 }
--- a/internal/simulation/capacity.go
+++ b/internal/simulation/capacity.go
@@ -16,7 +16,7 @@
 // capacityChange is a capacity and the time from which it applies.
 type capacityChange struct {
 	at       time.Time
-	capacity taskgraph.Amount
+	capacity taskgraph.Resources
 }
 
 func (w *Worker) recordCapacity() {
@@ -24,7 +24,7 @@
 }
 
 // SetCapacity changes the capacity of a running worker and updates its row after rowAfter.
-func (w *Worker) SetCapacity(capacity taskgraph.Amount, rowAfter time.Duration) {
+func (w *Worker) SetCapacity(capacity taskgraph.Resources, rowAfter time.Duration) {
 	w.Capacity = capacity
 	w.recordCapacity()
 	w.clock.After(rowAfter, func() {
@@ -36,16 +36,16 @@
 
 // allowedUsage returns, for each resource, the highest capacity that the worker had within
 // capacityGrace.
-func (w *Worker) allowedUsage() taskgraph.Amount {
+func (w *Worker) allowedUsage() taskgraph.Resources {
 	most := w.Capacity
 	for i, since := range w.capacities {
 		ended := i+1 < len(w.capacities) && w.clock.Now().Sub(w.capacities[i+1].at) > capacityGrace
 		if !ended {
-			most = most.Most(since.capacity)
+			most = most.Max(since.capacity)
 		}
 	}
 	return most
 }
 
 // usage returns the resources of all runs, including those that are stopping.
-func (w *Worker) usage() taskgraph.Amount { return w.Capacity.Minus(w.free()) }
+func (w *Worker) usage() taskgraph.Resources { return w.Capacity.Minus(w.free()) }
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -203,7 +203,7 @@
 	j.checkZone(r)
 	j.checkDependencies(r, job)
 	j.checkCrashes(r, t)
-	if taken, allowed := r.worker.usage(), r.worker.allowedUsage(); !taken.Within(allowed) {
+	if taken, allowed := r.worker.usage(), r.worker.allowedUsage(); !taken.FitsIn(allowed) {
 		j.violated("%v run %d brings %s to %+v, over %+v", r.name, r.number, r.worker.ID, taken, allowed)
 	}
 	if t.done && !j.world.step(r.name).LongRunning {
@@ -239,7 +239,7 @@
 	for _, earlier := range job.spec.Steps[r.name.Step].After {
 		step := &job.spec.Steps[earlier]
 		for index := range step.Count {
-			name := taskgraph.TaskName{Job: r.name.Job, Time: r.name.Time, Step: earlier, Index: index}
+			name := taskgraph.TaskName{Job: r.name.Job, Repetition: r.name.Repetition, Step: earlier, Index: index}
 			if !j.task(name).done {
 				j.violated("%v starts before %v has ended", r.name, name)
 				return
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -17,7 +17,7 @@
 
 func newTestWorld() *World {
 	w := NewWorld(1, 2)
-	spec := taskgraph.Spec{ID: testJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Amount: taskgraph.Amount{CPU: 2000}}, {Count: 1, After: []int{0}}}}
+	spec := taskgraph.Spec{ID: testJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 2000}}, {Count: 1, After: []int{0}}}}
 	w.Submit(spec, catalog.Queue{Name: "q", MaxAttempts: 2})
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Second }
 	return w
@@ -66,7 +66,7 @@
 		}, "cancellation"},
 		"over a capacity that shrank": {func(w *World) {
 			w.Unguarded = true
-			w.Workers[0].SetCapacity(taskgraph.Amount{CPU: 1000}, 0)
+			w.Workers[0].SetCapacity(taskgraph.Resources{CPU: 1000}, 0)
 			w.Run(capacityGrace + time.Millisecond)
 			order := startOrder(0, 1)
 			order.DeadlineMillis = 60000
@@ -126,7 +126,7 @@
 	w := newTestWorld()
 	w.Unguarded = true
 	first := w.Workers[0]
-	first.SetCapacity(taskgraph.Amount{CPU: 2000}, 0)
+	first.SetCapacity(taskgraph.Resources{CPU: 2000}, 0)
 	w.Run(capacityGrace - time.Millisecond)
 	_, err := first.start(fleet.Start{Task: taskgraph.TaskName{Job: testJobID}, Run: 1, Payload: "p", DeadlineMillis: 60000})
 	require.NoError(t, err)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -100,7 +100,7 @@
 }
 
 // WorkerCapacity is the default capacity of a worker.
-var WorkerCapacity = taskgraph.Amount{CPU: 64000, MemoryMB: 262144, GPUs: 8}
+var WorkerCapacity = taskgraph.Resources{CPU: 64000, MemoryMB: 262144, GPUs: 8}
 
 // AddWorker adds a worker and writes its row.
 func (w *World) AddWorker(id, rack string) *Worker {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -13,7 +13,7 @@
 }
 
 func (r *run) gangRun() gangRun {
-	return gangRun{job: r.name.Job, time: r.name.Time, step: r.name.Step, number: r.number}
+	return gangRun{job: r.name.Job, time: r.name.Repetition, step: r.name.Step, number: r.number}
 }
 
 // gang returns the present members of a gang run, in start order.
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -121,17 +121,17 @@
 	}
 	w.extendLease(order.DeadlineMillis)
 	step := w.world.step(order.Task)
-	if !w.world.Unguarded && !step.Room().Within(w.free()) {
+	if !w.world.Unguarded && !step.Requirements().FitsIn(w.free()) {
 		return reply, fleet.ErrInsufficientCapacity
 	}
 	w.begin(order)
 	return reply, nil
 }
 
-func (w *Worker) free() taskgraph.Amount {
+func (w *Worker) free() taskgraph.Resources {
 	free := w.Capacity
 	for _, r := range w.runs {
-		free = free.Minus(w.world.step(r.name).Room())
+		free = free.Minus(w.world.step(r.name).Requirements())
 	}
 	return free
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -99,7 +99,7 @@
 		work := minTaskDuration + time.Duration(random.Int64N(int64(maxTaskDuration-minTaskDuration)))
 		return taskgraph.Step{
 			Count:          1 + random.IntN(maxTaskCount),
-			Amount:         taskgraph.Amount{CPU: 2000, MemoryMB: 4000, GPUs: 1 << random.IntN(3)},
+			Resources:      taskgraph.Resources{CPU: 2000, MemoryMB: 4000, GPUs: 1 << random.IntN(3)},
 			EstimateMillis: work.Milliseconds(), Gang: random.Float64() < gangShare,
 		}
 	}
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -110,7 +110,7 @@
 	caller := standin.NewCaller(callTimeout)
 	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
 
-	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Amount: taskgraph.Amount{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
+	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
 	platform.Locked(func() { platform.World.Expect(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
 		answer, err := caller.Submit(d.callers, keyName(1), spec)
--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -22,8 +22,8 @@
 	maxMillis      = int64(1) << 50
 )
 
-// Amount is an amount of worker resources.
-type Amount struct {
+// Resources is an amount of worker resources.
+type Resources struct {
 	// CPU is in millicores, MemoryMB in megabytes.
 	CPU      int `json:"cpu,omitempty"`
 	MemoryMB int `json:"memory_mb,omitempty"`
@@ -31,32 +31,32 @@
 }
 
 // Plus returns the sum of two amounts.
-func (a Amount) Plus(b Amount) Amount {
-	return Amount{CPU: a.CPU + b.CPU, MemoryMB: a.MemoryMB + b.MemoryMB, GPUs: a.GPUs + b.GPUs}
+func (a Resources) Plus(b Resources) Resources {
+	return Resources{CPU: a.CPU + b.CPU, MemoryMB: a.MemoryMB + b.MemoryMB, GPUs: a.GPUs + b.GPUs}
 }
 
 // Minus returns the difference of two amounts; it may be negative.
-func (a Amount) Minus(b Amount) Amount {
-	return Amount{CPU: a.CPU - b.CPU, MemoryMB: a.MemoryMB - b.MemoryMB, GPUs: a.GPUs - b.GPUs}
+func (a Resources) Minus(b Resources) Resources {
+	return Resources{CPU: a.CPU - b.CPU, MemoryMB: a.MemoryMB - b.MemoryMB, GPUs: a.GPUs - b.GPUs}
 }
 
-// Times returns the amount times n.
-func (a Amount) Times(n int) Amount {
-	return Amount{CPU: a.CPU * n, MemoryMB: a.MemoryMB * n, GPUs: a.GPUs * n}
+// Multiply returns the amount times n.
+func (a Resources) Multiply(n int) Resources {
+	return Resources{CPU: a.CPU * n, MemoryMB: a.MemoryMB * n, GPUs: a.GPUs * n}
 }
 
-// Least returns the component-wise minimum of two amounts.
-func (a Amount) Least(b Amount) Amount {
-	return Amount{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPUs: min(a.GPUs, b.GPUs)}
+// Min returns the component-wise minimum of two amounts.
+func (a Resources) Min(b Resources) Resources {
+	return Resources{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPUs: min(a.GPUs, b.GPUs)}
 }
 
-// Most returns the component-wise maximum of two amounts.
-func (a Amount) Most(b Amount) Amount {
-	return Amount{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
+// Max returns the component-wise maximum of two amounts.
+func (a Resources) Max(b Resources) Resources {
+	return Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
-// Within reports whether the amount fits into what is available.
-func (a Amount) Within(available Amount) bool {
+// FitsIn reports whether the amount fits into what is available.
+func (a Resources) FitsIn(available Resources) bool {
 	return a.CPU <= available.CPU && a.MemoryMB <= available.MemoryMB && a.GPUs <= available.GPUs
 }
 
@@ -64,14 +64,14 @@
 const CoresPerGPU = 8
 
 // Cores returns the amount in cores, with a GPU counted as CoresPerGPU.
-func (a Amount) Cores() float64 {
+func (a Resources) Cores() float64 {
 	return float64(a.CPU)/1000 + CoresPerGPU*float64(a.GPUs)
 }
 
 // Step is a number of identical tasks.
 type Step struct {
 	Count int `json:"count"`
-	Amount
+	Resources
 	// EstimateMillis is the caller's rough estimate of the duration of one task.
 	EstimateMillis int64 `json:"estimate_ms,omitempty"`
 	// After lists the indices of the earlier steps that must end first.
@@ -102,9 +102,9 @@
 // Estimate returns the estimated duration of one task.
 func (s *Step) Estimate() time.Duration { return time.Duration(s.EstimateMillis) * time.Millisecond }
 
-// Room returns the resources that one task occupies on a worker.
-func (s *Step) Room() Amount {
-	required := s.Amount
+// Requirements returns the resources that one task occupies on a worker.
+func (s *Step) Requirements() Resources {
+	required := s.Resources
 	if s.FillsIdleCPU {
 		required.CPU = 0
 	}
@@ -124,20 +124,20 @@
 	IntervalMillis int64 `json:"interval_ms,omitempty"`
 }
 
-// Times returns how many times the steps run.
-func (s *Spec) Times() int { return max(1, s.Repetitions) }
+// RepetitionCount returns how many times the steps run.
+func (s *Spec) RepetitionCount() int { return max(1, s.Repetitions) }
 
-// Due returns the earliest start of run k; the zero time means immediately.
-func (s *Spec) Due(k int) time.Time {
+// DueTime returns the earliest start of run k; the zero time means immediately.
+func (s *Spec) DueTime(k int) time.Time {
 	if s.Repetitions == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(s.FirstRunMillis + int64(k)*s.IntervalMillis)
 }
 
-// Tails returns, for each step, the duration of the longest chain of steps that starts with it,
+// CriticalPaths returns, for each step, the duration of the longest chain of steps that starts with it,
 // given the durations of the steps.
-func (s *Spec) Tails(durations []time.Duration) []time.Duration {
+func (s *Spec) CriticalPaths(durations []time.Duration) []time.Duration {
 	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
 		longest[i] += durations[i]
@@ -221,15 +221,15 @@
 
 // TaskName identifies a task by job, run of the job, step and index.
 type TaskName struct {
-	Job   string
-	Time  int
-	Step  int
-	Index int
+	Job        string
+	Repetition int
+	Step       int
+	Index      int
 }
 
 // String returns the name as JOB.TIME.STEP.INDEX.
 func (n TaskName) String() string {
-	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Time, n.Step, n.Index)
+	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Repetition, n.Step, n.Index)
 }
 
 const taskNameParts = 4
@@ -248,5 +248,5 @@
 		}
 		numbers[i] = number
 	}
-	return TaskName{Job: parts[0], Time: numbers[1], Step: numbers[2], Index: numbers[3]}, nil
+	return TaskName{Job: parts[0], Repetition: numbers[1], Step: numbers[2], Index: numbers[3]}, nil
 }
--- a/internal/taskgraph/spec_test.go
+++ b/internal/taskgraph/spec_test.go
@@ -21,7 +21,7 @@
 		"id in upper case":           {Spec{ID: "00000000000000AA", Steps: []Step{validStep}}, "id"},
 		"no steps":                   {Spec{ID: id}, "steps"},
 		"count":                      {Spec{ID: id, Steps: []Step{{}}}, "steps[0].count"},
-		"amount":                     {Spec{ID: id, Steps: []Step{{Count: 1, Amount: Amount{GPUs: -1}}}}, "steps[0].amount"},
+		"amount":                     {Spec{ID: id, Steps: []Step{{Count: 1, Resources: Resources{GPUs: -1}}}}, "steps[0].amount"},
 		"estimate":                   {Spec{ID: id, Steps: []Step{{Count: 1, EstimateMillis: -1}}}, "steps[0].estimate_ms"},
 		"dependency on a later step": {Spec{ID: id, Steps: []Step{{Count: 1, After: []int{1}}, validStep}}, "steps[0].after"},
 		"too many tasks":             {Spec{ID: id, Steps: []Step{{Count: MaxTasks}, validStep}}, "steps"},
@@ -43,11 +43,11 @@
 	for i := range spec.Steps {
 		durations[i] = spec.Steps[i].Estimate()
 	}
-	require.Equal(t, []time.Duration{3 * time.Second, 2 * time.Second, 500 * time.Millisecond}, spec.Tails(durations))
+	require.Equal(t, []time.Duration{3 * time.Second, 2 * time.Second, 500 * time.Millisecond}, spec.CriticalPaths(durations))
 }
 
 func TestTaskNameRoundTrip(t *testing.T) {
-	name := TaskName{Job: id, Time: 3, Step: 2, Index: 17}
+	name := TaskName{Job: id, Repetition: 3, Step: 2, Index: 17}
 	parsed, err := ParseTaskName(name.String())
 	require.NoError(t, err)
 	require.Equal(t, name, parsed)
