--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -170,7 +170,7 @@
 // trackStoreTransfer returns a context that records when the store's answer with the configuration
 // starts to arrive, and a function that ends the tracking.
 func (n *Node) trackStoreTransfer(ctx context.Context) (context.Context, func()) {
-	observed := progress.With(ctx, func(int) {
+	observed := progress.WithObserver(ctx, func(int) {
 		now := uptime.Now()
 		n.configurationTransferStart.CompareAndSwap(nil, &now)
 	})
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -61,7 +61,7 @@
 	id := r.lastID
 	read := &cancelableRead{wait: wait, cancel: cancel}
 	r.pending[id] = read
-	observed := progress.With(ctx, func(int) {
+	observed := progress.WithObserver(ctx, func(int) {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		read.receiving = true
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -60,7 +60,7 @@
 // observe returns a context that tracks the answer to a call about a table.
 func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
 	answer := &observedAnswer{node: s.node, table: table, requestedAt: uptime.Now()}
-	return progress.With(ctx, answer.recordBytes), answer
+	return progress.WithObserver(ctx, answer.recordBytes), answer
 }
 
 // observedAnswer tracks the receipt of one answer.
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -59,7 +59,7 @@
 
 // receiveBytes simulates the arrival of some bytes of an answer.
 func receiveBytes(ctx context.Context, count int) {
-	_, _ = io.Copy(io.Discard, progress.Reader(ctx, bytes.NewReader(make([]byte, count))))
+	_, _ = io.Copy(io.Discard, progress.NewReader(ctx, bytes.NewReader(make([]byte, count))))
 }
 
 // runningNode returns a node whose loop runs.
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -35,7 +35,7 @@
 )
 
 // runPaced is runAsync after the pacer admits the given bytes. The timeouts start then.
-func runPaced[T any](p *ports, bytes int, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
+func runPaced[T any](p *ports, bytes int, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
 		if err := p.pacer.Wait(p.ctx, bytes); err == nil {
 			runWithin(p, bounds, work, done)
@@ -44,8 +44,8 @@
 }
 
 // runWithin calls work with the given timeouts and posts its result.
-func runWithin[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
-	ctx, cancel := progress.WithPatience(p.ctx, bounds)
+func runWithin[T any](p *ports, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+	ctx, cancel := progress.WithTimeouts(p.ctx, bounds)
 	defer cancel()
 	result, err := work(ctx)
 	p.node.edges.Loop.Post(func() { done(result, err) })
@@ -53,17 +53,17 @@
 
 // progressTimeout lets an answer whose first byte arrives within limit continue while it makes
 // progress. Abandoning and repeating large answers would saturate slow links.
-func progressTimeout(limit time.Duration) progress.Patience {
-	return progress.Patience{First: limit, Pause: answerStallTimeout, Whole: max(limit, answerTimeout)}
+func progressTimeout(limit time.Duration) progress.Timeouts {
+	return progress.Timeouts{FirstByte: limit, Idle: answerStallTimeout, Total: max(limit, answerTimeout)}
 }
 
 // fixedTimeout bounds a call as a whole.
-func fixedTimeout(limit time.Duration) progress.Patience {
-	return progress.Patience{First: limit, Pause: limit, Whole: limit}
+func fixedTimeout(limit time.Duration) progress.Timeouts {
+	return progress.Timeouts{FirstByte: limit, Idle: limit, Total: limit}
 }
 
 // runAsync calls work on a separate goroutine and posts its result.
-func runAsync[T any](p *ports, bounds progress.Patience, work func(context.Context) (T, error), done func(T, error)) {
+func runAsync[T any](p *ports, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go runWithin(p, bounds, work, done)
 }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -151,7 +151,7 @@
 	}
 	attempts := make(chan attempt[T], 2)
 	go func() {
-		directContext, cancel := progress.WithPatience(ctx, progressTimeout(timeouts.direct))
+		directContext, cancel := progress.WithTimeouts(ctx, progressTimeout(timeouts.direct))
 		defer cancel()
 		result, err := call(directContext, s.direct)
 		s.node.recordStoreResult(err)
@@ -217,7 +217,7 @@
 		return zero, failure
 	}
 	for _, address := range s.relayAddresses() {
-		attemptContext, cancel := progress.WithPatience(ctx, progressTimeout(timeouts.relayed))
+		attemptContext, cancel := progress.WithTimeouts(ctx, progressTimeout(timeouts.relayed))
 		ended := func() {}
 		if timeouts.readOnly {
 			attemptContext, ended = s.relayedReads.add(attemptContext, timeouts.relayed)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -41,7 +41,7 @@
 // Call sends a request and returns the response document. The error is a *fault.Error: NoOwner
 // means that the request was not sent, OutcomeUnknown that it may have been executed.
 func (c *Client) Call(ctx context.Context, address string, request *peerpb.Request) ([]byte, error) {
-	if by, bounded := progress.AnswerBy(ctx); bounded {
+	if by, bounded := progress.FirstByteDeadline(ctx); bounded {
 		request.BudgetMillis = time.Until(by).Milliseconds()
 	}
 	current, err := c.acquireConnection(ctx, address)
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -119,7 +119,7 @@
 		return callResult{sent: true, err: err}
 	}
 	response := &peerpb.Response{}
-	err = readMessage(progress.Reader(ctx, stream), response)
+	err = readMessage(progress.NewReader(ctx, stream), response)
 	return callResult{response: response, sent: true, err: err}
 }
 
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -9,9 +9,9 @@
 
 type observerKey struct{}
 
-// With returns a context for a call whose received bytes are reported to observe, on the goroutine
+// WithObserver returns a context for a call whose received bytes are reported to observe, on the goroutine
 // that reads them. Observers of the parent context are called too.
-func With(ctx context.Context, observe func(bytes int)) context.Context {
+func WithObserver(ctx context.Context, observe func(bytes int)) context.Context {
 	outer, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
 		return context.WithValue(ctx, observerKey{}, observe)
@@ -22,9 +22,9 @@
 	})
 }
 
-// Reader returns a reader that reports the bytes read from source to the context's observer, or
+// NewReader returns a reader that reports the bytes read from source to the context's observer, or
 // source itself if there is none.
-func Reader(ctx context.Context, source io.Reader) io.Reader {
+func NewReader(ctx context.Context, source io.Reader) io.Reader {
 	observe, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
 		return source
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -11,8 +11,8 @@
 
 func TestReaderReportsBytesRead(t *testing.T) {
 	total := 0
-	ctx := With(context.Background(), func(bytes int) { total += bytes })
-	reader := Reader(ctx, strings.NewReader("abcdef"))
+	ctx := WithObserver(context.Background(), func(bytes int) { total += bytes })
+	reader := NewReader(ctx, strings.NewReader("abcdef"))
 	_, err := io.ReadFull(reader, make([]byte, 4))
 	require.NoError(t, err)
 	require.Equal(t, 4, total)
@@ -24,7 +24,7 @@
 
 func TestReaderWithoutObserverReturnsSource(t *testing.T) {
 	source := strings.NewReader("abc")
-	require.Same(t, source, Reader(context.Background(), source))
+	require.Same(t, source, NewReader(context.Background(), source))
 }
 
 // fullReader fills every buffer.
@@ -34,8 +34,8 @@
 
 func TestReaderLimitsReadSize(t *testing.T) {
 	reported := 0
-	ctx := With(context.Background(), func(bytes int) { reported = bytes })
-	_, err := Reader(ctx, fullReader{}).Read(make([]byte, 1<<20))
+	ctx := WithObserver(context.Background(), func(bytes int) { reported = bytes })
+	_, err := NewReader(ctx, fullReader{}).Read(make([]byte, 1<<20))
 	require.NoError(t, err)
 	require.Equal(t, maxReadBytes, reported)
 }
--- a/internal/progress/timeouts.go
+++ b/internal/progress/timeouts.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Patience holds the timeouts of a call. A response that keeps arriving is not aborted, because a
+// Timeouts holds the timeouts of a call. A response that keeps arriving is not aborted, because a
 // retry would have to transfer it from the start over the same slow link.
-type Patience struct {
-	// First is the timeout for the first byte of the response.
-	First time.Duration
-	// Pause is the timeout for each further minProgressBytes of it.
-	Pause time.Duration
-	// Whole is the timeout for the entire response.
-	Whole time.Duration
+type Timeouts struct {
+	// FirstByte is the timeout for the first byte of the response.
+	FirstByte time.Duration
+	// Idle is the timeout for each further minProgressBytes of it.
+	Idle time.Duration
+	// Total is the timeout for the entire response.
+	Total time.Duration
 }
 
 // minProgressBytes is how many bytes count as progress, so that a response that only trickles in
@@ -26,28 +26,28 @@
 // deadlineKey holds the current deadline of a call, which moves as bytes arrive.
 type deadlineKey struct{}
 
-// WithPatience returns a context that is cancelled when one of the timeouts expires, and a
+// WithTimeouts returns a context that is cancelled when one of the timeouts expires, and a
 // function that releases it. Bytes received by calls with derived contexts count as progress too.
-func WithPatience(parent context.Context, limits Patience) (context.Context, context.CancelFunc) {
+func WithTimeouts(parent context.Context, limits Timeouts) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	start := time.Now()
-	timer := time.AfterFunc(limits.First, func() { cancel(context.DeadlineExceeded) })
-	ctx = context.WithValue(ctx, firstByteDeadlineKey{}, start.Add(limits.First))
+	timer := time.AfterFunc(limits.FirstByte, func() { cancel(context.DeadlineExceeded) })
+	ctx = context.WithValue(ctx, firstByteDeadlineKey{}, start.Add(limits.FirstByte))
 	var deadline atomic.Pointer[time.Time]
 	extendDeadline := func(timeout time.Duration) {
 		at := time.Now().Add(timeout)
 		deadline.Store(&at)
 	}
-	extendDeadline(limits.First)
+	extendDeadline(limits.FirstByte)
 	ctx = context.WithValue(ctx, deadlineKey{}, &deadline)
 	var received, lastProgress atomic.Int64
-	ctx = With(ctx, func(bytes int) {
+	ctx = WithObserver(ctx, func(bytes int) {
 		total := received.Add(int64(bytes))
 		if previous := lastProgress.Load(); previous > 0 && total-previous < minProgressBytes {
 			return
 		}
 		lastProgress.Store(total)
-		timeout := min(limits.Pause, limits.Whole-time.Since(start))
+		timeout := min(limits.Idle, limits.Total-time.Since(start))
 		extendDeadline(timeout)
 		timer.Reset(timeout)
 	})
@@ -67,8 +67,8 @@
 	return time.Since(deadline), bounded
 }
 
-// AnswerBy returns the deadline for the first byte of the response, if there is one.
-func AnswerBy(ctx context.Context) (time.Time, bool) {
+// FirstByteDeadline returns the deadline for the first byte of the response, if there is one.
+func FirstByteDeadline(ctx context.Context) (time.Time, bool) {
 	firstByte, ok := ctx.Value(firstByteDeadlineKey{}).(time.Time)
 	if !ok {
 		return ctx.Deadline()
--- a/internal/progress/timeouts_test.go
+++ b/internal/progress/timeouts_test.go
@@ -14,14 +14,14 @@
 }
 
 func TestFirstByteTimeout(t *testing.T) {
-	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Millisecond, Pause: time.Hour, Whole: time.Hour})
+	ctx, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: time.Millisecond, Idle: time.Hour, Total: time.Hour})
 	defer cancel()
 	<-ctx.Done()
 	require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 }
 
 func TestReceivedBytesExtendDeadline(t *testing.T) {
-	ctx, cancel := WithPatience(context.Background(), Patience{First: 500 * time.Millisecond, Pause: time.Hour, Whole: time.Hour})
+	ctx, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: 500 * time.Millisecond, Idle: time.Hour, Total: time.Hour})
 	defer cancel()
 	receiveByte(ctx)
 	time.Sleep(550 * time.Millisecond)
@@ -29,12 +29,12 @@
 }
 
 func TestIdleAndTotalTimeouts(t *testing.T) {
-	cases := map[string]Patience{
-		"no further bytes":    {First: time.Millisecond, Pause: 2 * time.Millisecond, Whole: time.Hour},
-		"total time exceeded": {First: time.Millisecond, Pause: time.Hour, Whole: 2 * time.Millisecond},
+	cases := map[string]Timeouts{
+		"no further bytes":    {FirstByte: time.Millisecond, Idle: 2 * time.Millisecond, Total: time.Hour},
+		"total time exceeded": {FirstByte: time.Millisecond, Idle: time.Hour, Total: 2 * time.Millisecond},
 	}
 	for name, limits := range cases {
-		ctx, cancel := WithPatience(context.Background(), limits)
+		ctx, cancel := WithTimeouts(context.Background(), limits)
 		receiveByte(ctx)
 		<-ctx.Done()
 		require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded, name)
@@ -45,7 +45,7 @@
 // TestIdleTimeoutReplacesFirstByteTimeout covers a feed, whose first byte may take seconds but not
 // the rest of a response.
 func TestIdleTimeoutReplacesFirstByteTimeout(t *testing.T) {
-	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Hour, Pause: time.Millisecond, Whole: time.Hour})
+	ctx, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: time.Hour, Idle: time.Millisecond, Total: time.Hour})
 	defer cancel()
 	receiveByte(ctx)
 	<-ctx.Done()
@@ -53,7 +53,7 @@
 }
 
 func TestSlowTrickleTimesOut(t *testing.T) {
-	ctx, cancel := WithPatience(context.Background(), Patience{First: time.Hour, Pause: 50 * time.Millisecond, Whole: time.Hour})
+	ctx, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: time.Hour, Idle: 50 * time.Millisecond, Total: time.Hour})
 	defer cancel()
 	for ctx.Err() == nil {
 		receiveByte(ctx)
@@ -63,9 +63,9 @@
 }
 
 func TestInnerProgressExtendsOuterDeadline(t *testing.T) {
-	outer, cancelOuter := WithPatience(context.Background(), Patience{First: 500 * time.Millisecond, Pause: time.Hour, Whole: time.Hour})
+	outer, cancelOuter := WithTimeouts(context.Background(), Timeouts{FirstByte: 500 * time.Millisecond, Idle: time.Hour, Total: time.Hour})
 	defer cancelOuter()
-	inner, cancelInner := WithPatience(outer, Patience{First: 500 * time.Millisecond, Pause: time.Hour, Whole: time.Hour})
+	inner, cancelInner := WithTimeouts(outer, Timeouts{FirstByte: 500 * time.Millisecond, Idle: time.Hour, Total: time.Hour})
 	defer cancelInner()
 	receiveByte(inner)
 	time.Sleep(550 * time.Millisecond)
@@ -74,17 +74,17 @@
 }
 
 func TestAnswerBy(t *testing.T) {
-	_, bounded := AnswerBy(context.Background())
+	_, bounded := FirstByteDeadline(context.Background())
 	require.False(t, bounded)
 	before := time.Now()
-	limited, cancel := WithPatience(context.Background(), Patience{First: time.Minute, Pause: time.Hour, Whole: time.Hour})
+	limited, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: time.Minute, Idle: time.Hour, Total: time.Hour})
 	defer cancel()
-	by, bounded := AnswerBy(limited)
+	by, bounded := FirstByteDeadline(limited)
 	require.True(t, bounded)
 	require.WithinRange(t, by, before.Add(time.Minute), time.Now().Add(time.Minute))
 	shorter, cancelShorter := context.WithTimeout(limited, time.Second)
 	defer cancelShorter()
-	by, bounded = AnswerBy(shorter)
+	by, bounded = FirstByteDeadline(shorter)
 	require.True(t, bounded)
 	require.WithinRange(t, by, before, time.Now().Add(time.Second))
 }
@@ -99,7 +99,7 @@
 	overdue, bounded := Overdue(ctx)
 	require.True(t, bounded)
 	require.GreaterOrEqual(t, overdue, time.Minute)
-	ctx, cancel = WithPatience(t.Context(), Patience{First: time.Minute, Pause: time.Hour, Whole: 2 * time.Hour})
+	ctx, cancel = WithTimeouts(t.Context(), Timeouts{FirstByte: time.Minute, Idle: time.Hour, Total: 2 * time.Hour})
 	defer cancel()
 	overdue, bounded = Overdue(ctx)
 	require.True(t, bounded)
