--- a/internal/control/attempt_end.go
+++ b/internal/control/attempt_end.go
@@ -107,7 +107,7 @@
 	for _, name := range sortedKeys(owned.parts) {
 		w := d.workers[name]
 		delete(w.attempts, owned.key())
-		d.send(w, owned.partOrder(worker.Forget, owned.parts[name]), func(worker.Reply, error) {})
+		d.send(w, owned.partOrder(worker.DeleteEnded, owned.parts[name]), func(worker.Reply, error) {})
 	}
 	owned.parts = nil
 }
--- a/internal/control/dispatch.go
+++ b/internal/control/dispatch.go
@@ -47,7 +47,7 @@
 		case err != nil:
 			owned.failedParts = true
 			d.suspectWorker(w)
-		case reply.Leaving && !d.node.options.Mechanisms.WithoutWorkerLeaving:
+		case reply.Draining && !d.node.options.Mechanisms.WithoutWorkerLeaving:
 			owned.failedParts = true
 		case reply.Refusal != worker.RefusedNone:
 			owned.failedParts = true
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -240,7 +240,7 @@
 		if known && owned.attempt == task.Attempt || task.State == worker.TaskReserved {
 			continue
 		}
-		order := worker.Order{Action: worker.Forget, Tenant: task.Tenant, Job: task.Job, Attempt: task.Attempt}
+		order := worker.Order{Action: worker.DeleteEnded, Tenant: task.Tenant, Job: task.Job, Attempt: task.Attempt}
 		if task.State == worker.TaskRunning {
 			order.Action = worker.Stop
 			d.node.record.Count(CounterAttempts, "stranger_stopped")
@@ -275,7 +275,7 @@
 	if !ok {
 		return
 	}
-	if report.Leaving {
+	if report.Draining {
 		w.saidLeaving = true
 		d.updateSchedulable(w)
 		return
--- a/internal/control/worker_state.go
+++ b/internal/control/worker_state.go
@@ -59,8 +59,8 @@
 	if reply.Refusal != worker.RefusedNone {
 		d.node.record.Count(CounterRefusals, "worker_"+string(reply.Refusal))
 	}
-	if reply.Leaving != w.saidLeaving || w.suspect {
-		w.saidLeaving = reply.Leaving
+	if reply.Draining != w.saidLeaving || w.suspect {
+		w.saidLeaving = reply.Draining
 		w.suspect = false
 		d.updateSchedulable(w)
 	}
@@ -114,7 +114,7 @@
 			d.renewalFailed(w)
 			return
 		}
-		if !reply.Same {
+		if !reply.TasksUnchanged {
 			d.reconcile(w, reply.Tasks, sent)
 		}
 		if !extended && !d.gone {
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -96,7 +96,7 @@
 func (w *Worker) SetLeaving(leaving bool) {
 	if leaving && !w.leaving {
 		for domain := range w.epochs {
-			w.Report(domain, worker.Report{Worker: w.machine.Name, Leaving: true})
+			w.Report(domain, worker.Report{Worker: w.machine.Name, Draining: true})
 		}
 	}
 	w.leaving = leaving
@@ -140,7 +140,7 @@
 		return w.reply(order, w.stop(now, key))
 	case worker.Renew:
 		return w.renew(now, order)
-	case worker.Forget:
+	case worker.DeleteEnded:
 		w.forget(key)
 	case worker.Throttle:
 	}
@@ -148,7 +148,7 @@
 }
 
 func (w *Worker) reply(order worker.Order, refusal worker.Refusal) worker.Reply {
-	return worker.Reply{Refusal: refusal, Epoch: w.epochs[order.Domain], Leaving: w.leaving}
+	return worker.Reply{Refusal: refusal, Epoch: w.epochs[order.Domain], Draining: w.leaving}
 }
 
 func (w *Worker) reserve(now time.Time, key taskKey, order worker.Order) worker.Refusal {
@@ -156,7 +156,7 @@
 		return worker.RefusedNone
 	}
 	if w.leaving && w.RefuseLeaving {
-		return worker.RefusedLeaving
+		return worker.RefusedDraining
 	}
 	if !w.fits(order) {
 		return worker.RefusedNoCapacity
@@ -265,7 +265,7 @@
 	}
 	if worker.Digest(reply.Tasks) == order.Digest {
 		reply.Tasks = nil
-		reply.Same = true
+		reply.TasksUnchanged = true
 	}
 	return reply
 }
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -66,7 +66,7 @@
 			{0, order(worker.Reserve, 1), "", worker.TaskReserved},
 			{0, order(worker.Start, 1), "", worker.TaskRunning},
 			{1, order(worker.Stop, 1), "", worker.TaskStopped},
-			{2, order(worker.Forget, 1), "", ""},
+			{2, order(worker.DeleteEnded, 1), "", ""},
 		},
 		"nothing to stop": {{0, order(worker.Stop, 1), worker.RefusedUnknownTask, ""}},
 	}
@@ -100,7 +100,7 @@
 	other.Accelerators = 0
 	require.Equal(t, worker.RefusedNoCapacity, w.Handle(now, other).Refusal, "slots limit reservations")
 	w.SetLeaving(true)
-	require.Equal(t, worker.RefusedLeaving, w.Handle(now.Add(time.Minute), other).Refusal)
+	require.Equal(t, worker.RefusedDraining, w.Handle(now.Add(time.Minute), other).Refusal)
 }
 
 func TestListAndFeedLag(t *testing.T) {
@@ -117,6 +117,6 @@
 	require.Empty(t, site.Reports(now, "r/z", 0).Reports)
 	reports := site.Reports(now.Add(time.Second), "r/z", 0)
 	require.Len(t, reports.Reports, 1)
-	require.True(t, reports.Reports[0].Leaving)
+	require.True(t, reports.Reports[0].Draining)
 	require.Empty(t, site.Reports(now.Add(time.Minute), "r/z", reports.Cursor).Reports)
 }
--- a/internal/worker/order.go
+++ b/internal/worker/order.go
@@ -27,8 +27,8 @@
 	// Renew extends the lease of everything that the domain runs on the worker and returns its
 	// tasks.
 	Renew Action = "renew"
-	// Forget deletes the records of ended members.
-	Forget Action = "forget"
+	// DeleteEnded deletes the records of ended members.
+	DeleteEnded Action = "forget"
 )
 
 // Refusal is the reason why a worker rejected an order; empty if it did not.
@@ -38,7 +38,7 @@
 const (
 	RefusedNone          Refusal = ""
 	RefusedStaleEpoch    Refusal = "stale_epoch"
-	RefusedLeaving       Refusal = "leaving"
+	RefusedDraining      Refusal = "leaving"
 	RefusedNoCapacity    Refusal = "no_capacity"
 	RefusedNoReservation Refusal = "no_reservation"
 	RefusedUnknownTask   Refusal = "unknown_task"
@@ -108,12 +108,12 @@
 	Refusal Refusal `json:"refusal,omitempty"`
 	// Epoch is the highest epoch that the worker has seen for the domain.
 	Epoch int64 `json:"epoch"`
-	// Leaving is true if the worker is draining and accepts no new tasks.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is true if the worker is draining and accepts no new tasks.
+	Draining bool `json:"leaving,omitempty"`
 	// Tasks lists the domain's tasks on the worker in reply to Renew. If Same is true, they match
 	// the digest in the order and are omitted.
-	Tasks []Task `json:"tasks,omitempty"`
-	Same  bool   `json:"same,omitempty"`
+	Tasks          []Task `json:"tasks,omitempty"`
+	TasksUnchanged bool   `json:"same,omitempty"`
 }
 
 // Digest returns a digest of the job, attempt and state of the tasks, independent of their order.
@@ -129,8 +129,8 @@
 type Report struct {
 	Worker string `json:"worker"`
 	Task   Task   `json:"task"`
-	// Leaving is true if the worker is draining and accepts no new tasks; Task is then empty.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is true if the worker is draining and accepts no new tasks; Task is then empty.
+	Draining bool `json:"leaving,omitempty"`
 }
 
 // Reports is the result of one read of the report feed.
