--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -48,7 +48,7 @@
 	}
 	variants := []loadplay.Way{{Name: "all"}}
 	for _, names := range flags.disabledSets {
-		off, err := mechanism.ParseOff(strings.Split(names, ","))
+		off, err := mechanism.ParseDisabled(strings.Split(names, ","))
 		if err != nil {
 			return errors.Wrap(err, "--without")
 		}
--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -119,7 +119,7 @@
 func nodeOptions(s *settings.Node) node.Options {
 	b := &s.Bounds
 	// ParseOff cannot fail: the settings were validated when read.
-	off, _ := mechanism.ParseOff(s.Without)
+	off, _ := mechanism.ParseDisabled(s.Without)
 	return node.Options{
 		Off:  off,
 		Name: s.Name, Incarnation: newIncarnation(), PeerAddress: s.Peers, Weight: s.CPUShare,
--- a/internal/loadplay/compare.go
+++ b/internal/loadplay/compare.go
@@ -10,7 +10,7 @@
 // Way is a scheduler configuration, given by the mechanisms that are switched off.
 type Way struct {
 	Name string
-	Off  mechanism.Off
+	Off  mechanism.Disabled
 }
 
 // Estimate is a mean over seeds with the half width of its 95% confidence interval.
--- a/internal/loadplay/simulate.go
+++ b/internal/loadplay/simulate.go
@@ -53,7 +53,7 @@
 )
 
 // Simulate runs a load with some mechanisms switched off.
-func (l *Load) Simulate(seed uint64, off mechanism.Off) Result {
+func (l *Load) Simulate(seed uint64, off mechanism.Disabled) Result {
 	arrivals := l.generateArrivals(seed)
 	w := simulation.NewWorld(l.Racks, l.PerRack)
 	w.Off, w.StopTime, w.Judge.Quiet = off, stopTime, true
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestParseOff(t *testing.T) {
-	off, err := ParseOff([]string{"headroom", "store-relay"})
+	off, err := ParseDisabled([]string{"headroom", "store-relay"})
 	require.NoError(t, err)
 	require.True(t, off[Headroom])
 	require.True(t, off[StoreRelay])
-	require.False(t, off[Guards])
-	_, err = ParseOff([]string{"headrom"})
+	require.False(t, off[Standbys])
+	_, err = ParseDisabled([]string{"headrom"})
 	require.ErrorContains(t, err, "headrom")
-	require.False(t, Off(nil)[Headroom])
+	require.False(t, Disabled(nil)[Headroom])
 }
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -59,7 +59,7 @@
 	notices := receiveNotices(t, gateway)
 	require.Error(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	store.refuse = nil
-	gateway.node.options.Off = mechanism.Off{mechanism.Announcements: true}
+	gateway.node.options.Off = mechanism.Disabled{mechanism.Announcements: true}
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	gateway.node.options.Off = nil
 	other := testSpec()
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -118,7 +118,7 @@
 		return immediateFeedWait
 	case len(n.owned) > 0:
 		return ownerFeedWait
-	case !n.options.Off[mechanism.LongFeeds] && age(n.confirmedByPeer.Load()) < staleConfirmationAge:
+	case !n.options.Off[mechanism.LongFeedPolls] && age(n.confirmedByPeer.Load()) < staleConfirmationAge:
 		return longFeedWait
 	}
 	return defaultFeedWait
@@ -186,7 +186,7 @@
 
 // leaseFeedWait returns the wait of the next lease feed.
 func (n *Node) leaseFeedWait() time.Duration {
-	if n.options.Off[mechanism.LongFeeds] {
+	if n.options.Off[mechanism.LongFeedPolls] {
 		return feedWait
 	}
 	return longFeedWait
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -43,7 +43,7 @@
 	// beyond it.
 	ConfigurationAge time.Duration
 	// Off are the mechanisms that are disabled, for measurements.
-	Off mechanism.Off
+	Off mechanism.Disabled
 }
 
 // Edges are the external services that a node uses.
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -254,7 +254,7 @@
 // ownerIsWeak reports whether this node has enough weight to replace a pool's owner.
 func (n *Node) ownerIsWeak(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
-	return !n.options.Off[mechanism.WeakOwners] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
+	return !n.options.Off[mechanism.WeakOwnerTakeover] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
 		!n.storeLost() && !n.stopping.Load()
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -44,7 +44,7 @@
 
 // isStandby reports whether this node is a standby for a pool.
 func (n *Node) isStandby(name string) bool {
-	return !n.options.Off[mechanism.Guards] && n.takeoverRank(name) < standbyCount
+	return !n.options.Off[mechanism.Standbys] && n.takeoverRank(name) < standbyCount
 }
 
 // pingOwners pings the owners of all pools periodically: standbys each standbyPingPeriod, other
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -105,7 +105,7 @@
 		}
 	}
 	now := p.loop.Now()
-	timelyFirst := !p.options.DisabledMechanisms[mechanism.TimelyFirst]
+	timelyFirst := !p.options.DisabledMechanisms[mechanism.OnTimeFirst]
 	slices.SortFunc(waiting, func(a, b *unit) int { return compareUnits(a, b, now, timelyFirst) })
 	return waiting
 }
--- a/internal/pool/find_placement.go
+++ b/internal/pool/find_placement.go
@@ -85,7 +85,7 @@
 // waitsForLocality reports whether a unit still waits for locality. It waits no longer than the
 // extra time that a remote run takes.
 func (p *Pool) waitsForLocality(s *snapshot, u *unit, request *placement.Request) bool {
-	if p.options.DisabledMechanisms[mechanism.NearPlaces] || !s.hasLocalPlacement(u, request) {
+	if p.options.DisabledMechanisms[mechanism.LocalityWait] || !s.hasLocalPlacement(u, request) {
 		return false
 	}
 	maxWait := (p.options.Bounds.CrossRackSlowdown - 1) * float64(u.estimate())
@@ -119,7 +119,7 @@
 // inPreemptionBackoff reports whether a deferrable unit waits because a unit of higher priority has
 // just preempted others.
 func (p *Pool) inPreemptionBackoff(s *snapshot, u *unit) bool {
-	return !p.options.DisabledMechanisms[mechanism.Pressure] && u.job.Queue.Priority > p.preemptionBackoffPriority && s.now.Before(p.preemptionBackoffUntil)
+	return !p.options.DisabledMechanisms[mechanism.PreemptionBackoff] && u.job.Queue.Priority > p.preemptionBackoffPriority && s.now.Before(p.preemptionBackoffUntil)
 }
 
 // excludeHeadroom restricts allowed to workers outside the headroom of a priority.
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -46,7 +46,7 @@
 	// EvacuatedZones returns the evacuated zones known to the node; nil if it tracks none.
 	EvacuatedZones func() evacuation.Set
 	// DisabledMechanisms disables parts of the scheduling policy, for measurements.
-	DisabledMechanisms mechanism.Off
+	DisabledMechanisms mechanism.Disabled
 	// DisabledSafeguards disables safeguards, for tests that show what they prevent.
 	DisabledSafeguards DisabledSafeguards
 	// SchedulingDelay returns the current delay of this process, which is added to timeouts and deadlines
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -104,7 +104,7 @@
 		return true
 	}
 	slack := u.slack(s.now)
-	return !p.options.DisabledMechanisms[mechanism.PressingGangs] && len(u.members) > 1 && slack > 0 && slack < time.Duration(preemptionSlackShare*float64(u.job.objective))
+	return !p.options.DisabledMechanisms[mechanism.GangPreemption] && len(u.members) > 1 && slack > 0 && slack < time.Duration(preemptionSlackShare*float64(u.job.objective))
 }
 
 // guaranteeDue reports whether the tenant's guarantee requires the unit to start now.
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -100,14 +100,14 @@
 // not lose another attempt to a failing worker.
 func (p *Pool) workerPreferences(s *snapshot, u *unit) []func(i int) bool {
 	notFailing := func(i int) bool {
-		return p.options.DisabledMechanisms[mechanism.TrustedWorkers] || !s.poolWorkers[i].reliability.failsEarly()
+		return p.options.DisabledMechanisms[mechanism.FailedWorkerAvoidance] || !s.poolWorkers[i].reliability.failsEarly()
 	}
 	fast := func(i int) bool { return notFailing(i) && !s.workers[i].Slow }
 	measuredFast := func(i int) bool { return fast(i) && p.speedKnown(s.poolWorkers[i]) }
 	healthy := func(i int) bool { return s.poolWorkers[i].reliability.recentlyHealthy(s.now) }
 	gang := u.spec().Gang && len(u.members) > 1
 	switch {
-	case u.lastAttempt() && !p.options.DisabledMechanisms[mechanism.TrustedWorkers]:
+	case u.lastAttempt() && !p.options.DisabledMechanisms[mechanism.FailedWorkerAvoidance]:
 		return []func(int) bool{healthy, notFailing}
 	case p.riskyOnSlowWorkers(s, u) && p.exploring(s.now):
 		return []func(int) bool{measuredFast, fast, notFailing}
--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -118,7 +118,7 @@
 // TestDeferrableTasksExploreIdleWorkers checks that deferrable tasks run on idle workers of unknown
 // speed once speeds are known to differ much.
 func TestDeferrableTasksExploreIdleWorkers(t *testing.T) {
-	explored := func(off mechanism.Off) int {
+	explored := func(off mechanism.Disabled) int {
 		w := newMixedSpeedCluster(4, 9)
 		w.Off = off
 		w.Own()
@@ -137,5 +137,5 @@
 		return workers
 	}
 	require.Equal(t, 27, explored(nil))
-	require.Less(t, explored(mechanism.Off{mechanism.LearnedSpeeds: true}), 9)
+	require.Less(t, explored(mechanism.Disabled{mechanism.LearnedSpeeds: true}), 9)
 }
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -83,11 +83,11 @@
 	if p.adaptiveStallTimeout() && m.percent == 0 {
 		return true
 	}
-	return !p.options.DisabledMechanisms[mechanism.Laggards] && len(u.members) > 1 && m.reportedAt.Sub(u.runningSince) < minProjectionAge
+	return !p.options.DisabledMechanisms[mechanism.Stragglers] && len(u.members) > 1 && m.reportedAt.Sub(u.runningSince) < minProjectionAge
 }
 
 func (p *Pool) adaptiveStallTimeout() bool {
-	return !p.options.DisabledMechanisms[mechanism.QuickStalls]
+	return !p.options.DisabledMechanisms[mechanism.AdaptiveStallTimeout]
 }
 
 // stalledFor returns for how long a run has been stalled according to its worker's reports; 0 if it
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -104,7 +104,7 @@
 // feedDelay returns the delay between a feed's response and the next request.
 func (p *Pool) feedDelay(table string, answer rows.Listing) time.Duration {
 	count := len(answer.Rows)
-	if table != p.ports.WorkerTable() || count == 0 || count >= workerFeedBurst || p.options.DisabledMechanisms[mechanism.PacedFeeds] {
+	if table != p.ports.WorkerTable() || count == 0 || count >= workerFeedBurst || p.options.DisabledMechanisms[mechanism.HeartbeatBatching] {
 		return 0
 	}
 	return workerFeedInterval
--- a/internal/pool/stragglers.go
+++ b/internal/pool/stragglers.go
@@ -35,7 +35,7 @@
 	}
 	// Deferred, so that the speeds learned from this run do not hide its stragglers.
 	defer p.updateSpeedsFromGang(u)
-	if p.options.DisabledMechanisms[mechanism.Laggards] {
+	if p.options.DisabledMechanisms[mechanism.Stragglers] {
 		return
 	}
 	medianDuration, known := p.medianWorkerDuration(u, now)
--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -43,7 +43,7 @@
 
 // delayOfEnds returns how long results may wait to be written.
 func (w *writer) delayOfEnds() time.Duration {
-	if w.pool.releasing || w.pool.options.DisabledMechanisms[mechanism.EndDelay] {
+	if w.pool.releasing || w.pool.options.DisabledMechanisms[mechanism.CompletionBatching] {
 		return 0
 	}
 	return endDelay
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -123,7 +123,7 @@
 	c.require(s.MemoryMB >= 32, "memory_mb", "must be at least 32")
 	c.require(s.LinkMbps >= 0, "link_mbps", "must not be negative")
 	c.require(s.CPUShare > 0, "cpu_share", "must be positive")
-	if _, err := mechanism.ParseOff(s.Without); err != nil {
+	if _, err := mechanism.ParseDisabled(s.Without); err != nil {
 		c.require(false, "without", "%v", err)
 	}
 	b := &s.Bounds
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -46,7 +46,7 @@
 	// StopTime is the duration of a stop.
 	StopTime time.Duration
 	// Off is passed to every owner.
-	Off mechanism.Off
+	Off mechanism.Disabled
 	// WorkerTable is the table of the workers' rows, which EncodeWorker encodes.
 	WorkerTable  string
 	EncodeWorker func(*fleet.Worker) []byte
