--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -38,8 +38,8 @@
 	Name string `json:"name"`
 	// EnforcesCapacity is true if the workers reject tasks that do not fit.
 	EnforcesCapacity bool `json:"enforces_capacity"`
-	// Spare pools hold machines that are powered off.
-	Spare bool `json:"spare"`
+	// Standby pools hold machines that are powered off.
+	Standby bool `json:"spare"`
 }
 
 // Tenant is a customer with keys and a guarantee.
@@ -123,7 +123,7 @@
 func (c *Catalog) PoolNames() []string {
 	names := make([]string, 0, len(c.Pools))
 	for i := range c.Pools {
-		if !c.Pools[i].Spare {
+		if !c.Pools[i].Standby {
 			names = append(names, c.Pools[i].Name)
 		}
 	}
