--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -85,7 +85,7 @@
 func (c *confirmation) send() {
 	c.node.ports.Commit(c.transaction, func(result store.CommitResult, err error) {
 		switch {
-		case errors.Is(err, store.ErrUnknown):
+		case errors.Is(err, store.ErrOutcomeUnknown):
 			c.uncertain = true
 			c.again(c.send, &fault.Error{Kind: fault.OutcomeUnknown, Detail: "the table service did not answer; the plan may be in force"})
 		case err != nil && c.uncertain:
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -202,7 +202,7 @@
 		if d.gone {
 			return
 		}
-		if errors.Is(err, store.ErrUnknown) {
+		if errors.Is(err, store.ErrOutcomeUnknown) {
 			n.record.Count(CounterRetries, "lease_renew")
 			d.rereadLease()
 			return
--- a/internal/control/writer.go
+++ b/internal/control/writer.go
@@ -104,7 +104,7 @@
 			return
 		}
 		switch {
-		case errors.Is(err, store.ErrUnknown):
+		case errors.Is(err, store.ErrOutcomeUnknown):
 			w.answerLost()
 		case err != nil:
 			w.storeAway()
--- a/internal/emulator/ports.go
+++ b/internal/emulator/ports.go
@@ -71,7 +71,7 @@
 		return result
 	}, func(result store.CommitResult) { done(result, nil) }, func(hadEffect bool) {
 		if hadEffect {
-			done(store.CommitResult{}, store.ErrUnknown)
+			done(store.CommitResult{}, store.ErrOutcomeUnknown)
 		} else {
 			done(store.CommitResult{}, store.ErrUnavailable)
 		}
@@ -118,7 +118,7 @@
 	}, func(reply worker.Reply) {
 		p.world.count(p.node.name, reply)
 		done(reply, nil)
-	}, func(bool) { done(worker.Reply{}, store.ErrUnknown) })
+	}, func(bool) { done(worker.Reply{}, store.ErrOutcomeUnknown) })
 }
 
 func zoneOf(name string) string {
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -17,8 +17,8 @@
 // without effect.
 var ErrNotSent = errors.New("httpjson: request had no effect")
 
-// ErrNoAnswer means that the request may have had an effect.
-var ErrNoAnswer = errors.New("httpjson: no answer")
+// ErrOutcomeUnknown means that the request may have had an effect.
+var ErrOutcomeUnknown = errors.New("httpjson: no answer")
 
 // maxBodyBytes limits the size of a response body.
 const maxBodyBytes = 256 << 20
@@ -45,7 +45,7 @@
 		return err
 	}
 	if err := json.Unmarshal(content, out); err != nil {
-		return errors.Mark(errors.Wrap(err, "answer"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "answer"), ErrOutcomeUnknown)
 	}
 	return nil
 }
@@ -63,13 +63,13 @@
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	switch {
 	case err != nil:
-		return nil, errors.Mark(err, ErrNoAnswer)
+		return nil, errors.Mark(err, ErrOutcomeUnknown)
 	case response.StatusCode == http.StatusNotFound:
 		return nil, ErrNotFound
 	case response.StatusCode == http.StatusServiceUnavailable:
 		return nil, errors.Mark(errors.Newf("refused: %s", content), ErrNotSent)
 	case response.StatusCode >= http.StatusBadRequest:
-		return nil, errors.Mark(errors.Newf("status %d: %s", response.StatusCode, content), ErrNoAnswer)
+		return nil, errors.Mark(errors.Newf("status %d: %s", response.StatusCode, content), ErrOutcomeUnknown)
 	}
 	return content, nil
 }
@@ -80,5 +80,5 @@
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return errors.Mark(err, ErrNotSent)
 	}
-	return errors.Mark(err, ErrNoAnswer)
+	return errors.Mark(err, ErrOutcomeUnknown)
 }
--- a/internal/loop/retries.go
+++ b/internal/loop/retries.go
@@ -34,8 +34,8 @@
 	r.pending[id] = retry
 }
 
-// Now runs all pending retries in the order in which they were added.
-func (r *Retries) Now() {
+// RunPending runs all pending retries in the order in which they were added.
+func (r *Retries) RunPending() {
 	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
 		retry := r.pending[id]
 		delete(r.pending, id)
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -104,7 +104,7 @@
 
 // recordFeedResult counts consecutive direct feeds that were not answered in time.
 func (n *Node) recordFeedResult(err error) {
-	if errors.Is(err, rows.ErrNoAnswer) {
+	if errors.Is(err, rows.ErrOutcomeUnknown) {
 		n.feedFailures.Add(1)
 		return
 	}
@@ -163,7 +163,7 @@
 	requestedAt := n.now()
 	s.feed(s.table, after, s.wait(), func(listing rows.Listing, err error) {
 		switch {
-		case errors.Is(err, rows.ErrHistoryGone):
+		case errors.Is(err, rows.ErrHistoryExpired):
 			n.edges.Record.Count("feed_gaps", s.table)
 			n.edges.Record.Decided("feed read anew", "table", s.table, "after", after)
 			s.onEnd()
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -125,7 +125,7 @@
 
 // storeWriteFault converts an error of a store write into a fault.
 func storeWriteFault(err error) error {
-	if errors.Is(err, rows.ErrRefused) {
+	if errors.Is(err, rows.ErrNoEffect) {
 		return fault.New(fault.StoreUnavailable, "the store did nothing")
 	}
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -39,9 +39,9 @@
 func (f *fakeStore) failure(part string) error {
 	switch {
 	case f.refuse[part]:
-		return rows.ErrRefused
+		return rows.ErrNoEffect
 	case f.unanswered[part]:
-		return rows.ErrNoAnswer
+		return rows.ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 }
 
 func (f *fakeStore) Feed(context.Context, string, int64, time.Duration) (rows.Listing, error) {
-	return rows.Listing{}, rows.ErrRefused
+	return rows.Listing{}, rows.ErrNoEffect
 }
 
 type discardRecorder struct{}
@@ -163,7 +163,7 @@
 		return p.fakeStore.Commit(ctx, transaction)
 	}
 	<-ctx.Done()
-	return rows.Result{}, rows.ErrNoAnswer
+	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
 // TestPartWithoutAnswerIsPassedOver: one unresponsive part must not use up the time of a
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -356,7 +356,7 @@
 	truncated := after < s.horizon
 	s.mutex.Unlock()
 	if truncated {
-		return rows.Listing{}, rows.ErrHistoryGone
+		return rows.Listing{}, rows.ErrHistoryExpired
 	}
 	return s.countingStore.Feed(ctx, table, after, wait)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -170,7 +170,7 @@
 // are canceled, so that they go to the store directly.
 func (n *Node) handleStoreRecovery() {
 	n.store.relayedReads.cancelIdle(0)
-	n.storeRetries.Now()
+	n.storeRetries.RunPending()
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].StoreRecovered()
 	}
@@ -179,7 +179,7 @@
 // recordStoreFailure records a failed feed or probe. Failed transactions are not recorded here, as
 // they may concern only one part of the store.
 func (n *Node) recordStoreFailure(err error) {
-	if err == nil || errors.Is(err, rows.ErrHistoryGone) {
+	if err == nil || errors.Is(err, rows.ErrHistoryExpired) {
 		return
 	}
 	now := uptime.Now()
--- a/internal/node/ownership_confirmation_test.go
+++ b/internal/node/ownership_confirmation_test.go
@@ -57,11 +57,11 @@
 	onlyNode := owningNode(t, nil)
 	onlyNode.confirmIfOnlyNode()
 	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is reachable")
-	onlyNode.recordStoreFailure(rows.ErrNoAnswer)
+	onlyNode.recordStoreFailure(rows.ErrOutcomeUnknown)
 	onlyNode.confirmIfOnlyNode()
 	require.Less(t, onlyNode.sinceConfirmed(), time.Second)
 	oneOfTwo := owningNode(t, map[string]float64{"node-2": 1})
-	oneOfTwo.recordStoreFailure(rows.ErrNoAnswer)
+	oneOfTwo.recordStoreFailure(rows.ErrOutcomeUnknown)
 	oneOfTwo.confirmIfOnlyNode()
 	require.Greater(t, oneOfTwo.sinceConfirmed(), time.Second)
 }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -144,7 +144,7 @@
 		n := newWatchingNode(t, 1, nil)
 		n.applyLeaseOf("node-2", 5)
 		if c.lostHere {
-			n.recordStoreFailure(rows.ErrNoAnswer)
+			n.recordStoreFailure(rows.ErrOutcomeUnknown)
 		}
 		n.handlePingReply(n.watcher, c.reply)
 		require.Equal(t, c.want, n.watcher.acquireScheduled, name)
@@ -177,10 +177,10 @@
 	n := newWatchingNode(t, 1, nil)
 	retried := 0
 	n.storeRetries.After(time.Hour, func() { retried++ })
-	n.recordStoreFailure(rows.ErrRefused)
+	n.recordStoreFailure(rows.ErrNoEffect)
 	require.Zero(t, retried)
 	n.recordStoreResult(nil)
 	require.Equal(t, 1, retried)
-	n.storeRetries.Now()
+	n.storeRetries.RunPending()
 	require.Equal(t, 1, retried, "once")
 }
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -37,7 +37,7 @@
 func (s *partialAnswerStore) answer(ctx context.Context, table string) (rows.Listing, error) {
 	if table != s.table {
 		<-ctx.Done()
-		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
+		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrOutcomeUnknown)
 	}
 	receiveBytes(ctx, 1)
 	s.started <- struct{}{}
@@ -45,7 +45,7 @@
 	case <-s.complete:
 		return s.listing, nil
 	case <-ctx.Done():
-		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
+		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrOutcomeUnknown)
 	}
 }
 
@@ -106,7 +106,7 @@
 	require.Less(t, n.storeAge(), time.Minute)
 
 	_, err := n.store.Feed(expiringContext(t), "other", 1, time.Hour)
-	require.True(t, errors.Is(err, rows.ErrNoAnswer), "%v", err)
+	require.True(t, errors.Is(err, rows.ErrOutcomeUnknown), "%v", err)
 	require.False(t, n.storeLost(), "one feed timed out while another was receiving its answer")
 
 	lost := make(chan bool)
@@ -153,7 +153,7 @@
 		receiveBytes(ctx, 8<<10)
 		time.Sleep(10 * time.Millisecond)
 		if ctx.Err() != nil {
-			return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
+			return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrOutcomeUnknown)
 		}
 	}
 	return rows.Listing{Version: 7}, nil
@@ -187,7 +187,7 @@
 	case <-time.After(s.takes):
 		return rows.Result{Committed: true}, nil
 	case <-ctx.Done():
-		return rows.Result{}, errors.Mark(context.Cause(ctx), rows.ErrNoAnswer)
+		return rows.Result{}, errors.Mark(context.Cause(ctx), rows.ErrOutcomeUnknown)
 	}
 }
 
@@ -227,7 +227,7 @@
 	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
 	address := servePeers(t, newGateway(t, &fixedStore{listing: listing}).node)
 	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
-	n.recordStoreFailure(rows.ErrRefused)
+	n.recordStoreFailure(rows.ErrNoEffect)
 	result, err := n.store.Feed(context.Background(), pool.JobTable, 1, time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, int64(7), result.Version)
@@ -256,7 +256,7 @@
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
 	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
-	n.recordStoreFailure(rows.ErrRefused)
+	n.recordStoreFailure(rows.ErrNoEffect)
 	ended := make(chan error, 1)
 	began := time.Now()
 	n.ports.Scan(pool.JobTable, "part", "", func(_ rows.Listing, err error) { ended <- err })
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -83,10 +83,10 @@
 		return reply, storeErrorFromFault(err)
 	}
 	if err := json.Unmarshal(document, &reply); err != nil {
-		return reply, errors.Mark(err, rows.ErrNoAnswer)
+		return reply, errors.Mark(err, rows.ErrOutcomeUnknown)
 	}
 	if reply.HistoryGone {
-		return reply, rows.ErrHistoryGone
+		return reply, rows.ErrHistoryExpired
 	}
 	return reply, nil
 }
@@ -94,9 +94,9 @@
 // storeErrorFromFault converts another node's fault into an error of the store.
 func storeErrorFromFault(err error) error {
 	if fault.IsKind(err, fault.StoreUnavailable) || fault.IsKind(err, fault.NoOwner) {
-		return errors.Mark(err, rows.ErrRefused)
+		return errors.Mark(err, rows.ErrNoEffect)
 	}
-	return errors.Mark(err, rows.ErrNoAnswer)
+	return errors.Mark(err, rows.ErrOutcomeUnknown)
 }
 
 // serveStore makes a call to the store for another node. It calls the store directly and does not
@@ -121,7 +121,7 @@
 	default:
 		return reply, fault.New(fault.InvalidRequest, "a call to the store without content")
 	}
-	if errors.Is(err, rows.ErrHistoryGone) {
+	if errors.Is(err, rows.ErrHistoryExpired) {
 		return storeReply{HistoryGone: true}, nil
 	}
 	n.recordStoreResult(err)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -87,7 +87,7 @@
 }
 
 // errStoreLost is returned for direct calls while this node has lost the store.
-var errStoreLost = errors.Mark(errors.New("the store does not answer this node"), rows.ErrRefused)
+var errStoreLost = errors.Mark(errors.New("the store does not answer this node"), rows.ErrNoEffect)
 
 // scanDirect reads a part without relays.
 func (s *relayedStore) scanDirect(ctx context.Context, table, part string) (rows.Listing, error) {
@@ -108,11 +108,11 @@
 	defer done()
 	listing, err := s.direct.Feed(ctx, table, after, wait)
 	if err != nil && readCanceled(ctx) {
-		return listing, errors.Mark(errReadCanceled, rows.ErrNoAnswer)
+		return listing, errors.Mark(errReadCanceled, rows.ErrOutcomeUnknown)
 	}
 	s.node.recordFeedResult(err)
 	s.node.recordStoreResult(err)
-	if !errors.Is(err, rows.ErrNoAnswer) || s.node.storeAge() > probeTimeout {
+	if !errors.Is(err, rows.ErrOutcomeUnknown) || s.node.storeAge() > probeTimeout {
 		// A feed that times out while other calls are answered does not mean that the store is
 		// lost: its answer may be queued behind a larger one.
 		s.node.recordStoreFailure(err)
@@ -130,7 +130,7 @@
 }
 
 // answered reports whether the outcome is the store's own answer.
-func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryGone) }
+func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired) }
 
 // callTimeouts bound the wait for the first byte of an answer.
 type callTimeouts struct {
@@ -200,7 +200,7 @@
 
 // lessCertain returns the error that leaves a call's effect more uncertain.
 func lessCertain(a, b error) error {
-	if errors.Is(a, rows.ErrRefused) {
+	if errors.Is(a, rows.ErrNoEffect) {
 		return b
 	}
 	return a
@@ -209,7 +209,7 @@
 // relay makes a call through other nodes, one after another.
 func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	var zero T
-	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrRefused)
+	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrNoEffect)
 	if s.node.options.Off[mechanism.StoreRelay] {
 		return zero, failure
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -21,12 +21,12 @@
 
 func (hangingStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
 	<-ctx.Done()
-	return rows.Result{}, errors.Mark(ctx.Err(), rows.ErrNoAnswer)
+	return rows.Result{}, errors.Mark(ctx.Err(), rows.ErrOutcomeUnknown)
 }
 
 func (hangingStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
 	<-ctx.Done()
-	return rows.Listing{}, errors.Mark(ctx.Err(), rows.ErrNoAnswer)
+	return rows.Listing{}, errors.Mark(ctx.Err(), rows.ErrOutcomeUnknown)
 }
 
 func (s hangingStore) Page(ctx context.Context, _, _, _ string, _ int) (rows.Listing, error) {
@@ -37,19 +37,19 @@
 type refusingStore struct{ rows.Store }
 
 func (refusingStore) Commit(context.Context, rows.Transaction) (rows.Result, error) {
-	return rows.Result{}, rows.ErrRefused
+	return rows.Result{}, rows.ErrNoEffect
 }
 
 func (refusingStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
-	return rows.Listing{}, rows.ErrRefused
+	return rows.Listing{}, rows.ErrNoEffect
 }
 
 func (refusingStore) Page(context.Context, string, string, string, int) (rows.Listing, error) {
-	return rows.Listing{}, rows.ErrRefused
+	return rows.Listing{}, rows.ErrNoEffect
 }
 
 func (refusingStore) Feed(context.Context, string, int64, time.Duration) (rows.Listing, error) {
-	return rows.Listing{}, rows.ErrRefused
+	return rows.Listing{}, rows.ErrNoEffect
 }
 
 // servePeers serves a node's peer requests and returns its address.
@@ -86,13 +86,13 @@
 	gateway := newGatewayWithPeer(t, refusingStore{}, feedStore{})
 	n := gateway.node
 	_, err := n.store.Feed(context.Background(), "t", 1, time.Millisecond)
-	require.ErrorIs(t, err, rows.ErrRefused)
+	require.ErrorIs(t, err, rows.ErrNoEffect)
 	require.True(t, n.storeLost())
 	listing, err := n.store.Feed(context.Background(), "t", 1, time.Millisecond)
 	require.NoError(t, err)
 	require.Equal(t, int64(7), listing.Version)
 	_, err = n.store.Feed(context.Background(), truncatedTable, 1, time.Millisecond)
-	require.ErrorIs(t, err, rows.ErrHistoryGone)
+	require.ErrorIs(t, err, rows.ErrHistoryExpired)
 	require.True(t, n.storeLost(), "a relayed answer must not count as a direct one")
 }
 
@@ -103,7 +103,7 @@
 
 func (feedStore) Feed(_ context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
 	if table == truncatedTable {
-		return rows.Listing{}, rows.ErrHistoryGone
+		return rows.Listing{}, rows.ErrHistoryExpired
 	}
 	return rows.Listing{Version: 7}, nil
 }
@@ -127,7 +127,7 @@
 	case <-time.After(wait):
 		return rows.Listing{}, nil
 	case <-ctx.Done():
-		return rows.Listing{}, errors.Mark(ctx.Err(), rows.ErrNoAnswer)
+		return rows.Listing{}, errors.Mark(ctx.Err(), rows.ErrOutcomeUnknown)
 	}
 }
 
@@ -191,7 +191,7 @@
 	case <-time.After(probeAfter + 100*time.Millisecond):
 		return s.fakeStore.Commit(ctx, transaction)
 	case <-ctx.Done():
-		return rows.Result{}, errors.Mark(ctx.Err(), rows.ErrNoAnswer)
+		return rows.Result{}, errors.Mark(ctx.Err(), rows.ErrOutcomeUnknown)
 	}
 }
 
@@ -223,12 +223,12 @@
 func TestFeedsOfAVerySlowStoreAreWaitedFor(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.Equal(t, feedSlack, n.feedSlack())
-	n.recordFeedResult(rows.ErrNoAnswer)
+	n.recordFeedResult(rows.ErrOutcomeUnknown)
 	require.Equal(t, 2*feedSlack, n.feedSlack())
 	for range 40 {
-		n.recordFeedResult(rows.ErrNoAnswer)
+		n.recordFeedResult(rows.ErrOutcomeUnknown)
 	}
 	require.Equal(t, maxFeedSlack, n.feedSlack())
-	n.recordFeedResult(rows.ErrHistoryGone)
+	n.recordFeedResult(rows.ErrHistoryExpired)
 	require.Equal(t, feedSlack, n.feedSlack())
 }
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -29,7 +29,7 @@
 	case <-time.After(s.latency):
 		return nil
 	case <-ctx.Done():
-		return errors.Mark(ctx.Err(), rows.ErrNoAnswer)
+		return errors.Mark(ctx.Err(), rows.ErrOutcomeUnknown)
 	}
 }
 
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -14,7 +14,7 @@
 func (n *Node) watchSuspensions() {
 	before := uptime.Suspended()
 	n.edges.Loop.After(suspensionCheckInterval, func() {
-		uptime.Look()
+		uptime.Refresh()
 		if suspended := uptime.Suspended() - before; suspended >= minLoggedSuspension {
 			n.edges.Record.Decided("machine was suspended", "for_ms", suspended.Milliseconds())
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -153,7 +153,7 @@
 // again.
 func (p *Pool) StoreRecovered() {
 	if !p.closed {
-		p.storeRetries.Now()
+		p.storeRetries.RunPending()
 	}
 }
 
--- a/internal/pool/progress_batch.go
+++ b/internal/pool/progress_batch.go
@@ -151,7 +151,7 @@
 const maxBackoffDoublings = 4
 
 func commitRetryReason(err error) string {
-	if errors.Is(err, rows.ErrRefused) {
+	if errors.Is(err, rows.ErrNoEffect) {
 		return "commit_refused"
 	}
 	return "commit_no_answer"
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -64,7 +64,7 @@
 	p.ports.Feed(table, after, func(listing rows.Listing, err error) {
 		switch {
 		case p.closed:
-		case errors.Is(err, rows.ErrHistoryGone):
+		case errors.Is(err, rows.ErrHistoryExpired):
 			p.record.Count("feed_gaps", table)
 			p.record.Decided("feed read anew", "table", table, "after", after)
 			again()
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRefused means that a call had no effect.
-var ErrRefused = errors.New("rows: refused")
+// ErrNoEffect means that a call had no effect.
+var ErrNoEffect = errors.New("rows: refused")
 
-// ErrNoAnswer means that a call may have had an effect, or may have one later.
-var ErrNoAnswer = errors.New("rows: no answer")
+// ErrOutcomeUnknown means that a call may have had an effect, or may have one later.
+var ErrOutcomeUnknown = errors.New("rows: no answer")
 
-// ErrHistoryGone means that the store no longer has the changes since a feed's version. The caller
+// ErrHistoryExpired means that the store no longer has the changes since a feed's version. The caller
 // must scan again.
-var ErrHistoryGone = errors.New("rows: history is gone")
+var ErrHistoryExpired = errors.New("rows: history is gone")
 
 // Absent as a condition's version requires that the row does not exist.
 const Absent int64 = 0
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -26,7 +26,7 @@
 func failIfPartitioned[T any](p *ports, done func(T, error)) bool {
 	if p.owner.CutFromStore {
 		var nothing T
-		p.world.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrNoAnswer) })
+		p.world.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrOutcomeUnknown) })
 	}
 	return p.owner.CutFromStore
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -71,7 +71,7 @@
 	s.clock.After(s.Latency/2, func() {
 		if s.unavailable(partOf(transaction)) {
 			s.lastFaultAt = s.clock.Now()
-			s.clock.After(s.Latency/2, func() { done(rows.Result{}, rows.ErrRefused) })
+			s.clock.After(s.Latency/2, func() { done(rows.Result{}, rows.ErrNoEffect) })
 			return
 		}
 		fate := Answered
@@ -94,7 +94,7 @@
 		case DoneLate:
 			s.clock.After(lateWriteDelay, func() { s.Apply(transaction) })
 		}
-		s.clock.After(answerTimeout, func() { done(rows.Result{}, rows.ErrNoAnswer) })
+		s.clock.After(answerTimeout, func() { done(rows.Result{}, rows.ErrOutcomeUnknown) })
 	})
 }
 
@@ -149,12 +149,12 @@
 	s.clock.After(s.Latency, func() {
 		if s.unavailable(part) {
 			s.lastFaultAt = s.clock.Now()
-			done(rows.Listing{}, rows.ErrRefused)
+			done(rows.Listing{}, rows.ErrNoEffect)
 			return
 		}
 		if s.ScansSilent {
 			s.lastFaultAt = s.clock.Now()
-			s.clock.After(answerTimeout, func() { done(rows.Listing{}, rows.ErrNoAnswer) })
+			s.clock.After(answerTimeout, func() { done(rows.Listing{}, rows.ErrOutcomeUnknown) })
 			return
 		}
 		done(s.List(table, part, prefix), nil)
@@ -184,7 +184,7 @@
 func (s *Store) poll(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
 	if s.AwayAll {
 		s.lastFaultAt = s.clock.Now()
-		done(rows.Listing{}, rows.ErrRefused)
+		done(rows.Listing{}, rows.ErrNoEffect)
 		return
 	}
 	if s.FeedsSilent {
--- a/internal/store/httpstore/httpstore.go
+++ b/internal/store/httpstore/httpstore.go
@@ -33,7 +33,7 @@
 		return result, errors.Mark(err, store.ErrUnavailable)
 	}
 	if err != nil {
-		return result, errors.Mark(err, store.ErrUnknown)
+		return result, errors.Mark(err, store.ErrOutcomeUnknown)
 	}
 	return result, nil
 }
--- a/internal/store/httpstore/httpstore_test.go
+++ b/internal/store/httpstore/httpstore_test.go
@@ -70,9 +70,9 @@
 		effect bool
 	}{
 		"down":              {standin.Fault{Mode: standin.Down}, store.ErrUnavailable, false},
-		"response lost":     {standin.Fault{Mode: standin.Lossy, Share: 1}, store.ErrUnknown, true},
-		"late effect":       {standin.Fault{Mode: standin.Late, Share: 1, DelaySeconds: 0.01}, store.ErrUnknown, true},
-		"deadline exceeded": {standin.Fault{Mode: standin.Slow, DelaySeconds: 0.3}, store.ErrUnknown, true},
+		"response lost":     {standin.Fault{Mode: standin.Lossy, Share: 1}, store.ErrOutcomeUnknown, true},
+		"late effect":       {standin.Fault{Mode: standin.Late, Share: 1, DelaySeconds: 0.01}, store.ErrOutcomeUnknown, true},
+		"deadline exceeded": {standin.Fault{Mode: standin.Slow, DelaySeconds: 0.3}, store.ErrOutcomeUnknown, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnknown means that a transaction's response was lost: it may have taken effect, or may do so
+// ErrOutcomeUnknown means that a transaction's response was lost: it may have taken effect, or may do so
 // later. Reading the rows back does not settle it; see Settle in the operation marker design note.
-var ErrUnknown = errors.New("store: outcome unknown")
+var ErrOutcomeUnknown = errors.New("store: outcome unknown")
 
 // ErrUnavailable means that a read failed, or that a write was rejected and had no effect.
 var ErrUnavailable = errors.New("store: unavailable")
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -82,8 +82,8 @@
 // Since returns the time elapsed since at, an earlier result of Now.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Look asks the system how long it was suspended.
-func Look() { processClock.Refresh() }
+// Refresh asks the system how long it was suspended.
+func Refresh() { processClock.Refresh() }
 
 // Suspended returns the time spent suspended since the process started.
 func Suspended() time.Duration { return processClock.Suspended() }
--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -85,7 +85,7 @@
 
 func TestProcessClockMatchesSystemClock(t *testing.T) {
 	systemStart, uptimeStart := time.Now(), Now()
-	Look()
+	Refresh()
 	require.InDelta(t, time.Since(systemStart).Seconds(), Since(uptimeStart).Seconds(), 0.5)
 	require.Less(t, Suspended(), time.Second)
 }
