--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -45,7 +45,7 @@
 	machine := machines.Machine{Name: "r/z/k/w", Region: "r", Zone: "z", Rack: "k", Status: machines.Live, Accelerators: 8, CPUs: 64, MemoryGB: 256, Slots: 8}
 	return &fakeBackend{
 		view: &blackboard.View{
-			Node: "node1", WatchedAt: now, Synced: true,
+			Node: "node1", UpdatedAt: now, Synced: true,
 			Domains: map[string][]machines.Machine{"r/z": {machine}},
 			Configuration: declaration.Configuration{Version: 3, Declaration: declaration.Declaration{Tenant: []declaration.Tenant{
 				{Name: "a", KeyHashes: []string{auth.Hash(keyA)}}, {Name: "b", KeyHashes: []string{auth.Hash(keyB)}},
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -128,7 +128,7 @@
 	if ok && principal.Operator {
 		return principal, nil
 	}
-	if !view.Synced || s.now().Sub(view.WatchedAt) > s.options.ConfigurationAge {
+	if !view.Synced || s.now().Sub(view.UpdatedAt) > s.options.ConfigurationAge {
 		return principal, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now")
 	}
 	if !ok {
--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -26,8 +26,8 @@
 	State       MemberState `json:"state"`
 	// Configuration is the version of the node's active configuration.
 	Configuration int64 `json:"configuration"`
-	// Beat is a heartbeat counter, so that every heartbeat changes the row.
-	Beat int64 `json:"beat"`
+	// HeartbeatCount is a heartbeat counter, so that every heartbeat changes the row.
+	HeartbeatCount int64 `json:"beat"`
 }
 
 // Summary is the load of a domain as published by its owner, for routing.
@@ -40,8 +40,8 @@
 	// QueuedAccelerators is the number of accelerators that queued jobs request.
 	QueuedAccelerators int64 `json:"queued_accelerators"`
 	RunningJobs        int   `json:"running_jobs"`
-	// MissingWitness is the number of guaranteed members that currently have no placement.
-	MissingWitness int `json:"missing_witness"`
+	// UnplacedGuaranteed is the number of guaranteed members that currently have no placement.
+	UnplacedGuaranteed int `json:"missing_witness"`
 }
 
 // Lease is the row that names the owner of a scheduling domain.
@@ -55,8 +55,8 @@
 	// Active is false until the owner has recovered the domain's state.
 	Active  bool    `json:"active"`
 	Summary Summary `json:"summary"`
-	// Beat is a renewal counter, so that every renewal changes the row.
-	Beat int64 `json:"beat"`
+	// RenewalCount is a renewal counter, so that every renewal changes the row.
+	RenewalCount int64 `json:"beat"`
 }
 
 // Observed is a row's value and when this node saw it change.
@@ -79,8 +79,8 @@
 	// HeadRevision is the revision of the configuration's head row.
 	HeadRevision int64
 	Machines     map[string]machines.Machine
-	// WatchedAt is the local time before the last read that made the board current.
-	WatchedAt time.Time
+	// UpdatedAt is the local time before the last read that made the board current.
+	UpdatedAt time.Time
 	Draining  bool
 }
 
@@ -103,7 +103,7 @@
 	Leases        map[string]Lease
 	// Domains maps each domain to its machines.
 	Domains   map[string][]machines.Machine
-	WatchedAt time.Time
+	UpdatedAt time.Time
 	Draining  bool
 	// Synced is false until the table was read completely once.
 	Synced bool
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -235,7 +235,7 @@
 				for _, d := range answer.Domains {
 					s := d.Lease.Summary
 					fmt.Fprintf(w, "%s\t%s\t%d\t%t\t%d\t%d\t%d\t%d\t%d\t%d\n", d.Name, d.Lease.Owner, d.Lease.Epoch, d.Lease.Active,
-						d.Machines, s.FreeAccelerators, s.Accelerators, s.QueuedJobs, s.RunningJobs, s.MissingWitness)
+						d.Machines, s.FreeAccelerators, s.Accelerators, s.QueuedJobs, s.RunningJobs, s.UnplacedGuaranteed)
 				}
 				printMembers(w, answer.Members)
 			})
--- a/internal/control/domain.go
+++ b/internal/control/domain.go
@@ -67,7 +67,7 @@
 	return blackboard.Summary{
 		FreeAccelerators: state.Free(), Accelerators: state.Up(),
 		QueuedJobs: d.scheduler.Waiting(), QueuedAccelerators: d.queuedAccelerators,
-		RunningJobs: d.running(), MissingWitness: d.scheduler.MissingWitness(),
+		RunningJobs: d.running(), UnplacedGuaranteed: d.scheduler.MissingWitness(),
 	}
 }
 
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -20,7 +20,7 @@
 		Node: n.options.Node, Incarnation: n.options.Incarnation,
 		PeerAddress: n.options.PeerAddress, HTTPAddress: n.options.HTTPAddress,
 		Zone: n.options.Zone, State: state,
-		Configuration: n.board.Configuration.Version, Beat: n.beat,
+		Configuration: n.board.Configuration.Version, HeartbeatCount: n.beat,
 	}
 	transaction := store.Transaction{Writes: append([]store.Write{write(memberKey(n.options.Node), row)}, n.forgottenMembers()...)}
 	n.ports.Commit(transaction, func(_ store.CommitResult, err error) {
@@ -49,7 +49,7 @@
 // isLate reports whether the board itself is out of date, so that the age of rows
 // says nothing about their writers.
 func (n *Node) isLate() bool {
-	return n.loop.Now().Sub(n.board.WatchedAt) > n.options.Timing.MemberTimeout
+	return n.loop.Now().Sub(n.board.UpdatedAt) > n.options.Timing.MemberTimeout
 }
 
 // liveMembers lists the members whose rows changed lately, by name.
@@ -57,7 +57,7 @@
 	var live []blackboard.Member
 	for _, name := range sortedKeys(n.board.Members) {
 		member := n.board.Members[name]
-		if n.board.WatchedAt.Sub(member.ChangedAt) <= n.options.Timing.MemberTimeout {
+		if n.board.UpdatedAt.Sub(member.ChangedAt) <= n.options.Timing.MemberTimeout {
 			live = append(live, member.Value)
 		}
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -83,7 +83,7 @@
 		Configuration: n.board.Configuration,
 		Leases:        map[string]blackboard.Lease{},
 		Domains:       n.machinesByDomain(),
-		WatchedAt:     n.board.WatchedAt,
+		UpdatedAt:     n.board.UpdatedAt,
 		Draining:      n.board.Draining,
 		Synced:        n.watchRevision > 0,
 		Owned:         map[string]bool{},
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -66,7 +66,7 @@
 	if !exists {
 		return patience == 0
 	}
-	age := n.board.WatchedAt.Sub(lease.ChangedAt)
+	age := n.board.UpdatedAt.Sub(lease.ChangedAt)
 	if lease.Value.Owner == "" {
 		return age >= patience
 	}
@@ -117,7 +117,7 @@
 	n.beat++
 	row := blackboard.Lease{
 		Domain: name, Owner: n.options.Node, Incarnation: n.options.Incarnation,
-		PeerAddress: n.options.PeerAddress, Epoch: epoch, Beat: n.beat,
+		PeerAddress: n.options.PeerAddress, Epoch: epoch, RenewalCount: n.beat,
 	}
 	if d := n.domains[name]; d != nil {
 		row.Active = d.active
@@ -291,7 +291,7 @@
 		return
 	}
 	d.releasing = true
-	row := blackboard.Lease{Domain: d.name, Epoch: d.epoch, Beat: d.node.beat}
+	row := blackboard.Lease{Domain: d.name, Epoch: d.epoch, RenewalCount: d.node.beat}
 	transaction := store.Transaction{
 		Conditions: []store.Condition{{Key: leaseKey(d.name), Revision: d.leaseRevision}},
 		Writes:     []store.Write{write(leaseKey(d.name), row)},
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -19,7 +19,7 @@
 			n.record.Count(CounterTable, "watch_failed")
 			return
 		}
-		n.board.WatchedAt = sent
+		n.board.UpdatedAt = sent
 		n.watchRevision = max(result.Revision, 1)
 		for _, row := range result.Rows {
 			n.applyRow(row, sent)
--- a/internal/emulator/callers.go
+++ b/internal/emulator/callers.go
@@ -107,7 +107,7 @@
 		return
 	}
 	view := c.entry.control.View()
-	if !view.Synced || c.world.clock.now.Sub(view.WatchedAt) > c.entry.control.Timing().ConfigurationAge {
+	if !view.Synced || c.world.clock.now.Sub(view.UpdatedAt) > c.entry.control.Timing().ConfigurationAge {
 		c.answer(nil, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now"))
 		return
 	}
