--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -16,7 +16,7 @@
 	ctx  context.Context
 	node *Node
 	// pacer limits the rate of orders and reads on the machine's link.
-	pacer *pacing.Pacer
+	pacer *pacing.Limiter
 }
 
 // An owner's orders and reads come in bursts: a start and a hold for each task of a wide step, or
--- a/internal/pacing/pacer.go
+++ b/internal/pacing/pacer.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Pacer is a rate limiter for bytes that permits bursts. A nil Pacer does not limit. It is safe
+// Limiter is a rate limiter for bytes that permits bursts. A nil Limiter does not limit. It is safe
 // for concurrent use.
-type Pacer struct {
+type Limiter struct {
 	bytesPerSecond float64
 	burst          time.Duration
 	now            func() time.Time
@@ -22,16 +22,16 @@
 
 // New returns a Pacer that permits bursts of as many bytes as the rate transfers in burst. It
 // returns nil if the rate is not positive.
-func New(bytesPerSecond float64, burst time.Duration, now func() time.Time) *Pacer {
+func New(bytesPerSecond float64, burst time.Duration, now func() time.Time) *Limiter {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &Pacer{bytesPerSecond: bytesPerSecond, burst: burst, now: now}
+	return &Limiter{bytesPerSecond: bytesPerSecond, burst: burst, now: now}
 }
 
 // Wait reserves bytes and blocks until they may pass. If ctx ends first, it returns the context's
 // error.
-func (p *Pacer) Wait(ctx context.Context, bytes int) error {
+func (p *Limiter) Wait(ctx context.Context, bytes int) error {
 	pause := p.reserve(bytes)
 	if pause <= 0 {
 		return nil
@@ -48,10 +48,10 @@
 
 // Charge reserves bytes without waiting, for data already transferred. Later calls of Wait are
 // delayed accordingly.
-func (p *Pacer) Charge(bytes int) { p.reserve(bytes) }
+func (p *Limiter) Charge(bytes int) { p.reserve(bytes) }
 
 // reserve reserves bytes and returns the delay until they may pass.
-func (p *Pacer) reserve(bytes int) time.Duration {
+func (p *Limiter) reserve(bytes int) time.Duration {
 	if p == nil {
 		return 0
 	}
