--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -104,8 +104,8 @@
 	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), serverErrors: make(chan error, 4)}
 	unacknowledged := settings.Millis(s.Bounds.UnacknowledgedTimeout)
 	edges := node.Edges{
-		Store:  platform.NewStore(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
-		Orders: platform.NewWorkers(platform.NewHTTPClient(unacknowledged, workerConnections)),
+		Store:  platform.NewStoreClient(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
+		Orders: platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
 		Peers:  peer.NewClient(nil),
 		Codec:  platform.Codec{},
 		Loop:   d.loop,
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -27,7 +27,7 @@
 	return rows.Key{Table: "operator", Name: "configuration"}
 }
 func (jsonCodec) EvacuationRows() (table, prefix string) { return "operator", "evacuate/" }
-func (jsonCodec) EvacuatedZone(key rows.Key) (string, bool) {
+func (jsonCodec) ParseEvacuationKey(key rows.Key) (string, bool) {
 	return strings.CutPrefix(key.Name, "evacuate/")
 }
 func (jsonCodec) WorkerTable() string { return "workers" }
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -28,5 +28,5 @@
 }
 
 func (n *Node) evacuationChanges(listed []rows.Row) []evacuation.Change {
-	return evacuation.ParseChanges(listed, n.edges.Codec.EvacuatedZone)
+	return evacuation.ParseChanges(listed, n.edges.Codec.ParseEvacuationKey)
 }
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -18,9 +18,9 @@
 	ConfigurationKey() rows.Key
 	WorkerTable() string
 	// EvacuationRows returns the table and the name prefix of the rows with which operators
-	// evacuate zones. EvacuatedZone returns the zone in such a row's key, and false for other rows.
+	// evacuate zones. ParseEvacuationKey returns the zone in such a row's key, and false for other rows.
 	EvacuationRows() (table, prefix string)
-	EvacuatedZone(key rows.Key) (string, bool)
+	ParseEvacuationKey(key rows.Key) (string, bool)
 	DecodeCatalog(value []byte) (*catalog.Catalog, error)
 	DecodeWorker(id string, value []byte) (*fleet.Worker, error)
 }
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -162,9 +162,9 @@
 // EvacuationRows implements pool.Ports.
 func (p *ports) EvacuationRows() (table, prefix string) { return p.node.edges.Codec.EvacuationRows() }
 
-// EvacuatedZone implements pool.Ports.
-func (p *ports) EvacuatedZone(key rows.Key) (string, bool) {
-	return p.node.edges.Codec.EvacuatedZone(key)
+// ParseEvacuationKey implements pool.Ports.
+func (p *ports) ParseEvacuationKey(key rows.Key) (string, bool) {
+	return p.node.edges.Codec.ParseEvacuationKey(key)
 }
 
 // WorkerTable implements pool.Ports.
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -92,7 +92,7 @@
 			return
 		}
 		p.recordStoreAnswer()
-		read := evacuation.NewSet(evacuation.ParseChanges(listing.Rows, p.ports.EvacuatedZone), listing.Version, askedAt)
+		read := evacuation.NewSet(evacuation.ParseChanges(listing.Rows, p.ports.ParseEvacuationKey), listing.Version, askedAt)
 		p.evacuationsRead = p.evacuationsRead.Newest(read)
 		p.EvacuationsChanged()
 	})
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -105,8 +105,8 @@
 	// EvacuationRows returns the table and key prefix of the rows by which operators evacuate
 	// zones.
 	EvacuationRows() (table, prefix string)
-	// EvacuatedZone returns the zone of an evacuation row's key; false for other rows.
-	EvacuatedZone(key rows.Key) (string, bool)
+	// ParseEvacuationKey returns the zone of an evacuation row's key; false for other rows.
+	ParseEvacuationKey(key rows.Key) (string, bool)
 	// DecodeWorker parses a row of the table that WorkerTable names.
 	DecodeWorker(id string, value []byte) (*fleet.Worker, error)
 	WorkerTable() string
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -164,8 +164,8 @@
 	return p.world.OperatorTable, evacuationPrefix
 }
 
-// EvacuatedZone implements pool.Ports.
-func (p *ports) EvacuatedZone(key rows.Key) (string, bool) {
+// ParseEvacuationKey implements pool.Ports.
+func (p *ports) ParseEvacuationKey(key rows.Key) (string, bool) {
 	return strings.CutPrefix(key.Name, evacuationPrefix)
 }
 
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -72,13 +72,13 @@
 // callerLoop submits jobs one at a time until the run ends.
 func (r *run) callerLoop(number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+number)))
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	for serial := 0; !r.closing(); serial++ {
 		s := &submission{spec: r.randomSpec(random, number, serial), refused: true}
 		r.observations.mutex.Lock()
 		r.observations.submissions = append(r.observations.submissions, s)
 		r.observations.mutex.Unlock()
-		r.platform.Locked(func() {
+		r.platform.WithLock(func() {
 			r.platform.World.Expect(*s.spec, catalog.Queue{Name: standin.QueueName, MaxAttempts: maxAttempts})
 			if s.poison = r.workers.poisons(number, serial, s.spec); s.poison {
 				r.platform.World.Crashing[taskgraph.TaskName{Job: s.spec.ID}] = r.workers.Crash
@@ -119,7 +119,7 @@
 func (r *run) randomDaemon(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
 
 // checkedCall makes a call and checks the invariants that concern this call alone.
-func (r *run) checkedCall(d *daemon, what string, call func() (standin.Answer, error)) (standin.Answer, error) {
+func (r *run) checkedCall(d *daemon, what string, call func() (standin.Response, error)) (standin.Response, error) {
 	began := time.Now()
 	answer, err := call()
 	took := time.Since(began)
@@ -130,7 +130,7 @@
 		if around.plannedStop && !around.faulty && took > idleCloseSlack {
 			r.observations.addViolation("%s at node-%d lost its answer after %v around a planned stop: %v", what, d.number, took, err)
 		}
-	case !answer.Whole:
+	case !answer.Valid:
 		r.observations.addViolation("%s at node-%d: status %d without a whole body", what, d.number, answer.Status)
 	default:
 		r.observations.count(fmt.Sprintf("%s %d", what, answer.Status))
@@ -146,10 +146,10 @@
 
 // submit submits a job by the rules of PROTOCOL: it retries after a missing answer but not after a
 // refusal.
-func (r *run) submit(caller *standin.Caller, random *rand.Rand, s *submission) {
+func (r *run) submit(caller *standin.Client, random *rand.Rand, s *submission) {
 	for range submitAttempts {
 		d := r.randomDaemon(random)
-		answer, err := r.checkedCall(d, "submit", func() (standin.Answer, error) { return caller.Submit(d.callers, r.key(), s.spec) })
+		answer, err := r.checkedCall(d, "submit", func() (standin.Response, error) { return caller.Submit(d.callers, r.key(), s.spec) })
 		switch {
 		case err == nil && answer.Status == http.StatusOK:
 			s.accepted, s.refused = true, false
@@ -162,26 +162,26 @@
 	}
 }
 
-func (r *run) cancel(caller *standin.Caller, random *rand.Rand, s *submission) {
+func (r *run) cancel(caller *standin.Client, random *rand.Rand, s *submission) {
 	d := r.randomDaemon(random)
 	s.cancelTried = true
-	answer, err := r.checkedCall(d, "cancel", func() (standin.Answer, error) { return caller.Cancel(d.callers, r.key(), s.spec.ID) })
+	answer, err := r.checkedCall(d, "cancel", func() (standin.Response, error) { return caller.Cancel(d.callers, r.key(), s.spec.ID) })
 	if err != nil {
 		return
 	}
 	switch answer.Status {
 	case http.StatusOK:
 		s.cancelled = true
-		r.platform.Locked(func() { r.platform.World.Judge.Cancelled(s.spec.ID) })
+		r.platform.WithLock(func() { r.platform.World.Judge.Cancelled(s.spec.ID) })
 	case http.StatusGone:
 		r.observations.addViolation("cancel of accepted job %s at node-%d: 410", s.spec.ID, d.number)
 	}
 }
 
 // checkState queries the state of a job once and checks the answer.
-func (r *run) checkState(caller *standin.Caller, random *rand.Rand, s *submission) {
+func (r *run) checkState(caller *standin.Client, random *rand.Rand, s *submission) {
 	d := r.randomDaemon(random)
-	answer, err := r.checkedCall(d, "look", func() (standin.Answer, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
+	answer, err := r.checkedCall(d, "look", func() (standin.Response, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
 	if err != nil {
 		return
 	}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -152,13 +152,13 @@
 	t.Cleanup(platform.Close)
 	r := &run{platform: platform, observations: observations{answers: map[string]int{}}}
 	s := &submission{spec: &taskgraph.Spec{ID: "00000000000000aa", Steps: []taskgraph.Step{{Count: 1, EstimateMillis: 1}}}}
-	platform.Locked(func() { platform.World.Expect(*s.spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.World.Expect(*s.spec, catalog.Queue{MaxAttempts: 1}) })
 	return r, s
 }
 
 // startTask starts the task of the job on the simulated worker.
 func (r *run) startTask(s *submission) {
-	r.platform.Locked(func() {
+	r.platform.WithLock(func() {
 		order := fleet.Start{Task: taskgraph.TaskName{Job: s.spec.ID}, Run: 1, DeadlineMillis: 3000}
 		r.platform.World.Order(r.platform.World.Workers[0].ID, order, func(fleet.Reply, error) {})
 	})
@@ -200,16 +200,16 @@
 func TestJudgeOfAnswers(t *testing.T) {
 	lost := errors.New("connection reset")
 	cases := map[string]struct {
-		answer          standin.Answer
+		answer          standin.Response
 		err             error
 		takes           time.Duration
 		faulty, planned bool
 		want            string
 	}{
-		"whole":                                {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
-		"truncated body":                       {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
-		"key refused":                          {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
-		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, faulty: true},
+		"whole":                                {answer: standin.Response{Status: http.StatusOK, Valid: true}},
+		"truncated body":                       {answer: standin.Response{Status: http.StatusOK}, want: "without a whole body"},
+		"key refused":                          {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, want: "key in force"},
+		"key refused during a fault":           {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, faulty: true},
 		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
 		"sent while an idle connection closes": {err: lost, planned: true},
 		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, faulty: true},
@@ -223,7 +223,7 @@
 		if c.planned {
 			d.plannedStopUntil = time.Now().Add(time.Minute)
 		}
-		_, _ = r.checkedCall(d, "look", func() (standin.Answer, error) {
+		_, _ = r.checkedCall(d, "look", func() (standin.Response, error) {
 			time.Sleep(c.takes)
 			return c.answer, c.err
 		})
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -86,7 +86,7 @@
 	case StoreUnavailable:
 		begin, end = func() { world.Store.AwayAll = true }, func() { world.Store.AwayAll = false }
 	case StoreUnresponsive:
-		begin, end = func() { r.platform.Silent = true }, func() { r.platform.Silent = false }
+		begin, end = func() { r.platform.StoreUnresponsive = true }, func() { r.platform.StoreUnresponsive = false }
 	case StoreSlow:
 		begin = func() { world.Store.Latency = slowStoreLatency }
 		end = func() { world.Store.Latency = storeLatency }
@@ -99,8 +99,8 @@
 	default:
 		begin, end = r.workerFault(fault)
 	}
-	r.platform.Locked(begin)
-	return func() { r.platform.Locked(end) }
+	r.platform.WithLock(begin)
+	return func() { r.platform.WithLock(end) }
 }
 
 const (
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -121,7 +121,7 @@
 			return err
 		}
 	}
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	deadline := time.Now().Add(readyTimeout)
 	for _, d := range r.daemons {
 		for !caller.Ready(d.ready) {
@@ -209,7 +209,7 @@
 
 // waitForJobs waits until every accepted job has ended or the timeout is over.
 func (r *run) waitForJobs(report *Report) {
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	deadline := time.Now().Add(settleTimeout)
 	for _, s := range r.observations.submissions {
 		if !s.accepted {
@@ -236,7 +236,7 @@
 		r.checkJob(s)
 	}
 	report.Broken = append(report.Broken, r.observations.violations...)
-	r.platform.Locked(func() { report.Broken = append(report.Broken, r.platform.World.Judge.Broken...) })
+	r.platform.WithLock(func() { report.Broken = append(report.Broken, r.platform.World.Judge.Broken...) })
 	for _, d := range r.daemons {
 		d.mutex.Lock()
 		report.Broken = append(report.Broken, d.unexpectedExits...)
@@ -248,7 +248,7 @@
 // checkJob compares the final state of a job with what its caller was told.
 func (r *run) checkJob(s *submission) {
 	starts := 0
-	r.platform.Locked(func() { starts = r.platform.World.Judge.JobStarts(s.spec.ID) })
+	r.platform.WithLock(func() { starts = r.platform.World.Judge.JobStarts(s.spec.ID) })
 	switch {
 	case s.refused && starts > 0:
 		r.observations.addViolation("job %s was refused and ran", s.spec.ID)
@@ -269,7 +269,7 @@
 
 func (r *run) allDone(s *submission) bool {
 	done := true
-	r.platform.Locked(func() { done = r.platform.World.Judge.JobDone(s.spec.ID) })
+	r.platform.WithLock(func() { done = r.platform.World.Judge.JobDone(s.spec.ID) })
 	return done
 }
 
@@ -305,7 +305,7 @@
 // putInitialConfiguration publishes the first configuration.
 func (r *run) putInitialConfiguration() {
 	r.keyVersion = 1
-	r.configuration = standin.Configuration{MaxAttempts: maxAttempts, Priority: 1, Unguarded: r.workers.Unguarded}
+	r.configuration = standin.Configuration{MaxAttempts: maxAttempts, Priority: 1, IgnoreCapacity: r.workers.Unguarded}
 	r.putKeys(keyName(r.keyVersion))
 }
 
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -59,7 +59,7 @@
 		status := d.statusUntil(keyName(2), http.StatusGone, deadline)
 		assert.Equal(t, http.StatusGone, status, "node-%d does not know the new key after %v", d.number, grownLimit)
 	}
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	for _, d := range r.daemons {
 		require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod, "node-%d is not ready", d.number)
 	}
@@ -68,7 +68,7 @@
 // statusUntil polls the state of an unknown job until the daemon answers with the wanted status or
 // the deadline is over, and returns the last status; zero means no answer.
 func (d *daemon) statusUntil(key string, wanted int, deadline time.Time) int {
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	for {
 		status := 0
 		if answer, err := caller.State(d.callers, key, unknownID); err == nil {
@@ -94,7 +94,7 @@
 	platform, err := standin.Start(simulation.NewWorld(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
-	platform.Locked(func() { putEndedJobs(platform.World, oldJobs) })
+	platform.WithLock(func() { putEndedJobs(platform.World, oldJobs) })
 	r := &run{
 		options:  Options{Program: buildDaemon(t), Daemons: 1, Folder: t.TempDir()},
 		platform: platform, observations: observations{answers: map[string]int{}},
@@ -107,11 +107,11 @@
 	d.proxy.SetRate(slowLink)
 	require.NoError(t, d.start())
 	deadline := time.Now().Add(grownLimit)
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
 
 	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
-	platform.Locked(func() { platform.World.Expect(*spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.World.Expect(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
 		answer, err := caller.Submit(d.callers, keyName(1), spec)
 		return err == nil && answer.Status == http.StatusOK
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -118,6 +118,6 @@
 func (r *run) scheduleLocked(when time.Time, ends *sync.WaitGroup, fn func()) {
 	ends.Go(func() {
 		time.Sleep(time.Until(when))
-		r.platform.Locked(fn)
+		r.platform.WithLock(fn)
 	})
 }
