--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -93,9 +93,9 @@
 	}
 	go d.loop.Run(ctx)
 	d.loop.Post(d.node.Start)
-	tele.Decided("started", "node", s.Name, "zone", s.Zone, "version", buildinfo.Version)
+	tele.LogEvent("started", "node", s.Name, "zone", s.Zone, "version", buildinfo.Version)
 	err = d.wait(path)
-	tele.Decided("stopped", "node", s.Name)
+	tele.LogEvent("stopped", "node", s.Name)
 	log.Close()
 	return err
 }
@@ -224,16 +224,16 @@
 // validateSettings checks the settings file on SIGHUP. Changes take effect at the next start.
 func (d *service) validateSettings(path string) {
 	if _, err := settings.ReadNode(path); err != nil {
-		d.telemetry.Decided("settings refused", "reason", err.Error())
+		d.telemetry.LogEvent("settings refused", "reason", err.Error())
 		return
 	}
-	d.telemetry.Decided("settings read", "effect", "at the next start")
+	d.telemetry.LogEvent("settings read", "effect", "at the next start")
 }
 
 // stop releases the pools immediately and keeps serving callers while the load balancer
 // takes the node out of rotation.
 func (d *service) stop() {
-	d.telemetry.Decided("stopping", "node", d.settings.Name)
+	d.telemetry.LogEvent("stopping", "node", d.settings.Name)
 	began := time.Now()
 	released := make(chan struct{})
 	d.loop.Post(func() { d.node.Stop(func() { close(released) }) })
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -68,7 +68,7 @@
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
 	}
-	g.node.edges.Record.Decided("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
+	g.node.edges.Record.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
 		"job", jobInPath(path), "reason", string(err.Kind), "configuration", version, "configuration_age_ms", confirmedAge.Milliseconds())
 	return g.countRefusal(err)
 }
@@ -99,13 +99,13 @@
 		return g.commitJob(ctx, access.Queue.Pool, job)
 	})
 	if err != nil {
-		g.node.edges.Record.Decided("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
+		g.node.edges.Record.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
 			"detail", fault.From(err).Detail, "store_answered_ms_ago", g.node.storeAge().Milliseconds())
 		return g.countRefusal(err)
 	}
 	g.node.edges.Record.Count("job_transitions", "accepted")
 	g.node.edges.Record.Observe("acceptance", time.Since(receivedAt))
-	g.node.edges.Record.Decided("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
+	g.node.edges.Record.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
 	return nil
 }
 
@@ -212,10 +212,10 @@
 		return g.commitCancel(ctx, access.Queue.Pool, id)
 	})
 	if err != nil {
-		g.node.edges.Record.Decided("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
+		g.node.edges.Record.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
 		return g.countRefusal(err)
 	}
-	g.node.edges.Record.Decided("cancellation accepted", "job", id)
+	g.node.edges.Record.LogEvent("cancellation accepted", "job", id)
 	return nil
 }
 
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -94,8 +94,8 @@
 
 type discardRecorder struct{}
 
-func (discardRecorder) Count(string, string)   {}
-func (discardRecorder) Decided(string, ...any) {}
+func (discardRecorder) Count(string, string)    {}
+func (discardRecorder) LogEvent(string, ...any) {}
 
 func (discardRecorder) Set(string, int64)             {}
 func (discardRecorder) Observe(string, time.Duration) {}
@@ -274,7 +274,7 @@
 	fields map[string][]any
 }
 
-func (l fieldsRecorder) Decided(decision string, fields ...any) { l.fields[decision] = fields }
+func (l fieldsRecorder) LogEvent(decision string, fields ...any) { l.fields[decision] = fields }
 
 // TestEarlyRefusalsHaveALine: a request that is refused before its body is read is logged with the
 // job's identifier.
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -20,7 +20,7 @@
 	}
 	state, err := g.lookupFromOwner(ctx, access.Queue.Pool, id)
 	if err != nil {
-		g.node.edges.Record.Decided("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
+		g.node.edges.Record.LogEvent("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
 		return "", g.countRefusal(err)
 	}
 	return state, nil
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -149,7 +149,7 @@
 	w.acquiring = true
 	w.acquireAttempts++
 	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.acquireAttempts)
-	n.edges.Record.Decided("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
+	n.edges.Record.LogEvent("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
 	options := n.poolOptions(w.pool)
 	n.ports.Commit(pool.Acquire(options, n.leases[w.pool].version, nonce), func(result rows.Result, err error) {
 		w.acquiring = false
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -58,7 +58,7 @@
 		u.job.placed = true
 		u.job.pendingState = taskgraph.Running
 	}
-	p.record.Decided("placed", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", run, "tasks", len(u.members),
+	p.record.LogEvent("placed", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", run, "tasks", len(u.members),
 		"waited_ms", p.loop.Now().Sub(u.readyAt).Milliseconds(), "waited_for", string(u.lastWaitReason()), "estimate_ms", u.spec().EstimateMillis,
 		"cores", u.spec().Resources.Cores()*float64(len(u.members)), "slack_ms", u.slack(p.loop.Now()).Milliseconds(), "slowness", u.slowness,
 		"workers", workerIDs(places))
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -111,7 +111,7 @@
 	}
 	p.reportedEvacuations, p.evacuationsWereFresh = current, known
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
-	p.record.Decided("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
+	p.record.LogEvent("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
 	p.scheduleCycle()
 }
--- a/internal/pool/incarnations.go
+++ b/internal/pool/incarnations.go
@@ -91,7 +91,7 @@
 // recordRestart counts and logs a worker's restart.
 func (p *Pool) recordRestart(w *worker, next fleet.Incarnation, evidence restartEvidence, runs int) {
 	p.record.Count("worker_restarts", string(evidence))
-	p.record.Decided("worker restarted", "worker", w.ID, "born", next.StartMillis, "former", w.StartMillis, "known_by", string(evidence), "runs", runs)
+	p.record.LogEvent("worker restarted", "worker", w.ID, "born", next.StartMillis, "former", w.StartMillis, "known_by", string(evidence), "runs", runs)
 }
 
 // replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -51,7 +51,7 @@
 		return
 	}
 	j.cancelled = true
-	p.record.Decided("job cancelled", "job", id)
+	p.record.LogEvent("job cancelled", "job", id)
 	p.finishJob(j, taskgraph.Cancelled)
 }
 
@@ -67,7 +67,7 @@
 		}
 	}
 	p.record.Count("job_transitions", string(state))
-	p.record.Decided("job ended", "job", j.id, "queue", j.Queue.Name, "state", string(state),
+	p.record.LogEvent("job ended", "job", j.id, "queue", j.Queue.Name, "state", string(state),
 		"age_ms", p.loop.Now().Sub(j.acceptedAt).Milliseconds(), "objective_ms", j.objective.Milliseconds(), "stretch", j.Queue.Stretch, "target_ms", j.Queue.TargetMillis)
 	p.persist(j)
 }
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -41,7 +41,7 @@
 		return
 	}
 	p.record.Count("attempts", "lost")
-	p.record.Decided("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason),
+	p.record.LogEvent("run lost", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason),
 		"confirmed", m.state == memberRunning, "ran_ms", u.runMillis(w.lastResponsive(p.loop.Now())))
 }
 
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -119,6 +119,6 @@
 	Observe(histogram string, d time.Duration)
 	// Set sets a gauge.
 	Set(gauge string, value int64)
-	// Decided logs a scheduling decision or a change of assumed state.
-	Decided(decision string, keysAndValues ...any)
+	// LogEvent logs a scheduling decision or a change of assumed state.
+	LogEvent(decision string, keysAndValues ...any)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -127,7 +127,7 @@
 func (p *Pool) Start() {
 	p.acquiredAt = p.loop.Now()
 	p.record.Count("takeovers", "acquired")
-	p.record.Decided("pool acquired", "pool", p.options.Pool, "token", p.token)
+	p.record.LogEvent("pool acquired", "pool", p.options.Pool, "token", p.token)
 	p.loadWorkers()
 	p.checkEvacuations()
 	p.readRows()
@@ -168,7 +168,7 @@
 	}
 	p.closed = true
 	p.record.Count("takeovers", "lost")
-	p.record.Decided("pool lost", "pool", p.options.Pool, "token", p.token, "reason", reason)
+	p.record.LogEvent("pool lost", "pool", p.options.Pool, "token", p.token, "reason", reason)
 	p.options.OnOwnershipEnded(reason)
 }
 
--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -113,7 +113,7 @@
 func (p *Pool) recordUnlistedRun(m *member) {
 	u, w := m.unit, m.worker
 	p.record.Count("attempts", "unlisted")
-	p.record.Decided("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis,
+	p.record.LogEvent("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis,
 		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.endAcks.acknowledged)
 }
 
@@ -150,7 +150,7 @@
 	}
 	p.record.Count("attempts", string(end.Reason))
 	now := p.loop.Now()
-	p.record.Decided("run ended", "job", u.job.id, "task", end.Task.String(), "run", end.Run, "worker", w.ID, "born", w.StartMillis, "how", string(end.Reason),
+	p.record.LogEvent("run ended", "job", u.job.id, "task", end.Task.String(), "run", end.Run, "worker", w.ID, "born", w.StartMillis, "how", string(end.Reason),
 		"reason", u.stopReason, "ran_ms", u.runMillis(now), "slowness", u.slowness, "unsaved_core_s", p.unsavedWork(u, end.Reason, now.Sub(u.startedAt)))
 	switch end.Reason {
 	case fleet.EndDone:
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -102,7 +102,7 @@
 	w, u := m.worker, m.unit
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
-	p.record.Decided("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason))
+	p.record.LogEvent("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason))
 	if p.handleOrderError(w, err) {
 		return
 	}
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -17,7 +17,7 @@
 	u.state = unitStopping
 	u.stopReason = reason
 	p.record.Count("stops", reason)
-	p.record.Decided("stopped", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", u.run, "reason", reason, "checkpoints", u.spec().Checkpoints)
+	p.record.LogEvent("stopped", "job", u.job.id, "step", u.step.index, "unit", u.index, "run", u.run, "reason", reason, "checkpoints", u.spec().Checkpoints)
 	for _, m := range u.members {
 		if m.worker != nil {
 			p.sendStop(m)
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -66,7 +66,7 @@
 		case p.closed:
 		case errors.Is(err, rows.ErrHistoryExpired):
 			p.record.Count("feed_gaps", table)
-			p.record.Decided("feed read anew", "table", table, "after", after)
+			p.record.LogEvent("feed read anew", "table", table, "after", after)
 			again()
 		case err != nil:
 			p.record.Count("retries", "feed")
@@ -178,7 +178,7 @@
 	}
 	p.loaded = true
 	p.record.Observe("takeover", p.loop.Now().Sub(p.acquiredAt))
-	p.record.Decided("rows read", "pool", p.options.Pool, "jobs", len(p.jobs), "version", jobs.Version)
+	p.record.LogEvent("rows read", "pool", p.options.Pool, "jobs", len(p.jobs), "version", jobs.Version)
 	p.contactAll()
 	p.scheduleCycle()
 }
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -81,7 +81,7 @@
 	w.hasRow, w.rowMissing, w.leftWithoutDrain = true, false, false
 	w.coldStartUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
 	if w.Draining && !wasDraining {
-		p.record.Decided("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
+		p.record.LogEvent("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
 		p.drainWorker(w)
 	}
 	p.enqueueFirstContact(w)
@@ -129,7 +129,7 @@
 // markUnlisted marks a worker as no longer listed. Its runs may continue.
 func (p *Pool) markUnlisted(w *worker) {
 	if w.hasRow {
-		p.record.Decided("worker gone from the list", "worker", w.ID, "runs", len(w.members))
+		p.record.LogEvent("worker gone from the list", "worker", w.ID, "runs", len(w.members))
 	}
 	w.hasRow = false
 	for _, m := range w.members {
@@ -173,7 +173,7 @@
 
 // handleWorkerReplaced marks all runs on a worker as lost after another instance has replaced it.
 func (p *Pool) handleWorkerReplaced(w *worker, reason string) {
-	p.record.Decided("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
+	p.record.LogEvent("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
 	p.markRunsLost(w, lostInstanceReplaced)
 	w.hasRow = false
 	p.removeIfIdle(w)
--- a/internal/pool/writer_test.go
+++ b/internal/pool/writer_test.go
@@ -77,7 +77,7 @@
 func (noRecord) Count(string, string)          {}
 func (noRecord) Set(string, int64)             {}
 func (noRecord) Observe(string, time.Duration) {}
-func (noRecord) Decided(string, ...any)        {}
+func (noRecord) LogEvent(string, ...any)       {}
 
 // newWriterPool returns a pool for tests of its writer.
 func newWriterPool() (*Pool, *steppedLoop, *commitPorts) {
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -64,8 +64,8 @@
 // Observe implements pool.Recorder.
 func (j *Judge) Observe(string, time.Duration) {}
 
-// Decided implements pool.Recorder.
-func (j *Judge) Decided(decision string, keysAndValues ...any) {
+// LogEvent implements pool.Recorder.
+func (j *Judge) LogEvent(decision string, keysAndValues ...any) {
 	j.Decisions[decision]++
 	switch decision {
 	case "stopped":
@@ -210,7 +210,7 @@
 		t.repeatedRun = max(t.repeatedRun, r.number)
 	}
 	t.running[r] = true
-	j.Decided("begun", "task", r.name.String(), "run", r.number, "worker", r.worker.ID)
+	j.LogEvent("begun", "task", r.name.String(), "run", r.number, "worker", r.worker.ID)
 }
 
 // checkZone reports a violation if a run starts in a zone after the evacuation bound. Faults are
@@ -251,7 +251,7 @@
 func (j *Judge) ended(r *run, how fleet.EndReason) {
 	t := j.task(r.name)
 	delete(t.running, r)
-	j.Decided("over", "task", r.name.String(), "run", r.number, "worker", r.worker.ID, "how", how)
+	j.LogEvent("over", "task", r.name.String(), "run", r.number, "worker", r.worker.ID, "how", how)
 	switch how {
 	case fleet.EndDone:
 		t.done = true
--- a/internal/telemetry/logs_page_test.go
+++ b/internal/telemetry/logs_page_test.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	logCall  = regexp.MustCompile(`Decided\("([^"]+)"([^\n]*\n?[^\n]*)`)
+	logCall  = regexp.MustCompile(`LogEvent\("([^"]+)"([^\n]*\n?[^\n]*)`)
 	logField = regexp.MustCompile(`"([a-z_]+)", `)
 )
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -195,8 +195,8 @@
 	t.log.Info(message, keysAndValues...)
 }
 
-// Decided logs an event, subject to the rate limit of its message.
-func (t *Telemetry) Decided(message string, keysAndValues ...any) {
+// LogEvent logs an event, subject to the rate limit of its message.
+func (t *Telemetry) LogEvent(message string, keysAndValues ...any) {
 	allowed, dropped := t.limiter.allow(message)
 	for droppedMessage, count := range dropped {
 		t.log.Info("lines left out", "decision", droppedMessage, "count", count)
