--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -103,13 +103,13 @@
 func newService(ctx context.Context, s *settings.Node, tele *telemetry.Telemetry) *service {
 	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), serverErrors: make(chan error, 4)}
 	unacknowledged := settings.Millis(s.Bounds.UnacknowledgedTimeout)
-	edges := node.Edges{
-		Store:  platform.NewStoreClient(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
-		Orders: platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
-		Peers:  peer.NewClient(nil),
-		Codec:  platform.Codec{},
-		Loop:   d.loop,
-		Record: tele,
+	edges := node.Dependencies{
+		Store:    platform.NewStoreClient(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
+		Orders:   platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
+		Peers:    peer.NewClient(nil),
+		Codec:    platform.Codec{},
+		Loop:     d.loop,
+		Recorder: tele,
 	}
 	d.node = node.New(ctx, nodeOptions(s), edges)
 	d.peerServer = peer.NewServer(d.node.ServePeer)
@@ -121,17 +121,17 @@
 	// ParseOff cannot fail: the settings were validated when read.
 	off, _ := mechanism.ParseDisabled(s.Without)
 	return node.Options{
-		Off:  off,
-		Name: s.Name, Incarnation: newIncarnation(), PeerAddress: s.Peers, Weight: s.CPUShare,
+		DisabledMechanisms: off,
+		Name:               s.Name, Incarnation: newIncarnation(), PeerAddress: s.Peers, Weight: s.CPUShare,
 		LinkBytesPerSecond: s.LinkMbps * bytesPerMbit,
-		Bounds: pool.Bounds{
+		PoolBounds: pool.Bounds{
 			MaxLease: settings.Millis(b.MaxHoldMillis), StopTimeout: settings.Millis(b.StopTimeoutMillis),
 			GangTimeout: settings.Millis(b.GangTimeoutMillis), GuaranteedStartTimeout: settings.Millis(b.ReclaimMillis),
 			CheckpointInterval: settings.Seconds(b.CheckpointSeconds),
 			StatusRetention:    settings.Seconds(b.StatusSeconds), CrossRackSlowdown: b.RemoteFactor,
 			EvacuationTimeout: settings.Millis(b.EvacuationMillis),
 		},
-		ConfigurationAge: settings.Millis(b.ConfigurationMillis),
+		MaxConfigurationAge: settings.Millis(b.ConfigurationMillis),
 	}
 }
 
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -16,7 +16,7 @@
 // announce sends the stored row of an accepted job to the pool's owner, without waiting for the
 // reply: the owner's feed delivers the row in any case. It may be called from any goroutine.
 func (n *Node) announce(poolName string, row rows.Row) {
-	if n.options.Off[mechanism.Announcements] {
+	if n.options.DisabledMechanisms[mechanism.Announcements] {
 		return
 	}
 	v := n.snapshot.Load()
@@ -35,7 +35,7 @@
 		if _, err := n.call(ctx, lease.Address, methodAccepted, acceptedNotice{Pool: poolName, Row: row}); err != nil {
 			result = "lost"
 		}
-		n.edges.Record.Count("announcements", result)
+		n.edges.Recorder.Count("announcements", result)
 	}()
 }
 
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -59,9 +59,9 @@
 	notices := receiveNotices(t, gateway)
 	require.Error(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
 	store.refuse = nil
-	gateway.node.options.Off = mechanism.Disabled{mechanism.Announcements: true}
+	gateway.node.options.DisabledMechanisms = mechanism.Disabled{mechanism.Announcements: true}
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
-	gateway.node.options.Off = nil
+	gateway.node.options.DisabledMechanisms = nil
 	other := testSpec()
 	other.ID = "00000000000000bb"
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), other))
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -79,7 +79,7 @@
 			err = json.Unmarshal(answer, &reply)
 		}
 		if err != nil {
-			n.edges.Record.Count("retries", "configuration_chunk")
+			n.edges.Recorder.Count("retries", "configuration_chunk")
 			n.download.active = false
 			return
 		}
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -112,8 +112,8 @@
 	t.Cleanup(cancel)
 	own := loop.NewGoroutine()
 	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
-	n := New(ctx, Options{Name: "node-1"}, Edges{
-		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
+	n := New(ctx, Options{Name: "node-1"}, Dependencies{
+		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
 	})
 	n.sample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
 	own.Post(n.Start)
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -21,7 +21,7 @@
 	if n.evacuated.SameZones(previous) {
 		return
 	}
-	n.edges.Record.LogEvent("evacuated zones read", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
+	n.edges.Recorder.LogEvent("evacuated zones read", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].EvacuationsChanged()
 	}
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -118,7 +118,7 @@
 		return immediateFeedWait
 	case len(n.owned) > 0:
 		return ownerFeedWait
-	case !n.options.Off[mechanism.LongFeedPolls] && age(n.confirmedByPeer.Load()) < staleConfirmationAge:
+	case !n.options.DisabledMechanisms[mechanism.LongFeedPolls] && age(n.confirmedByPeer.Load()) < staleConfirmationAge:
 		return longFeedWait
 	}
 	return defaultFeedWait
@@ -164,13 +164,13 @@
 	s.feed(s.table, after, s.wait(), func(listing rows.Listing, err error) {
 		switch {
 		case errors.Is(err, rows.ErrHistoryExpired):
-			n.edges.Record.Count("feed_gaps", s.table)
-			n.edges.Record.LogEvent("feed read anew", "table", s.table, "after", after)
+			n.edges.Recorder.Count("feed_gaps", s.table)
+			n.edges.Recorder.LogEvent("feed read anew", "table", s.table, "after", after)
 			s.onEnd()
 		case errors.Is(err, errReadCanceled):
 			n.follow(s, after)
 		case err != nil:
-			n.edges.Record.Count("retries", "feed")
+			n.edges.Recorder.Count("retries", "feed")
 			n.storeRetries.After(retryPause, func() { n.follow(s, after) })
 		default:
 			for i := range listing.Rows {
@@ -186,7 +186,7 @@
 
 // leaseFeedWait returns the wait of the next lease feed.
 func (n *Node) leaseFeedWait() time.Duration {
-	if n.options.Off[mechanism.LongFeedPolls] {
+	if n.options.DisabledMechanisms[mechanism.LongFeedPolls] {
 		return feedWait
 	}
 	return longFeedWait
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -31,7 +31,7 @@
 // Ready reports whether the node should receive new connections.
 func (g *Gateway) Ready() bool {
 	n := g.node
-	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.ConfigurationAge
+	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.MaxConfigurationAge
 }
 
 // Stopping reports whether the node is shutting down.
@@ -42,7 +42,7 @@
 	n := g.node
 	current := n.catalog.Load()
 	confirmedAge := age(n.confirmed.Load())
-	if current == nil || confirmedAge > n.options.ConfigurationAge {
+	if current == nil || confirmedAge > n.options.MaxConfigurationAge {
 		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationOld, "the configuration in force is not known"))
 	}
 	queue := current.Match(host, path)
@@ -68,7 +68,7 @@
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
 	}
-	g.node.edges.Record.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
+	g.node.edges.Recorder.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
 		"job", jobInPath(path), "reason", string(err.Kind), "configuration", version, "configuration_age_ms", confirmedAge.Milliseconds())
 	return g.countRefusal(err)
 }
@@ -84,7 +84,7 @@
 
 // countRefusal counts a refusal and returns its error.
 func (g *Gateway) countRefusal(err error) error {
-	g.node.edges.Record.Count("refusals", string(fault.From(err).Kind))
+	g.node.edges.Recorder.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
 
@@ -99,13 +99,13 @@
 		return g.commitJob(ctx, access.Queue.Pool, job)
 	})
 	if err != nil {
-		g.node.edges.Record.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
+		g.node.edges.Recorder.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
 			"detail", fault.From(err).Detail, "store_answered_ms_ago", g.node.storeAge().Milliseconds())
 		return g.countRefusal(err)
 	}
-	g.node.edges.Record.Count("job_transitions", "accepted")
-	g.node.edges.Record.Observe("acceptance", time.Since(receivedAt))
-	g.node.edges.Record.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
+	g.node.edges.Recorder.Count("job_transitions", "accepted")
+	g.node.edges.Recorder.Observe("acceptance", time.Since(receivedAt))
+	g.node.edges.Recorder.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
 	return nil
 }
 
@@ -212,10 +212,10 @@
 		return g.commitCancel(ctx, access.Queue.Pool, id)
 	})
 	if err != nil {
-		g.node.edges.Record.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
+		g.node.edges.Recorder.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
 		return g.countRefusal(err)
 	}
-	g.node.edges.Record.LogEvent("cancellation accepted", "job", id)
+	g.node.edges.Recorder.LogEvent("cancellation accepted", "job", id)
 	return nil
 }
 
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -103,8 +103,8 @@
 func newGateway(t *testing.T, store rows.Store) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	edges := Edges{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{}}
-	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, edges)
+	edges := Dependencies{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{}}
+	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, edges)
 	current := &catalog.Catalog{
 		Version: 1,
 		Queues: []catalog.Queue{
@@ -166,9 +166,9 @@
 	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
-// TestPartWithoutAnswerIsPassedOver: one unresponsive part must not use up the time of a
+// TestWriteIsHedgedToNextPart: one unresponsive part must not use up the time of a
 // submission.
-func TestPartWithoutAnswerIsPassedOver(t *testing.T) {
+func TestWriteIsHedgedToNextPart(t *testing.T) {
 	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
 	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[1], jobID))
@@ -276,12 +276,12 @@
 
 func (l fieldsRecorder) LogEvent(decision string, fields ...any) { l.fields[decision] = fields }
 
-// TestEarlyRefusalsHaveALine: a request that is refused before its body is read is logged with the
+// TestEarlyRefusalsAreLogged: a request that is refused before its body is read is logged with the
 // job's identifier.
-func TestEarlyRefusalsHaveALine(t *testing.T) {
+func TestEarlyRefusalsAreLogged(t *testing.T) {
 	g := newGateway(t, newFakeStore())
 	recorder := fieldsRecorder{fields: map[string][]any{}}
-	g.node.edges.Record = recorder
+	g.node.edges.Recorder = recorder
 	_, _, err := g.Resolve("h", "/q/"+jobID, "unknown key")
 	require.True(t, fault.IsKind(err, fault.Unauthenticated))
 	require.Contains(t, recorder.fields["request refused"], jobID)
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -20,7 +20,7 @@
 	}
 	state, err := g.lookupFromOwner(ctx, access.Queue.Pool, id)
 	if err != nil {
-		g.node.edges.Record.LogEvent("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
+		g.node.edges.Recorder.LogEvent("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
 		return "", g.countRefusal(err)
 	}
 	return state, nil
@@ -140,8 +140,8 @@
 // waitingCacheMaxAge is the maximum age of a cached count of waiting jobs.
 const waitingCacheMaxAge = 1500 * time.Millisecond
 
-// Waiting returns how many jobs of a queue have started no task.
-func (g *Gateway) Waiting(ctx context.Context, access Access) (int, error) {
+// WaitingJobs returns how many jobs of a queue have started no task.
+func (g *Gateway) WaitingJobs(ctx context.Context, access Access) (int, error) {
 	n := g.node
 	poolName, queue := access.Queue.Pool, access.Queue.Name
 	v := n.snapshot.Load()
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -113,7 +113,7 @@
 			return
 		}
 		n.joining = false
-		n.edges.Record.LogEvent("joined", "node", self.Name, "address", self.Address)
+		n.edges.Recorder.LogEvent("joined", "node", self.Name, "address", self.Address)
 	})
 }
 
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -101,9 +101,9 @@
 // A node that follows the rows of all others makes each restart cost one answer of the store for
 // every node of the cluster.
 
-// TestWhatANodeReadsOfOthersDoesNotGrow with their number, neither at its start nor as they
+// TestMemberReadsDoNotGrowWithCluster with their number, neither at its start nor as they
 // restart.
-func TestWhatANodeReadsOfOthersDoesNotGrow(t *testing.T) {
+func TestMemberReadsDoNotGrowWithCluster(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -119,8 +119,8 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
 			own := loop.NewGoroutine()
-			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Edges{
-				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
+			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Dependencies{
+				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
 			})
 			go own.Run(ctx)
 			own.Post(n.Start)
@@ -208,9 +208,9 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
-// TestRowsOfGoneNodesAreRemoved: an owner removes the rows of nodes only while it receives the
+// TestRowsOfExpiredMembersAreRemoved: an owner removes the rows of nodes only while it receives the
 // pings of others.
-func TestRowsOfGoneNodesAreRemoved(t *testing.T) {
+func TestRowsOfExpiredMembersAreRemoved(t *testing.T) {
 	began := time.Now()
 	cases := map[string]struct {
 		// pings are the times, in seconds, at which each node pings the owner.
@@ -254,8 +254,8 @@
 	return times
 }
 
-// TestRowsThatWereWrittenAnewStay: the node wrote its row again between the read and the removal.
-func TestRowsThatWereWrittenAnewStay(t *testing.T) {
+// TestRewrittenRowsAreKept: the node wrote its row again between the read and the removal.
+func TestRewrittenRowsAreKept(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
 	store.writeMember(member{Name: "gone", Weight: 1})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 // otherwise.
 type Node struct {
 	options Options
-	edges   Edges
+	edges   Dependencies
 	ports   *ports
 	feeds   cancelableReads
 	// feedFailures counts consecutive direct feeds that were not answered in time.
@@ -103,7 +103,7 @@
 }
 
 // New returns a node that is idle until Start.
-func New(ctx context.Context, options Options, edges Edges) *Node {
+func New(ctx context.Context, options Options, edges Dependencies) *Node {
 	n := &Node{
 		options: options, edges: edges,
 		sample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
@@ -162,7 +162,7 @@
 	silentFor := age(n.storeAnswered.Swap(&now))
 	if n.storeUnavailable.CompareAndSwap(true, false) {
 		n.edges.Loop.Post(n.handleStoreRecovery)
-		n.edges.Record.LogEvent("store answers again", "silent_ms", silentFor.Milliseconds())
+		n.edges.Recorder.LogEvent("store answers again", "silent_ms", silentFor.Milliseconds())
 	}
 }
 
@@ -187,7 +187,7 @@
 	if n.storeUnavailable.CompareAndSwap(false, true) {
 		n.edges.Loop.After(probePeriod, n.startRecoveryProbes)
 		n.feeds.cancelIdle(0)
-		n.edges.Record.LogEvent("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
+		n.edges.Recorder.LogEvent("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
 
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -38,22 +38,22 @@
 	Weight float64
 	// LinkBytesPerSecond is the bandwidth of the machine's link; 0 disables pacing.
 	LinkBytesPerSecond float64
-	Bounds             pool.Bounds
-	// ConfigurationAge is the maximum age of the configuration's confirmation. Requests are refused
+	PoolBounds         pool.Bounds
+	// MaxConfigurationAge is the maximum age of the configuration's confirmation. Requests are refused
 	// beyond it.
-	ConfigurationAge time.Duration
-	// Off are the mechanisms that are disabled, for measurements.
-	Off mechanism.Disabled
+	MaxConfigurationAge time.Duration
+	// DisabledMechanisms are the mechanisms that are disabled, for measurements.
+	DisabledMechanisms mechanism.Disabled
 }
 
-// Edges are the external services that a node uses.
-type Edges struct {
-	Store  rows.Store
-	Orders fleet.WorkerClient
-	Peers  *peer.Client
-	Codec  Codec
-	Loop   loop.Loop
-	Record Recorder
+// Dependencies are the external services that a node uses.
+type Dependencies struct {
+	Store    rows.Store
+	Orders   fleet.WorkerClient
+	Peers    *peer.Client
+	Codec    Codec
+	Loop     loop.Loop
+	Recorder Recorder
 }
 
 // Periods and timeouts of the node.
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -149,14 +149,14 @@
 	w.acquiring = true
 	w.acquireAttempts++
 	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.acquireAttempts)
-	n.edges.Record.LogEvent("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
+	n.edges.Recorder.LogEvent("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
 	options := n.poolOptions(w.pool)
 	n.ports.Commit(pool.Acquire(options, n.leases[w.pool].version, nonce), func(result rows.Result, err error) {
 		w.acquiring = false
 		switch {
 		case err != nil:
 			// If the write took effect after all, the feed delivers it.
-			n.edges.Record.Count("retries", "acquire")
+			n.edges.Recorder.Count("retries", "acquire")
 			w.failures = 0
 			n.edges.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
 		case result.Committed:
@@ -194,7 +194,7 @@
 func (n *Node) poolOptions(name string) pool.Options {
 	return pool.Options{
 		Pool: name, Node: n.options.Name, Incarnation: n.options.Incarnation,
-		Address: n.options.PeerAddress, Weight: n.options.Weight, Bounds: n.options.Bounds, DisabledMechanisms: n.options.Off,
+		Address: n.options.PeerAddress, Weight: n.options.Weight, Bounds: n.options.PoolBounds, DisabledMechanisms: n.options.DisabledMechanisms,
 		Catalog:          func() *catalog.Catalog { return n.catalog.Load() },
 		EvacuatedZones:   func() evacuation.Set { return n.evacuated },
 		SchedulingDelay:  n.schedulingDelay.timeoutExtension,
@@ -208,7 +208,7 @@
 	if n.leases[name].version < token {
 		n.leases[name] = versionedLease{Lease: lease, version: token}
 	}
-	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Record, token)
+	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Recorder, token)
 	n.owned[name] = p
 	n.publishSnapshot()
 	n.startDelaySampling()
@@ -254,7 +254,7 @@
 // ownerIsWeak reports whether this node has enough weight to replace a pool's owner.
 func (n *Node) ownerIsWeak(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
-	return !n.options.Off[mechanism.WeakOwnerTakeover] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
+	return !n.options.DisabledMechanisms[mechanism.WeakOwnerTakeover] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
 		!n.storeLost() && !n.stopping.Load()
 }
 
--- a/internal/node/ownership_confirmation_test.go
+++ b/internal/node/ownership_confirmation_test.go
@@ -23,9 +23,9 @@
 	return time.Duration(n.owned[poolName].Summary().SinceOwnershipConfirmedMillis) * time.Millisecond
 }
 
-// TestPingsTellAnOwnerWhetherItStands: the lease known to the pinging node confirms the owner or
+// TestPingsConfirmOrDeposeOwner: the lease known to the pinging node confirms the owner or
 // makes it abandon the pool.
-func TestPingsTellAnOwnerWhetherItStands(t *testing.T) {
+func TestPingsConfirmOrDeposeOwner(t *testing.T) {
 	cases := map[string]struct {
 		request   pingRequest
 		owner     bool
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestOnlyNodeStandsAloneWhileTheStoreIsAway: the owner is confirmed without the store only if no
+// TestOnlyNodeConfirmsItselfWhileStoreIsLost: the owner is confirmed without the store only if no
 // other node could acquire its pool.
-func TestOnlyNodeStandsAloneWhileTheStoreIsAway(t *testing.T) {
+func TestOnlyNodeConfirmsItselfWhileStoreIsLost(t *testing.T) {
 	onlyNode := owningNode(t, nil)
 	onlyNode.confirmIfOnlyNode()
 	require.Greater(t, onlyNode.sinceConfirmed(), time.Second, "the store is reachable")
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := &manualLoop{now: time.Now()}
-	n := New(ctx, Options{Name: "node-1", Weight: weight}, Edges{Store: newFakeStore(), Loop: l, Record: discardRecorder{}})
+	n := New(ctx, Options{Name: "node-1", Weight: weight}, Dependencies{Store: newFakeStore(), Loop: l, Recorder: discardRecorder{}})
 	n.sample.members["node-1"] = member{Name: "node-1", Weight: weight}
 	for name, other := range others {
 		n.sample.members[name] = member{Name: name, Weight: other}
@@ -92,9 +92,9 @@
 	require.False(t, n.watcher.acquiring, "the owner has answered since")
 }
 
-// TestWitnessesOfAnEarlierLeaseAreIgnored: the result of an indirect check arrives after the pool
+// TestIndirectCheckOfEarlierLeaseIsIgnored: the result of an indirect check arrives after the pool
 // has changed its owner.
-func TestWitnessesOfAnEarlierLeaseAreIgnored(t *testing.T) {
+func TestIndirectCheckOfEarlierLeaseIsIgnored(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
@@ -106,7 +106,7 @@
 	require.False(t, n.watcher.acquiring)
 }
 
-func TestWeakOwnerIsRelieved(t *testing.T) {
+func TestWeakOwnerIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		own, owner float64
 		want       bool
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestWitnessesAreThoseWhoWatchClosely: the other nodes' last replies of an owner are too old for
+// TestStandbysMakeIndirectChecks: the other nodes' last replies of an owner are too old for
 // an indirect check.
-func TestWitnessesAreThoseWhoWatchClosely(t *testing.T) {
+func TestStandbysMakeIndirectChecks(t *testing.T) {
 	others := map[string]float64{}
 	for i := range 40 {
 		others[fmt.Sprintf("light-%d", i)] = 0.2
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -67,8 +67,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	own := loop.NewGoroutine()
-	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, Edges{
-		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
+	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, Dependencies{
+		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
 	})
 	go own.Run(ctx)
 	return n
@@ -79,9 +79,9 @@
 	require.NoError(t, loop.Call(context.Background(), n.edges.Loop, fn))
 }
 
-// TestArrivingFeedIsNotCalledOff: on a slow link a feed may be receiving its answer when idle feeds
+// TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its answer when idle feeds
 // are canceled.
-func TestArrivingFeedIsNotCalledOff(t *testing.T) {
+func TestReceivingFeedIsNotCanceled(t *testing.T) {
 	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	ended := make(chan error, 1)
@@ -95,9 +95,9 @@
 	require.NoError(t, <-ended)
 }
 
-// TestBytesOfAnAnswerTellThatTheStoreIsThere: small calls that time out behind a large answer must
+// TestReceivedBytesKeepStoreFromBeingLost: small calls that time out behind a large answer must
 // not make the node lose the store.
-func TestBytesOfAnAnswerTellThatTheStoreIsThere(t *testing.T) {
+func TestReceivedBytesKeepStoreFromBeingLost(t *testing.T) {
 	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	require.Equal(t, unknownAge, n.storeAge())
@@ -123,9 +123,9 @@
 	return ctx
 }
 
-// TestAnswerHoldsAsOfItsBeginning: the time an answer takes to arrive must count towards the age of
+// TestListingIsDatedByItsFirstByte: the time an answer takes to arrive must count towards the age of
 // the configuration, or a revoked key may be accepted.
-func TestAnswerHoldsAsOfItsBeginning(t *testing.T) {
+func TestListingIsDatedByItsFirstByte(t *testing.T) {
 	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
 	n.edges.Loop.Post(n.readConfiguration)
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -44,7 +44,7 @@
 
 // isStandby reports whether this node is a standby for a pool.
 func (n *Node) isStandby(name string) bool {
-	return !n.options.Off[mechanism.Standbys] && n.takeoverRank(name) < standbyCount
+	return !n.options.DisabledMechanisms[mechanism.Standbys] && n.takeoverRank(name) < standbyCount
 }
 
 // pingOwners pings the owners of all pools periodically: standbys each standbyPingPeriod, other
@@ -122,7 +122,7 @@
 		w.lastReplyAt = n.now()
 		if w.unresponsive {
 			w.unresponsive = false
-			n.edges.Record.LogEvent("owner answers again", "pool", w.pool, "owner", owner)
+			n.edges.Recorder.LogEvent("owner answers again", "pool", w.pool, "owner", owner)
 			n.refreshMembers()
 		}
 		n.waiting[w.pool] = waitingCounts{counts: reply.Waiting, at: uptime.Now()}
@@ -146,10 +146,10 @@
 	if fault.IsKind(err, fault.NoOwner) {
 		w.failures++
 	}
-	n.edges.Record.Count("retries", "ping")
+	n.edges.Recorder.Count("retries", "ping")
 	if !w.unresponsive {
 		w.unresponsive = true
-		n.edges.Record.LogEvent("owner does not answer", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
+		n.edges.Recorder.LogEvent("owner does not answer", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
 	}
 	n.refreshLease(w)
 	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
@@ -171,8 +171,8 @@
 		case n.leases[w.pool].version != lease.version:
 			// The result is about a previous owner.
 		case seen:
-			n.edges.Record.Count("takeovers", "owner_seen_by_others")
-			n.edges.Record.LogEvent("owner left in place", "pool", w.pool, "owner", lease.Owner, "reason", reason)
+			n.edges.Recorder.Count("takeovers", "owner_seen_by_others")
+			n.edges.Recorder.LogEvent("owner left in place", "pool", w.pool, "owner", lease.Owner, "reason", reason)
 		default:
 			n.scheduleAcquire(w, reason, n.ownerSuspected)
 		}
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestRoundsOfANodeThatGuardsNobody: it schedules a round each pingPeriod, a standby each
+// TestPingIntervalDependsOnStandby: it schedules a round each pingPeriod, a standby each
 // standbyPingPeriod.
-func TestRoundsOfANodeThatGuardsNobody(t *testing.T) {
+func TestPingIntervalDependsOnStandby(t *testing.T) {
 	heavier := map[string]float64{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
 		heavier[name] = 2
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -39,8 +39,8 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
 			orders := &countingOrders{}
-			n := New(ctx, Options{Name: "node-1", LinkBytesPerSecond: c.rate}, Edges{
-				Store: refusingStore{}, Orders: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{},
+			n := New(ctx, Options{Name: "node-1", LinkBytesPerSecond: c.rate}, Dependencies{
+				Store: refusingStore{}, Orders: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{},
 			})
 			for range burst {
 				n.ports.Stop(&fleet.Worker{}, fleet.Stop{}, func(fleet.Reply, error) {})
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -210,7 +210,7 @@
 func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	var zero T
 	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrNoEffect)
-	if s.node.options.Off[mechanism.StoreRelay] {
+	if s.node.options.DisabledMechanisms[mechanism.StoreRelay] {
 		return zero, failure
 	}
 	if until := s.noRelayUntil.Load(); until != nil && uptime.Now().Before(*until) {
@@ -229,10 +229,10 @@
 		if outcome.answered() {
 			s.preferred.Store(&address)
 			s.node.recordStoreReached()
-			s.node.edges.Record.Count("store_relays", "answered")
+			s.node.edges.Recorder.Count("store_relays", "answered")
 			return result, err
 		}
-		s.node.edges.Record.Count("store_relays", "failed")
+		s.node.edges.Recorder.Count("store_relays", "failed")
 		failure = lessCertain(failure, err)
 		if ctx.Err() != nil || readCanceled(attemptContext) {
 			return zero, failure
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -108,7 +108,7 @@
 	return rows.Listing{Version: 7}, nil
 }
 
-func TestStoreAwayForAllIsSaidAtOnce(t *testing.T) {
+func TestStoreLostToAllNodesFailsAtOnce(t *testing.T) {
 	gateway := newGatewayWithPeer(t, refusingStore{}, refusingStore{})
 	err := gateway.Submit(context.Background(), testAccess(), testSpec())
 	require.True(t, fault.IsKind(err, fault.StoreUnavailable), "%v", err)
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestFeedsAreCalledOff(t *testing.T) {
+func TestIdleFeedsAreCanceled(t *testing.T) {
 	n := newGateway(t, waitingStore{}).node
 	ended := make(chan error, 1)
 	go func() {
@@ -150,9 +150,9 @@
 	require.False(t, n.storeLost(), "a canceled feed must not count as a failure of the store")
 }
 
-// TestWhoFollowsTheStoreForHowLong: feeds are short on owners, long on nodes whose configuration an
+// TestConfigurationFeedWait: feeds are short on owners, long on nodes whose configuration an
 // owner confirms, and immediate once the confirmation is stale.
-func TestWhoFollowsTheStoreForHowLong(t *testing.T) {
+func TestConfigurationFeedWait(t *testing.T) {
 	ago := func(d time.Duration) *time.Time {
 		at := time.Now().Add(-d)
 		return &at
@@ -209,8 +209,8 @@
 	require.False(t, gateway.node.storeLost())
 }
 
-// TestNewsAgesOverSlowLinks: the age of a confirmation counts from the time of the request.
-func TestNewsAgesOverSlowLinks(t *testing.T) {
+// TestConfirmationAgesOverSlowLinks: the age of a confirmation counts from the time of the request.
+func TestConfirmationAgesOverSlowLinks(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	n.confirmed.Store(nil)
 	requestedAt := time.Now().Add(-time.Minute)
--- a/internal/node/scheduling_delay_test.go
+++ b/internal/node/scheduling_delay_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLatenessIsAllowedFor: an owner short of processor time must not take replies that it reads
+// TestSchedulingDelayExtendsTimeouts: an owner short of processor time must not take replies that it reads
 // late for timeouts.
-func TestLatenessIsAllowedFor(t *testing.T) {
+func TestSchedulingDelayExtendsTimeouts(t *testing.T) {
 	var l schedulingDelay
 	l.record(minSchedulingDelay - time.Millisecond)
 	require.Zero(t, l.timeoutExtension(), "a small delay must not extend timeouts")
@@ -23,8 +23,8 @@
 	require.Zero(t, l.timeoutExtension(), "old samples must not count")
 }
 
-// TestOnlyOwnersWatchTheirLateness: sampling runs once, and ends with the last owned pool.
-func TestOnlyOwnersWatchTheirLateness(t *testing.T) {
+// TestOnlyOwnersSampleSchedulingDelay: sampling runs once, and ends with the last owned pool.
+func TestOnlyOwnersSampleSchedulingDelay(t *testing.T) {
 	n := owningNode(t, nil)
 	n.startDelaySampling()
 	n.startDelaySampling()
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestSilentPartIsPassedOverWhileTheStoreIsQuick: a write is still hedged to a second part while
+// TestWriteIsHedgedWhileStoreIsFast: a write is still hedged to a second part while
 // the store is otherwise fast.
-func TestSilentPartIsPassedOverWhileTheStoreIsQuick(t *testing.T) {
+func TestWriteIsHedgedWhileStoreIsFast(t *testing.T) {
 	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
 	gateway.node.recordReportedLatency(5)
@@ -106,8 +106,8 @@
 	require.False(t, known)
 }
 
-// TestOwnCallsGoBeforeWhatTheOwnerTells: a store that answers this node quickly is not slow.
-func TestOwnCallsGoBeforeWhatTheOwnerTells(t *testing.T) {
+// TestOwnLatencyOverridesReportedLatency: a store that answers this node quickly is not slow.
+func TestOwnLatencyOverridesReportedLatency(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.False(t, n.storeSlow())
 	n.recordReportedLatency(400)
