--- a/internal/loadplay/simulate.go
+++ b/internal/loadplay/simulate.go
@@ -55,13 +55,13 @@
 // Simulate runs a load with some mechanisms switched off.
 func (l *Load) Simulate(seed uint64, off mechanism.Disabled) Result {
 	arrivals := l.generateArrivals(seed)
-	w := simulation.NewWorld(l.Racks, l.PerRack)
-	w.Off, w.StopTime, w.Judge.Quiet = off, stopTime, true
+	w := simulation.NewCluster(l.Racks, l.PerRack)
+	w.DisabledMechanisms, w.StopTime, w.Checker.Quiet = off, stopTime, true
 	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.GuaranteedStartTimeout = stopTime, checkpointInterval, reclaimTime
 	slowness := l.randomSlowdowns(seed)
 	for i, worker := range w.Workers {
 		worker.SetCapacity(workerCapacity, 0)
-		worker.Slowness = slowness[i]
+		worker.SlowdownFactor = slowness[i]
 	}
 	for i := range l.Classes {
 		queue := l.Classes[i].Queue
@@ -73,14 +73,14 @@
 		works[arrivals[i].spec.ID] = arrivals[i].work
 	}
 	w.Work = func(name taskgraph.TaskName) time.Duration { return works[name.Job] }
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	ends := l.runArrivals(w, arrivals)
 	return l.evaluate(w, arrivals, ends)
 }
 
 // runArrivals submits the jobs and returns the completion times of those that complete.
-func (l *Load) runArrivals(w *simulation.World, arrivals []arrival) map[string]time.Duration {
+func (l *Load) runArrivals(w *simulation.Cluster, arrivals []arrival) map[string]time.Duration {
 	ends := map[string]time.Duration{}
 	open := map[string]time.Duration{}
 	next := 0
@@ -91,7 +91,7 @@
 		}
 		w.Run(pollPeriod)
 		for id, since := range open {
-			if w.Judge.JobDone(id) {
+			if w.Checker.JobDone(id) {
 				ends[id] = now + pollPeriod - since
 				delete(open, id)
 			}
@@ -100,11 +100,11 @@
 	return ends
 }
 
-func (l *Load) evaluate(w *simulation.World, arrivals []arrival, ends map[string]time.Duration) Result {
+func (l *Load) evaluate(w *simulation.Cluster, arrivals []arrival, ends map[string]time.Duration) Result {
 	result := Result{
-		Classes: make([]ClassResult, len(l.Classes)), Broken: w.Judge.Broken,
-		Placed: w.Judge.Decisions["placed"], Preempted: w.Judge.Counts["stops/preempted"],
-		MostStops: w.Judge.MostStops(), ThrownAway: w.Judge.ThrownAway,
+		Classes: make([]ClassResult, len(l.Classes)), Broken: w.Checker.Violations,
+		Placed: w.Checker.DecisionCounts["placed"], Preempted: w.Checker.Metrics["stops/preempted"],
+		MostStops: w.Checker.MaxPreemptions(), ThrownAway: w.Checker.LostCoreSeconds,
 	}
 	attainable, earned := make([]float64, len(l.Classes)), make([]float64, len(l.Classes))
 	sizes := l.meanSizes(arrivals)
--- a/internal/pool/benchmark_test.go
+++ b/internal/pool/benchmark_test.go
@@ -13,7 +13,7 @@
 
 // submitMix submits a mix of urgent gangs, most of them on one rack, gangs of larger tasks, and
 // wide steps of small tasks.
-func submitMix(w *simulation.World, random *rand.Rand, first, count, racks int) {
+func submitMix(w *simulation.Cluster, random *rand.Rand, first, count, racks int) {
 	sizes := []int{1, 2, 4, 8, 8}
 	for n := first; n < first+count; n++ {
 		step := taskgraph.Step{Resources: taskgraph.Resources{CPU: 7500, MemoryMB: 22000, GPUs: sizes[random.IntN(5)]},
@@ -41,10 +41,10 @@
 	for _, racks := range []int{4, 30, 92, 250} {
 		b.Run(fmt.Sprintf("workers=%d", racks*12), func(b *testing.B) {
 			for range b.N {
-				w := simulation.NewWorld(racks, 12)
+				w := simulation.NewCluster(racks, 12)
 				w.Work = func(name taskgraph.TaskName) time.Duration { return 5 * time.Second }
 				random := rand.New(rand.NewPCG(1, 2))
-				w.Own()
+				w.AcquirePool()
 				perTick := racks * 12 / 35
 				for tick := range 100 {
 					submitMix(w, random, tick*perTick/10, (tick+1)*perTick/10-tick*perTick/10, racks)
--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -17,17 +17,17 @@
 // when its job has been cancelled.
 func TestLateStartOfACancelledJobIsStopped(t *testing.T) {
 	for _, late := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 2900 * time.Millisecond} {
-		w := simulation.NewWorld(1, 1)
+		w := simulation.NewCluster(1, 1)
 		w.OrderDelay = late
 		w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-		w.Workers[0].LoseOrder = func() simulation.Fate { return simulation.DoneLate }
-		w.Own()
+		w.Workers[0].OrderOutcome = func() simulation.Outcome { return simulation.AppliedLate }
+		w.AcquirePool()
 		w.Run(time.Second)
 		w.Submit(spec(1, single(1)), batch)
 		w.Run(100 * time.Millisecond)
 		w.Cancel(jobID(1))
 		w.Run(stopDeadline)
-		w.Workers[0].LoseOrder = nil
+		w.Workers[0].OrderOutcome = nil
 		w.Run(time.Second)
 		require.Zero(t, w.Workers[0].Runs(), late)
 		requireInvariants(t, w)
@@ -36,7 +36,7 @@
 
 // removeRowOfBusyWorker starts a task on a worker whose row is then deleted without a drain, while
 // the worker still serves. The owner is replaced, and the job is cancelled.
-func removeRowOfBusyWorker(replace func(*simulation.World, *simulation.Owner)) *simulation.World {
+func removeRowOfBusyWorker(replace func(*simulation.Cluster, *simulation.Owner)) *simulation.Cluster {
 	w, former := newWorldWithLongTask()
 	w.RemoveWorkerRow(busyWorker(w))
 	w.Run(500 * time.Millisecond)
@@ -47,25 +47,25 @@
 // TestTaskOfReplacedOwnerIsStopped: a new owner must be able to stop a task on a worker whose row
 // is gone, rather than leave it running until its lease ends.
 func TestTaskOfReplacedOwnerIsStopped(t *testing.T) {
-	for name, replace := range map[string]func(*simulation.World, *simulation.Owner){
-		"killed": func(w *simulation.World, owner *simulation.Owner) {
+	for name, replace := range map[string]func(*simulation.Cluster, *simulation.Owner){
+		"killed": func(w *simulation.Cluster, owner *simulation.Owner) {
 			owner.Process.Kill()
 			w.Cancel(jobID(1))
-			w.Own()
+			w.AcquirePool()
 		},
-		"pool released": func(w *simulation.World, owner *simulation.Owner) {
+		"pool released": func(w *simulation.Cluster, owner *simulation.Owner) {
 			owner.Process.Post(owner.Release)
 			w.Run(100 * time.Millisecond)
 			w.Cancel(jobID(1))
-			w.Own()
+			w.AcquirePool()
 		},
-		"cancelled before the feed delivered it": func(w *simulation.World, owner *simulation.Owner) {
-			w.Store.FeedsSilent = true
+		"cancelled before the feed delivered it": func(w *simulation.Cluster, owner *simulation.Owner) {
+			w.Store.FeedsUnresponsive = true
 			w.Cancel(jobID(1))
 			w.Run(200 * time.Millisecond)
 			owner.Process.Kill()
-			w.Store.FeedsSilent = false
-			w.Own()
+			w.Store.FeedsUnresponsive = false
+			w.AcquirePool()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -83,23 +83,23 @@
 // and before its stops arrive. The row of an ended job names only workers that are no longer
 // listed, since the next owner contacts all listed ones.
 func TestRunOfAnEndedJobIsStoppedByTheNextOwner(t *testing.T) {
-	for name, removeRow := range map[string]func(*simulation.World, *simulation.Worker){
-		"listed":  func(*simulation.World, *simulation.Worker) {},
-		"leaving": func(w *simulation.World, worker *simulation.Worker) { w.RemoveWorkerRow(worker) },
+	for name, removeRow := range map[string]func(*simulation.Cluster, *simulation.Worker){
+		"listed":  func(*simulation.Cluster, *simulation.Worker) {},
+		"leaving": func(w *simulation.Cluster, worker *simulation.Worker) { w.RemoveWorkerRow(worker) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, former := newWorldWithLongTask()
 			busy := busyWorker(w)
-			busy.LoseOrder = func() simulation.Fate { return simulation.NeverDone }
+			busy.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 			w.Cancel(jobID(1))
 			w.Run(100 * time.Millisecond)
 			require.Equal(t, taskgraph.Cancelled, w.StoredState(jobID(1)))
 			removeRow(w, busy)
 			w.Run(100 * time.Millisecond)
 			former.Process.Kill()
-			busy.LoseOrder = nil
+			busy.OrderOutcome = nil
 			w.Run(500 * time.Millisecond)
-			w.Own()
+			w.AcquirePool()
 			w.Run(stopDeadline)
 			require.Zero(t, busy.Runs())
 			requireInvariants(t, w)
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -12,9 +12,9 @@
 )
 
 // newUnenforcedCluster returns a simulation whose workers don't enforce their capacity.
-func newUnenforcedCluster(workers int) *simulation.World {
-	w := simulation.NewWorld(1, workers)
-	w.Unguarded = true
+func newUnenforcedCluster(workers int) *simulation.Cluster {
+	w := simulation.NewCluster(1, workers)
+	w.SkipCapacityCheck = true
 	w.Catalog.Pools[0].EnforcesCapacity = false
 	return w
 }
@@ -25,7 +25,7 @@
 	w := newUnenforcedCluster(1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(1, single(20)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	require.Equal(t, 8, w.Workers[0].Runs())
 	w.Workers[0].SetCapacity(shrunkCapacity(), time.Second)
@@ -47,38 +47,38 @@
 }
 
 // shrinkDuringStoreOutage shrinks a worker while its new owner waits for an unavailable store.
-func shrinkDuringStoreOutage(without pool.DisabledSafeguards) *simulation.World {
+func shrinkDuringStoreOutage(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Submit(spec(1, single(8)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(8 * time.Millisecond)
-	w.Store.AwayAll, w.Store.FeedsSilent = true, true
+	w.Store.Unavailable, w.Store.FeedsUnresponsive = true, true
 	w.Workers[0].SetCapacity(shrunkCapacity(), time.Second)
 	w.Run(8 * time.Second)
-	w.Store.AwayAll = false
+	w.Store.Unavailable = false
 	w.Run(2 * time.Second)
-	w.Store.FeedsSilent = false
+	w.Store.FeedsUnresponsive = false
 	w.Run(30 * time.Second)
 	return w
 }
 
 // shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are
 // unresponsive for a while afterwards.
-func shrinkWhileSuspended(without pool.DisabledSafeguards) *simulation.World {
+func shrinkWhileSuspended(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.Submit(spec(1, single(16)), batch)
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(time.Second)
 	owner.Process.Suspend(w.Clock.Now().Add(9 * time.Second))
 	w.Run(2 * time.Second)
 	w.Workers[0].SetCapacity(shrunkCapacity(), time.Second)
 	w.Run(6 * time.Second)
-	w.Store.FeedsSilent = true
+	w.Store.FeedsUnresponsive = true
 	w.Run(2 * time.Second)
-	w.Store.FeedsSilent = false
+	w.Store.FeedsUnresponsive = false
 	w.Run(30 * time.Second)
 	return w
 }
@@ -86,7 +86,7 @@
 // TestStartsWaitForFreshCapacities guards against starts by a stale capacity: after a store outage
 // or a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
 func TestStartsWaitForFreshCapacities(t *testing.T) {
-	for name, shrink := range map[string]func(pool.DisabledSafeguards) *simulation.World{
+	for name, shrink := range map[string]func(pool.DisabledSafeguards) *simulation.Cluster{
 		"takeover during a store outage": shrinkDuringStoreOutage,
 		"suspended":                      shrinkWhileSuspended,
 	} {
@@ -98,21 +98,21 @@
 
 // takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job
 // that fills a worker, while another job waits.
-func takeOverWhileStopping(without pool.DisabledSafeguards) *simulation.World {
+func takeOverWhileStopping(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(2, single(8)), batch)
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(8)), batch)
 	w.Cancel(jobID(2))
-	for w.Judge.Decisions["stopped"] == 0 {
+	for w.Checker.DecisionCounts["stopped"] == 0 {
 		w.Run(time.Millisecond)
 	}
 	w.Run(20 * time.Millisecond)
 	owner.Process.Kill()
-	w.Own()
+	w.AcquirePool()
 	w.Run(20 * time.Second)
 	return w
 }
@@ -130,15 +130,15 @@
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	w.Submit(spec(2, single(8)), batch)
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(8)), batch)
-	w.Workers[0].LoseOrder = func() simulation.Fate { return simulation.NeverDone }
+	w.Workers[0].OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 	w.Cancel(jobID(2))
 	w.Run(100 * time.Millisecond)
 	owner.Process.Kill()
-	w.Workers[0].LoseOrder = nil
-	w.Own()
+	w.Workers[0].OrderOutcome = nil
+	w.AcquirePool()
 	w.Run(330 * time.Millisecond)
 	w.Submit(spec(3, single(1)), batch)
 	w.Run(20 * time.Second)
--- a/internal/pool/chance_losses_test.go
+++ b/internal/pool/chance_losses_test.go
@@ -13,18 +13,18 @@
 // TestTwoChanceLossesDoNotFailJob guards against a healthy job that fails after two unrelated
 // worker restarts, which hit one of its tasks at very different ages of its runs.
 func TestTwoChanceLossesDoNotFailJob(t *testing.T) {
-	w := simulation.NewWorld(3, 4)
+	w := simulation.NewCluster(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(2)), batch)
 	w.Run(2150 * time.Millisecond)
 	busyWorker(w).Restart(300*time.Millisecond, 0)
-	for w.Judge.Starts(taskOf(1, 0, 0)) < 2 {
+	for w.Checker.Starts(taskOf(1, 0, 0)) < 2 {
 		w.Run(time.Millisecond)
 	}
 	w.Run(367 * time.Millisecond)
-	for _, worker := range w.Living() {
+	for _, worker := range w.RunningWorkers() {
 		if worker.RunsOfTask(taskOf(1, 0, 0)) {
 			worker.Restart(300*time.Millisecond, 0)
 		}
--- a/internal/pool/cold_workers_test.go
+++ b/internal/pool/cold_workers_test.go
@@ -11,11 +11,11 @@
 )
 
 // makeCold makes a worker slow for a duration and marks it as cold in its row.
-func makeCold(w *simulation.World, worker *simulation.Worker, d time.Duration) {
-	worker.Slowness, worker.ColdMillis = 4, d.Milliseconds()
+func makeCold(w *simulation.Cluster, worker *simulation.Worker, d time.Duration) {
+	worker.SlowdownFactor, worker.ColdMillis = 4, d.Milliseconds()
 	w.PutWorkerRow(worker)
 	w.Clock.After(d, func() {
-		worker.Slowness, worker.ColdMillis = 1, 0
+		worker.SlowdownFactor, worker.ColdMillis = 1, 0
 		w.PutWorkerRow(worker)
 	})
 }
@@ -23,8 +23,8 @@
 // TestGangsLeaveColdWorkersToSingleTasks checks that gangs avoid cold workers, since a gang is as
 // slow as its slowest member, and that single tasks run there.
 func TestGangsLeaveColdWorkersToSingleTasks(t *testing.T) {
-	w := simulation.NewWorld(1, 4)
-	w.Own()
+	w := simulation.NewCluster(1, 4)
+	w.AcquirePool()
 	w.Run(time.Second)
 	makeCold(w, w.Workers[0], 6*time.Second)
 	makeCold(w, w.Workers[1], 6*time.Second)
@@ -44,22 +44,22 @@
 func TestColdWorkersAreNotExcluded(t *testing.T) {
 	for name, cold := range map[string]bool{"cold": true, "slow": false} {
 		t.Run(name, func(t *testing.T) {
-			w := simulation.NewWorld(1, 3)
+			w := simulation.NewCluster(1, 3)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
-			w.Own()
+			w.AcquirePool()
 			w.Run(time.Second)
 			first := w.Workers[0]
-			first.Slowness = 8
+			first.SlowdownFactor = 8
 			if cold {
 				makeCold(w, first, 12*time.Second)
-				first.Slowness = 8
+				first.SlowdownFactor = 8
 			}
 			w.Run(100 * time.Millisecond)
 			step := gang(3)
 			step.EstimateMillis = 4000
 			w.Submit(spec(1, step), urgent)
 			w.Run(6 * time.Second)
-			require.Equal(t, !cold, w.Judge.Decisions["worker left alone"] > 0)
+			require.Equal(t, !cold, w.Checker.DecisionCounts["worker left alone"] > 0)
 		})
 	}
 }
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -16,7 +16,7 @@
 const evacuationElapsed = 5500 * time.Millisecond
 
 // startsInZone returns the number of a job's runs on a zone's workers.
-func startsInZone(w *simulation.World, zone, job string) int {
+func startsInZone(w *simulation.Cluster, zone, job string) int {
 	count := 0
 	for _, worker := range w.Workers {
 		if worker.Zone == zone {
@@ -28,11 +28,11 @@
 
 // newEvacuatedCluster returns a simulation of two racks, each a zone, of which the first is
 // evacuated.
-func newEvacuatedCluster(without pool.DisabledSafeguards) (*simulation.World, *simulation.Owner, string) {
-	w := simulation.NewWorld(2, 3)
+func newEvacuatedCluster(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner, string) {
+	w := simulation.NewCluster(2, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(time.Second)
 	zone := w.Workers[0].Zone
 	w.Evacuate(zone)
@@ -42,14 +42,14 @@
 // TestNothingStartsInAnEvacuatedZone checks that neither single tasks nor urgent gangs start in an
 // evacuated zone, and that waiting ones start once the evacuation ends.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
-	runScenario := func(without pool.DisabledSafeguards) *simulation.World {
+	runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
 		w, _, zone := newEvacuatedCluster(without)
 		w.Run(evacuationElapsed)
 		w.Submit(spec(1, single(30)), batch)
 		w.Run(300 * time.Millisecond)
 		w.Submit(spec(2, gang(2)), urgent)
 		w.Run(8 * time.Second)
-		w.TakeBack(zone)
+		w.CancelEvacuation(zone)
 		w.Run(20 * time.Second)
 		return w
 	}
@@ -64,7 +64,7 @@
 	w.Submit(spec(1, single(40)), batch)
 	w.Run(time.Second)
 	require.Zero(t, startsInZone(w, zone, jobID(1)))
-	w.TakeBack(zone)
+	w.CancelEvacuation(zone)
 	w.Run(1500 * time.Millisecond)
 	require.Positive(t, startsInZone(w, zone, jobID(1)))
 	w.Run(20 * time.Second)
@@ -73,17 +73,17 @@
 
 // TestRunsContinueInEvacuatedZone checks that an evacuation neither stops nor restarts runs.
 func TestRunsContinueInEvacuatedZone(t *testing.T) {
-	w := simulation.NewWorld(2, 3)
+	w := simulation.NewCluster(2, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, single(48)), batch)
 	w.Run(2 * time.Second)
 	w.Evacuate(w.Workers[0].Zone)
 	w.Run(12 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
-	require.Zero(t, w.Judge.Counts["attempts/stopped"])
+	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
+	require.Zero(t, w.Checker.Metrics["attempts/stopped"])
 }
 
 // TestAllZonesEvacuated checks that jobs are accepted, wait and complete after an evacuation of all
@@ -96,9 +96,9 @@
 	w.Run(evacuationElapsed)
 	w.Submit(spec(1, single(4), gang(2)), urgent)
 	w.Run(30 * time.Second)
-	require.Zero(t, w.Judge.JobStarts(jobID(1)))
+	require.Zero(t, w.Checker.JobStarts(jobID(1)))
 	require.False(t, w.StoredState(jobID(1)).Final())
-	w.TakeBack(zone)
+	w.CancelEvacuation(zone)
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -109,39 +109,39 @@
 // or it is new.
 func TestOwnerWithStaleEvacuationsStartsNothing(t *testing.T) {
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
-		runScenario := func(without pool.DisabledSafeguards) *simulation.World {
-			w := simulation.NewWorld(2, 3)
+		runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
+			w := simulation.NewCluster(2, 3)
 			w.Without = without
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-			owner := w.Own()
+			owner := w.AcquirePool()
 			w.Run(time.Second)
-			w.Store.FeedsSilent, w.Store.ScansSilent = true, true
+			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = true, true
 			w.Evacuate(w.Workers[0].Zone)
 			w.Run(evacuationElapsed)
 			w.Submit(spec(1, single(40)), urgent)
 			row := acceptedRow(w, jobID(1))
 			owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 			w.Run(3 * time.Second)
-			w.Store.FeedsSilent, w.Store.ScansSilent = false, false
+			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = false, false
 			w.Run(20 * time.Second)
 			return w
 		}
 		requireInvariantsNeed(t, runScenario, pool.DisabledSafeguards{EvacuationAge: true})
 	})
 	t.Run("owner was suspended", func(t *testing.T) {
-		runScenario := func(without pool.DisabledSafeguards) *simulation.World {
-			w := simulation.NewWorld(2, 3)
+		runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
+			w := simulation.NewCluster(2, 3)
 			w.Without = without
-			owner := w.Own()
+			owner := w.AcquirePool()
 			w.Run(time.Second)
-			w.Store.FeedsSilent, w.Store.ScansSilent = true, true
+			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = true, true
 			w.Evacuate(w.Workers[0].Zone)
 			owner.Process.Suspend(w.Clock.Now().Add(evacuationElapsed))
 			w.Submit(spec(1, single(40)), urgent)
 			row := acceptedRow(w, jobID(1))
 			owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 			w.Run(evacuationElapsed + time.Second)
-			w.Store.FeedsSilent, w.Store.ScansSilent = false, false
+			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = false, false
 			w.Run(25 * time.Second)
 			return w
 		}
@@ -151,10 +151,10 @@
 		w, owner, zone := newEvacuatedCluster(pool.DisabledSafeguards{})
 		w.Run(evacuationElapsed)
 		owner.Process.Kill()
-		w.Store.ScansSilent = true
-		w.Clock.After(3*time.Second, func() { w.Store.ScansSilent = false })
+		w.Store.ScansUnresponsive = true
+		w.Clock.After(3*time.Second, func() { w.Store.ScansUnresponsive = false })
 		w.Submit(spec(1, single(40)), urgent)
-		w.Own()
+		w.AcquirePool()
 		w.Run(5 * time.Second)
 		require.Zero(t, startsInZone(w, zone, jobID(1)))
 		requireInvariants(t, w)
@@ -166,12 +166,12 @@
 // TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile checks that a placement is not started if its
 // zone is evacuated while its row is being written.
 func TestPlacementIsNotStartedInAZoneEvacuatedMeanwhile(t *testing.T) {
-	runScenario := func(without pool.DisabledSafeguards) *simulation.World {
-		w := simulation.NewWorld(2, 3)
+	runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
+		w := simulation.NewCluster(2, 3)
 		w.Bounds.EvacuationTimeout = 2 * time.Second
 		w.Without = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-		w.Own()
+		w.AcquirePool()
 		w.Run(time.Second)
 		w.Store.Latency = 2600 * time.Millisecond
 		w.Submit(spec(1, single(40)), urgent)
@@ -188,18 +188,18 @@
 // TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone checks that an unanswered start is not sent
 // again after its zone was evacuated.
 func TestStartWithoutAnswerIsNotRepeatedInAnEvacuatedZone(t *testing.T) {
-	w := simulation.NewWorld(2, 1)
+	w := simulation.NewCluster(2, 1)
 	w.Bounds.EvacuationTimeout = 2 * time.Second
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	first := w.Workers[0]
-	first.LoseOrder = func() simulation.Fate { return simulation.NeverDone }
-	w.Workers[1].LoseOrder = first.LoseOrder
+	first.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
+	w.Workers[1].OrderOutcome = first.OrderOutcome
 	w.Submit(spec(1, single(16)), urgent)
 	w.Run(50 * time.Millisecond)
 	w.Evacuate(first.Zone)
-	w.Clock.After(2*time.Second, func() { first.LoseOrder, w.Workers[1].LoseOrder = nil, nil })
+	w.Clock.After(2*time.Second, func() { first.OrderOutcome, w.Workers[1].OrderOutcome = nil, nil })
 	w.Run(30 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -207,19 +207,19 @@
 
 // changeEvacuationsAtRandom evacuates a random zone, ends a zone's evacuation, or does nothing. It
 // has its own source of random numbers, so that the other faults of a seed stay the same.
-func changeEvacuationsAtRandom(w *simulation.World, random *rand.Rand) {
+func changeEvacuationsAtRandom(w *simulation.Cluster, random *rand.Rand) {
 	zones := w.Zones()
 	zone := zones[random.IntN(len(zones))]
 	switch random.IntN(6) {
 	case 0, 1:
 		w.Evacuate(zone)
 	case 2, 3:
-		w.TakeBack(zone)
+		w.CancelEvacuation(zone)
 	}
 }
 
-func endAllEvacuations(w *simulation.World) {
+func endAllEvacuations(w *simulation.Cluster) {
 	for _, zone := range w.Zones() {
-		w.TakeBack(zone)
+		w.CancelEvacuation(zone)
 	}
 }
--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -40,8 +40,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(faultSeeds) {
-				if w, _ := randomFaults(seed, without); len(w.Judge.Broken) > 0 {
-					t.Logf("seed %d: %s", seed, w.Judge.Broken[0])
+				if w, _ := randomFaults(seed, without); len(w.Checker.Violations) > 0 {
+					t.Logf("seed %d: %s", seed, w.Checker.Violations[0])
 					return
 				}
 			}
@@ -51,21 +51,21 @@
 }
 
 // takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
-func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.World {
-	w := simulation.NewWorld(1, 3)
+func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.Cluster {
+	w := simulation.NewCluster(1, 3)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
 	long := single(4)
 	long.EstimateMillis = 6000
 	w.Submit(spec(1, long), batch)
-	first := w.Own()
+	first := w.AcquirePool()
 	w.Run(time.Second)
 	leaving := w.Workers[0]
 	leaving.Draining, leaving.RemainingMillis = true, 2000
 	w.PutWorkerRow(leaving)
 	w.Run(15 * time.Millisecond)
 	first.Process.Kill()
-	w.Own()
+	w.AcquirePool()
 	w.Run(15 * time.Second)
 	return w
 }
@@ -77,15 +77,15 @@
 }
 
 // changeWorkerSpeed stalls, resumes or changes the speed of a random worker, or does nothing.
-func changeWorkerSpeed(w *simulation.World, random *rand.Rand) {
+func changeWorkerSpeed(w *simulation.Cluster, random *rand.Rand) {
 	worker := w.Workers[random.IntN(len(w.Workers))]
 	switch random.IntN(8) {
 	case 0:
-		worker.Standing = !worker.Standing
+		worker.Stalled = !worker.Stalled
 	case 1:
-		worker.Slowness = 7
+		worker.SlowdownFactor = 7
 	case 2:
-		worker.Slowness = 1
+		worker.SlowdownFactor = 1
 	}
 }
 
@@ -94,28 +94,28 @@
 
 // randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
 // It returns the simulation and its number of jobs.
-func randomFaults(seed uint64, without pool.DisabledSafeguards) (*simulation.World, int) {
+func randomFaults(seed uint64, without pool.DisabledSafeguards) (*simulation.Cluster, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := simulation.NewWorld(2, 5)
+	w := simulation.NewCluster(2, 5)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Duration(500+random.IntN(3000)) * time.Millisecond }
-	fate := func(probability float64) func() simulation.Fate {
-		return func() simulation.Fate {
+	fate := func(probability float64) func() simulation.Outcome {
+		return func() simulation.Outcome {
 			if random.Float64() < probability {
-				return simulation.Fate(1 + random.IntN(3))
+				return simulation.Outcome(1 + random.IntN(3))
 			}
-			return simulation.Answered
+			return simulation.Acknowledged
 		}
 	}
-	w.Store.Lose = fate(0.05)
+	w.Store.WriteOutcome = fate(0.05)
 	for _, worker := range w.Workers {
-		worker.LoseOrder = fate(0.05)
+		worker.OrderOutcome = fate(0.05)
 	}
 	// Worker speeds and evacuations have generators of their own, so that they do not change the
 	// other faults of a seed.
 	paces := rand.New(rand.NewPCG(seed, 2))
 	zones := rand.New(rand.NewPCG(seed, 8))
-	owner := w.Own()
+	owner := w.AcquirePool()
 	jobs := 0
 	for range 40 {
 		for range random.IntN(3) {
@@ -131,44 +131,44 @@
 		case 0:
 			owner.Process.Kill()
 			w.Run(time.Duration(random.IntN(1500)) * time.Millisecond)
-			owner = w.Own()
+			owner = w.AcquirePool()
 		case 1:
 			owner.Process.Freeze(w.Clock.Now().Add(time.Duration(random.IntN(5000)) * time.Millisecond))
 			w.Run(time.Duration(random.IntN(1000)) * time.Millisecond)
-			owner = w.Own()
+			owner = w.AcquirePool()
 		case 2:
 			cut := w.Workers[random.IntN(len(w.Workers))]
-			cut.Cut = !cut.Cut
+			cut.Partitioned = !cut.Partitioned
 		case 3:
-			w.Store.AwayAll = !w.Store.AwayAll
+			w.Store.Unavailable = !w.Store.Unavailable
 		case 4:
 			part := pool.ProgressPartitions(simulation.PoolName)[random.IntN(3)]
-			w.Store.Away[part] = !w.Store.Away[part]
+			w.Store.UnavailablePartitions[part] = !w.Store.UnavailablePartitions[part]
 		case 5:
 			part := pool.ProgressPartitions(simulation.PoolName)[random.IntN(3)]
-			w.Store.Silent[part] = !w.Store.Silent[part]
+			w.Store.UnresponsivePartitions[part] = !w.Store.UnresponsivePartitions[part]
 		case 6:
 			owner.Process.Post(owner.Release)
 			w.Run(time.Duration(random.IntN(300)) * time.Millisecond)
-			owner = w.Own()
+			owner = w.AcquirePool()
 		}
 		changeWorkerSpeed(w, paces)
 		changeEvacuationsAtRandom(w, zones)
 		if owner.Ended != "" {
-			owner = w.Own()
+			owner = w.AcquirePool()
 		}
 		w.Run(time.Duration(random.IntN(1200)) * time.Millisecond)
 	}
-	w.Store.AwayAll = false
-	clear(w.Store.Away)
-	clear(w.Store.Silent)
+	w.Store.Unavailable = false
+	clear(w.Store.UnavailablePartitions)
+	clear(w.Store.UnresponsivePartitions)
 	endAllEvacuations(w)
-	w.Store.Lose = nil
+	w.Store.WriteOutcome = nil
 	for _, worker := range w.Workers {
-		worker.Cut, worker.LoseOrder = false, nil
-		worker.Standing, worker.Slowness = false, 1
+		worker.Partitioned, worker.OrderOutcome = false, nil
+		worker.Stalled, worker.SlowdownFactor = false, 1
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Run(120 * time.Second)
 	return w, jobs
 }
--- a/internal/pool/feed_rate_test.go
+++ b/internal/pool/feed_rate_test.go
@@ -13,11 +13,11 @@
 const heartbeat = 1500 * time.Millisecond
 
 // writeHeartbeats lets every worker write its row once per period, spread evenly over it.
-func writeHeartbeats(w *simulation.World, period time.Duration) {
+func writeHeartbeats(w *simulation.Cluster, period time.Duration) {
 	for i, worker := range w.Workers {
 		var write func()
 		write = func() {
-			if !worker.Dead {
+			if !worker.Crashed {
 				w.PutWorkerRow(worker)
 				w.Clock.After(period, write)
 			}
@@ -28,9 +28,9 @@
 
 // TestHeartbeatsAreReadTogether guards against one store call for each heartbeat of a worker.
 func TestHeartbeatsAreReadTogether(t *testing.T) {
-	w := simulation.NewWorld(10, 8)
+	w := simulation.NewCluster(10, 8)
 	writeHeartbeats(w, heartbeat)
-	w.Own()
+	w.AcquirePool()
 	w.Run(2 * time.Second)
 	before := w.Store.Feeds[w.WorkerTable]
 	w.Run(10 * time.Second)
@@ -39,7 +39,7 @@
 	require.GreaterOrEqual(t, perSecond, 3.0)
 }
 
-func drainFirstWorker(w *simulation.World) *simulation.Worker {
+func drainFirstWorker(w *simulation.Cluster) *simulation.Worker {
 	leaving := w.Workers[0]
 	leaving.Draining, leaving.RemainingMillis = true, 5000
 	w.PutWorkerRow(leaving)
@@ -49,9 +49,9 @@
 // TestDrainsAreKnownSoonAmidHeartbeats: a drain is noticed promptly amid frequent heartbeats; the
 // platform's shortest bound is 2 s.
 func TestDrainsAreKnownSoonAmidHeartbeats(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	writeHeartbeats(w, 300*time.Millisecond)
-	w.Own()
+	w.AcquirePool()
 	w.Run(2 * time.Second)
 	leaving := drainFirstWorker(w)
 	w.Run(300 * time.Millisecond)
@@ -65,12 +65,12 @@
 // TestWorkerFeedOfLargePoolKeepsUp: 4,500 workers write 3,000 rows a second, and the owner's worker
 // list must not fall behind.
 func TestWorkerFeedOfLargePoolKeepsUp(t *testing.T) {
-	w := simulation.NewWorld(45, 100)
-	w.Judge.Quiet = true
+	w := simulation.NewCluster(45, 100)
+	w.Checker.Quiet = true
 	writeHeartbeats(w, heartbeat)
-	w.Own()
+	w.AcquirePool()
 	w.Run(8 * time.Second)
 	drainFirstWorker(w)
 	w.Run(500 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.Decisions["worker draining"])
+	require.Equal(t, 1, w.Checker.DecisionCounts["worker draining"])
 }
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -14,16 +14,16 @@
 // Stored rows may be corrupt or written by another program. A new owner must take over regardless.
 
 // takeOverWithRow starts an owner that reads the given row beside those of valid jobs.
-func takeOverWithRow(key rows.Key, value []byte) *simulation.World {
-	w := simulation.NewWorld(1, 2)
-	w.Judge.Quiet = true
+func takeOverWithRow(key rows.Key, value []byte) *simulation.Cluster {
+	w := simulation.NewCluster(1, 2)
+	w.Checker.Quiet = true
 	for _, worker := range w.Workers {
-		worker.Unwell = key.Table == pool.JobTable
+		worker.Unhealthy = key.Table == pool.JobTable
 	}
 	w.Submit(spec(1, single(2), gang(2)), batch)
 	w.Submit(spec(2, single(1)), batch)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: value}}})
-	w.Own()
+	w.AcquirePool()
 	w.Run(300 * time.Millisecond)
 	return w
 }
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -18,11 +18,11 @@
 
 // newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and
 // its owner. Tasks take two seconds.
-func newWorldWithOneWorker(without pool.DisabledSafeguards) (*simulation.World, *simulation.Owner) {
-	w := simulation.NewWorld(1, 1)
+func newWorldWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
+	w := simulation.NewCluster(1, 1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(100 * time.Millisecond)
 	return w, owner
 }
@@ -30,30 +30,30 @@
 // restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
 // sent before the restart reach the next incarnation, where they fail at once with lower numbers
 // than the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
-func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.World {
+func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
 	w, _ := newWorldWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
-	former.LoseOrder = func() simulation.Fate { return simulation.NeverDone }
+	former.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 	once := batch
 	once.MaxAttempts = 1
 	for n := range 3 {
 		w.Submit(spec(10+n, single(1)), once)
 	}
-	for w.Judge.Decisions["run ended"] == 0 {
+	for w.Checker.DecisionCounts["run ended"] == 0 {
 		w.Run(time.Millisecond)
 	}
-	w.Store.Latency, w.Store.FeedsSilent = 200*time.Millisecond, true
+	w.Store.Latency, w.Store.FeedsUnresponsive = 200*time.Millisecond, true
 	former.Restart(10*time.Millisecond, 0)
 	w.Run(11 * time.Millisecond)
 	next := w.Workers[1]
-	next.Failing, next.LoseOrder = true, nil
-	next.LoseAnswer = func() bool { return holdsLost }
+	next.Failing, next.OrderOutcome = true, nil
+	next.DropPollReply = func() bool { return holdsLost }
 	w.Run(2 * time.Second)
 	holdsLost = false
 	w.Run(4 * time.Second)
-	w.Store.Latency, w.Store.FeedsSilent = 0, false
+	w.Store.Latency, w.Store.FeedsUnresponsive = 0, false
 	w.Run(20 * time.Second)
 	return w
 }
@@ -71,7 +71,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireInvariants(t, restartWithUnwrittenEnds(pool.DisabledSafeguards{}, c.holdsLost))
-			require.NotEmpty(t, restartWithUnwrittenEnds(c.without, c.holdsLost).Judge.Broken, "without the mechanism")
+			require.NotEmpty(t, restartWithUnwrittenEnds(c.without, c.holdsLost).Checker.Violations, "without the mechanism")
 		})
 	}
 }
@@ -79,21 +79,21 @@
 // TestLateStartIsBlockedAfterRestart: the first copy of a start arrives late and reaches
 // the worker after a restart, although the second copy was answered before it.
 func TestLateStartIsBlockedAfterRestart(t *testing.T) {
-	simulate := func(without pool.DisabledSafeguards) *simulation.World {
-		w := simulation.NewWorld(1, 2)
+	simulate := func(without pool.DisabledSafeguards) *simulation.Cluster {
+		w := simulation.NewCluster(1, 2)
 		w.Without = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
-		w.LateOrdersOutliveWorkers = true
-		w.Own()
+		w.LateOrdersReachRestartedWorkers = true
+		w.AcquirePool()
 		w.Run(100 * time.Millisecond)
 		for _, worker := range w.Workers {
 			first := true
-			worker.LoseOrder = func() simulation.Fate {
+			worker.OrderOutcome = func() simulation.Outcome {
 				if first {
 					first = false
-					return simulation.DoneLate
+					return simulation.AppliedLate
 				}
-				return simulation.Answered
+				return simulation.Acknowledged
 			}
 		}
 		w.Submit(spec(1, single(1)), batch)
@@ -109,27 +109,27 @@
 // leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
 // deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
 // first report.
-func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.World {
-	w := simulation.NewWorld(1, 2)
+func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.Cluster {
+	w := simulation.NewCluster(1, 2)
 	w.Bounds.MaxLease = 10 * time.Second
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
 	w.Workers[0].Restart(time.Millisecond, farAheadClock)
 	w.Run(2 * time.Millisecond)
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(time.Second)
-	other.Unwell, w.Store.FeedsSilent = true, true
+	other.Unhealthy, w.Store.FeedsUnresponsive = true, true
 	w.Workers[2].Restart(50*time.Millisecond, 0)
 	w.Run(100 * time.Millisecond)
 	w.Submit(spec(1, single(1)), batch)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
-	for w.Judge.Decisions["worker restarted"] == 0 {
+	for w.Checker.DecisionCounts["worker restarted"] == 0 {
 		w.Run(time.Millisecond / 2)
 	}
 	next := w.Workers[3]
-	next.Cut, other.Unwell, w.Store.FeedsSilent = true, false, false
+	next.Partitioned, other.Unhealthy, w.Store.FeedsUnresponsive = true, false, false
 	w.Run(40 * time.Second)
 	return w
 }
@@ -143,7 +143,7 @@
 // the former incarnation.
 func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
 	w, owner := newWorldWithOneWorker(pool.DisabledSafeguards{})
-	w.Store.FeedsSilent = true
+	w.Store.FeedsUnresponsive = true
 	w.Store.Latency = 400 * time.Millisecond
 	w.Submit(spec(1, single(2)), batch)
 	row := acceptedRow(w, jobID(1))
@@ -153,12 +153,12 @@
 	w.Run(500 * time.Millisecond)
 	require.Equal(t, 2, w.Workers[1].Runs(), "started after the restart")
 	owner.Process.Kill()
-	w.Store.FeedsSilent, w.Store.Latency = false, 0
-	w.Own()
+	w.Store.FeedsUnresponsive, w.Store.Latency = false, 0
+	w.AcquirePool()
 	w.Run(30 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
+	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
 }
 
 // TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, one that is
@@ -187,12 +187,12 @@
 				owner.Process.Kill()
 			}
 			if c.killBefore || c.killAfter {
-				w.Own()
+				w.AcquirePool()
 			}
 			w.Run(20 * time.Second)
 			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-			require.LessOrEqual(t, w.Judge.Starts(taskOf(1, 0, 0)), 2)
+			require.LessOrEqual(t, w.Checker.Starts(taskOf(1, 0, 0)), 2)
 		})
 	}
 }
@@ -206,7 +206,7 @@
 	w.Workers[0].Restart(500*time.Millisecond, 0)
 	w.Run(1000 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[1].Runs(), "0.5 s after the restart")
-	require.Equal(t, 8, w.Judge.Counts["attempts/lost"])
+	require.Equal(t, 8, w.Checker.Metrics["attempts/lost"])
 	requireInvariants(t, w)
 }
 
@@ -226,8 +226,8 @@
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "the stale row stopped nothing")
-	require.NotZero(t, w.Judge.Counts["refusals/worker_row_stale"])
+	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)), "the stale row stopped nothing")
+	require.NotZero(t, w.Checker.Metrics["refusals/worker_row_stale"])
 }
 
 // TestFalseRowOfLaterIncarnationStopsNothing: a row names an incarnation that does not exist. Runs
@@ -244,12 +244,12 @@
 // TestWorkersWithoutStartTime covers platforms whose workers do not report a start time: an
 // identifier stands for one incarnation.
 func TestWorkersWithoutStartTime(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	for _, worker := range w.Workers {
 		worker.Incarnation = fleet.Incarnation{ID: worker.ID}
 		w.PutWorkerRow(worker)
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, single(8), gang(2)), batch)
 	w.Run(10 * time.Second)
 	requireInvariants(t, w)
@@ -259,14 +259,14 @@
 // TestRestartedWorkerMayChangeCapacity: a restarted worker has its own capacity, labels, zone and
 // drain state, and tasks that need a label of the former incarnation are not placed there.
 func TestRestartedWorkerMayChangeCapacity(t *testing.T) {
-	w := simulation.NewWorld(2, 1)
-	w.Unguarded = true
+	w := simulation.NewCluster(2, 1)
+	w.SkipCapacityCheck = true
 	w.Catalog.Pools[0].EnforcesCapacity = false
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	former := w.Workers[0]
 	former.Labels = []string{"special", former.Rack()}
 	w.PutWorkerRow(former)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	former.Draining, former.RemainingMillis = true, 8000
 	w.PutWorkerRow(former)
@@ -288,7 +288,7 @@
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Zero(t, w.Judge.JobStarts(jobID(2)), "no worker has that label any more")
+	require.Zero(t, w.Checker.JobStarts(jobID(2)), "no worker has that label any more")
 }
 
 // TestRestartsDuringTakeovers: workers restart without an owner, twice in a row, during a store
@@ -296,22 +296,22 @@
 func TestRestartsDuringTakeovers(t *testing.T) {
 	for _, ahead := range []int64{0, farAheadClock} {
 		for offset := time.Duration(0); offset < 60*time.Millisecond; offset += 3 * time.Millisecond {
-			w := simulation.NewWorld(1, 2)
+			w := simulation.NewCluster(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-			owner := w.Own()
+			owner := w.AcquirePool()
 			w.Submit(spec(1, single(6), gang(2)), batch)
 			w.Run(time.Second + offset)
 			owner.Process.Kill()
 			w.Workers[0].Restart(20*time.Millisecond, ahead)
 			w.Run(30 * time.Millisecond)
 			w.Workers[2].Restart(20*time.Millisecond, 0)
-			w.Own()
+			w.AcquirePool()
 			w.Run(offset)
-			w.Workers[1].RestartUnseen(15*time.Millisecond, ahead)
+			w.Workers[1].RestartWithoutReset(15*time.Millisecond, ahead)
 			w.Run(offset)
-			w.Store.AwayAll = true
+			w.Store.Unavailable = true
 			w.Run(200 * time.Millisecond)
-			w.Store.AwayAll = false
+			w.Store.Unavailable = false
 			w.Run(40 * time.Second)
 			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "%v", offset)
@@ -322,11 +322,11 @@
 // TestEachIncarnationLostCountsOnce: a task that crashes a worker which restarts under its
 // identifier is detected as if each incarnation had an identifier of its own.
 func TestEachIncarnationLostCountsOnce(t *testing.T) {
-	w := simulation.NewWorld(1, 1)
-	w.RestartsInPlace = true
+	w := simulation.NewCluster(1, 1)
+	w.RestartWithSameID = true
 	crashing := taskOf(1, 0, 0)
 	w.Crashing[crashing] = crashAfterStart
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(30 * time.Second)
@@ -336,15 +336,15 @@
 // TestMachineStateSurvivesRestart: the exclusion of a worker that fails every task outlasts its
 // restart.
 func TestMachineStateSurvivesRestart(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
-	w.Own()
+	w := simulation.NewCluster(1, 2)
+	w.AcquirePool()
 	w.Run(100 * time.Millisecond)
 	failing := w.Workers[0]
 	failing.Failing = true
-	w.Workers[1].Unwell = true
+	w.Workers[1].Unhealthy = true
 	many := batch
 	many.MaxAttempts = 50
-	for n := 1; w.Judge.Decisions["worker judged bad"] == 0; n++ {
+	for n := 1; w.Checker.DecisionCounts["worker judged bad"] == 0; n++ {
 		w.Submit(spec(n, single(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
@@ -354,7 +354,7 @@
 	w.Submit(spec(90, single(1)), many)
 	w.Run(time.Second)
 	require.Zero(t, next.Runs(), "the penalty outlasts the restart")
-	w.Workers[1].Unwell = false
+	w.Workers[1].Unhealthy = false
 	w.Run(60 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -401,11 +401,11 @@
 	w := newGangCluster(1, 2)
 	w.StopTime, w.Bounds.StopTimeout = 1500*time.Millisecond, 2*time.Second
 	answersLost := false
-	w.Workers[0].LoseAnswer = func() bool { return answersLost }
-	owner := w.Own()
+	w.Workers[0].DropPollReply = func() bool { return answersLost }
+	owner := w.AcquirePool()
 	// The clock of the former incarnation is far ahead of that of the next one.
 	w.Run(2 * clockJumpThreshold)
-	w.Store.FeedsSilent = true
+	w.Store.FeedsUnresponsive = true
 	w.Workers[1].CrashAndRestart()
 	w.Run(4 * time.Second)
 	w.Workers[0].Restart(50*time.Millisecond, 0)
@@ -417,16 +417,16 @@
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	for range 200 {
-		if w.Judge.Decisions["stopped"] > 0 {
+		if w.Checker.DecisionCounts["stopped"] > 0 {
 			break
 		}
 		w.Run(time.Millisecond)
 	}
-	require.Positive(t, w.Judge.Decisions["stopped"])
+	require.Positive(t, w.Checker.DecisionCounts["stopped"])
 	// The row with the confirmed starts is written, and the run is being stopped.
 	w.Run(800 * time.Millisecond)
-	w.Store.FeedsSilent, answersLost = false, false
-	w.Own()
+	w.Store.FeedsUnresponsive, answersLost = false, false
+	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
--- a/internal/pool/invalid_worker_rows_test.go
+++ b/internal/pool/invalid_worker_rows_test.go
@@ -14,7 +14,7 @@
 
 // requireRunsSurviveInvalidRow starts tasks on the only worker, then makes its row invalid: they
 // must run to completion, and nothing may start there until the row is valid again.
-func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.World, spoil func()) {
+func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.Cluster, spoil func()) {
 	t.Helper()
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(time.Second)
@@ -23,8 +23,8 @@
 	w.Submit(spec(2, single(2)), batch)
 	w.Run(10 * time.Second)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
-	require.Zero(t, w.Judge.JobStarts(jobID(2)), "nothing starts while the worker row is invalid")
+	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
+	require.Zero(t, w.Checker.JobStarts(jobID(2)), "nothing starts while the worker row is invalid")
 	w.PutWorkerRow(w.Workers[0])
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
@@ -46,30 +46,30 @@
 // TestNextOwnerFindsRunsDespiteInvalidWorkerRow: the owner is killed while a worker's row is
 // invalid. The next owner must contact the worker at the address in the progress rows.
 func TestNextOwnerFindsRunsDespiteInvalidWorkerRow(t *testing.T) {
-	w := simulation.NewWorld(1, 1)
+	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(time.Second)
 	w.PutForeignRow(w.Workers[0].ID, []byte("null"))
 	w.Run(500 * time.Millisecond)
 	owner.Process.Kill()
 	w.Run(time.Second)
-	w.Own()
+	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)))
+	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
 }
 
 // TestInvalidWorkerRowsAreLoggedOnce: thousands of invalid worker rows must produce one log line
 // and not affect the use of valid workers.
 func TestInvalidWorkerRowsAreLoggedOnce(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	for n := range 3000 {
 		w.PutForeignRow(fmt.Sprintf("foreign-%d", n), []byte("{}"))
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, single(16)), batch)
 	w.Run(3 * time.Second)
 	for n := range 3000 {
@@ -78,6 +78,6 @@
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Decisions["rows of another writer"])
-	require.Equal(t, 3000, w.Judge.Counts["foreign_rows"])
+	require.Equal(t, 1, w.Checker.DecisionCounts["rows of another writer"])
+	require.Equal(t, 3000, w.Checker.Metrics["foreign_rows"])
 }
--- a/internal/pool/job_announcement_test.go
+++ b/internal/pool/job_announcement_test.go
@@ -16,35 +16,35 @@
 // them only from the feed.
 
 // acceptedRow returns the stored row of an accepted job.
-func acceptedRow(w *simulation.World, id string) rows.Row {
+func acceptedRow(w *simulation.Cluster, id string) rows.Row {
 	part := pool.JobPartitions(simulation.PoolName, id)[0]
 	return w.Store.List(pool.JobTable, part, id).Rows[0]
 }
 
 func TestAnnouncedJobStartsThoughFeedsAreSilent(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
-	owner := w.Own()
+	w := simulation.NewCluster(1, 2)
+	owner := w.AcquirePool()
 	w.Run(time.Second)
-	w.Store.FeedsSilent = true
+	w.Store.FeedsUnresponsive = true
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(100 * time.Millisecond)
-	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Zero(t, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(100 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
-	w.Store.FeedsSilent = false
+	w.Store.FeedsUnresponsive = false
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "the second announcement and the feed start nothing")
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}), "the second announcement and the feed start nothing")
 }
 
 // TestLateAnnouncementIsIgnored: a job must not run again when it is announced after its rows
 // were removed.
 func TestLateAnnouncementIsIgnored(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
-	owner := w.Own()
+	w := simulation.NewCluster(1, 2)
+	owner := w.AcquirePool()
 	w.Submit(spec(1, single(1)), urgent)
 	row := acceptedRow(w, jobID(1))
 	w.Run(5 * time.Minute)
@@ -52,5 +52,5 @@
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -13,24 +13,24 @@
 
 // newWorldWithLongTask returns a world of two workers in which the first owner has started one long
 // task, and that owner.
-func newWorldWithLongTask() (*simulation.World, *simulation.Owner) {
-	w := simulation.NewWorld(1, 2)
+func newWorldWithLongTask() (*simulation.Cluster, *simulation.Owner) {
+	w := simulation.NewCluster(1, 2)
 	return w, startLongTask(w)
 }
 
 // startLongTask starts a job of one long task under a first owner.
-func startLongTask(w *simulation.World) *simulation.Owner {
+func startLongTask(w *simulation.Cluster) *simulation.Owner {
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	long := single(1)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(5 * time.Second)
 	return owner
 }
 
 // busyWorker returns the first worker that has a run, or nil.
-func busyWorker(w *simulation.World) *simulation.Worker {
+func busyWorker(w *simulation.Cluster) *simulation.Worker {
 	for _, worker := range w.Workers {
 		if worker.Runs() > 0 {
 			return worker
@@ -46,13 +46,13 @@
 	w, _ := newWorldWithLongTask()
 	busy := busyWorker(w)
 	for _, part := range pool.ProgressPartitions(simulation.PoolName) {
-		w.Store.Silent[part] = true
+		w.Store.UnresponsivePartitions[part] = true
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Run(8 * time.Second)
 	lossy := true
-	busy.LoseAnswer = func() bool { return lossy }
-	clear(w.Store.Silent)
+	busy.DropPollReply = func() bool { return lossy }
+	clear(w.Store.UnresponsivePartitions)
 	w.Run(3 * time.Second)
 	lossy = false
 	w.Run(45 * time.Second)
@@ -62,22 +62,22 @@
 
 // delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
 // the worker list.
-func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.World {
+func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.Cluster {
 	w, _ := newWorldWithLongTask()
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
 	busy := busyWorker(w)
-	next := w.Own()
-	next.CutFrom[busy.ID] = true
+	next := w.AcquirePool()
+	next.PartitionedFrom[busy.ID] = true
 	w.Run(3 * time.Millisecond)
-	next.CutFromStore = true
+	next.PartitionedFromStore = true
 	for n := 2; n < 22; n++ {
 		w.Submit(spec(n, single(1)), batch)
 		w.Run(400 * time.Millisecond)
 	}
-	next.CutFromStore = false
+	next.PartitionedFromStore = false
 	w.Run(3 * time.Second)
-	next.CutFrom[busy.ID] = false
+	next.PartitionedFrom[busy.ID] = false
 	w.Run(45 * time.Second)
 	return w
 }
@@ -89,32 +89,32 @@
 }
 
 // pauseFunc stops a process for a while in one of several ways.
-type pauseFunc func(*simulation.World, *simulation.Owner, time.Duration)
+type pauseFunc func(*simulation.Cluster, *simulation.Owner, time.Duration)
 
-func freeze(w *simulation.World, owner *simulation.Owner, d time.Duration) {
+func freeze(w *simulation.Cluster, owner *simulation.Owner, d time.Duration) {
 	owner.Process.Freeze(w.Clock.Now().Add(d))
 }
 
-func suspend(w *simulation.World, owner *simulation.Owner, d time.Duration) {
+func suspend(w *simulation.Cluster, owner *simulation.Owner, d time.Duration) {
 	owner.Process.Suspend(w.Clock.Now().Add(d))
 }
 
-func noPause(*simulation.World, *simulation.Owner, time.Duration) {}
+func noPause(*simulation.Cluster, *simulation.Owner, time.Duration) {}
 
 // replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
 // one that cannot reach the worker of the run.
-func replaceCutOffOwner(stop pauseFunc, without pool.DisabledSafeguards, steadyTime bool) *simulation.World {
-	w := simulation.NewWorld(1, 2)
-	w.Without, w.SteadyTime = without, steadyTime
+func replaceCutOffOwner(stop pauseFunc, without pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
+	w := simulation.NewCluster(1, 2)
+	w.Without, w.SuspendedClock = without, steadyTime
 	former := startLongTask(w)
 	busy := busyWorker(w)
-	former.CutFromStore = true
+	former.PartitionedFromStore = true
 	stop(w, former, 5*time.Second)
 	w.Run(500 * time.Millisecond)
-	next := w.Own()
-	next.CutFrom[busy.ID] = true
+	next := w.AcquirePool()
+	next.PartitionedFrom[busy.ID] = true
 	w.Run(30 * time.Second)
-	next.CutFrom[busy.ID] = false
+	next.PartitionedFrom[busy.ID] = false
 	w.Run(40 * time.Second)
 	return w
 }
@@ -125,25 +125,27 @@
 func TestReplacedOwnerDoesNotExtendLeases(t *testing.T) {
 	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
-			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.World {
+			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.Cluster {
 				return replaceCutOffOwner(stop, without, false)
 			}, pool.DisabledSafeguards{Confirmation: true})
 		})
 	}
-	briefly := func(w *simulation.World, owner *simulation.Owner, _ time.Duration) { suspend(w, owner, 2*time.Second) }
+	briefly := func(w *simulation.Cluster, owner *simulation.Owner, _ time.Duration) {
+		suspend(w, owner, 2*time.Second)
+	}
 	requireInvariants(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, false))
-	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, true).Judge.Broken, "with the steady clock")
+	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, true).Checker.Violations, "with the steady clock")
 }
 
 // pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
 // by one that cannot reach the worker.
-func pauseBeforeStart(stop pauseFunc, without pool.DisabledSafeguards) *simulation.World {
-	w := simulation.NewWorld(1, 2)
+func pauseBeforeStart(stop pauseFunc, without pool.DisabledSafeguards) *simulation.Cluster {
+	w := simulation.NewCluster(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
 	w.Bounds.EvacuationTimeout = 0
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-	former := w.Own()
+	former := w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.Latency = 40 * time.Millisecond
 	long := single(1)
@@ -152,14 +154,14 @@
 	// The feed delivers the job at once; the write is in flight.
 	w.Run(20 * time.Millisecond)
 	stop(w, former, 6800*time.Millisecond)
-	former.CutFromStore = true
+	former.PartitionedFromStore = true
 	w.Run(200 * time.Millisecond)
-	next := w.Own()
-	next.CutFrom["w-0-0"], next.CutFrom["w-0-1"] = true, true
+	next := w.AcquirePool()
+	next.PartitionedFrom["w-0-0"], next.PartitionedFrom["w-0-1"] = true, true
 	w.Run(6400 * time.Millisecond)
-	next.CutFrom["w-0-1"] = false
+	next.PartitionedFrom["w-0-1"] = false
 	w.Run(20 * time.Second)
-	next.CutFrom["w-0-0"] = false
+	next.PartitionedFrom["w-0-0"] = false
 	w.Run(60 * time.Second)
 	return w
 }
@@ -169,7 +171,7 @@
 func TestStartIsNotSentLongAfterItsRow(t *testing.T) {
 	for name, stop := range map[string]pauseFunc{"frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
-			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.World {
+			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.Cluster {
 				return pauseBeforeStart(stop, without)
 			}, pool.DisabledSafeguards{Confirmation: true})
 		})
@@ -180,8 +182,8 @@
 // is so low that its first start is refused as late. The clock in the refusal must correct the
 // estimate.
 func TestLateRefusalUpdatesClockEstimate(t *testing.T) {
-	w := simulation.NewWorld(1, 1)
-	w.Own()
+	w := simulation.NewCluster(1, 1)
+	w.AcquirePool()
 	w.Run(10 * time.Minute)
 	w.Submit(spec(1, single(1)), batch)
 	w.Run(100 * time.Millisecond)
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -23,22 +23,22 @@
 
 // requireJobFailed requires that a job failed after its task crashed at least two and at most
 // mostCrashes workers.
-func requireJobFailed(t *testing.T, w *simulation.World, crashing taskgraph.TaskName, mostCrashes int) {
+func requireJobFailed(t *testing.T, w *simulation.Cluster, crashing taskgraph.TaskName, mostCrashes int) {
 	t.Helper()
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Failed, w.StoredState(crashing.Job))
-	require.LessOrEqual(t, w.Judge.Crashes(crashing), mostCrashes)
-	require.GreaterOrEqual(t, w.Judge.Crashes(crashing), 2)
+	require.LessOrEqual(t, w.Checker.Crashes(crashing), mostCrashes)
+	require.GreaterOrEqual(t, w.Checker.Crashes(crashing), 2)
 }
 
 // TestJobOfCrashingTaskFails: without owner faults, the tasks beside the crashing one
 // complete.
 func TestJobOfCrashingTaskFails(t *testing.T) {
-	w := simulation.NewWorld(2, 4)
+	w := simulation.NewCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	crashing := taskOf(2, 0, 0)
 	w.Crashing[crashing] = crashAfterStart
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, single(30)), batch)
 	w.Run(time.Second)
 	w.Submit(spec(2, single(1)), urgent)
@@ -58,26 +58,26 @@
 	} {
 		for _, inPlace := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", restart in place ", inPlace), func(t *testing.T) {
-				w := simulation.NewWorld(2, 4)
-				w.RestartsInPlace = inPlace
+				w := simulation.NewCluster(2, 4)
+				w.RestartWithSameID = inPlace
 				requireCrashHistorySurvivesTakeover(t, w, killAfter)
 			})
 		}
 	}
 }
 
-func requireCrashHistorySurvivesTakeover(t *testing.T, w *simulation.World, killAfter time.Duration) {
+func requireCrashHistorySurvivesTakeover(t *testing.T, w *simulation.Cluster, killAfter time.Duration) {
 	t.Helper()
 	crashing := taskOf(1, 0, 0)
 	w.Crashing[crashing] = crashAfterStart
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	for range 8 {
 		w.Run(killAfter)
 		owner.Process.Kill()
 		w.Run(time.Second)
-		owner = w.Own()
+		owner = w.AcquirePool()
 	}
 	w.Run(60 * time.Second)
 	requireJobFailed(t, w, crashing, 3)
@@ -88,11 +88,11 @@
 
 // replaceWorkersWithFeedsSilent replaces or fails all workers while the owner's feeds are
 // unresponsive, then submits a job.
-func replaceWorkersWithFeedsSilent(fail func(*simulation.Worker)) *simulation.World {
-	w := simulation.NewWorld(2, 4)
-	owner := w.Own()
+func replaceWorkersWithFeedsSilent(fail func(*simulation.Worker)) *simulation.Cluster {
+	w := simulation.NewCluster(2, 4)
+	owner := w.AcquirePool()
 	w.Run(time.Second)
-	w.Store.FeedsSilent = true
+	w.Store.FeedsUnresponsive = true
 	for _, worker := range w.Workers {
 		fail(worker)
 	}
@@ -101,7 +101,7 @@
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(8 * time.Second)
-	w.Store.FeedsSilent = false
+	w.Store.FeedsUnresponsive = false
 	w.AddWorker("fresh", "r-9")
 	w.Run(60 * time.Second)
 	return w
@@ -125,13 +125,13 @@
 // TestTaskThatCrashesBeforeItsStartIsAnswered: no start of the task is ever confirmed, so its job
 // fails by the number of lost workers alone.
 func TestTaskThatCrashesBeforeItsStartIsAnswered(t *testing.T) {
-	w := simulation.NewWorld(2, 4)
+	w := simulation.NewCluster(2, 4)
 	crashing := taskOf(1, 0, 0)
 	w.Crashing[crashing] = crashAfterStart
 	for _, worker := range w.Workers {
-		worker.LoseOrder = func() simulation.Fate { return simulation.AnswerLost }
+		worker.OrderOutcome = func() simulation.Outcome { return simulation.AppliedUnacknowledged }
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(90 * time.Second)
@@ -141,9 +141,9 @@
 // TestWorkersThatLeaveAreNoEvidence: a draining worker may shut down earlier than announced, with
 // runs that should have ended in time.
 func TestWorkersThatLeaveAreNoEvidence(t *testing.T) {
-	w := simulation.NewWorld(2, 4)
+	w := simulation.NewCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 800 * time.Millisecond }
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, single(1)), batch)
 	for range 4 {
@@ -161,7 +161,7 @@
 	w.Run(10 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Zero(t, w.Judge.Counts["given_up/crash_odds"])
+	require.Zero(t, w.Checker.Metrics["given_up/crash_odds"])
 }
 
 // A poll in flight, or a placement of an earlier owner, is no proof that a run was on a lost
@@ -170,11 +170,11 @@
 // runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, is cut off
 // and crashes. The next three placements are on workers that crash, and their owners are killed
 // before sending the start.
-func runUndeliveredStarts() *simulation.World {
+func runUndeliveredStarts() *simulation.Cluster {
 	const workers = 16
-	w := simulation.NewWorld(1, workers)
+	w := simulation.NewCluster(1, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Submit(spec(9, single(8*workers-2)), batch)
 	w.Run(time.Second)
 	var freeWorker *simulation.Worker
@@ -183,14 +183,14 @@
 			freeWorker = worker
 		}
 	}
-	freeWorker.Cut = true
+	freeWorker.Partitioned = true
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(300 * time.Millisecond)
-	freeWorker.ReplaceUnseen()
+	freeWorker.ReplaceWithoutReset()
 	for range 3 {
 		w.Store.Latency = 20 * time.Millisecond
-		lost := w.Judge.Counts["attempts/lost"]
-		for w.Judge.Counts["attempts/lost"] == lost {
+		lost := w.Checker.Metrics["attempts/lost"]
+		for w.Checker.Metrics["attempts/lost"] == lost {
 			w.Run(time.Millisecond)
 		}
 		// The placement is stored 10 ms later, and the start would be sent 10 ms after that.
@@ -199,7 +199,7 @@
 		w.Store.Latency = 0
 		w.Workers[len(w.Workers)-1].CrashAndRestart()
 		w.Run(time.Second)
-		owner = w.Own()
+		owner = w.AcquirePool()
 	}
 	w.Run(90 * time.Second)
 	return w
@@ -208,7 +208,7 @@
 func TestStartsThatNeverArriveAreNoEvidence(t *testing.T) {
 	w := runUndeliveredStarts()
 	requireInvariants(t, w)
-	require.Equal(t, 1, w.Judge.Starts(taskOf(1, 0, 0)), "only the last start arrived")
+	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)), "only the last start arrived")
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(9)))
 }
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -13,22 +13,22 @@
 // TestRefusedRetryDoesNotHideALateStart: after an unanswered start, a refused retry must not let
 // the task start elsewhere while the first start may still be carried out.
 func TestRefusedRetryDoesNotHideALateStart(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	w.OrderDelay = 1500 * time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	orders := 0
 	for _, worker := range w.Workers {
-		worker.LoseOrder = func() simulation.Fate {
+		worker.OrderOutcome = func() simulation.Outcome {
 			if orders++; orders == 1 {
-				worker.Unwell = true
-				w.Clock.After(1200*time.Millisecond, func() { worker.Unwell = false })
-				return simulation.DoneLate
+				worker.Unhealthy = true
+				w.Clock.After(1200*time.Millisecond, func() { worker.Unhealthy = false })
+				return simulation.AppliedLate
 			}
-			return simulation.Answered
+			return simulation.Acknowledged
 		}
 	}
 	w.Submit(spec(1, single(1)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -37,8 +37,8 @@
 // TestUnreachableWorkerIsLeftAtOnce guards against retrying starts without a delay on a worker that
 // refuses connections.
 func TestUnreachableWorkerIsLeftAtOnce(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
-	w.Own()
+	w := simulation.NewCluster(1, 2)
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Workers[0].Unreachable = true
 	w.Submit(spec(1, single(12)), batch)
@@ -52,15 +52,15 @@
 // TestRowsExpiredDuringStoreOutageAreWaitedFor: worker rows expire during a store outage and are
 // rewritten soon after it. Jobs submitted in between must not wait.
 func TestRowsExpiredDuringStoreOutageAreWaitedFor(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
-	w.Own()
+	w := simulation.NewCluster(1, 2)
+	w.AcquirePool()
 	w.Run(time.Second)
-	w.Store.AwayAll = true
+	w.Store.Unavailable = true
 	w.Run(4 * time.Second)
 	for _, worker := range w.Workers {
 		w.RemoveWorkerRow(worker)
 	}
-	w.Store.AwayAll = false
+	w.Store.Unavailable = false
 	w.Run(1500 * time.Millisecond)
 	w.Submit(spec(1, single(1)), batch)
 	w.Run(300 * time.Millisecond)
@@ -78,30 +78,30 @@
 // TestEndsAreNotedSoonThoughAnswersAreLost: an end whose report was lost is recorded soon, with a
 // shorter poll.
 func TestEndsAreNotedSoonThoughAnswersAreLost(t *testing.T) {
-	w := simulation.NewWorld(1, 1)
+	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
 	begun := w.Clock.Now()
-	w.Workers[0].LoseAnswer = func() bool {
+	w.Workers[0].DropPollReply = func() bool {
 		at := w.Clock.Now().Sub(begun)
 		first := at > 1900*time.Millisecond && at < 2200*time.Millisecond
 		second := at > 5900*time.Millisecond && at < 6100*time.Millisecond
 		return first || second
 	}
 	w.Submit(spec(1, single(1)), urgent)
-	w.Own()
+	w.AcquirePool()
 	w.Run(7500 * time.Millisecond)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
 // failFirstOrder returns a function that gives the first order this fate and answers all others.
-func failFirstOrder(fate simulation.Fate) func() simulation.Fate {
+func failFirstOrder(fate simulation.Outcome) func() simulation.Outcome {
 	orders := 0
-	return func() simulation.Fate {
+	return func() simulation.Outcome {
 		if orders++; orders == 1 {
 			return fate
 		}
-		return simulation.Answered
+		return simulation.Acknowledged
 	}
 }
 
@@ -109,12 +109,12 @@
 // rest of the gang waits.
 
 func TestUnansweredStartIsSentAgainSoon(t *testing.T) {
-	for name, fate := range map[string]simulation.Fate{"never carried out": simulation.NeverDone, "carried out late": simulation.DoneLate, "done": simulation.AnswerLost} {
+	for name, fate := range map[string]simulation.Outcome{"never carried out": simulation.Dropped, "carried out late": simulation.AppliedLate, "done": simulation.AppliedUnacknowledged} {
 		t.Run(name, func(t *testing.T) {
-			w := simulation.NewWorld(1, 2)
+			w := simulation.NewCluster(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-			w.Workers[0].LoseOrder = failFirstOrder(fate)
-			w.Own()
+			w.Workers[0].OrderOutcome = failFirstOrder(fate)
+			w.AcquirePool()
 			w.Run(100 * time.Millisecond)
 			w.Submit(spec(1, gang(2)), urgent)
 			w.Run(200 * time.Millisecond)
@@ -131,12 +131,12 @@
 // TestUnansweredStopIsSentAgainSoon: an urgent gang waits for the capacity of preempted tasks no
 // longer than needed when a stop is lost.
 func TestUnansweredStopIsSentAgainSoon(t *testing.T) {
-	w := simulation.NewWorld(1, 1)
+	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(500 * time.Millisecond)
-	w.Workers[0].LoseOrder = failFirstOrder(simulation.NeverDone)
+	w.Workers[0].OrderOutcome = failFirstOrder(simulation.Dropped)
 	w.Submit(spec(2, gang(1)), urgent)
 	w.Run(simulation.StopTime + 250*time.Millisecond)
 	require.Equal(t, 1, w.Workers[0].RunsOf(jobID(2)))
@@ -148,7 +148,7 @@
 // stop is lost, and a poll no longer lists the run.
 
 func TestStopWithoutAnswerIsWaitedOut(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		switch name.Job {
 		case jobID(2):
@@ -164,11 +164,11 @@
 	w.Submit(spec(1, long), batch)
 	w.Submit(spec(2, single(1)), batch)
 	w.Submit(spec(3, single(1)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	leaving := workersOf(w, jobID(2))[0]
 	require.Equal(t, 2, leaving.RunsOf(jobID(1)), "all tasks run on one worker")
-	leaving.LoseOrder = func() simulation.Fate { return simulation.AnswerLost }
+	leaving.OrderOutcome = func() simulation.Outcome { return simulation.AppliedUnacknowledged }
 	leaving.Draining, leaving.RemainingMillis = true, 3000
 	w.PutWorkerRow(leaving)
 	w.Run(10 * time.Second)
@@ -180,25 +180,25 @@
 // blocks it is unanswered too, and reports do not list the run.
 
 func TestUnconfirmedStartIsBlockedBeforeItsTaskRunsElsewhere(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	w.OrderDelay = 2600 * time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	begun := w.Clock.Now()
 	orders := 0
 	for _, worker := range w.Workers {
-		worker.LoseOrder = func() simulation.Fate {
+		worker.OrderOutcome = func() simulation.Outcome {
 			orders++
 			switch {
 			case orders == 1:
-				return simulation.DoneLate
+				return simulation.AppliedLate
 			case w.Clock.Now().Sub(begun) < 4500*time.Millisecond && worker.Runs() == 0 && orders < 40:
-				return simulation.NeverDone
+				return simulation.Dropped
 			}
-			return simulation.Answered
+			return simulation.Acknowledged
 		}
 	}
-	w.Workers[1].LoseOrder = nil
-	w.Own()
+	w.Workers[1].OrderOutcome = nil
+	w.AcquirePool()
 	w.Run(500 * time.Millisecond)
 	w.Submit(spec(1, single(1)), batch)
 	w.Run(15 * time.Second)
@@ -213,14 +213,14 @@
 // answer.
 func TestGangLeavesUnresponsiveWorkerSoon(t *testing.T) {
 	w := newGangCluster(2, 4)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	for _, worker := range w.Workers[:1] {
-		worker.Cut = true
+		worker.Partitioned = true
 	}
 	w.Submit(spec(1, gang(4)), urgent)
 	w.Run(2*gangWork + 250*time.Millisecond)
-	require.Equal(t, 2, w.Judge.Starts(taskOf(1, 0, 3)), "placed twice")
+	require.Equal(t, 2, w.Checker.Starts(taskOf(1, 0, 3)), "placed twice")
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	requireInvariants(t, w)
 }
--- a/internal/pool/poison_full_pool_test.go
+++ b/internal/pool/poison_full_pool_test.go
@@ -18,10 +18,10 @@
 // other, healthy jobs and how many of them failed.
 func runPoisonInFullPool(t *testing.T, seed uint64, jobs, every int, crash simulation.Crash) (healthy, failed int) {
 	random := rand.New(rand.NewPCG(seed, 7))
-	w := simulation.NewWorld(3, 4)
+	w := simulation.NewCluster(3, 4)
 	crashing := map[string]bool{}
 	w.Work = func(name taskgraph.TaskName) time.Duration { return w.Estimate(name) }
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	for n := range jobs {
 		step := single(1 + random.IntN(6))
@@ -45,7 +45,7 @@
 			open = open || !w.StoredState(jobID(n)).Final()
 		}
 	}
-	t.Logf("all jobs ended %v after the last submission; %d runs were lost", w.Clock.Now().Sub(submittedAt), w.Judge.Counts["attempts/lost"])
+	t.Logf("all jobs ended %v after the last submission; %d runs were lost", w.Clock.Now().Sub(submittedAt), w.Checker.Metrics["attempts/lost"])
 	requireInvariants(t, w)
 	for n := range jobs {
 		state := w.StoredState(jobID(n))
@@ -56,7 +56,7 @@
 		healthy++
 		if state == taskgraph.Failed {
 			failed++
-			for _, line := range w.Judge.Trace {
+			for _, line := range w.Checker.DecisionLog {
 				if strings.Contains(line, "job given up") && strings.Contains(line, jobID(n)) {
 					t.Log(line)
 				}
@@ -74,7 +74,7 @@
 	for _, seed := range []uint64{1, 2, 7} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			healthy, failed := runPoisonInFullPool(t, seed, 440, 11, simulation.Crash{From: simulation.AtWork, After: 10 * time.Millisecond})
+			healthy, failed := runPoisonInFullPool(t, seed, 440, 11, simulation.Crash{From: simulation.AtWorkStart, After: 10 * time.Millisecond})
 			require.Zero(t, failed, "failed jobs of %d healthy ones", healthy)
 		})
 	}
--- a/internal/pool/policy_test.go
+++ b/internal/pool/policy_test.go
@@ -13,26 +13,26 @@
 
 // TestStalledRunsAreRestarted guards against a stalled run that blocks its job for good.
 func TestStalledRunsAreRestarted(t *testing.T) {
-	w := simulation.NewWorld(1, 4)
+	w := simulation.NewCluster(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-	w.Workers[0].Standing = true
+	w.Workers[0].Stalled = true
 	w.Submit(spec(1, single(12), gang(2)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(25 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Positive(t, w.Judge.Counts["stops/stands still"])
+	require.Positive(t, w.Checker.Metrics["stops/stands still"])
 }
 
 // TestNoStarvationWithFreeResources guards against starvation of jobs while most of the pool
 // is kept free for urgent jobs that do not come.
 func TestNoStarvationWithFreeResources(t *testing.T) {
-	w := simulation.NewWorld(3, 4)
+	w := simulation.NewCluster(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	long := single(32)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	deferrable := single(1)
 	deferrable.EstimateMillis = 30000
@@ -43,14 +43,14 @@
 	w.Submit(spec(3, local), batch)
 	w.Run(2700 * time.Millisecond)
 	for _, n := range []int{2, 3} {
-		require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(n)}), "job %d", n)
+		require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(n)}), "job %d", n)
 	}
 }
 
 // TestOnTimeUnitsBeforeLateOnes checks that a job that has missed its objective does not
 // make the jobs behind it miss theirs.
 func TestOnTimeUnitsBeforeLateOnes(t *testing.T) {
-	w := simulation.NewWorld(1, 1)
+	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	wholeWorker := func() taskgraph.Step {
 		step := single(1)
@@ -60,7 +60,7 @@
 	tight := catalog.Queue{Name: "tight", Priority: 1, MaxAttempts: 3, Stretch: 1}
 	roomy := catalog.Queue{Name: "roomy", Priority: 1, MaxAttempts: 3, Stretch: 3}
 	w.Submit(spec(1, wholeWorker()), roomy)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(2, wholeWorker()), tight)
 	w.Run(100 * time.Millisecond)
@@ -76,11 +76,11 @@
 // TestGangsLearnToAvoidSlowWorkers checks that the progress of a gang's members identifies a
 // slow worker, which later gangs use only if no other worker is free.
 func TestGangsLearnToAvoidSlowWorkers(t *testing.T) {
-	w := simulation.NewWorld(1, 4)
+	w := simulation.NewCluster(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	slow := w.Workers[1]
-	slow.Slowness = 1.3
-	w.Own()
+	slow.SlowdownFactor = 1.3
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, gang(4)), batch)
 	w.Run(8 * time.Second)
@@ -100,7 +100,7 @@
 // TestSameRackGangWaitsForLocality checks that a gang that takes three times as long across
 // racks waits up to twice its estimate for one rack, and not at all if it fits on no rack.
 func TestSameRackGangWaitsForLocality(t *testing.T) {
-	w := simulation.NewWorld(2, 2)
+	w := simulation.NewCluster(2, 2)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 1500 * time.Millisecond }
 	sameRackGang := func(count int) taskgraph.Step {
 		step := gang(count)
@@ -109,17 +109,17 @@
 	}
 	// Each rack has one free worker for a second and a half.
 	w.Submit(spec(1, gang(1)), urgent)
-	w.Own()
+	w.AcquirePool()
 	w.Run(300 * time.Millisecond)
 	w.Submit(spec(2, sameRackGang(2)), urgent)
 	w.Run(300 * time.Millisecond)
 	w.Submit(spec(3, sameRackGang(2)), urgent)
 	w.Run(900 * time.Millisecond)
-	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(3)}), "the gang waits for one rack")
+	require.Zero(t, w.Checker.Starts(taskgraph.TaskName{Job: jobID(3)}), "the gang waits for one rack")
 	w.Run(10 * time.Second)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
 	w.Submit(spec(4, sameRackGang(3)), batch)
 	w.Run(300 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(4)}), "the gang fits on no rack")
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(4)}), "the gang fits on no rack")
 	requireInvariants(t, w)
 }
--- a/internal/pool/poll_queue_test.go
+++ b/internal/pool/poll_queue_test.go
@@ -14,7 +14,7 @@
 // takes them for unresponsive. Workers with runs come first.
 func TestFirstContactsAreBounded(t *testing.T) {
 	const maxContacts = 128
-	w := simulation.NewWorld(30, 10)
+	w := simulation.NewCluster(30, 10)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 20 * time.Second }
 	last := w.Workers[len(w.Workers)-1]
 	for _, worker := range w.Workers {
@@ -22,21 +22,21 @@
 		w.PutWorkerRow(worker)
 	}
 	w.Submit(spec(1, single(1)), urgent)
-	first := w.Own()
+	first := w.AcquirePool()
 	w.Run(time.Second)
 	require.Equal(t, 1, last.Runs())
 	first.Process.Kill()
 	for _, worker := range w.Workers {
-		worker.Draining, worker.Cut = false, worker != last
+		worker.Draining, worker.Partitioned = false, worker != last
 		w.PutWorkerRow(worker)
 	}
-	before := w.Judge.Counts["worker_orders/hold"]
-	w.Own()
+	before := w.Checker.Metrics["worker_orders/hold"]
+	w.AcquirePool()
 	w.Run(100 * time.Millisecond)
-	require.LessOrEqual(t, w.Judge.Counts["worker_orders/hold"]-before, maxContacts+2)
-	require.Contains(t, w.Judge.Trace[len(w.Judge.Trace)-1], "rows read", "no worker counts as unresponsive yet")
+	require.LessOrEqual(t, w.Checker.Metrics["worker_orders/hold"]-before, maxContacts+2)
+	require.Contains(t, w.Checker.DecisionLog[len(w.Checker.DecisionLog)-1], "rows read", "no worker counts as unresponsive yet")
 	for _, worker := range w.Workers {
-		worker.Cut = false
+		worker.Partitioned = false
 	}
 	w.Submit(spec(2, single(100)), batch)
 	w.Run(10 * time.Second)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -39,32 +39,32 @@
 	return taskgraph.Spec{ID: jobID(n), Payload: "payload", Steps: steps}
 }
 
-func requireInvariants(t *testing.T, w *simulation.World) {
+func requireInvariants(t *testing.T, w *simulation.Cluster) {
 	t.Helper()
-	if len(w.Judge.Broken) > 0 {
-		t.Log(strings.Join(w.Judge.Trace, "\n"))
+	if len(w.Checker.Violations) > 0 {
+		t.Log(strings.Join(w.Checker.DecisionLog, "\n"))
 	}
-	require.Empty(t, w.Judge.Broken)
+	require.Empty(t, w.Checker.Violations)
 }
 
 // requireInvariantsNeed requires that a scenario holds all invariants and completes its first job,
 // and that it violates an invariant with the given safeguards disabled.
-func requireInvariantsNeed(t *testing.T, scenario func(pool.DisabledSafeguards) *simulation.World, without pool.DisabledSafeguards) {
+func requireInvariantsNeed(t *testing.T, scenario func(pool.DisabledSafeguards) *simulation.Cluster, without pool.DisabledSafeguards) {
 	t.Helper()
 	w := scenario(pool.DisabledSafeguards{})
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.NotEmpty(t, scenario(without).Judge.Broken, "no invariant violated without the safeguard")
+	require.NotEmpty(t, scenario(without).Checker.Violations, "no invariant violated without the safeguard")
 }
 
 func TestGraphOfStepsRunsInOrder(t *testing.T) {
-	w := simulation.NewWorld(2, 4)
+	w := simulation.NewCluster(2, 4)
 	second := single(3)
 	second.After = []int{0}
 	third := gang(2)
 	third.After = []int{0, 1}
 	w.Submit(spec(1, single(5), second, third), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -73,10 +73,10 @@
 // TestWorkerReplacedDuringPlacement: the owner panicked when a worker was replaced between the
 // write of a placement and the start.
 func TestWorkerReplacedDuringPlacement(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	first := spec(1, single(1))
 	w.Submit(first, batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(500 * time.Millisecond)
 	w.Store.Latency = 400 * time.Millisecond
 	w.Submit(spec(2, single(16)), batch)
@@ -93,31 +93,31 @@
 }
 
 func TestTakeoverAfterKill(t *testing.T) {
-	w := simulation.NewWorld(2, 4)
+	w := simulation.NewCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(1, single(4), gang(3)), batch)
-	first := w.Own()
+	first := w.AcquirePool()
 	w.Run(time.Second)
 	first.Process.Kill()
 	w.Run(time.Second)
-	w.Own()
+	w.AcquirePool()
 	w.Run(6 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	name := taskgraph.TaskName{Job: jobID(1)}
-	require.Equal(t, 1, w.Judge.Starts(name), "the run continues under the next owner")
+	require.Equal(t, 1, w.Checker.Starts(name), "the run continues under the next owner")
 }
 
 func TestFrozenOwnerStartsNothingAfterTakeover(t *testing.T) {
-	w := simulation.NewWorld(1, 4)
+	w := simulation.NewCluster(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-	first := w.Own()
+	first := w.AcquirePool()
 	w.Run(100 * time.Millisecond)
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(15 * time.Millisecond)
 	first.Process.Freeze(w.Clock.Now().Add(4 * time.Second))
 	w.Run(time.Second)
-	second := w.Own()
+	second := w.AcquirePool()
 	w.Run(10 * time.Second)
 	requireInvariants(t, w)
 	require.NotEmpty(t, first.Ended)
@@ -126,57 +126,57 @@
 }
 
 func TestDelayedStartIsRejected(t *testing.T) {
-	w := simulation.NewWorld(1, 3)
+	w := simulation.NewCluster(1, 3)
 	late := 0
-	w.Workers[0].LoseOrder = func() simulation.Fate {
+	w.Workers[0].OrderOutcome = func() simulation.Outcome {
 		late++
 		if late <= 3 {
-			return simulation.DoneLate
+			return simulation.AppliedLate
 		}
-		return simulation.Answered
+		return simulation.Acknowledged
 	}
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.Submit(spec(1, single(20)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
 func TestPartitionedWorkerLeasesExpire(t *testing.T) {
-	w := simulation.NewWorld(1, 3)
+	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	w.Submit(spec(1, single(24)), batch)
-	first := w.Own()
+	first := w.AcquirePool()
 	w.Run(time.Second)
-	w.Workers[0].Cut = true
+	w.Workers[0].Partitioned = true
 	first.Process.Kill()
-	w.Own()
+	w.AcquirePool()
 	w.Run(30 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
 func TestStoreAwayLongerThanAnyLease(t *testing.T) {
-	w := simulation.NewWorld(1, 3)
+	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 15 * time.Second }
 	w.Submit(spec(1, single(8)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
-	w.Store.AwayAll = true
+	w.Store.Unavailable = true
 	w.Run(12 * time.Second)
-	w.Store.AwayAll = false
+	w.Store.Unavailable = false
 	w.Run(6 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), "leases are extended without the store")
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}), "leases are extended without the store")
 }
 
 func TestProgressIsWrittenToAnotherPartition(t *testing.T) {
-	w := simulation.NewWorld(1, 3)
-	w.Own()
+	w := simulation.NewCluster(1, 3)
+	w.AcquirePool()
 	w.Run(time.Second)
-	w.Store.Away[pool.ProgressPartitions(simulation.PoolName)[0]] = true
+	w.Store.UnavailablePartitions[pool.ProgressPartitions(simulation.PoolName)[0]] = true
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(3 * time.Second)
 	requireInvariants(t, w)
@@ -186,12 +186,12 @@
 // TestPoolIsReleasedPromptlyWithPendingResults: run results that wait to share a transaction must
 // not delay the release of the pool.
 func TestPoolIsReleasedPromptlyWithPendingResults(t *testing.T) {
-	w := simulation.NewWorld(2, 8)
+	w := simulation.NewCluster(2, 8)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		return time.Second + time.Duration(name.Index)*7*time.Millisecond
 	}
 	w.Submit(spec(1, single(100)), batch)
-	owner := w.Own()
+	owner := w.AcquirePool()
 	w.Run(1200 * time.Millisecond)
 	owner.Process.Post(owner.Release)
 	w.Run(100 * time.Millisecond)
@@ -201,13 +201,13 @@
 // TestUnresponsivePartitionDelaysStartsBriefly: a store partition that does not respond must delay starts
 // only briefly.
 func TestUnresponsivePartitionDelaysStartsBriefly(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
-	w.Own()
+	w := simulation.NewCluster(1, 2)
+	w.AcquirePool()
 	w.Run(time.Second)
-	w.Store.Silent[pool.ProgressPartitions(simulation.PoolName)[0]] = true
+	w.Store.UnresponsivePartitions[pool.ProgressPartitions(simulation.PoolName)[0]] = true
 	w.Submit(spec(1, single(1)), urgent)
 	w.Run(700 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.JobStarts(jobID(1)))
+	require.Equal(t, 1, w.Checker.JobStarts(jobID(1)))
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -216,20 +216,20 @@
 func TestLostStoreResponsesAreResolved(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		w := simulation.NewWorld(2, 4)
-		w.Store.Lose = func() simulation.Fate {
+		w := simulation.NewCluster(2, 4)
+		w.Store.WriteOutcome = func() simulation.Outcome {
 			if random.Float64() < 0.35 {
-				return simulation.Fate(1 + random.IntN(3))
+				return simulation.Outcome(1 + random.IntN(3))
 			}
-			return simulation.Answered
+			return simulation.Acknowledged
 		}
 		for n := range 5 {
 			w.Submit(spec(n, single(6), gang(2)), batch)
 		}
-		first := w.Own()
+		first := w.AcquirePool()
 		w.Run(2 * time.Second)
 		first.Process.Kill()
-		w.Own()
+		w.AcquirePool()
 		w.Run(60 * time.Second)
 		requireInvariants(t, w)
 		for n := range 5 {
@@ -239,7 +239,7 @@
 }
 
 func TestUrgentGangStopsOthers(t *testing.T) {
-	w := simulation.NewWorld(1, 4)
+	w := simulation.NewCluster(1, 4)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		if name.Job == jobID(9) {
 			return time.Second
@@ -249,7 +249,7 @@
 	long := single(32)
 	long.EstimateMillis = 20000
 	w.Submit(spec(1, long), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(2 * time.Second)
 	wide := gang(3)
 	wide.SameRack = true
@@ -257,30 +257,30 @@
 	w.Run(2500 * time.Millisecond)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(9)))
-	require.Positive(t, w.Judge.Counts["stops/preempted"])
-	require.Zero(t, w.Judge.Counts["start_failures/no_room"])
+	require.Positive(t, w.Checker.Metrics["stops/preempted"])
+	require.Zero(t, w.Checker.Metrics["start_failures/no_room"])
 }
 
 func TestFailuresEndTheJobAtItsLimit(t *testing.T) {
-	w := simulation.NewWorld(1, 6)
+	w := simulation.NewCluster(1, 6)
 	for _, worker := range w.Workers {
 		worker.Failing = true
 	}
 	w.Submit(spec(1, single(1)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(30 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Failed, w.StoredState(jobID(1)))
-	require.Equal(t, batch.MaxAttempts, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Equal(t, batch.MaxAttempts, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
 func TestOneFailingWorkerDoesNotEndJobs(t *testing.T) {
-	w := simulation.NewWorld(1, 6)
+	w := simulation.NewCluster(1, 6)
 	w.Workers[0].Failing = true
 	for n := range 10 {
 		w.Submit(spec(n, single(4)), batch)
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	for n := range 10 {
@@ -289,10 +289,10 @@
 }
 
 func TestCancelStopsWhatRuns(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	w.Submit(spec(1, single(24)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Cancel(jobID(1))
 	w.Run(2 * time.Second)
@@ -304,12 +304,12 @@
 }
 
 func TestDrainingWorkerGetsNothingAndIsEmptied(t *testing.T) {
-	w := simulation.NewWorld(1, 3)
+	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
 	long := single(4)
 	long.EstimateMillis = 6000
 	w.Submit(spec(1, long), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	leaving := w.Workers[0]
 	leaving.Draining, leaving.RemainingMillis = true, 2000
@@ -324,16 +324,16 @@
 }
 
 func TestTimedJobRunsAtItsTimes(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	timed := spec(1, single(1))
 	timed.Repetitions, timed.IntervalMillis = 3, 2000
 	timed.FirstRunMillis = w.Clock.Now().Add(time.Second).UnixMilli()
 	w.Submit(timed, batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(900 * time.Millisecond)
-	require.Zero(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Zero(t, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 	w.Run(4500 * time.Millisecond)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1), Repetition: 2}))
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1), Repetition: 2}))
 	w.Run(3 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -341,15 +341,15 @@
 
 // TestLongRunningTasksAreRestarted: long-running tasks are restarted until their job is cancelled.
 func TestLongRunningTasksAreRestarted(t *testing.T) {
-	w := simulation.NewWorld(1, 3)
+	w := simulation.NewCluster(1, 3)
 	lasting := single(3)
 	lasting.LongRunning, lasting.AllowedMisses = true, 1
 	w.Submit(spec(1, lasting), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(10 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Running, w.StoredState(jobID(1)))
-	require.Greater(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), 2)
+	require.Greater(t, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}), 2)
 	w.Cancel(jobID(1))
 	w.Run(3 * time.Second)
 	require.Equal(t, taskgraph.Cancelled, w.StoredState(jobID(1)))
--- a/internal/pool/reliability_test.go
+++ b/internal/pool/reliability_test.go
@@ -13,7 +13,7 @@
 // TestFailingWorkersUseUpNoGangAttempts guards against gangs that lose all attempts to workers that
 // fail all new runs while their older runs still make progress.
 func TestFailingWorkersUseUpNoGangAttempts(t *testing.T) {
-	w := simulation.NewWorld(4, 10)
+	w := simulation.NewCluster(4, 10)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		if name.Job == jobID(0) {
 			return 20 * time.Second
@@ -23,7 +23,7 @@
 	long := single(80)
 	long.EstimateMillis = 20000
 	w.Submit(spec(0, long), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	for i, worker := range w.Workers {
 		worker.Failing = i%8 == 0
@@ -45,10 +45,10 @@
 // TestHealthyWorkersAreUsedAgain checks that a worker that failed a run gets gangs again once
 // another run has made progress there.
 func TestHealthyWorkersAreUsedAgain(t *testing.T) {
-	w := simulation.NewWorld(1, 2)
+	w := simulation.NewCluster(1, 2)
 	w.Workers[0].Failing = true
 	w.Submit(spec(1, single(1)), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(500 * time.Millisecond)
 	w.Workers[0].Failing = false
 	w.Submit(spec(2, single(12)), batch)
@@ -62,7 +62,7 @@
 // TestSameRackGangDespiteFailedWorker guards against a same-rack gang that is spread over several
 // racks, and so slowed down, because one worker of each rack failed once.
 func TestSameRackGangDespiteFailedWorker(t *testing.T) {
-	w := simulation.NewWorld(2, 3)
+	w := simulation.NewCluster(2, 3)
 	for i, worker := range w.Workers {
 		worker.Failing = i%3 == 0
 	}
@@ -70,7 +70,7 @@
 	spread.MaxPerWorker = 1
 	w.Work = func(taskgraph.TaskName) time.Duration { return 350 * time.Millisecond }
 	w.Submit(spec(1, spread), batch)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Second }
 	for _, worker := range w.Workers {
--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -20,14 +20,14 @@
 
 // newMixedSpeedCluster returns a simulation whose workers alternate between three speeds in each
 // rack.
-func newMixedSpeedCluster(racks, workers int) *simulation.World {
-	w := simulation.NewWorld(racks, workers)
+func newMixedSpeedCluster(racks, workers int) *simulation.Cluster {
+	w := simulation.NewCluster(racks, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return mixedSpeedWork }
 	queue := urgent
 	queue.Pool = simulation.PoolName
 	w.Catalog.Queues = []catalog.Queue{queue}
 	for i, worker := range w.Workers {
-		worker.Slowness = []float64{1 / 0.6, 1, 1 / 1.6}[i%3]
+		worker.SlowdownFactor = []float64{1 / 0.6, 1, 1 / 1.6}[i%3]
 	}
 	return w
 }
@@ -38,10 +38,10 @@
 }
 
 // runsOnSlow returns the number of a job's runs on slow workers.
-func runsOnSlow(w *simulation.World, job int) int {
+func runsOnSlow(w *simulation.Cluster, job int) int {
 	count := 0
 	for _, worker := range w.Workers {
-		if worker.Slowness > 1 {
+		if worker.SlowdownFactor > 1 {
 			count += worker.RunsOf(jobID(job))
 		}
 	}
@@ -52,19 +52,19 @@
 // takes longer than waiting for its slow member.
 func TestOrdinarySpeedDifferencesCauseNoRestart(t *testing.T) {
 	w := newMixedSpeedCluster(1, 12)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, withMixedSpeedEstimate(gang(6))), urgent)
 	w.Run(12 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Zero(t, w.Judge.Counts["stops/slow member"])
+	require.Zero(t, w.Checker.Metrics["stops/slow member"])
 }
 
 // TestSpeedsFromRunningGang checks that speeds are learned from a gang before it ends.
 func TestSpeedsFromRunningGang(t *testing.T) {
 	w := newMixedSpeedCluster(2, 9)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	step := withMixedSpeedEstimate(gang(18))
 	step.GPUs, step.MaxPerWorker = 4, 1
@@ -74,7 +74,7 @@
 	smallGang.GPUs = 4
 	w.Submit(spec(2, smallGang), urgent)
 	w.Run(200 * time.Millisecond)
-	require.Equal(t, 4, w.Judge.Starts(taskOf(2, 0, 0))+w.Judge.Starts(taskOf(2, 0, 1))+w.Judge.Starts(taskOf(2, 0, 2))+w.Judge.Starts(taskOf(2, 0, 3)))
+	require.Equal(t, 4, w.Checker.Starts(taskOf(2, 0, 0))+w.Checker.Starts(taskOf(2, 0, 1))+w.Checker.Starts(taskOf(2, 0, 2))+w.Checker.Starts(taskOf(2, 0, 3)))
 	require.Zero(t, runsOnSlow(w, 2))
 	requireInvariants(t, w)
 }
@@ -83,7 +83,7 @@
 // slow.
 func TestSpeedsFromSingleTasks(t *testing.T) {
 	w := newMixedSpeedCluster(2, 9)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	for n := 1; n <= 2; n++ {
 		w.Submit(spec(n, withMixedSpeedEstimate(single(72))), batch)
@@ -99,7 +99,7 @@
 // if it would miss its objective on the free, slow ones.
 func TestUrgentGangPreemptsOnFasterWorkers(t *testing.T) {
 	w := newMixedSpeedCluster(1, 9)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	w.Submit(spec(1, withMixedSpeedEstimate(gang(9))), batch)
 	w.Run(10 * time.Second)
@@ -120,8 +120,8 @@
 func TestDeferrableTasksExploreIdleWorkers(t *testing.T) {
 	explored := func(off mechanism.Disabled) int {
 		w := newMixedSpeedCluster(4, 9)
-		w.Off = off
-		w.Own()
+		w.DisabledMechanisms = off
+		w.AcquirePool()
 		w.Run(time.Second)
 		w.Submit(spec(1, withMixedSpeedEstimate(gang(9))), batch)
 		w.Run(8 * time.Second)
--- a/internal/pool/stalls_test.go
+++ b/internal/pool/stalls_test.go
@@ -13,17 +13,17 @@
 // gangWork is the duration of the gangs in these tests.
 const gangWork = 2500 * time.Millisecond
 
-func newGangCluster(racks, workers int) *simulation.World {
-	w := simulation.NewWorld(racks, workers)
+func newGangCluster(racks, workers int) *simulation.Cluster {
+	w := simulation.NewCluster(racks, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return gangWork }
 	return w
 }
 
 // newClusterWithGang returns a simulation of four workers with an owner and a gang as job 1.
-func newClusterWithGang(members int, work, estimate time.Duration) *simulation.World {
-	w := simulation.NewWorld(1, 4)
+func newClusterWithGang(members int, work, estimate time.Duration) *simulation.Cluster {
+	w := simulation.NewCluster(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
-	w.Own()
+	w.AcquirePool()
 	step := gang(members)
 	step.EstimateMillis = estimate.Milliseconds()
 	w.Submit(spec(1, step), batch)
@@ -31,7 +31,7 @@
 }
 
 // workersOf returns the workers that run tasks of a job.
-func workersOf(w *simulation.World, job string) []*simulation.Worker {
+func workersOf(w *simulation.Cluster, job string) []*simulation.Worker {
 	var running []*simulation.Worker
 	for _, worker := range w.Workers {
 		if worker.RunsOf(job) > 0 {
@@ -46,9 +46,9 @@
 func TestStalledNewGangIsRestartedSoon(t *testing.T) {
 	w := newGangCluster(2, 4)
 	for _, worker := range w.Workers[:2] {
-		worker.Standing = true
+		worker.Stalled = true
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, gang(3)), urgent)
 	w.Run(3*gangWork - time.Second)
 	requireInvariants(t, w)
@@ -59,8 +59,8 @@
 func TestStalledWorkersGetNoNewWork(t *testing.T) {
 	w := newGangCluster(1, 4)
 	stalled := w.Workers[0]
-	stalled.Standing = true
-	w.Own()
+	stalled.Stalled = true
+	w.AcquirePool()
 	limited := single(8)
 	limited.MaxPerWorker = 2
 	w.Submit(spec(1, limited), batch)
@@ -70,7 +70,7 @@
 	w.Submit(spec(2, single(8)), urgent)
 	w.Run(time.Second)
 	require.Zero(t, stalled.RunsOf(jobID(2)))
-	stalled.Standing = false
+	stalled.Stalled = false
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -84,13 +84,13 @@
 	w.Run(work / 2)
 	running := workersOf(w, jobID(1))
 	require.Len(t, running, 3)
-	running[0].Standing = true
+	running[0].Stalled = true
 	w.Run(stall)
-	running[0].Standing = false
+	running[0].Stalled = false
 	w.Run(work)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
 // TestLongTasksAreNotStalled checks that a run whose progress takes 36 s per percent does not
@@ -100,7 +100,7 @@
 	w := newClusterWithGang(3, work, work)
 	w.Run(2 * time.Minute)
 	requireInvariants(t, w)
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
 
 // TestUnderestimatedTaskCompletes guards against endless restarts of a task that takes
@@ -113,7 +113,7 @@
 			w.Run(work + 2*time.Minute)
 			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-			require.LessOrEqual(t, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}), 6)
+			require.LessOrEqual(t, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}), 6)
 		})
 	}
 }
--- a/internal/pool/stragglers_test.go
+++ b/internal/pool/stragglers_test.go
@@ -14,9 +14,9 @@
 func TestGangWithStragglersIsRestarted(t *testing.T) {
 	w := newGangCluster(2, 4)
 	for _, worker := range w.Workers[:2] {
-		worker.Slowness = 7
+		worker.SlowdownFactor = 7
 	}
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, gang(3)), urgent)
 	w.Run(3*gangWork - time.Second)
 	requireInvariants(t, w)
@@ -27,8 +27,8 @@
 func TestStragglerWorkerIsExcluded(t *testing.T) {
 	w := newGangCluster(2, 4)
 	slow := w.Workers[0]
-	slow.Slowness = 7
-	w.Own()
+	slow.SlowdownFactor = 7
+	w.AcquirePool()
 	w.Submit(spec(1, gang(3)), urgent)
 	w.Run(2 * time.Second)
 	w.Submit(spec(2, single(4)), batch)
@@ -43,13 +43,13 @@
 	const work = 6 * time.Second
 	w := newGangCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
-	w.Workers[0].Slowness = 2
-	w.Own()
+	w.Workers[0].SlowdownFactor = 2
+	w.AcquirePool()
 	step := gang(3)
 	step.EstimateMillis = work.Milliseconds()
 	w.Submit(spec(1, step), batch)
 	w.Run(3 * work)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Judge.Starts(taskgraph.TaskName{Job: jobID(1)}))
+	require.Equal(t, 1, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 }
--- a/internal/pool/unresponsive_test.go
+++ b/internal/pool/unresponsive_test.go
@@ -16,7 +16,7 @@
 // busy. Gangs submitted a while later are placed once.
 func TestGangsAvoidWorkersFailedWithOthers(t *testing.T) {
 	w := newGangCluster(3, 12)
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	for n := 1; n <= 6; n++ {
 		w.Submit(spec(n, gang(2)), batch)
@@ -36,6 +36,6 @@
 	requireInvariants(t, w)
 	for n := 11; n <= 16; n++ {
 		require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)), "job %d", n)
-		require.Equal(t, 1, w.Judge.Starts(taskOf(n, 0, 0)), "job %d", n)
+		require.Equal(t, 1, w.Checker.Starts(taskOf(n, 0, 0)), "job %d", n)
 	}
 }
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -25,7 +25,7 @@
 // workerFaults is a simulation in which workers crash, lose capacity, drain and are partitioned
 // from the network, some tasks crash their workers, and owners are killed, frozen and suspended.
 type workerFaults struct {
-	*simulation.World
+	*simulation.Cluster
 	random *rand.Rand
 	// zones, restarts and foreign draw evacuations, worker restarts and invalid worker rows. Each
 	// kind has its own generator, so that it does not change the other faults of a seed.
@@ -52,17 +52,17 @@
 			t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 				t.Parallel()
 				f := runWorkerFaults(uint64(seed), pool.DisabledSafeguards{}, false)
-				requireInvariants(t, f.World)
+				requireInvariants(t, f.Cluster)
 				soundHere, givenUpHere := f.countRegularJobs(t)
 				mutex.Lock()
 				defer mutex.Unlock()
 				sound += soundHere
 				givenUp += givenUpHere
 				for _, reason := range []string{"crash_odds", "crash_limit"} {
-					reasons[reason] += f.Judge.Counts["given_up/"+reason]
+					reasons[reason] += f.Checker.Metrics["given_up/"+reason]
 				}
 				for _, name := range f.crashingTasks {
-					lost[f.Judge.Crashes(name)]++
+					lost[f.Checker.Crashes(name)]++
 				}
 			})
 		}
@@ -88,8 +88,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(*workerSeeds) {
-				if f := runWorkerFaults(seed, c.without, c.steady); len(f.Judge.Broken) > 0 {
-					t.Logf("seed %d: %s", seed, f.Judge.Broken[0])
+				if f := runWorkerFaults(seed, c.without, c.steady); len(f.Checker.Violations) > 0 {
+					t.Logf("seed %d: %s", seed, f.Checker.Violations[0])
 					return
 				}
 			}
@@ -117,7 +117,7 @@
 			if state == taskgraph.Failed {
 				givenUp++
 				if testing.Verbose() {
-					for _, line := range f.Judge.Trace {
+					for _, line := range f.Checker.DecisionLog {
 						if strings.Contains(line, "job given up") && strings.Contains(line, jobID(n)) {
 							t.Log(line)
 						}
@@ -141,7 +141,7 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			f := runWorkerFaultsWithMaxLease(seed, pool.DisabledSafeguards{}, false, 10*time.Second)
-			requireInvariants(t, f.World)
+			requireInvariants(t, f.Cluster)
 			f.countRegularJobs(t)
 		})
 	}
@@ -151,28 +151,28 @@
 // jobs finish. A maxHold of 0 leaves the default maximum lease.
 func runWorkerFaultsWithMaxLease(seed uint64, without pool.DisabledSafeguards, steady bool, maxHold time.Duration) *workerFaults {
 	f := &workerFaults{
-		World: simulation.NewWorld(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
+		Cluster: simulation.NewCluster(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
 		invalidRows: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
 	}
-	f.Without, f.SteadyTime, f.Unguarded = without, steady, seed%2 == 1
-	f.Catalog.Pools[0].EnforcesCapacity = !f.Unguarded
-	f.LateOrdersOutliveWorkers = seed%3 == 0
+	f.Without, f.SuspendedClock, f.SkipCapacityCheck = without, steady, seed%2 == 1
+	f.Catalog.Pools[0].EnforcesCapacity = !f.SkipCapacityCheck
+	f.LateOrdersReachRestartedWorkers = seed%3 == 0
 	if maxHold > 0 {
 		f.Bounds.MaxLease = maxHold
 	}
 	f.Work = func(taskgraph.TaskName) time.Duration { return f.between(500, 3500) }
-	f.Store.Lose = f.randomFate(0.03)
+	f.Store.WriteOutcome = f.randomFate(0.03)
 	for _, worker := range f.Workers {
-		worker.LoseOrder = f.randomFate(0.03)
+		worker.OrderOutcome = f.randomFate(0.03)
 	}
-	f.owner = f.Own()
+	f.owner = f.AcquirePool()
 	for range 40 {
 		f.submitSome()
 		f.injectWorkerFault()
 		f.injectOwnerFault()
-		changeEvacuationsAtRandom(f.World, f.zones)
-		f.RestartSome(f.restarts)
-		f.ForeignRowsSome(f.invalidRows)
+		changeEvacuationsAtRandom(f.Cluster, f.zones)
+		f.RestartRandomWorkers(f.restarts)
+		f.InjectInvalidRow(f.invalidRows)
 		f.Run(f.between(0, 1200))
 	}
 	f.clearFaultsAndFinish()
@@ -183,12 +183,12 @@
 	return time.Duration(least+f.random.IntN(most-least)) * time.Millisecond
 }
 
-func (f *workerFaults) randomFate(probability float64) func() simulation.Fate {
-	return func() simulation.Fate {
+func (f *workerFaults) randomFate(probability float64) func() simulation.Outcome {
+	return func() simulation.Outcome {
 		if f.random.Float64() < probability {
-			return simulation.Fate(1 + f.random.IntN(3))
+			return simulation.Outcome(1 + f.random.IntN(3))
 		}
-		return simulation.Answered
+		return simulation.Acknowledged
 	}
 }
 
@@ -217,7 +217,7 @@
 func (f *workerFaults) addCrashingTask(steps []taskgraph.Step) {
 	step := f.random.IntN(len(steps))
 	name := taskOf(f.jobs, step, f.random.IntN(steps[step].Count))
-	crash := simulation.Crash{From: simulation.CrashPoint(f.random.IntN(2)), After: 10 * time.Millisecond}
+	crash := simulation.Crash{From: simulation.CrashTrigger(f.random.IntN(2)), After: 10 * time.Millisecond}
 	if f.random.IntN(3) == 0 {
 		crash.After = f.between(0, 400)
 	}
@@ -228,7 +228,7 @@
 // injectWorkerFault injects a fault that no task causes into a random worker or its rack.
 func (f *workerFaults) injectWorkerFault() {
 	worker := f.Workers[f.random.IntN(len(f.Workers))]
-	if worker.Dead {
+	if worker.Crashed {
 		return
 	}
 	switch f.random.IntN(14) {
@@ -236,12 +236,12 @@
 		worker.CrashAndRestart()
 	case 1:
 		for _, neighbour := range f.Workers {
-			if neighbour.Rack() == worker.Rack() && !neighbour.Dead {
+			if neighbour.Rack() == worker.Rack() && !neighbour.Crashed {
 				neighbour.CrashAndRestart()
 			}
 		}
 	case 2:
-		worker.Cut = !worker.Cut
+		worker.Partitioned = !worker.Partitioned
 	case 3, 4, 5:
 		shrunk := simulation.WorkerCapacity
 		shrunk.GPUs = f.random.IntN(9)
@@ -259,7 +259,7 @@
 	worker.Draining, worker.RemainingMillis = true, 2000
 	f.PutWorkerRow(worker)
 	f.Clock.After(2500*time.Millisecond, func() {
-		if !worker.Dead {
+		if !worker.Crashed {
 			worker.CrashAndRestart()
 		}
 	})
@@ -280,38 +280,38 @@
 	case 4:
 		f.owner.Process.Suspend(f.Clock.Now().Add(f.between(0, 6000)))
 	case 5:
-		f.Store.AwayAll = !f.Store.AwayAll
+		f.Store.Unavailable = !f.Store.Unavailable
 	case 6:
 		part := pool.ProgressPartitions(simulation.PoolName)[f.random.IntN(3)]
-		f.Store.Silent[part] = !f.Store.Silent[part]
+		f.Store.UnresponsivePartitions[part] = !f.Store.UnresponsivePartitions[part]
 	case 7:
 		f.owner.Process.Post(f.owner.Release)
 		f.takeOver(300)
 	}
 	if f.owner.Ended != "" {
-		f.owner = f.Own()
+		f.owner = f.AcquirePool()
 	}
 }
 
 func (f *workerFaults) takeOver(within int) {
 	f.Run(f.between(0, within))
-	f.owner = f.Own()
+	f.owner = f.AcquirePool()
 }
 
 // clearFaultsAndFinish clears all faults, kills the owner and lets a new one finish the jobs.
 func (f *workerFaults) clearFaultsAndFinish() {
-	f.Store.AwayAll = false
-	clear(f.Store.Silent)
-	f.Store.Lose = nil
-	endAllEvacuations(f.World)
+	f.Store.Unavailable = false
+	clear(f.Store.UnresponsivePartitions)
+	f.Store.WriteOutcome = nil
+	endAllEvacuations(f.Cluster)
 	for _, worker := range f.Workers {
-		worker.Cut, worker.LoseOrder = false, nil
-		if !worker.Dead && worker.Capacity != simulation.WorkerCapacity {
+		worker.Partitioned, worker.OrderOutcome = false, nil
+		if !worker.Crashed && worker.Capacity != simulation.WorkerCapacity {
 			worker.SetCapacity(simulation.WorkerCapacity, 0)
 		}
 	}
 	f.owner.Process.Kill()
 	f.Run(time.Second)
-	f.Own()
+	f.AcquirePool()
 	f.Run(110 * time.Second)
 }
--- a/internal/pool/worker_restart_test.go
+++ b/internal/pool/worker_restart_test.go
@@ -22,10 +22,10 @@
 
 // restartWithEndedRuns lets the only worker of a pool report eight ends, restarts it while it runs
 // eight tasks, and then runs what is placed on it.
-func restartWithEndedRuns(clockMillis int64, queue catalog.Queue, afterwards func(*simulation.Worker)) *simulation.World {
-	w := simulation.NewWorld(1, 1)
+func restartWithEndedRuns(clockMillis int64, queue catalog.Queue, afterwards func(*simulation.Worker)) *simulation.Cluster {
+	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-	w.Own()
+	w.AcquirePool()
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(3 * time.Second)
 	w.Submit(spec(2, single(8)), queue)
@@ -45,7 +45,7 @@
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
 			for index := range 8 {
-				require.LessOrEqual(t, w.Judge.Starts(taskOf(2, 0, index)), 2, "one start before and one after the restart")
+				require.LessOrEqual(t, w.Checker.Starts(taskOf(2, 0, index)), 2, "one start before and one after the restart")
 			}
 		})
 	}
--- a/internal/simulation/capacity.go
+++ b/internal/simulation/capacity.go
@@ -28,7 +28,7 @@
 	w.Capacity = capacity
 	w.recordCapacity()
 	w.clock.After(rowAfter, func() {
-		if !w.Dead {
+		if !w.Crashed {
 			w.world.PutWorkerRow(w)
 		}
 	})
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -9,23 +9,23 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Judge checks invariants over all runs and records violations. As the pool.Recorder of the owners
+// Checker checks invariants over all runs and records violations. As the pool.Recorder of the owners
 // it also collects their decisions and counters.
-type Judge struct {
-	world *World
-	// Broken lists the violations in the order of detection.
-	Broken []string
-	// Trace contains the owners' decisions, unless Quiet is set.
-	Trace []string
-	Quiet bool
-	// Decisions counts the owners' decisions by name, ThrownAway is the unsaved work of ended runs
+type Checker struct {
+	world *Cluster
+	// Violations lists the violations in the order of detection.
+	Violations []string
+	// DecisionLog contains the owners' decisions, unless Quiet is set.
+	DecisionLog []string
+	Quiet       bool
+	// DecisionCounts counts the owners' decisions by name, ThrownAway is the unsaved work of ended runs
 	// in core-seconds, and preemptions counts the preemptions of each unit.
-	Decisions   map[string]int
-	ThrownAway  float64
-	preemptions map[string]int
-	Counts      map[string]int
-	jobs        map[string]*jobRecord
-	tasks       map[taskgraph.TaskName]*taskRecord
+	DecisionCounts  map[string]int
+	LostCoreSeconds float64
+	preemptions     map[string]int
+	Metrics         map[string]int
+	jobs            map[string]*jobRecord
+	tasks           map[taskgraph.TaskName]*taskRecord
 }
 
 type jobRecord struct {
@@ -51,34 +51,34 @@
 	startsAfterCrashes int
 }
 
-func newChecker(w *World) *Judge {
-	return &Judge{world: w, Counts: map[string]int{}, Decisions: map[string]int{}, preemptions: map[string]int{}, jobs: map[string]*jobRecord{}, tasks: map[taskgraph.TaskName]*taskRecord{}}
+func newChecker(w *Cluster) *Checker {
+	return &Checker{world: w, Metrics: map[string]int{}, DecisionCounts: map[string]int{}, preemptions: map[string]int{}, jobs: map[string]*jobRecord{}, tasks: map[taskgraph.TaskName]*taskRecord{}}
 }
 
 // Count implements pool.Recorder.
-func (j *Judge) Count(counter, reason string) { j.Counts[counter+"/"+reason]++ }
+func (j *Checker) Count(counter, reason string) { j.Metrics[counter+"/"+reason]++ }
 
 // Set implements pool.Recorder.
-func (j *Judge) Set(gauge string, value int64) { j.Counts[gauge] = int(value) }
+func (j *Checker) Set(gauge string, value int64) { j.Metrics[gauge] = int(value) }
 
 // Observe implements pool.Recorder.
-func (j *Judge) Observe(string, time.Duration) {}
+func (j *Checker) Observe(string, time.Duration) {}
 
 // LogEvent implements pool.Recorder.
-func (j *Judge) LogEvent(decision string, keysAndValues ...any) {
-	j.Decisions[decision]++
+func (j *Checker) LogEvent(decision string, keysAndValues ...any) {
+	j.DecisionCounts[decision]++
 	switch decision {
 	case "stopped":
 		j.countPreemption(fieldsOf(keysAndValues))
 	case "run ended":
 		lost, _ := fieldsOf(keysAndValues)["unsaved_core_s"].(float64)
-		j.ThrownAway += lost
+		j.LostCoreSeconds += lost
 	}
 	if j.Quiet {
 		return
 	}
 	at := j.world.Clock.Now().Sub(j.world.epoch)
-	j.Trace = append(j.Trace, fmt.Sprintf("%v %s %v", at, decision, keysAndValues))
+	j.DecisionLog = append(j.DecisionLog, fmt.Sprintf("%v %s %v", at, decision, keysAndValues))
 }
 
 // fieldsOf converts key-value pairs to a map.
@@ -92,14 +92,14 @@
 	return fields
 }
 
-func (j *Judge) countPreemption(fields map[string]any) {
+func (j *Checker) countPreemption(fields map[string]any) {
 	if fields["reason"] == "preempted" {
 		j.preemptions[fmt.Sprint(fields["job"], " ", fields["step"], " ", fields["unit"])]++
 	}
 }
 
-// MostStops returns the highest number of preemptions of a single unit.
-func (j *Judge) MostStops() int {
+// MaxPreemptions returns the highest number of preemptions of a single unit.
+func (j *Checker) MaxPreemptions() int {
 	most := 0
 	for _, stops := range j.preemptions {
 		most = max(most, stops)
@@ -107,20 +107,20 @@
 	return most
 }
 
-func (j *Judge) violated(format string, args ...any) {
+func (j *Checker) violated(format string, args ...any) {
 	at := j.world.Clock.Now().Sub(j.world.epoch)
-	j.Broken = append(j.Broken, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+	j.Violations = append(j.Violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
-func (j *Judge) accepted(spec *taskgraph.Spec, queue catalog.Queue) {
+func (j *Checker) accepted(spec *taskgraph.Spec, queue catalog.Queue) {
 	j.jobs[spec.ID] = &jobRecord{spec: spec, queue: queue}
 }
 
 // Cancelled records that the cancellation of a job was acknowledged.
-func (j *Judge) Cancelled(id string) { j.cancelled(id) }
+func (j *Checker) Cancelled(id string) { j.cancelled(id) }
 
 // JobStarts returns the number of started runs of a job.
-func (j *Judge) JobStarts(id string) int {
+func (j *Checker) JobStarts(id string) int {
 	starts := 0
 	for name, t := range j.tasks {
 		if name.Job == id {
@@ -131,7 +131,7 @@
 }
 
 // JobDone reports whether every task of a job has completed.
-func (j *Judge) JobDone(id string) bool {
+func (j *Checker) JobDone(id string) bool {
 	spec := j.jobs[id].spec
 	for step := range spec.Steps {
 		for index := range spec.Steps[step].Count {
@@ -143,9 +143,9 @@
 	return true
 }
 
-func (j *Judge) cancelled(id string) { j.jobs[id].cancelledAt = j.world.Clock.Now() }
+func (j *Checker) cancelled(id string) { j.jobs[id].cancelledAt = j.world.Clock.Now() }
 
-func (j *Judge) task(name taskgraph.TaskName) *taskRecord {
+func (j *Checker) task(name taskgraph.TaskName) *taskRecord {
 	known := j.tasks[name]
 	if known == nil {
 		known = &taskRecord{running: map[*run]bool{}, doneRuns: map[int]bool{}}
@@ -162,13 +162,13 @@
 )
 
 // crashed records that a worker crashed while running a task.
-func (j *Judge) crashed(r *run) {
+func (j *Checker) crashed(r *run) {
 	t := j.task(r.name)
 	t.crashes++
 }
 
 // checkCrashes reports a violation if a task that crashes workers starts too often.
-func (j *Judge) checkCrashes(r *run, t *taskRecord) {
+func (j *Checker) checkCrashes(r *run, t *taskRecord) {
 	if _, guilty := j.world.Crashing[r.name]; !guilty || t.crashes < crashAllowance {
 		return
 	}
@@ -178,12 +178,12 @@
 }
 
 // Crashes returns the number of workers that crashed while running a task.
-func (j *Judge) Crashes(name taskgraph.TaskName) int { return j.task(name).crashes }
+func (j *Checker) Crashes(name taskgraph.TaskName) int { return j.task(name).crashes }
 
 // cancelBound is the time after a cancellation from which no run may start.
 const cancelBound = 3 * time.Second
 
-func (j *Judge) started(r *run, order fleet.Start) {
+func (j *Checker) started(r *run, order fleet.Start) {
 	job := j.jobs[r.name.Job]
 	t := j.task(r.name)
 	t.starts++
@@ -215,7 +215,7 @@
 
 // checkZone reports a violation if a run starts in a zone after the evacuation bound. Faults are
 // no exception: owners that cannot read the rows start nothing, and workers refuse late orders.
-func (j *Judge) checkZone(r *run) {
+func (j *Checker) checkZone(r *run) {
 	if evacuatedFor := j.world.evacuatedFor(r.worker.Zone); evacuatedFor > j.world.Bounds.EvacuationTimeout {
 		j.violated("%v run %d starts on %s, whose zone was evacuated %v before", r.name, r.number, r.worker.ID, evacuatedFor)
 	}
@@ -228,14 +228,14 @@
 // recentlyFaultFree reports whether neither the store nor the owner that sent an order had a
 // recent fault. Right after a fault an owner may know that its placements were written but not yet
 // which cancellations were written meanwhile.
-func (j *Judge) recentlyFaultFree(token int64) bool {
+func (j *Checker) recentlyFaultFree(token int64) bool {
 	now := j.world.Clock.Now()
 	owner := j.world.ownerOf[token]
 	paused := owner != nil && now.Sub(owner.Process.PausedUntil()) < faultFreeTime
 	return !paused && now.Sub(j.world.Store.lastFaultAt) >= faultFreeTime
 }
 
-func (j *Judge) checkDependencies(r *run, job *jobRecord) {
+func (j *Checker) checkDependencies(r *run, job *jobRecord) {
 	for _, earlier := range job.spec.Steps[r.name.Step].After {
 		step := &job.spec.Steps[earlier]
 		for index := range step.Count {
@@ -248,7 +248,7 @@
 	}
 }
 
-func (j *Judge) ended(r *run, how fleet.EndReason) {
+func (j *Checker) ended(r *run, how fleet.EndReason) {
 	t := j.task(r.name)
 	delete(t.running, r)
 	j.LogEvent("over", "task", r.name.String(), "run", r.number, "worker", r.worker.ID, "how", how)
@@ -265,7 +265,7 @@
 }
 
 // markGangDone marks all tasks of a gang as done when one member completes.
-func (j *Judge) markGangDone(r *run) {
+func (j *Checker) markGangDone(r *run) {
 	for index := range j.world.step(r.name).Count {
 		name := r.name
 		name.Index = index
@@ -275,7 +275,7 @@
 
 // endAcknowledged records that an owner acknowledged a completion. It ignores the completion if
 // the worker's lease expired in between.
-func (j *Judge) endAcknowledged(w *Worker, entry fleet.EndedRun) {
+func (j *Checker) endAcknowledged(w *Worker, entry fleet.EndedRun) {
 	if entry.Reason != fleet.EndDone || w.endedAt[entry.Number] != w.leaseExpirations {
 		return
 	}
@@ -287,4 +287,4 @@
 }
 
 // Starts returns the number of started runs of a task.
-func (j *Judge) Starts(name taskgraph.TaskName) int { return j.task(name).starts }
+func (j *Checker) Starts(name taskgraph.TaskName) int { return j.task(name).starts }
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -15,8 +15,8 @@
 
 const testJobID = "00000000000000aa"
 
-func newTestWorld() *World {
-	w := NewWorld(1, 2)
+func newTestWorld() *Cluster {
+	w := NewCluster(1, 2)
 	spec := taskgraph.Spec{ID: testJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 2000}}, {Count: 1, After: []int{0}}}}
 	w.Submit(spec, catalog.Queue{Name: "q", MaxAttempts: 2})
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Second }
@@ -30,49 +30,49 @@
 // TestJudgeCatchesBrokenHistories violates each invariant that the judge checks.
 func TestJudgeCatchesBrokenHistories(t *testing.T) {
 	cases := map[string]struct {
-		history func(*World)
+		history func(*Cluster)
 		want    string
 	}{
-		"two runs at once": {func(w *World) {
+		"two runs at once": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 		}, "beside another run"},
-		"after an acknowledged end": {func(w *World) {
+		"after an acknowledged end": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			w.Workers[0].hold(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 		}, "taken note of"},
-		"after an end that is acknowledged later": {func(w *World) {
+		"after an end that is acknowledged later": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 			w.Workers[0].hold(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 		}, "only now"},
-		"before an earlier step": {func(w *World) {
+		"before an earlier step": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(1, 1))
 		}, "before"},
-		"after all attempts": {func(w *World) {
+		"after all attempts": {func(w *Cluster) {
 			w.Workers[0].Failing = true
 			for number := range 3 {
 				_, _ = w.Workers[0].start(startOrder(0, number+1))
 				w.Run(time.Second)
 			}
 		}, "all its attempts"},
-		"long after a cancellation": {func(w *World) {
+		"long after a cancellation": {func(w *Cluster) {
 			w.Cancel(testJobID)
 			w.Run(4 * time.Second)
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 		}, "cancellation"},
-		"over a capacity that shrank": {func(w *World) {
-			w.Unguarded = true
+		"over a capacity that shrank": {func(w *Cluster) {
+			w.SkipCapacityCheck = true
 			w.Workers[0].SetCapacity(taskgraph.Resources{CPU: 1000}, 0)
 			w.Run(capacityGrace + time.Millisecond)
 			order := startOrder(0, 1)
 			order.DeadlineMillis = 60000
 			_, _ = w.Workers[0].start(order)
 		}, "over"},
-		"after workers have crashed": {func(w *World) {
+		"after workers have crashed": {func(w *Cluster) {
 			w.Crashing[startOrder(0, 0).Task] = Crash{After: 10 * time.Millisecond}
 			for number := range 6 {
 				worker := w.AddWorker(fmt.Sprintf("extra-%d", number), "r-0")
@@ -82,14 +82,14 @@
 				w.Run(time.Second)
 			}
 		}, "have crashed under it"},
-		"in an evacuated zone": {func(w *World) {
+		"in an evacuated zone": {func(w *Cluster) {
 			w.Evacuate(w.Workers[0].Zone)
 			w.Run(w.Bounds.EvacuationTimeout + time.Millisecond)
 			order := startOrder(0, 1)
 			order.DeadlineMillis = 60000
 			_, _ = w.Workers[0].start(order)
 		}, "evacuated"},
-		"another payload": {func(w *World) {
+		"another payload": {func(w *Cluster) {
 			order := startOrder(0, 1)
 			order.Payload = "other"
 			_, _ = w.Workers[0].start(order)
@@ -98,7 +98,7 @@
 	for name, c := range cases {
 		w := newTestWorld()
 		c.history(w)
-		require.Contains(t, strings.Join(w.Judge.Broken, "\n"), c.want, name)
+		require.Contains(t, strings.Join(w.Checker.Violations, "\n"), c.want, name)
 	}
 }
 
@@ -117,20 +117,20 @@
 	order.Token, order.DeadlineMillis = 5, -1
 	_, err = first.start(order)
 	require.ErrorIs(t, err, fleet.ErrDeadlinePassed)
-	require.Empty(t, w.Judge.Broken)
+	require.Empty(t, w.Checker.Violations)
 }
 
 // TestCapacityGrace guards against reporting a violation before owners can know of a smaller
 // capacity, and against leaving stopping runs out of the usage.
 func TestCapacityGrace(t *testing.T) {
 	w := newTestWorld()
-	w.Unguarded = true
+	w.SkipCapacityCheck = true
 	first := w.Workers[0]
 	first.SetCapacity(taskgraph.Resources{CPU: 2000}, 0)
 	w.Run(capacityGrace - time.Millisecond)
 	_, err := first.start(fleet.Start{Task: taskgraph.TaskName{Job: testJobID}, Run: 1, Payload: "p", DeadlineMillis: 60000})
 	require.NoError(t, err)
-	require.Empty(t, w.Judge.Broken)
+	require.Empty(t, w.Checker.Violations)
 	w.Run(2 * time.Millisecond)
 	_, err = first.stop(fleet.Stop{Task: taskgraph.TaskName{Job: testJobID}, Run: 1})
 	require.NoError(t, err)
--- a/internal/simulation/checkpoint.go
+++ b/internal/simulation/checkpoint.go
@@ -19,7 +19,7 @@
 // checkpoint contains.
 func (w *Worker) completedWork(r *run) time.Duration {
 	done := savedWork(r.checkpoint)
-	if r.working && !w.Standing {
+	if r.working && !w.Stalled {
 		done += time.Duration(float64(w.clock.Now().Sub(r.workingSince)) / w.slowness())
 	}
 	return min(done, w.world.Work(r.name))
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -18,11 +18,11 @@
 // PoolName is the name of the simulated pool.
 const PoolName = "workers"
 
-// World is a simulated cluster, a store and workers, in virtual time.
-type World struct {
+// Cluster is a simulated cluster, a store and workers, in virtual time.
+type Cluster struct {
 	Clock   *emulator.Clock
 	Store   *Store
-	Judge   *Judge
+	Checker *Checker
 	Bounds  pool.Bounds
 	Catalog *catalog.Catalog
 	// Without is passed to every owner.
@@ -30,23 +30,23 @@
 	// Work returns the duration of a task.
 	Work    func(taskgraph.TaskName) time.Duration
 	Workers []*Worker
-	// Unguarded workers accept starts beyond their capacity.
-	Unguarded bool
-	// SteadyTime stops the clock of an owner while it is suspended.
-	SteadyTime bool
+	// SkipCapacityCheck workers accept starts beyond their capacity.
+	SkipCapacityCheck bool
+	// SuspendedClock stops the clock of an owner while it is suspended.
+	SuspendedClock bool
 	// Crashing contains the tasks that crash each worker that starts them.
 	Crashing map[taskgraph.TaskName]Crash
-	// RestartsInPlace restarts workers that were crashed by a task under the same identifier.
-	RestartsInPlace bool
+	// RestartWithSameID restarts workers that were crashed by a task under the same identifier.
+	RestartWithSameID bool
 	// OrderDelay is the delay of an order whose outcome is DoneLate.
 	OrderDelay time.Duration
-	// LateOrdersOutliveWorkers delivers delayed orders to the current instance of a restarted
+	// LateOrdersReachRestartedWorkers delivers delayed orders to the current instance of a restarted
 	// worker.
-	LateOrdersOutliveWorkers bool
+	LateOrdersReachRestartedWorkers bool
 	// StopTime is the duration of a stop.
 	StopTime time.Duration
-	// Off is passed to every owner.
-	Off mechanism.Disabled
+	// DisabledMechanisms is passed to every owner.
+	DisabledMechanisms mechanism.Disabled
 	// WorkerTable is the table of the workers' rows, which EncodeWorker encodes.
 	WorkerTable  string
 	EncodeWorker func(*fleet.Worker) []byte
@@ -71,11 +71,11 @@
 // orderTimeout is how long the owner waits for the reply to an order.
 const orderTimeout = 700 * time.Millisecond
 
-// NewWorld returns a cluster with racks of equal workers.
-func NewWorld(racks, perRack int) *World {
+// NewCluster returns a cluster with racks of equal workers.
+func NewCluster(racks, perRack int) *Cluster {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	clock := emulator.NewClock(start)
-	w := &World{
+	w := &Cluster{
 		Clock: clock, Store: NewStore(clock), epoch: start, jobs: map[string]*taskgraph.Spec{}, gangs: map[gangRun][]*run{}, ownerOf: map[int64]*Owner{},
 		OperatorTable: "operator", evacuatedAt: map[string]time.Time{},
 		Crashing: map[taskgraph.TaskName]Crash{},
@@ -90,7 +90,7 @@
 		WorkerTable: "workers", EncodeWorker: encodeWorker,
 		Work: func(taskgraph.TaskName) time.Duration { return time.Second },
 	}
-	w.Judge = newChecker(w)
+	w.Checker = newChecker(w)
 	for rack := range racks {
 		for i := range perRack {
 			w.AddWorker(fmt.Sprintf("w-%d-%d", rack, i), fmt.Sprintf("r-%d", rack))
@@ -103,7 +103,7 @@
 var WorkerCapacity = taskgraph.Resources{CPU: 64000, MemoryMB: 262144, GPUs: 8}
 
 // AddWorker adds a worker and writes its row.
-func (w *World) AddWorker(id, rack string) *Worker {
+func (w *Cluster) AddWorker(id, rack string) *Worker {
 	added := &Worker{
 		Worker: fleet.Worker{
 			Incarnation: fleet.Incarnation{ID: id, StartMillis: w.Clock.Now().UnixMilli()},
@@ -119,7 +119,7 @@
 }
 
 // PutWorkerRow writes a worker's row with its current state.
-func (w *World) PutWorkerRow(worker *Worker) {
+func (w *Cluster) PutWorkerRow(worker *Worker) {
 	key := rows.Key{Table: w.WorkerTable, Name: worker.ID}
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: w.EncodeWorker(&worker.Worker)}}})
 }
@@ -133,16 +133,16 @@
 }
 
 // RemoveWorkerRow removes a worker's row.
-func (w *World) RemoveWorkerRow(worker *Worker) {
+func (w *Cluster) RemoveWorkerRow(worker *Worker) {
 	w.Store.Apply(rows.Transaction{Removes: []rows.Key{{Table: w.WorkerTable, Name: worker.ID}}})
 }
 
 // Order executes an order on a worker and passes the reply to done, which is not called for
 // unanswered orders.
-func (w *World) Order(id string, order any, done func(fleet.Reply, error)) {
+func (w *Cluster) Order(id string, order any, done func(fleet.Reply, error)) {
 	worker := w.worker(id)
 	switch {
-	case worker == nil || worker.Cut:
+	case worker == nil || worker.Partitioned:
 		return
 	case worker.Replaced:
 		done(fleet.Reply{}, fleet.ErrOtherInstance)
@@ -150,7 +150,7 @@
 	case worker.Unreachable:
 		done(fleet.Reply{}, fleet.ErrUnreachable)
 		return
-	case worker.Dead:
+	case worker.Crashed:
 		return
 	}
 	switch order := order.(type) {
@@ -164,19 +164,19 @@
 }
 
 // carryOut executes an order according to its outcome.
-func (w *World) carryOut(worker *Worker, work func() (fleet.Reply, error), done func(fleet.Reply, error)) {
-	fate := Answered
-	if worker.LoseOrder != nil {
-		fate = worker.LoseOrder()
+func (w *Cluster) carryOut(worker *Worker, work func() (fleet.Reply, error), done func(fleet.Reply, error)) {
+	fate := Acknowledged
+	if worker.OrderOutcome != nil {
+		fate = worker.OrderOutcome()
 	}
 	switch fate {
-	case Answered:
+	case Acknowledged:
 		done(work())
-	case AnswerLost:
+	case AppliedUnacknowledged:
 		_, _ = work()
-	case DoneLate:
+	case AppliedLate:
 		w.Clock.After(w.OrderDelay, func() {
-			if !worker.Dead {
+			if !worker.Crashed {
 				_, _ = work()
 			}
 		})
@@ -184,7 +184,7 @@
 }
 
 // worker returns the latest instance of a worker, or nil.
-func (w *World) worker(id string) *Worker {
+func (w *Cluster) worker(id string) *Worker {
 	for _, candidate := range slices.Backward(w.Workers) {
 		if candidate.ID == id {
 			return candidate
@@ -194,32 +194,32 @@
 }
 
 // Submit writes an accepted job to the store.
-func (w *World) Submit(spec taskgraph.Spec, queue catalog.Queue) {
+func (w *Cluster) Submit(spec taskgraph.Spec, queue catalog.Queue) {
 	queue.Pool = PoolName
-	w.Expect(spec, queue)
+	w.RegisterJob(spec, queue)
 	accepted := pool.Accepted{Spec: spec, Tenant: "tenant", Queue: queue, AcceptedMillis: w.Clock.Now().UnixMilli()}
 	key := pool.AcceptedKey(pool.JobPartitions(PoolName, spec.ID)[0], spec.ID)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: pool.Encode(accepted)}}})
 }
 
-// Expect registers a job with the workers and the judge before it is accepted.
-func (w *World) Expect(spec taskgraph.Spec, queue catalog.Queue) {
+// RegisterJob registers a job with the workers and the judge before it is accepted.
+func (w *Cluster) RegisterJob(spec taskgraph.Spec, queue catalog.Queue) {
 	if err := spec.Validate(); err != nil {
 		panic(err)
 	}
 	w.jobs[spec.ID] = &spec
-	w.Judge.accepted(&spec, queue)
+	w.Checker.accepted(&spec, queue)
 }
 
 // Cancel writes the cancellation of a job to the store.
-func (w *World) Cancel(id string) {
+func (w *Cluster) Cancel(id string) {
 	key := pool.CancelledKey(pool.JobPartitions(PoolName, id)[0], id)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: []byte("{}")}}})
-	w.Judge.cancelled(id)
+	w.Checker.cancelled(id)
 }
 
 // StoredState returns the state of a job in the store.
-func (w *World) StoredState(id string) taskgraph.State {
+func (w *Cluster) StoredState(id string) taskgraph.State {
 	var newest pool.Progress
 	for _, part := range pool.ProgressPartitions(PoolName) {
 		for _, row := range w.Store.List(pool.ProgressTable, part, id).Rows {
@@ -236,11 +236,11 @@
 }
 
 // Estimate returns the estimated duration of a task.
-func (w *World) Estimate(name taskgraph.TaskName) time.Duration { return w.step(name).Estimate() }
+func (w *Cluster) Estimate(name taskgraph.TaskName) time.Duration { return w.step(name).Estimate() }
 
-func (w *World) step(name taskgraph.TaskName) *taskgraph.Step {
+func (w *Cluster) step(name taskgraph.TaskName) *taskgraph.Step {
 	return &w.jobs[name.Job].Steps[name.Step]
 }
 
 // Run advances virtual time by d.
-func (w *World) Run(d time.Duration) { w.Clock.Run(w.Clock.Now().Add(d)) }
+func (w *Cluster) Run(d time.Duration) { w.Clock.Run(w.Clock.Now().Add(d)) }
--- a/internal/simulation/crash.go
+++ b/internal/simulation/crash.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// CrashPoint is the event from which the delay of a crash counts.
-type CrashPoint int
+// CrashTrigger is the event from which the delay of a crash counts.
+type CrashTrigger int
 
 const (
 	// AtStart is the start of the run; AtWork is when all members of a gang are present.
-	AtStart CrashPoint = iota
-	AtWork
+	AtStart CrashTrigger = iota
+	AtWorkStart
 )
 
 // Crash describes a task that crashes each worker that starts it.
 type Crash struct {
-	From  CrashPoint
+	From  CrashTrigger
 	After time.Duration
 }
 
@@ -29,15 +29,15 @@
 
 // scheduleCrash schedules a crash of the worker if the task of the run is configured to crash
 // workers.
-func (w *Worker) scheduleCrash(r *run, point CrashPoint) {
+func (w *Worker) scheduleCrash(r *run, point CrashTrigger) {
 	crash, guilty := w.world.Crashing[r.name]
 	if !guilty || crash.From != point {
 		return
 	}
 	w.clock.After(crash.After, func() {
 		switch {
-		case r.over || w.Dead:
-		case w.world.RestartsInPlace:
+		case r.over || w.Crashed:
+		case w.world.RestartWithSameID:
 			w.Restart(restartDelay, 0)
 		default:
 			w.CrashAndRestart()
@@ -56,7 +56,7 @@
 		id := fmt.Sprintf("%s+%d", w.Address, w.world.restarts)
 		successor := w.world.AddWorker(id, w.Rack())
 		successor.Address = w.Address
-		successor.LoseOrder, successor.LoseAnswer = w.LoseOrder, w.LoseAnswer
+		successor.OrderOutcome, successor.DropPollReply = w.OrderOutcome, w.DropPollReply
 		w.world.PutWorkerRow(successor)
 	})
 }
--- a/internal/simulation/evacuation.go
+++ b/internal/simulation/evacuation.go
@@ -17,7 +17,7 @@
 func zoneOf(rack string) string { return "zone-" + rack }
 
 // Zones returns the distinct zones of the workers.
-func (w *World) Zones() []string {
+func (w *Cluster) Zones() []string {
 	var zones []string
 	known := map[string]bool{}
 	for _, worker := range w.Workers {
@@ -29,32 +29,32 @@
 	return zones
 }
 
-func (w *World) evacuationKey(zone string) rows.Key {
+func (w *Cluster) evacuationKey(zone string) rows.Key {
 	return rows.Key{Table: w.OperatorTable, Name: evacuationPrefix + zone}
 }
 
 // Evacuate marks a zone as evacuated; the store acknowledges the write immediately.
-func (w *World) Evacuate(zone string) {
+func (w *Cluster) Evacuate(zone string) {
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: w.evacuationKey(zone), Value: []byte("{}")}}})
 	if _, already := w.evacuatedAt[zone]; !already {
 		w.evacuatedAt[zone] = w.Clock.Now()
 	}
 }
 
-// TakeBack ends the evacuation of a zone.
-func (w *World) TakeBack(zone string) {
+// CancelEvacuation ends the evacuation of a zone.
+func (w *Cluster) CancelEvacuation(zone string) {
 	w.Store.Apply(rows.Transaction{Removes: []rows.Key{w.evacuationKey(zone)}})
 	delete(w.evacuatedAt, zone)
 }
 
 // Evacuated reports whether a zone is evacuated.
-func (w *World) Evacuated(zone string) bool {
+func (w *Cluster) Evacuated(zone string) bool {
 	_, evacuated := w.evacuatedAt[zone]
 	return evacuated
 }
 
 // evacuatedFor returns the time since a zone was evacuated, or 0 if it is not.
-func (w *World) evacuatedFor(zone string) time.Duration {
+func (w *Cluster) evacuatedFor(zone string) time.Duration {
 	since, evacuated := w.evacuatedAt[zone]
 	if !evacuated {
 		return 0
--- a/internal/simulation/foreignrows.go
+++ b/internal/simulation/foreignrows.go
@@ -9,22 +9,22 @@
 )
 
 // PutForeignRow writes a row to the worker table that did not come from a worker.
-func (w *World) PutForeignRow(name string, value []byte) {
+func (w *Cluster) PutForeignRow(name string, value []byte) {
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: w.WorkerTable, Name: name}, Value: value}}})
 }
 
-// PutForeignRowOver overwrites a worker's row until the worker's next heartbeat.
-func (w *World) PutForeignRowOver(worker *Worker, value []byte) {
+// OverwriteWorkerRow overwrites a worker's row until the worker's next heartbeat.
+func (w *Cluster) OverwriteWorkerRow(worker *Worker, value []byte) {
 	w.PutForeignRow(worker.ID, value)
 	w.Clock.After(heartbeatPeriod, func() {
-		if !worker.Dead {
+		if !worker.Crashed {
 			w.PutWorkerRow(worker)
 		}
 	})
 }
 
-// Nobody is a worker identifier that no worker has.
-const Nobody = "nobody"
+// UnknownWorkerID is a worker identifier that no worker has.
+const UnknownWorkerID = "nobody"
 
 // foreignValues are row values that do not decode to a usable worker.
 var foreignValues = [][]byte{
@@ -32,19 +32,19 @@
 	[]byte(`{"ID":7}`), []byte(`{"Pool":"workers","Address":["w-0-0"],"Capacity":{"GPUs":"8"}}`),
 }
 
-// ForeignRowsSome occasionally writes an invalid row, under the identifier of a worker or of none.
+// InjectInvalidRow occasionally writes an invalid row, under the identifier of a worker or of none.
 // It draws only from random.
-func (w *World) ForeignRowsSome(random *rand.Rand) {
+func (w *Cluster) InjectInvalidRow(random *rand.Rand) {
 	value := foreignValues[random.IntN(len(foreignValues))]
-	living := w.Living()
+	living := w.RunningWorkers()
 	switch random.IntN(8) {
 	case 0:
-		w.PutForeignRow(Nobody, value)
+		w.PutForeignRow(UnknownWorkerID, value)
 	case 1:
 		if len(living) == 0 {
 			return
 		}
-		w.PutForeignRowOver(living[random.IntN(len(living))], value)
+		w.OverwriteWorkerRow(living[random.IntN(len(living))], value)
 	}
 }
 
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -17,13 +17,13 @@
 }
 
 // gang returns the present members of a gang run, in start order.
-func (w *World) gang(r *run) []*run { return slices.Clone(w.gangs[r.gangRun()]) }
+func (w *Cluster) gang(r *run) []*run { return slices.Clone(w.gangs[r.gangRun()]) }
 
-func (w *World) addToGang(r *run) {
+func (w *Cluster) addToGang(r *run) {
 	w.gangs[r.gangRun()] = append(w.gangs[r.gangRun()], r)
 }
 
-func (w *World) removeFromGang(r *run) {
+func (w *Cluster) removeFromGang(r *run) {
 	members := slices.DeleteFunc(w.gangs[r.gangRun()], func(other *run) bool { return other == r })
 	if len(members) == 0 {
 		delete(w.gangs, r.gangRun())
@@ -34,7 +34,7 @@
 
 // startWhenGangComplete starts the work of a run, or of all gang members once the gang is
 // complete.
-func (w *World) startWhenGangComplete(r *run) {
+func (w *Cluster) startWhenGangComplete(r *run) {
 	if !w.step(r.name).Gang {
 		r.worker.work(r)
 		return
@@ -55,7 +55,7 @@
 
 // remoteFactor returns the slowdown of a run whose data is on another rack, or whose same-rack
 // gang spans racks.
-func (w *World) remoteFactor(r *run) float64 {
+func (w *Cluster) remoteFactor(r *run) float64 {
 	step := w.step(r.name)
 	remote := step.PreferredRack != "" && step.PreferredRack != r.worker.Rack()
 	if step.SameRack && step.Gang {
@@ -70,7 +70,7 @@
 }
 
 // finish completes a run. The members of a gang complete together, once the last one has finished.
-func (w *World) finish(r *run) {
+func (w *Cluster) finish(r *run) {
 	r.finished = true
 	if !w.step(r.name).Gang {
 		r.worker.end(r, fleet.EndDone, "")
@@ -88,7 +88,7 @@
 }
 
 // breakGang ends the other members of a gang as broken unless the run completed.
-func (w *World) breakGang(r *run, how fleet.EndReason) {
+func (w *Cluster) breakGang(r *run, how fleet.EndReason) {
 	if how == fleet.EndDone || !w.step(r.name).Gang || !r.working {
 		return
 	}
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -16,27 +16,27 @@
 	Process *emulator.Process
 	// Ended is the reason why the owner gave up the pool; empty while it owns it.
 	Ended string
-	// CutFromStore partitions the owner from the store; CutFrom contains the workers that it
+	// PartitionedFromStore partitions the owner from the store; CutFrom contains the workers that it
 	// cannot reach.
-	CutFromStore bool
-	CutFrom      map[string]bool
-	world        *World
+	PartitionedFromStore bool
+	PartitionedFrom      map[string]bool
+	world                *Cluster
 }
 
-// Own starts a new process that acquires the pool.
-func (w *World) Own() *Owner {
+// AcquirePool starts a new process that acquires the pool.
+func (w *Cluster) AcquirePool() *Owner {
 	w.owners++
 	name := fmt.Sprintf("node-%d", w.owners)
-	owner := &Owner{world: w, Process: emulator.NewProcess(w.Clock), CutFrom: map[string]bool{}}
-	owner.Process.SteadyTime = w.SteadyTime
+	owner := &Owner{world: w, Process: emulator.NewProcess(w.Clock), PartitionedFrom: map[string]bool{}}
+	owner.Process.SteadyTime = w.SuspendedClock
 	options := pool.Options{
-		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, DisabledSafeguards: w.Without, DisabledMechanisms: w.Off,
+		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, DisabledSafeguards: w.Without, DisabledMechanisms: w.DisabledMechanisms,
 		Catalog:          func() *catalog.Catalog { return w.Catalog },
 		OnOwnershipEnded: func(reason string) { owner.Ended = reason },
 	}
 	result := w.Store.Apply(pool.Acquire(options, w.leaseVersion(), name))
 	w.ownerOf[result.Version] = owner
-	owner.Pool = pool.New(options, owner.Process, &ports{world: w, owner: owner, process: owner.Process}, w.Judge, result.Version)
+	owner.Pool = pool.New(options, owner.Process, &ports{world: w, owner: owner, process: owner.Process}, w.Checker, result.Version)
 	owner.Process.Post(owner.Pool.Start)
 	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
 	return owner
@@ -47,17 +47,17 @@
 
 // confirmOwnership periodically confirms, while the whole store is unavailable, that the other
 // nodes know of no other owner.
-func (w *World) confirmOwnership(owner *Owner) {
+func (w *Cluster) confirmOwnership(owner *Owner) {
 	if owner.Ended != "" {
 		return
 	}
-	if w.Store.AwayAll && !owner.CutFromStore && w.leaseVersion() == owner.Token() {
+	if w.Store.Unavailable && !owner.PartitionedFromStore && w.leaseVersion() == owner.Token() {
 		owner.Process.Post(func() { owner.ConfirmOwnership(w.Clock.Now()) })
 	}
 	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
 }
 
-func (w *World) leaseVersion() int64 {
+func (w *Cluster) leaseVersion() int64 {
 	listing := w.Store.List(pool.NodeTable, PoolName, pool.LeaseRow)
 	if len(listing.Rows) == 0 {
 		return rows.Absent
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -11,7 +11,7 @@
 
 // ports implements pool.Ports for an owner in a World.
 type ports struct {
-	world   *World
+	world   *Cluster
 	owner   *Owner
 	process *emulator.Process
 }
@@ -24,11 +24,11 @@
 // failIfPartitioned fails a call after a timeout if the owner is partitioned from the store, and
 // reports whether it is.
 func failIfPartitioned[T any](p *ports, done func(T, error)) bool {
-	if p.owner.CutFromStore {
+	if p.owner.PartitionedFromStore {
 		var nothing T
 		p.world.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrOutcomeUnknown) })
 	}
-	return p.owner.CutFromStore
+	return p.owner.PartitionedFromStore
 }
 
 // Commit implements pool.Ports.
@@ -87,27 +87,27 @@
 			clock.After(orderLatency/2, func() { done(fleet.Reply{}, fleet.ErrUnreachable) })
 			return
 		}
-		fate := Answered
-		if w.LoseOrder != nil {
-			fate = w.LoseOrder()
+		fate := Acknowledged
+		if w.OrderOutcome != nil {
+			fate = w.OrderOutcome()
 		}
-		if w.Dead || w.Cut || p.owner.CutFrom[id] {
-			fate = NeverDone
+		if w.Crashed || w.Partitioned || p.owner.PartitionedFrom[id] {
+			fate = Dropped
 		}
 		switch fate {
-		case Answered:
+		case Acknowledged:
 			reply, err := carryOut(w)
 			clock.After(orderLatency/2, func() { done(reply, err) })
 			return
-		case AnswerLost:
+		case AppliedUnacknowledged:
 			_, _ = carryOut(w)
-		case DoneLate:
+		case AppliedLate:
 			clock.After(p.world.OrderDelay, func() {
 				then := w
-				if p.world.LateOrdersOutliveWorkers {
+				if p.world.LateOrdersReachRestartedWorkers {
 					then = p.world.worker(id)
 				}
-				if !then.Dead {
+				if !then.Crashed {
 					_, _ = carryOut(then)
 				}
 			})
@@ -138,15 +138,15 @@
 			clock.After(orderLatency/2, func() { once(fleet.Reply{}, fleet.ErrOtherInstance) })
 			return
 		}
-		if w.Unreachable && w.Dead {
+		if w.Unreachable && w.Crashed {
 			clock.After(orderLatency/2, func() { once(fleet.Reply{}, fleet.ErrUnreachable) })
 			return
 		}
-		if w.Dead || w.Cut || p.owner.CutFrom[to.ID] {
+		if w.Crashed || w.Partitioned || p.owner.PartitionedFrom[to.ID] {
 			return
 		}
 		w.hold(order, func(reply fleet.Reply, err error) {
-			if w.LoseAnswer != nil && w.LoseAnswer() {
+			if w.DropPollReply != nil && w.DropPollReply() {
 				return
 			}
 			clock.After(orderLatency/2, func() { once(reply, err) })
--- a/internal/simulation/restart.go
+++ b/internal/simulation/restart.go
@@ -12,23 +12,23 @@
 	w.world.scheduleRestart(w, after, clockMillis)
 }
 
-// RestartUnseen is Restart during a network partition: open connections stay silent instead of
+// RestartWithoutReset is Restart during a network partition: open connections stay silent instead of
 // being reset.
-func (w *Worker) RestartUnseen(after time.Duration, clockMillis int64) {
+func (w *Worker) RestartWithoutReset(after time.Duration, clockMillis int64) {
 	w.Crash()
 	w.resets = nil
 	w.world.scheduleRestart(w, after, clockMillis)
 }
 
-// ReplaceUnseen is CrashAndRestart during a network partition: open connections stay silent
+// ReplaceWithoutReset is CrashAndRestart during a network partition: open connections stay silent
 // instead of being reset.
-func (w *Worker) ReplaceUnseen() {
+func (w *Worker) ReplaceWithoutReset() {
 	w.resets = nil
 	w.CrashAndRestart()
 }
 
 // scheduleRestart starts a new instance of a crashed worker after a delay.
-func (w *World) scheduleRestart(former *Worker, after time.Duration, clockMillis int64) {
+func (w *Cluster) scheduleRestart(former *Worker, after time.Duration, clockMillis int64) {
 	if after > rowExpiry {
 		w.Clock.After(rowExpiry, func() { w.RemoveWorkerRow(former) })
 	}
@@ -36,7 +36,7 @@
 		next := w.AddWorker(former.ID, former.Rack())
 		next.Address = former.Address
 		next.clockEpoch = w.Clock.Now().Add(-time.Duration(clockMillis) * time.Millisecond)
-		next.LoseOrder, next.LoseAnswer = former.LoseOrder, former.LoseAnswer
+		next.OrderOutcome, next.DropPollReply = former.OrderOutcome, former.DropPollReply
 		w.PutWorkerRow(next)
 	})
 }
@@ -52,10 +52,10 @@
 	maxInitialClockMillis = 8_000_000
 )
 
-// RestartSome occasionally restarts a worker: alone, twice in a row, during a partition, or with a
+// RestartRandomWorkers occasionally restarts a worker: alone, twice in a row, during a partition, or with a
 // third of the others. It draws only from random.
-func (w *World) RestartSome(random *rand.Rand) {
-	running := w.Living()
+func (w *Cluster) RestartRandomWorkers(random *rand.Rand) {
+	running := w.RunningWorkers()
 	if len(running) == 0 {
 		return
 	}
@@ -66,13 +66,13 @@
 	case 2:
 		chosen.Restart(minRestartDelay, randomInitialClock(random))
 		w.Clock.After(minRestartDelay+time.Duration(random.Int64N(int64(time.Second))), func() {
-			if again := w.worker(chosen.ID); !again.Dead {
+			if again := w.worker(chosen.ID); !again.Crashed {
 				again.restartAfterRandomDelay(random)
 			}
 		})
 	case 3:
-		chosen.Cut = true
-		chosen.RestartUnseen(time.Duration(random.Int64N(int64(maxRestartDelay))), randomInitialClock(random))
+		chosen.Partitioned = true
+		chosen.RestartWithoutReset(time.Duration(random.Int64N(int64(maxRestartDelay))), randomInitialClock(random))
 	case 4:
 		for _, worker := range running {
 			if random.IntN(massRestartOneIn) == 0 {
@@ -82,11 +82,11 @@
 	}
 }
 
-// Living returns the workers that have not crashed.
-func (w *World) Living() []*Worker {
+// RunningWorkers returns the workers that have not crashed.
+func (w *Cluster) RunningWorkers() []*Worker {
 	var living []*Worker
 	for _, worker := range w.Workers {
-		if !worker.Dead {
+		if !worker.Crashed {
 			living = append(living, worker)
 		}
 	}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -17,18 +17,18 @@
 	rows    map[rows.Key]rows.Row
 	changes []rows.Row
 	version int64
-	// Away contains the parts that refuse calls.
-	Away map[string]bool
-	// Silent contains the parts that drop transactions without an answer.
-	Silent map[string]bool
-	// AwayAll makes the store refuse all calls.
-	AwayAll bool
-	// Lose chooses the outcome of each write; nil means Answered.
-	Lose func() Fate
-	// FeedsSilent withholds the answers of feeds.
-	FeedsSilent bool
-	// ScansSilent lets scans time out.
-	ScansSilent bool
+	// UnavailablePartitions contains the parts that refuse calls.
+	UnavailablePartitions map[string]bool
+	// UnresponsivePartitions contains the parts that drop transactions without an answer.
+	UnresponsivePartitions map[string]bool
+	// Unavailable makes the store refuse all calls.
+	Unavailable bool
+	// WriteOutcome chooses the outcome of each write; nil means Answered.
+	WriteOutcome func() Outcome
+	// FeedsUnresponsive withholds the answers of feeds.
+	FeedsUnresponsive bool
+	// ScansUnresponsive lets scans time out.
+	ScansUnresponsive bool
 	// Latency is the round-trip time of a call.
 	Latency time.Duration
 	waiters []func()
@@ -38,19 +38,19 @@
 	lastFaultAt time.Time
 }
 
-// Fate is the outcome of a write or an order.
-type Fate int
+// Outcome is the outcome of a write or an order.
+type Outcome int
 
 // Outcomes of writes and orders.
 const (
-	// Answered means applied and acknowledged.
-	Answered Fate = iota
-	// AnswerLost means applied, with the answer lost.
-	AnswerLost
-	// DoneLate means applied after a delay and never acknowledged.
-	DoneLate
-	// NeverDone means neither applied nor acknowledged.
-	NeverDone
+	// Acknowledged means applied and acknowledged.
+	Acknowledged Outcome = iota
+	// AppliedUnacknowledged means applied, with the answer lost.
+	AppliedUnacknowledged
+	// AppliedLate means applied after a delay and never acknowledged.
+	AppliedLate
+	// Dropped means neither applied nor acknowledged.
+	Dropped
 )
 
 // lateWriteDelay is the delay of a write whose outcome is DoneLate.
@@ -61,10 +61,10 @@
 
 // NewStore returns an empty store.
 func NewStore(clock *emulator.Clock) *Store {
-	return &Store{clock: clock, rows: map[rows.Key]rows.Row{}, Away: map[string]bool{}, Silent: map[string]bool{}, Feeds: map[string]int{}, Latency: 5 * time.Millisecond}
+	return &Store{clock: clock, rows: map[rows.Key]rows.Row{}, UnavailablePartitions: map[string]bool{}, UnresponsivePartitions: map[string]bool{}, Feeds: map[string]int{}, Latency: 5 * time.Millisecond}
 }
 
-func (s *Store) unavailable(part string) bool { return s.AwayAll || s.Away[part] }
+func (s *Store) unavailable(part string) bool { return s.Unavailable || s.UnavailablePartitions[part] }
 
 // Commit applies a transaction and passes the result to done.
 func (s *Store) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
@@ -74,24 +74,24 @@
 			s.clock.After(s.Latency/2, func() { done(rows.Result{}, rows.ErrNoEffect) })
 			return
 		}
-		fate := Answered
-		if s.Lose != nil {
-			fate = s.Lose()
+		fate := Acknowledged
+		if s.WriteOutcome != nil {
+			fate = s.WriteOutcome()
 		}
-		if s.Silent[partOf(transaction)] {
-			fate = NeverDone
+		if s.UnresponsivePartitions[partOf(transaction)] {
+			fate = Dropped
 		}
-		if fate != Answered {
+		if fate != Acknowledged {
 			s.lastFaultAt = s.clock.Now()
 		}
 		switch fate {
-		case Answered:
+		case Acknowledged:
 			result := s.Apply(transaction)
 			s.clock.After(s.Latency/2, func() { done(result, nil) })
 			return
-		case AnswerLost:
+		case AppliedUnacknowledged:
 			s.Apply(transaction)
-		case DoneLate:
+		case AppliedLate:
 			s.clock.After(lateWriteDelay, func() { s.Apply(transaction) })
 		}
 		s.clock.After(answerTimeout, func() { done(rows.Result{}, rows.ErrOutcomeUnknown) })
@@ -152,7 +152,7 @@
 			done(rows.Listing{}, rows.ErrNoEffect)
 			return
 		}
-		if s.ScansSilent {
+		if s.ScansUnresponsive {
 			s.lastFaultAt = s.clock.Now()
 			s.clock.After(answerTimeout, func() { done(rows.Listing{}, rows.ErrOutcomeUnknown) })
 			return
@@ -182,12 +182,12 @@
 }
 
 func (s *Store) poll(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
-	if s.AwayAll {
+	if s.Unavailable {
 		s.lastFaultAt = s.clock.Now()
 		done(rows.Listing{}, rows.ErrNoEffect)
 		return
 	}
-	if s.FeedsSilent {
+	if s.FeedsUnresponsive {
 		s.lastFaultAt = s.clock.Now()
 		s.pollOnChange(table, after, deadline, done)
 		return
@@ -222,7 +222,7 @@
 // pollOnChange polls again at the next change or at the deadline. While feeds are silent it polls
 // periodically.
 func (s *Store) pollOnChange(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
-	if s.FeedsSilent {
+	if s.FeedsUnresponsive {
 		s.clock.After(silentFeedPollPeriod, func() { s.poll(table, after, deadline, done) })
 		return
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -12,7 +12,7 @@
 // Worker is one instance of a worker: a restart under the same identifier creates another Worker.
 type Worker struct {
 	fleet.Worker
-	world *World
+	world *Cluster
 	clock *emulator.Clock
 	// clockEpoch is when the worker's own clock was 0.
 	clockEpoch time.Time
@@ -29,26 +29,26 @@
 	waiters          []func()
 	// resets fail the pending holds when the worker process crashes.
 	resets []func()
-	// Dead is set once the process has crashed.
-	Dead bool
-	// Cut partitions the worker from all owners; its runs continue.
-	Cut bool
+	// Crashed is set once the process has crashed.
+	Crashed bool
+	// Partitioned partitions the worker from all owners; its runs continue.
+	Partitioned bool
 	// Replaced is set once another instance listens at the worker's address.
 	Replaced bool
-	// LoseOrder chooses the outcome of each order except holds; nil means Answered.
-	LoseOrder func() Fate
-	// LoseAnswer reports whether the reply to a hold is lost.
-	LoseAnswer func() bool
+	// OrderOutcome chooses the outcome of each order except holds; nil means Answered.
+	OrderOutcome func() Outcome
+	// DropPollReply reports whether the reply to a hold is lost.
+	DropPollReply func() bool
 	// Unreachable workers refuse connections.
 	Unreachable bool
-	// Unwell workers refuse starts as unhealthy.
-	Unwell bool
+	// Unhealthy workers refuse starts as unhealthy.
+	Unhealthy bool
 	// Failing workers fail all runs that they start. On Standing workers runs make no progress and
 	// do not finish.
-	Failing  bool
-	Standing bool
-	// Slowness is the factor on the duration of work, less than 1 for fast workers; 0 means 1.
-	Slowness float64
+	Failing bool
+	Stalled bool
+	// SlowdownFactor is the factor on the duration of work, less than 1 for fast workers; 0 means 1.
+	SlowdownFactor float64
 	// capacities contains the capacity changes in order.
 	capacities []capacityChange
 }
@@ -91,7 +91,7 @@
 }
 
 func (w *Worker) expireLease() {
-	if w.Dead || w.clock.Now().Before(w.leaseEnd) {
+	if w.Crashed || w.clock.Now().Before(w.leaseEnd) {
 		return
 	}
 	w.leaseExpirations++
@@ -106,7 +106,7 @@
 		return reply, fleet.ErrFenced
 	}
 	w.token = order.Token
-	if w.Unwell {
+	if w.Unhealthy {
 		return reply, fleet.ErrUnhealthy
 	}
 	if present := w.runs[order.Task]; present != nil && present.number == order.Run {
@@ -121,7 +121,7 @@
 	}
 	w.extendLease(order.DeadlineMillis)
 	step := w.world.step(order.Task)
-	if !w.world.Unguarded && !step.Requirements().FitsIn(w.free()) {
+	if !w.world.SkipCapacityCheck && !step.Requirements().FitsIn(w.free()) {
 		return reply, fleet.ErrInsufficientCapacity
 	}
 	w.begin(order)
@@ -140,7 +140,7 @@
 	r := &run{name: order.Task, number: order.Run, worker: w, startedAt: w.clock.Now(), checkpoint: order.Checkpoint}
 	w.runs[order.Task] = r
 	w.world.addToGang(r)
-	w.world.Judge.started(r, order)
+	w.world.Checker.started(r, order)
 	if w.Failing {
 		w.clock.After(failureDelay, func() { w.end(r, fleet.EndFailed, "") })
 		return
@@ -158,7 +158,7 @@
 	}
 	r.working = true
 	r.workingSince = w.clock.Now()
-	w.scheduleCrash(r, AtWork)
+	w.scheduleCrash(r, AtWorkStart)
 	duration := time.Duration(float64(w.world.Work(r.name)-savedWork(r.checkpoint)) * w.world.remoteFactor(r))
 	duration = time.Duration(float64(duration) * w.slowness())
 	w.clock.After(duration, func() { w.finish(r) })
@@ -166,10 +166,10 @@
 
 // slowness returns the factor on the duration of work.
 func (w *Worker) slowness() float64 {
-	if w.Slowness == 0 {
+	if w.SlowdownFactor == 0 {
 		return 1
 	}
-	return w.Slowness
+	return w.SlowdownFactor
 }
 
 // stalledRetryPeriod is the interval at which a run on a standing worker tries to finish.
@@ -177,8 +177,8 @@
 
 func (w *Worker) finish(r *run) {
 	switch {
-	case r.over || r.stopping || w.Dead:
-	case w.Standing:
+	case r.over || r.stopping || w.Crashed:
+	case w.Stalled:
 		w.clock.After(stalledRetryPeriod, func() { w.finish(r) })
 	default:
 		w.world.finish(r)
@@ -187,7 +187,7 @@
 
 // end removes a run and adds it to the ended runs that the worker reports.
 func (w *Worker) end(r *run, how fleet.EndReason, checkpoint string) {
-	if r.over || w.Dead {
+	if r.over || w.Crashed {
 		return
 	}
 	r.over = true
@@ -197,7 +197,7 @@
 	w.lastEndNumber++
 	w.endedAt[w.lastEndNumber] = w.leaseExpirations
 	w.ended = append(w.ended, fleet.EndedRun{Number: w.lastEndNumber, Task: r.name, Run: r.number, Reason: how, Checkpoint: checkpoint})
-	w.world.Judge.ended(r, how)
+	w.world.Checker.ended(r, how)
 	w.world.breakGang(r, how)
 	waiters := w.waiters
 	w.waiters = nil
@@ -234,7 +234,7 @@
 		if entry.Number > order.AcknowledgedEnd {
 			kept = append(kept, entry)
 		} else {
-			w.world.Judge.endAcknowledged(w, entry)
+			w.world.Checker.endAcknowledged(w, entry)
 		}
 	}
 	w.ended = kept
@@ -244,7 +244,7 @@
 	}
 	answered := false
 	answer := func() {
-		if !answered && !w.Dead && !w.Cut {
+		if !answered && !w.Crashed && !w.Partitioned {
 			answered = true
 			done(w.status(), nil)
 		}
@@ -270,7 +270,7 @@
 }
 
 func (w *Worker) percent(r *run) int {
-	if r.working && !w.Standing {
+	if r.working && !w.Stalled {
 		done := float64(savedWork(r.checkpoint)) + float64(w.clock.Now().Sub(r.startedAt))/w.slowness()
 		share := done / float64(w.world.Work(r.name))
 		r.percent = min(99, int(100*share))
@@ -280,12 +280,12 @@
 
 // Crash ends the worker process; its runs are lost.
 func (w *Worker) Crash() {
-	w.Dead = true
+	w.Crashed = true
 	for _, r := range w.sortedRuns() {
 		r.over = true
-		w.world.Judge.crashed(r)
+		w.world.Checker.crashed(r)
 		w.world.removeFromGang(r)
-		w.world.Judge.ended(r, fleet.EndLeaseExpired)
+		w.world.Checker.ended(r, fleet.EndLeaseExpired)
 		w.world.breakGang(r, fleet.EndLeaseExpired)
 	}
 	w.runs = map[taskgraph.TaskName]*run{}
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -54,12 +54,12 @@
 		zone := zones[evacuation.Target%len(zones)]
 		r.scheduleLocked(began.Add(evacuation.At), ends, func() { world.Evacuate(zone) })
 		if until := evacuation.At + evacuation.Length; until < r.options.Length {
-			r.scheduleLocked(began.Add(until), ends, func() { world.TakeBack(zone) })
+			r.scheduleLocked(began.Add(until), ends, func() { world.CancelEvacuation(zone) })
 		}
 	}
 	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
 		for _, zone := range zones {
-			world.TakeBack(zone)
+			world.CancelEvacuation(zone)
 		}
 	})
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -147,12 +147,12 @@
 
 // newTestRun returns a run without daemons, and a job that is registered with its platform.
 func newTestRun(t *testing.T) (*run, *submission) {
-	platform, err := standin.Start(simulation.NewWorld(1, 1))
+	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
 	r := &run{platform: platform, observations: observations{answers: map[string]int{}}}
 	s := &submission{spec: &taskgraph.Spec{ID: "00000000000000aa", Steps: []taskgraph.Step{{Count: 1, EstimateMillis: 1}}}}
-	platform.WithLock(func() { platform.World.Expect(*s.spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.World.RegisterJob(*s.spec, catalog.Queue{MaxAttempts: 1}) })
 	return r, s
 }
 
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -84,18 +84,18 @@
 	var begin, end func()
 	switch fault.Kind {
 	case StoreUnavailable:
-		begin, end = func() { world.Store.AwayAll = true }, func() { world.Store.AwayAll = false }
+		begin, end = func() { world.Store.Unavailable = true }, func() { world.Store.Unavailable = false }
 	case StoreUnresponsive:
 		begin, end = func() { r.platform.StoreUnresponsive = true }, func() { r.platform.StoreUnresponsive = false }
 	case StoreSlow:
 		begin = func() { world.Store.Latency = slowStoreLatency }
 		end = func() { world.Store.Latency = storeLatency }
 	case StoreLossy:
-		begin, end = func() { world.Store.Lose = r.randomOutcomes(writeLoss) }, func() { world.Store.Lose = nil }
+		begin, end = func() { world.Store.WriteOutcome = r.randomOutcomes(writeLoss) }, func() { world.Store.WriteOutcome = nil }
 	case PartUnavailable:
 		parts := append(pool.ProgressPartitions(simulation.PoolName), pool.JobPartitions(simulation.PoolName, strconv.Itoa(fault.Target))...)
 		part := parts[fault.Target%len(parts)]
-		begin, end = func() { world.Store.Away[part] = true }, func() { delete(world.Store.Away, part) }
+		begin, end = func() { world.Store.UnavailablePartitions[part] = true }, func() { delete(world.Store.UnavailablePartitions, part) }
 	default:
 		begin, end = r.workerFault(fault)
 	}
@@ -111,13 +111,13 @@
 )
 
 // randomOutcomes returns a function that draws outcomes, of which a share are not answered.
-func (r *run) randomOutcomes(share float64) func() simulation.Fate {
+func (r *run) randomOutcomes(share float64) func() simulation.Outcome {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
-	return func() simulation.Fate {
+	return func() simulation.Outcome {
 		if random.Float64() < share {
-			return simulation.Fate(1 + random.IntN(3))
+			return simulation.Outcome(1 + random.IntN(3))
 		}
-		return simulation.Answered
+		return simulation.Acknowledged
 	}
 }
 
@@ -130,11 +130,11 @@
 	case WorkerCrash:
 		return func() { r.replaceWorker(worker) }, func() {}
 	case WorkerPartitioned:
-		return func() { worker.Cut = true }, func() { worker.Cut = false }
+		return func() { worker.Partitioned = true }, func() { worker.Partitioned = false }
 	case WorkerFailing:
 		return func() { worker.Failing = true }, func() { worker.Failing = false }
 	case WorkerSlow:
-		return func() { worker.Slowness = 4 }, func() { worker.Slowness = 1 }
+		return func() { worker.SlowdownFactor = 4 }, func() { worker.SlowdownFactor = 1 }
 	case WorkerDrain:
 		return func() {
 				worker.Draining, worker.RemainingMillis = true, fault.Length.Milliseconds()
@@ -144,13 +144,13 @@
 				r.replaceWorker(worker)
 			}
 	default:
-		return func() { worker.LoseOrder = r.randomOutcomes(orderLoss) }, func() { worker.LoseOrder = nil }
+		return func() { worker.OrderOutcome = r.randomOutcomes(orderLoss) }, func() { worker.OrderOutcome = nil }
 	}
 }
 
 // replaceWorker crashes a worker and adds a new one on the same rack.
 func (r *run) replaceWorker(worker *simulation.Worker) {
-	if worker.Dead {
+	if worker.Crashed {
 		return
 	}
 	world := r.platform.World
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -111,8 +111,8 @@
 	}
 }
 
-func restartWorkers(world *simulation.World, restart Restart) {
-	living := world.Living()
+func restartWorkers(world *simulation.Cluster, restart Restart) {
+	living := world.RunningWorkers()
 	if len(living) == 0 {
 		return
 	}
@@ -122,18 +122,18 @@
 	}
 	for _, worker := range affected {
 		if restart.WithoutReset {
-			worker.RestartUnseen(restart.Downtime, restart.ClockMillis)
+			worker.RestartWithoutReset(restart.Downtime, restart.ClockMillis)
 		} else {
 			worker.Restart(restart.Downtime, restart.ClockMillis)
 		}
 	}
 }
 
-func putForeignRow(world *simulation.World, foreign ForeignRow) {
-	living := world.Living()
+func putForeignRow(world *simulation.Cluster, foreign ForeignRow) {
+	living := world.RunningWorkers()
 	if foreign.Nobody || len(living) == 0 {
-		world.PutForeignRow(simulation.Nobody, foreign.Value)
+		world.PutForeignRow(simulation.UnknownWorkerID, foreign.Value)
 		return
 	}
-	world.PutForeignRowOver(living[foreign.Target%len(living)], foreign.Value)
+	world.OverwriteWorkerRow(living[foreign.Target%len(living)], foreign.Value)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -88,10 +88,10 @@
 
 // Run runs one seed.
 func Run(options Options) (*Report, error) {
-	world := simulation.NewWorld(racks, workersPerRack)
+	world := simulation.NewCluster(racks, workersPerRack)
 	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
 	workerFaults := NewWorkerFaults(options.Seed, options.Length)
-	world.Unguarded = workerFaults.Unguarded
+	world.SkipCapacityCheck = workerFaults.Unguarded
 	platform, err := standin.Start(world)
 	if err != nil {
 		return nil, err
@@ -236,7 +236,7 @@
 		r.checkJob(s)
 	}
 	report.Broken = append(report.Broken, r.observations.violations...)
-	r.platform.WithLock(func() { report.Broken = append(report.Broken, r.platform.World.Judge.Broken...) })
+	r.platform.WithLock(func() { report.Broken = append(report.Broken, r.platform.World.Checker.Violations...) })
 	for _, d := range r.daemons {
 		d.mutex.Lock()
 		report.Broken = append(report.Broken, d.unexpectedExits...)
@@ -248,7 +248,7 @@
 // checkJob compares the final state of a job with what its caller was told.
 func (r *run) checkJob(s *submission) {
 	starts := 0
-	r.platform.WithLock(func() { starts = r.platform.World.Judge.JobStarts(s.spec.ID) })
+	r.platform.WithLock(func() { starts = r.platform.World.Checker.JobStarts(s.spec.ID) })
 	switch {
 	case s.refused && starts > 0:
 		r.observations.addViolation("job %s was refused and ran", s.spec.ID)
@@ -269,7 +269,7 @@
 
 func (r *run) allDone(s *submission) bool {
 	done := true
-	r.platform.WithLock(func() { done = r.platform.World.Judge.JobDone(s.spec.ID) })
+	r.platform.WithLock(func() { done = r.platform.World.Checker.JobDone(s.spec.ID) })
 	return done
 }
 
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -37,7 +37,7 @@
 // repeat the transfer of a large configuration, so that daemons on slow links never apply it and
 // refuse every call.
 func TestGrownConfigurationReachesDaemonsOverSlowLinks(t *testing.T) {
-	platform, err := standin.Start(simulation.NewWorld(1, 1))
+	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
 	r := &run{
@@ -91,7 +91,7 @@
 // TestOwnerReadsManyRowsOverASlowLink guards against scan deadlines that abort and restart the
 // initial read of a large table, so that a new owner never starts a job.
 func TestOwnerReadsManyRowsOverASlowLink(t *testing.T) {
-	platform, err := standin.Start(simulation.NewWorld(1, 1))
+	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
 	platform.WithLock(func() { putEndedJobs(platform.World, oldJobs) })
@@ -111,7 +111,7 @@
 	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
 
 	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
-	platform.WithLock(func() { platform.World.Expect(*spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.World.RegisterJob(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
 		answer, err := caller.Submit(d.callers, keyName(1), spec)
 		return err == nil && answer.Status == http.StatusOK
@@ -123,7 +123,7 @@
 }
 
 // putEndedJobs writes the rows of ended jobs.
-func putEndedJobs(world *simulation.World, count int) {
+func putEndedJobs(world *simulation.Cluster, count int) {
 	for number := range count {
 		id := fmt.Sprintf("%016x", number+1)
 		accepted := pool.Accepted{
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -62,7 +62,7 @@
 	}
 	drawn := WorkerFaults{
 		PoisonEvery: leastPoison + random.IntN(mostPoison-leastPoison),
-		Crash:       simulation.Crash{From: simulation.CrashPoint(random.IntN(2)), After: 10 * time.Millisecond},
+		Crash:       simulation.Crash{From: simulation.CrashTrigger(random.IntN(2)), After: 10 * time.Millisecond},
 		Unguarded:   random.IntN(2) == 0,
 	}
 	if random.IntN(3) == 0 {
@@ -94,7 +94,7 @@
 	world := r.platform.World
 	for _, crash := range r.workers.Crashes {
 		r.scheduleLocked(began.Add(crash.At), ends, func() {
-			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Dead {
+			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Crashed {
 				worker.CrashAndRestart()
 			}
 		})
