--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -105,7 +105,7 @@
 	unacknowledged := settings.Millis(s.Bounds.UnacknowledgedTimeout)
 	edges := node.Dependencies{
 		Store:    platform.NewStoreClient(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
-		Orders:   platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
+		Workers:  platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
 		Peers:    peer.NewClient(nil),
 		Codec:    platform.Codec{},
 		Loop:     d.loop,
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -49,7 +49,7 @@
 // Dependencies are the external services that a node uses.
 type Dependencies struct {
 	Store    rows.Store
-	Orders   fleet.WorkerClient
+	Workers  fleet.WorkerClient
 	Peers    *peer.Client
 	Codec    Codec
 	Loop     loop.Loop
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -134,7 +134,7 @@
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Orders.Start(ctx, &target, order)
+		return p.node.edges.Workers.Start(ctx, &target, order)
 	}, done)
 }
 
@@ -142,7 +142,7 @@
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Orders.Stop(ctx, &target, order)
+		return p.node.edges.Workers.Stop(ctx, &target, order)
 	}, done)
 }
 
@@ -150,7 +150,7 @@
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+holdSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Orders.Poll(ctx, &target, order)
+		return p.node.edges.Workers.Poll(ctx, &target, order)
 	}, done)
 }
 
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -40,7 +40,7 @@
 			t.Cleanup(cancel)
 			orders := &countingOrders{}
 			n := New(ctx, Options{Name: "node-1", LinkBytesPerSecond: c.rate}, Dependencies{
-				Store: refusingStore{}, Orders: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{},
+				Store: refusingStore{}, Workers: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{},
 			})
 			for range burst {
 				n.ports.Stop(&fleet.Worker{}, fleet.Stop{}, func(fleet.Reply, error) {})
