--- a/cmd/wheatroad-bench/faults_command.go
+++ b/cmd/wheatroad-bench/faults_command.go
@@ -71,7 +71,7 @@
 		if err := printReport(out, flags, report); err != nil {
 			return err
 		}
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			failed++
 		}
 	}
@@ -82,15 +82,15 @@
 }
 
 func runSeed(flags *faultsFlags, seed uint64) (*soak.Report, error) {
-	folder, err := soak.NewFolder(flags.logs, seed)
+	folder, err := soak.CreateRunDirectory(flags.logs, seed)
 	if err != nil {
 		return nil, err
 	}
 	report, err := soak.Run(soak.Options{
-		Program: filepath.Join(flags.binaries, "wheatroadd"), Seed: seed, Folder: folder,
-		Length: time.Duration(flags.seconds * float64(time.Second)), Daemons: flags.processes, Callers: flags.callers, Lives: flags.workerRestarts,
+		DaemonPath: filepath.Join(flags.binaries, "wheatroadd"), Seed: seed, Directory: folder,
+		FaultDuration: time.Duration(flags.seconds * float64(time.Second)), Daemons: flags.processes, Callers: flags.callers, InstanceFaults: flags.workerRestarts,
 	})
-	if err == nil && len(report.Broken) == 0 {
+	if err == nil && len(report.Violations) == 0 {
 		err = os.RemoveAll(folder)
 	}
 	return report, err
@@ -107,11 +107,11 @@
 	for _, count := range report.Faults {
 		injected += count
 	}
-	_, err := fmt.Fprintf(out, "seed %d: %d faults, jobs %v, broken %d\n", report.Seed, injected, report.States, len(report.Broken))
-	for _, line := range report.Broken[:min(len(report.Broken), maxPrintedViolations)] {
+	_, err := fmt.Fprintf(out, "seed %d: %d faults, jobs %v, broken %d\n", report.Seed, injected, report.States, len(report.Violations))
+	for _, line := range report.Violations[:min(len(report.Violations), maxPrintedViolations)] {
 		_, err = fmt.Fprintln(out, "  broken:", line)
 	}
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		_, err = fmt.Fprintf(out, "  logs in %s; again: wheatroad-bench faults --seed %d --seconds %g --processes %d --callers %d\n",
 			report.Logs, report.Seed, flags.seconds, flags.processes, flags.callers)
 	}
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -53,11 +53,11 @@
 	for _, evacuation := range evacuations {
 		zone := zones[evacuation.Target%len(zones)]
 		r.scheduleLocked(began.Add(evacuation.At), ends, func() { world.Evacuate(zone) })
-		if until := evacuation.At + evacuation.Length; until < r.options.Length {
+		if until := evacuation.At + evacuation.Length; until < r.options.FaultDuration {
 			r.scheduleLocked(began.Add(until), ends, func() { world.CancelEvacuation(zone) })
 		}
 	}
-	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
+	r.scheduleLocked(began.Add(r.options.FaultDuration), ends, func() {
 		for _, zone := range zones {
 			world.CancelEvacuation(zone)
 		}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -246,9 +246,9 @@
 
 // runShortSoak runs one seed with daemon processes.
 func runShortSoak(t *testing.T, seed uint64) *Report {
-	report, err := Run(Options{Program: buildDaemon(t), Seed: seed, Length: 6 * time.Second, Daemons: 3, Callers: 2, Folder: t.TempDir()})
+	report, err := Run(Options{DaemonPath: buildDaemon(t), Seed: seed, FaultDuration: 6 * time.Second, Daemons: 3, Callers: 2, Directory: t.TempDir()})
 	require.NoError(t, err)
-	require.Empty(t, report.Broken)
+	require.Empty(t, report.Violations)
 	require.Positive(t, report.States[taskgraph.Completed])
 	return report
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,24 +18,24 @@
 
 // Options of a run.
 type Options struct {
-	// Program is the path of the wheatroadd binary.
-	Program string
-	Seed    uint64
-	// Length is how long faults are injected.
-	Length  time.Duration
-	Daemons int
-	Callers int
-	// Lives adds restarts of workers and foreign rows also to seeds that draw none.
-	Lives bool
-	// Folder contains settings and logs.
-	Folder string
+	// DaemonPath is the path of the wheatroadd binary.
+	DaemonPath string
+	Seed       uint64
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	Daemons       int
+	Callers       int
+	// InstanceFaults adds restarts of workers and foreign rows also to seeds that draw none.
+	InstanceFaults bool
+	// Directory contains settings and logs.
+	Directory string
 }
 
 // Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Broken lists the violated invariants.
-	Broken []string `json:"broken"`
+	// Violations lists the violated invariants.
+	Violations []string `json:"broken"`
 	// Faults counts the injected faults by kind.
 	Faults map[Kind]int `json:"faults"`
 	// Links are the rates of the daemons' links and the growth of the configuration.
@@ -90,7 +90,7 @@
 func Run(options Options) (*Report, error) {
 	world := simulation.NewCluster(racks, workersPerRack)
 	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
-	workerFaults := NewWorkerFaults(options.Seed, options.Length)
+	workerFaults := NewWorkerFaults(options.Seed, options.FaultDuration)
 	world.SkipCapacityCheck = workerFaults.Unguarded
 	platform, err := standin.Start(world)
 	if err != nil {
@@ -103,7 +103,7 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	report := &Report{Seed: options.Seed, Broken: []string{}, Faults: map[Kind]int{}, Logs: options.Folder, States: map[taskgraph.State]int{}}
+	report := &Report{Seed: options.Seed, Violations: []string{}, Faults: map[Kind]int{}, Logs: options.Directory, States: map[taskgraph.State]int{}}
 	r.injectFaults(report)
 	r.waitForJobs(report)
 	r.collectViolations(report)
@@ -112,7 +112,7 @@
 
 func (r *run) start() error {
 	for number := range r.options.Daemons {
-		d, err := newDaemon(number, r.options.Program, r.options.Folder, r.platform.Address())
+		d, err := newDaemon(number, r.options.DaemonPath, r.options.Directory, r.platform.Address())
 		if err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 	for _, d := range r.daemons {
 		for !caller.Ready(d.ready) {
 			if time.Now().After(deadline) {
-				return errors.Newf("node-%d does not become ready, see %s", d.number, r.options.Folder)
+				return errors.Newf("node-%d does not become ready, see %s", d.number, r.options.Directory)
 			}
 			time.Sleep(pollPeriod)
 		}
@@ -156,17 +156,17 @@
 		callers.Go(func() { r.callerLoop(number) })
 	}
 	began := time.Now()
-	report.Links = NewLinks(r.options.Seed, r.options.Length, len(r.daemons))
+	report.Links = NewLinks(r.options.Seed, r.options.FaultDuration, len(r.daemons))
 	r.applyLinks(report.Links, began, &ends)
-	report.Silences = NewSilences(r.options.Seed, r.options.Length)
+	report.Silences = NewSilences(r.options.Seed, r.options.FaultDuration)
 	r.applySilences(report.Silences, began, &ends)
-	report.Evacuations = NewEvacuations(r.options.Seed, r.options.Length)
+	report.Evacuations = NewEvacuations(r.options.Seed, r.options.FaultDuration)
 	r.applyEvacuations(report.Evacuations, began, &ends)
 	report.Workers = r.workers
 	r.applyWorkerFaults(began, &ends)
-	report.InstanceFaults = NewInstanceFaults(r.options.Seed, r.options.Length, r.options.Lives)
+	report.InstanceFaults = NewInstanceFaults(r.options.Seed, r.options.FaultDuration, r.options.InstanceFaults)
 	r.applyInstanceFaults(report.InstanceFaults, began, &ends)
-	for _, fault := range NewPlan(r.options.Seed, r.options.Length) {
+	for _, fault := range NewPlan(r.options.Seed, r.options.FaultDuration) {
 		time.Sleep(time.Until(began.Add(fault.At)))
 		report.Faults[fault.Kind]++
 		if end := r.inject(fault); end != nil {
@@ -176,7 +176,7 @@
 			})
 		}
 	}
-	time.Sleep(time.Until(began.Add(r.options.Length)))
+	time.Sleep(time.Until(began.Add(r.options.FaultDuration)))
 	ends.Wait()
 	close(r.closed)
 	callers.Wait()
@@ -235,11 +235,11 @@
 	for _, s := range r.observations.submissions {
 		r.checkJob(s)
 	}
-	report.Broken = append(report.Broken, r.observations.violations...)
-	r.platform.WithLock(func() { report.Broken = append(report.Broken, r.platform.World.Checker.Violations...) })
+	report.Violations = append(report.Violations, r.observations.violations...)
+	r.platform.WithLock(func() { report.Violations = append(report.Violations, r.platform.World.Checker.Violations...) })
 	for _, d := range r.daemons {
 		d.mutex.Lock()
-		report.Broken = append(report.Broken, d.unexpectedExits...)
+		report.Violations = append(report.Violations, d.unexpectedExits...)
 		d.mutex.Unlock()
 	}
 	report.Answers = r.observations.answers
@@ -322,8 +322,8 @@
 	r.platform.PutConfiguration(r.configuration)
 }
 
-// NewFolder creates the directory for the settings and logs of a seed.
-func NewFolder(parent string, seed uint64) (string, error) {
+// CreateRunDirectory creates the directory for the settings and logs of a seed.
+func CreateRunDirectory(parent string, seed uint64) (string, error) {
 	folder := filepath.Join(parent, fmt.Sprintf("seed-%d", seed))
 	return folder, os.MkdirAll(folder, 0o755)
 }
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
 	r := &run{
-		options:  Options{Program: buildDaemon(t), Daemons: 3, Folder: t.TempDir()},
+		options:  Options{DaemonPath: buildDaemon(t), Daemons: 3, Directory: t.TempDir()},
 		platform: platform, observations: observations{answers: map[string]int{}},
 	}
 	r.putInitialConfiguration()
@@ -96,12 +96,12 @@
 	t.Cleanup(platform.Close)
 	platform.WithLock(func() { putEndedJobs(platform.World, oldJobs) })
 	r := &run{
-		options:  Options{Program: buildDaemon(t), Daemons: 1, Folder: t.TempDir()},
+		options:  Options{DaemonPath: buildDaemon(t), Daemons: 1, Directory: t.TempDir()},
 		platform: platform, observations: observations{answers: map[string]int{}},
 	}
 	r.putInitialConfiguration()
 	t.Cleanup(r.closeDaemons)
-	d, err := newDaemon(0, r.options.Program, r.options.Folder, platform.Address())
+	d, err := newDaemon(0, r.options.DaemonPath, r.options.Directory, platform.Address())
 	require.NoError(t, err)
 	r.daemons = []*daemon{d}
 	d.proxy.SetRate(slowLink)
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -107,7 +107,7 @@
 			worker.SetCapacity(capacity, change.RowAfter)
 		})
 	}
-	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
+	r.scheduleLocked(began.Add(r.options.FaultDuration), ends, func() {
 		for _, worker := range world.Workers {
 			worker.SetCapacity(simulation.WorkerCapacity, 0)
 		}
