--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -46,13 +46,13 @@
 	if flags.seeds < 2 {
 		return errors.New("--seeds must be at least 2")
 	}
-	variants := []loadplay.Way{{Name: "all"}}
+	variants := []loadplay.Variant{{Name: "all"}}
 	for _, names := range flags.disabledSets {
 		off, err := mechanism.ParseDisabled(strings.Split(names, ","))
 		if err != nil {
 			return errors.Wrap(err, "--without")
 		}
-		variants = append(variants, loadplay.Way{Name: "without " + names, Off: off})
+		variants = append(variants, loadplay.Variant{Name: "without " + names, Off: off})
 	}
 	loads, err := selectLoads(flags.loads)
 	if err != nil {
@@ -89,13 +89,13 @@
 	fmt.Fprintf(out, " %-12s %-10s %s\n", "stops/placed", "most stops", "thrown away, core-s")
 	for i := range comparisons {
 		c := &comparisons[i]
-		fmt.Fprintf(out, "  %-44s %.3f +- %.3f  %+.3f +- %.3f %.3f   ", c.Way.Name, c.Worth.Mean, c.Worth.Error, c.Gain.Mean, c.Gain.Error, c.Served.Mean)
+		fmt.Fprintf(out, "  %-44s %.3f +- %.3f  %+.3f +- %.3f %.3f   ", c.Variant.Name, c.ValueShare.Mean, c.ValueShare.HalfWidth, c.ValueGain.Mean, c.ValueGain.HalfWidth, c.Served.Mean)
 		for _, class := range c.Classes {
 			fmt.Fprintf(out, " %-8.3f", class.Mean)
 		}
-		fmt.Fprintf(out, " %-12.3f %-10d %.0f\n", c.StopShare.Mean, c.MostStops, c.ThrownAway.Mean)
+		fmt.Fprintf(out, " %-12.3f %-10d %.0f\n", c.PreemptionRate.Mean, c.MaxPreemptions, c.LostCoreSeconds.Mean)
 		for _, result := range c.Results {
-			for _, broken := range result.Broken {
+			for _, broken := range result.Violations {
 				fmt.Fprintf(out, "    BROKEN %s\n", broken)
 			}
 		}
--- a/internal/loadplay/compare.go
+++ b/internal/loadplay/compare.go
@@ -7,40 +7,40 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Way is a scheduler configuration, given by the mechanisms that are switched off.
-type Way struct {
+// Variant is a scheduler configuration, given by the mechanisms that are switched off.
+type Variant struct {
 	Name string
 	Off  mechanism.Disabled
 }
 
 // Estimate is a mean over seeds with the half width of its 95% confidence interval.
 type Estimate struct {
-	Mean  float64
-	Error float64
+	Mean      float64
+	HalfWidth float64
 }
 
 // Comparison is the summary of one configuration over all seeds.
 type Comparison struct {
-	Way     Way
-	Results []Result
-	Worth   Estimate
-	// Gain is the mean difference of Worth to the first configuration, paired by seed.
-	Gain       Estimate
-	Served     Estimate
-	Classes    []Estimate
-	StopShare  Estimate
-	MostStops  int
-	ThrownAway Estimate
+	Variant    Variant
+	Results    []Result
+	ValueShare Estimate
+	// ValueGain is the mean difference of Worth to the first configuration, paired by seed.
+	ValueGain       Estimate
+	Served          Estimate
+	Classes         []Estimate
+	PreemptionRate  Estimate
+	MaxPreemptions  int
+	LostCoreSeconds Estimate
 }
 
 // Compare simulates a load under several configurations with the same seeds, on the given number
 // of threads.
-func Compare(load *Load, ways []Way, firstSeed uint64, seeds, threads int) []Comparison {
+func Compare(load *Load, ways []Variant, firstSeed uint64, seeds, threads int) []Comparison {
 	compared := make([]Comparison, len(ways))
 	var group sync.WaitGroup
 	slots := make(chan struct{}, threads)
 	for k := range ways {
-		compared[k] = Comparison{Way: ways[k], Results: make([]Result, seeds)}
+		compared[k] = Comparison{Variant: ways[k], Results: make([]Result, seeds)}
 		for n := range seeds {
 			slots <- struct{}{}
 			group.Go(func() {
@@ -64,16 +64,16 @@
 		}
 		return estimate(values)
 	}
-	c.Worth = over(func(i int) float64 { return c.Results[i].Worth })
-	c.Gain = over(func(i int) float64 { return c.Results[i].Worth - base[i].Worth })
+	c.ValueShare = over(func(i int) float64 { return c.Results[i].Worth })
+	c.ValueGain = over(func(i int) float64 { return c.Results[i].Worth - base[i].Worth })
 	c.Served = over(func(i int) float64 { return c.Results[i].Served })
-	c.StopShare = over(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
-	c.ThrownAway = over(func(i int) float64 { return c.Results[i].ThrownAway })
+	c.PreemptionRate = over(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
+	c.LostCoreSeconds = over(func(i int) float64 { return c.Results[i].ThrownAway })
 	for class := range c.Results[0].Classes {
 		c.Classes = append(c.Classes, over(func(i int) float64 { return c.Results[i].Classes[class].Worth }))
 	}
 	for i := range c.Results {
-		c.MostStops = max(c.MostStops, c.Results[i].MostStops)
+		c.MaxPreemptions = max(c.MaxPreemptions, c.Results[i].MostStops)
 	}
 }
 
@@ -91,8 +91,8 @@
 		squares += (value - mean) * (value - mean)
 	}
 	if len(values) < 2 {
-		return Estimate{Mean: mean, Error: math.Inf(1)}
+		return Estimate{Mean: mean, HalfWidth: math.Inf(1)}
 	}
 	deviation := math.Sqrt(squares / float64(len(values)-1))
-	return Estimate{Mean: mean, Error: zScore95 * deviation / math.Sqrt(float64(len(values)))}
+	return Estimate{Mean: mean, HalfWidth: zScore95 * deviation / math.Sqrt(float64(len(values)))}
 }
--- a/internal/loadplay/loadplay_test.go
+++ b/internal/loadplay/loadplay_test.go
@@ -17,7 +17,7 @@
 	load.Length /= 6
 	first, second := load.Simulate(3, nil), load.Simulate(3, nil)
 	require.Equal(t, first, second)
-	require.Empty(t, first.Broken)
+	require.Empty(t, first.Violations)
 	require.Greater(t, first.Worth, 0.5)
 	require.NotEqual(t, first, load.Simulate(4, nil))
 }
@@ -28,18 +28,18 @@
 func TestWhatGainsAtWorstLoad(t *testing.T) {
 	load := loadNamed(t, "three-bursts").scaled(0.4)
 	load.Length = 24 * time.Second
-	ways := []Way{
+	ways := []Variant{
 		{Name: "all"},
 		{Name: "late units first", Off: mechanism.Disabled{mechanism.OnTimeFirst: true}},
 		{Name: "anywhere", Off: mechanism.Disabled{mechanism.LocalityWait: true}},
 	}
 	compared := Compare(load, ways, 1, 2, 3)
-	require.Less(t, compared[1].Gain.Mean, 0.0)
+	require.Less(t, compared[1].ValueGain.Mean, 0.0)
 	require.Less(t, compared[1].Classes[2].Mean, compared[0].Classes[2].Mean, "wide steps must lose without TimelyFirst")
-	require.Less(t, compared[2].Gain.Mean, -0.1)
+	require.Less(t, compared[2].ValueGain.Mean, -0.1)
 	for _, way := range compared {
 		for _, result := range way.Results {
-			require.Empty(t, result.Broken)
+			require.Empty(t, result.Violations)
 		}
 	}
 }
@@ -56,8 +56,8 @@
 }
 
 func TestEstimatesOfConfidence(t *testing.T) {
-	require.Equal(t, Estimate{Mean: 2, Error: zScore95 / math.Sqrt(3)}, estimate([]float64{1, 2, 3}))
-	require.True(t, math.IsInf(estimate([]float64{1}).Error, 1))
+	require.Equal(t, Estimate{Mean: 2, HalfWidth: zScore95 / math.Sqrt(3)}, estimate([]float64{1, 2, 3}))
+	require.True(t, math.IsInf(estimate([]float64{1}).HalfWidth, 1))
 }
 
 // TestSpeedsOfWorkersAreWorthKnowing guards against estimates that ignore worker speeds:
@@ -65,13 +65,13 @@
 func TestSpeedsOfWorkersAreWorthKnowing(t *testing.T) {
 	load := loadNamed(t, "mixed-speeds").scaled(0.5)
 	load.Length = 24 * time.Second
-	ways := []Way{{Name: "all"}, {Name: "speeds not learned", Off: mechanism.Disabled{mechanism.LearnedSpeeds: true}}}
+	ways := []Variant{{Name: "all"}, {Name: "speeds not learned", Off: mechanism.Disabled{mechanism.LearnedSpeeds: true}}}
 	compared := Compare(load, ways, 1, 4, 4)
-	require.Less(t, compared[1].Gain.Mean, -0.1)
+	require.Less(t, compared[1].ValueGain.Mean, -0.1)
 	require.Greater(t, compared[0].Classes[0].Mean, compared[1].Classes[0].Mean+0.1, "urgent jobs must gain from learned speeds")
 	for _, way := range compared {
 		for _, result := range way.Results {
-			require.Empty(t, result.Broken)
+			require.Empty(t, result.Violations)
 		}
 	}
 }
--- a/internal/loadplay/simulate.go
+++ b/internal/loadplay/simulate.go
@@ -29,8 +29,8 @@
 	MostStops int
 	// ThrownAway is the unsaved work of stopped runs, in core-seconds.
 	ThrownAway float64
-	// Broken lists the violated invariants.
-	Broken []string
+	// Violations lists the violated invariants.
+	Violations []string
 }
 
 const (
@@ -102,7 +102,7 @@
 
 func (l *Load) evaluate(w *simulation.Cluster, arrivals []arrival, ends map[string]time.Duration) Result {
 	result := Result{
-		Classes: make([]ClassResult, len(l.Classes)), Broken: w.Checker.Violations,
+		Classes: make([]ClassResult, len(l.Classes)), Violations: w.Checker.Violations,
 		Placed: w.Checker.DecisionCounts["placed"], Preempted: w.Checker.Metrics["stops/preempted"],
 		MostStops: w.Checker.MaxPreemptions(), ThrownAway: w.Checker.LostCoreSeconds,
 	}
