--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -242,7 +242,7 @@
 		return
 	}
 	w.site.Worker(name).Restart(w.clock.now)
-	w.faults.workers[name] = standin.Fault{Mode: standin.Frozen}
+	w.faults.workers[name] = standin.Fault{Mode: standin.Unresponsive}
 	w.site.SetStatus(w.clock.now, name, machines.Gone)
 	w.clock.After(length, func() {
 		delete(w.faults.workers, name)
--- a/internal/emulator/ports.go
+++ b/internal/emulator/ports.go
@@ -23,11 +23,11 @@
 // failed once the time limit has passed.
 func exchange[T any](p *ports, to target, fault standin.Fault, latency time.Duration, effect func() T, answered func(T), failed func(hadEffect bool)) {
 	w := p.world
-	verdict := fault.Judge(w.random)
+	verdict := fault.Apply(w.random)
 	broken := w.network.of(p.node.name, to)
 	process := p.node.process
 	w.Bytes[p.node.name] += messageOverhead
-	if verdict.Refused && broken == cutNone {
+	if verdict.Rejected && broken == cutNone {
 		w.clock.After(2*latency, func() { process.run(func() { failed(false) }) })
 		return
 	}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -19,8 +19,8 @@
 	Lossy Mode = "lossy"
 	// Late services lose some answers and apply those requests after Delay.
 	Late Mode = "late"
-	// Frozen services accept requests, never apply them and never answer.
-	Frozen Mode = "frozen"
+	// Unresponsive services accept requests, never apply them and never answer.
+	Unresponsive Mode = "frozen"
 )
 
 // Fault is the current failure mode of a service.
@@ -32,10 +32,10 @@
 	Share float64 `json:"share,omitempty"`
 }
 
-// Verdict is the outcome of one request.
-type Verdict struct {
-	// Refused requests are answered with an error and have no effect.
-	Refused bool
+// RequestOutcome is the outcome of one request.
+type RequestOutcome struct {
+	// Rejected requests are answered with an error and have no effect.
+	Rejected bool
 	// AnswerLost requests get no answer.
 	AnswerLost bool
 	// NoEffect requests are never applied.
@@ -44,22 +44,22 @@
 	Delay time.Duration
 }
 
-// Judge returns the outcome of one request.
-func (f Fault) Judge(random *rand.Rand) Verdict {
+// Apply returns the outcome of one request.
+func (f Fault) Apply(random *rand.Rand) RequestOutcome {
 	delay := seconds(f.DelaySeconds)
 	switch f.Mode {
 	case Slow:
-		return Verdict{Delay: delay}
+		return RequestOutcome{Delay: delay}
 	case Down:
-		return Verdict{Refused: true, NoEffect: true}
-	case Frozen:
-		return Verdict{AnswerLost: true, NoEffect: true}
+		return RequestOutcome{Rejected: true, NoEffect: true}
+	case Unresponsive:
+		return RequestOutcome{AnswerLost: true, NoEffect: true}
 	case Lossy:
-		return Verdict{AnswerLost: random.Float64() < f.Share}
+		return RequestOutcome{AnswerLost: random.Float64() < f.Share}
 	case Late:
 		if random.Float64() < f.Share {
-			return Verdict{AnswerLost: true, Delay: delay}
+			return RequestOutcome{AnswerLost: true, Delay: delay}
 		}
 	}
-	return Verdict{}
+	return RequestOutcome{}
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -75,9 +75,9 @@
 // returns the answer.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, service string, effect func(now time.Time) any) {
 	s.mutex.Lock()
-	verdict := s.faults[service].Judge(s.random)
+	verdict := s.faults[service].Apply(s.random)
 	s.mutex.Unlock()
-	if verdict.Refused {
+	if verdict.Rejected {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
@@ -174,11 +174,11 @@
 
 func (s *Server) getObject(w http.ResponseWriter, r *http.Request) {
 	s.mutex.Lock()
-	verdict := s.faults["objects"].Judge(s.random)
+	verdict := s.faults["objects"].Apply(s.random)
 	content, ok := s.site.Objects[r.FormValue("name")]
 	s.mutex.Unlock()
 	switch {
-	case verdict.Refused:
+	case verdict.Rejected:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	case verdict.AnswerLost:
 		abortConnection(w)
@@ -284,6 +284,6 @@
 func (s *Server) counts(w http.ResponseWriter, _ *http.Request) {
 	respond(w, s.run(func(time.Time) any {
 		reads, writes := s.site.Table.Counts()
-		return Counts{Reads: reads, Writes: writes, Busy: s.site.Busy("")}
+		return Counts{Reads: reads, Writes: writes, Busy: s.site.RunningTasks("")}
 	}))
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -28,7 +28,7 @@
 	Table *Table
 	// Objects contains the content of the object store by name.
 	Objects map[string][]byte
-	workers map[string]*Worker
+	workers map[string]*SimulatedWorker
 	names   []string
 	// ListLag is the delay until a change appears in the machine list, and ReportLag until a
 	// report appears in the feed.
@@ -39,8 +39,8 @@
 	feeds      map[string]*feed
 	history    []Execution
 	now        time.Time
-	// Keep records executions for the checker.
-	Keep bool
+	// RecordHistory records executions for the checker.
+	RecordHistory bool
 }
 
 type listEntry struct {
@@ -65,7 +65,7 @@
 
 // NewSite returns a site whose workers are all live.
 func NewSite(layouts []Layout, address string, now time.Time) *Site {
-	s := &Site{Table: NewTable(), Objects: map[string][]byte{}, workers: map[string]*Worker{}, feeds: map[string]*feed{}, now: now, Keep: true}
+	s := &Site{Table: NewTable(), Objects: map[string][]byte{}, workers: map[string]*SimulatedWorker{}, feeds: map[string]*feed{}, now: now, RecordHistory: true}
 	racksBefore := map[string]int{}
 	for _, layout := range layouts {
 		zone := layout.Region + "/" + layout.Zone
@@ -95,7 +95,7 @@
 	w.Report = s.report
 	w.Output = func(name string, content []byte) { s.Objects[name] = content }
 	w.Record = func(execution Execution) {
-		if s.Keep {
+		if s.RecordHistory {
 			s.history = append(s.history, execution)
 		}
 	}
@@ -129,7 +129,7 @@
 }
 
 // Worker returns a worker by name, or nil.
-func (s *Site) Worker(name string) *Worker { return s.workers[name] }
+func (s *Site) Worker(name string) *SimulatedWorker { return s.workers[name] }
 
 // Names returns the names of all workers.
 func (s *Site) Names() []string { return s.names }
@@ -227,8 +227,8 @@
 	return first, found
 }
 
-// Busy returns the number of occupied slots on the workers whose names have the prefix.
-func (s *Site) Busy(prefix string) int {
+// RunningTasks returns the number of occupied slots on the workers whose names have the prefix.
+func (s *Site) RunningTasks(prefix string) int {
 	count := 0
 	for _, name := range s.names {
 		if strings.HasPrefix(name, prefix) {
--- a/internal/standin/workers.go
+++ b/internal/standin/workers.go
@@ -36,8 +36,8 @@
 	State   worker.TaskState `json:"state"`
 }
 
-// Worker is a simulated worker that runs no processes. It is not safe for concurrent use.
-type Worker struct {
+// SimulatedWorker is a simulated worker that runs no processes. It is not safe for concurrent use.
+type SimulatedWorker struct {
 	machine machines.Machine
 	leaving bool
 	epochs  map[string]int64
@@ -77,8 +77,8 @@
 }
 
 // NewWorker returns an idle worker on the given machine.
-func NewWorker(machine machines.Machine) *Worker {
-	return &Worker{
+func NewWorker(machine machines.Machine) *SimulatedWorker {
+	return &SimulatedWorker{
 		machine: machine,
 		epochs:  map[string]int64{},
 		tasks:   map[taskKey]*task{},
@@ -90,10 +90,10 @@
 }
 
 // Machine returns the entry of the worker in the machine list.
-func (w *Worker) Machine() machines.Machine { return w.machine }
+func (w *SimulatedWorker) Machine() machines.Machine { return w.machine }
 
 // SetLeaving sets whether the worker is leaving. It reports the start of leaving to all domains.
-func (w *Worker) SetLeaving(leaving bool) {
+func (w *SimulatedWorker) SetLeaving(leaving bool) {
 	if leaving && !w.leaving {
 		for domain := range w.epochs {
 			w.Report(domain, worker.Report{Worker: w.machine.Name, Draining: true})
@@ -103,10 +103,10 @@
 }
 
 // Leaving reports whether the worker is leaving.
-func (w *Worker) Leaving() bool { return w.leaving }
+func (w *SimulatedWorker) Leaving() bool { return w.leaving }
 
 // Restart discards all state, like a machine after a power loss.
-func (w *Worker) Restart(now time.Time) {
+func (w *SimulatedWorker) Restart(now time.Time) {
 	for _, t := range w.sortedTasks() {
 		if t.State == worker.TaskRunning {
 			w.record(now, t, false)
@@ -120,7 +120,7 @@
 }
 
 // Handle executes or refuses an order.
-func (w *Worker) Handle(now time.Time, order worker.Order) worker.Reply {
+func (w *SimulatedWorker) Handle(now time.Time, order worker.Order) worker.Reply {
 	w.Advance(now)
 	if w.Fencing && order.Epoch < w.epochs[order.Domain] {
 		return w.reply(order, worker.RefusedStaleEpoch)
@@ -147,11 +147,11 @@
 	return w.reply(order, worker.RefusedNone)
 }
 
-func (w *Worker) reply(order worker.Order, refusal worker.Refusal) worker.Reply {
+func (w *SimulatedWorker) reply(order worker.Order, refusal worker.Refusal) worker.Reply {
 	return worker.Reply{Refusal: refusal, Epoch: w.epochs[order.Domain], Draining: w.leaving}
 }
 
-func (w *Worker) reserve(now time.Time, key taskKey, order worker.Order) worker.Refusal {
+func (w *SimulatedWorker) reserve(now time.Time, key taskKey, order worker.Order) worker.Refusal {
 	if _, exists := w.tasks[key]; exists {
 		return worker.RefusedNone
 	}
@@ -171,7 +171,7 @@
 	return worker.RefusedNone
 }
 
-func (w *Worker) fits(order worker.Order) bool {
+func (w *SimulatedWorker) fits(order worker.Order) bool {
 	members := len(order.Members)
 	return w.used.Accelerators+members*order.Accelerators <= w.machine.Accelerators &&
 		w.used.CPUs+members*order.CPUs <= w.machine.CPUs &&
@@ -179,7 +179,7 @@
 		w.slots+members <= w.machine.Slots
 }
 
-func (w *Worker) updateUsage(t *task, sign int) {
+func (w *SimulatedWorker) updateUsage(t *task, sign int) {
 	members := sign * len(t.Members)
 	w.used.Accelerators += members * t.order.Accelerators
 	w.used.CPUs += members * t.order.CPUs
@@ -187,7 +187,7 @@
 	w.slots += members
 }
 
-func (w *Worker) start(now time.Time, key taskKey, order worker.Order) worker.Refusal {
+func (w *SimulatedWorker) start(now time.Time, key taskKey, order worker.Order) worker.Refusal {
 	t, ok := w.tasks[key]
 	if !ok {
 		return worker.RefusedNoReservation
@@ -208,7 +208,7 @@
 	return worker.RefusedNone
 }
 
-func (w *Worker) release(key taskKey) {
+func (w *SimulatedWorker) release(key taskKey) {
 	t, ok := w.tasks[key]
 	if ok && t.State == worker.TaskReserved {
 		w.updateUsage(t, -1)
@@ -216,7 +216,7 @@
 	}
 }
 
-func (w *Worker) checkpoint(now time.Time, key taskKey, order worker.Order) worker.Refusal {
+func (w *SimulatedWorker) checkpoint(now time.Time, key taskKey, order worker.Order) worker.Refusal {
 	t, ok := w.tasks[key]
 	if !ok {
 		return worker.RefusedUnknownTask
@@ -230,7 +230,7 @@
 	return worker.RefusedNone
 }
 
-func (w *Worker) stop(now time.Time, key taskKey) worker.Refusal {
+func (w *SimulatedWorker) stop(now time.Time, key taskKey) worker.Refusal {
 	t, ok := w.tasks[key]
 	if !ok {
 		return worker.RefusedUnknownTask
@@ -245,14 +245,14 @@
 	return worker.RefusedNone
 }
 
-func (w *Worker) forget(key taskKey) {
+func (w *SimulatedWorker) forget(key taskKey) {
 	t, ok := w.tasks[key]
 	if ok && t.State != worker.TaskReserved && t.State != worker.TaskRunning {
 		delete(w.tasks, key)
 	}
 }
 
-func (w *Worker) renew(now time.Time, order worker.Order) worker.Reply {
+func (w *SimulatedWorker) renew(now time.Time, order worker.Order) worker.Reply {
 	reply := w.reply(order, worker.RefusedNone)
 	for _, t := range w.sortedTasks() {
 		if t.order.Domain != order.Domain {
@@ -271,7 +271,7 @@
 }
 
 // Advance processes all events up to now in time order.
-func (w *Worker) Advance(now time.Time) {
+func (w *SimulatedWorker) Advance(now time.Time) {
 	for {
 		t, at, ok := w.nextEvent()
 		if !ok || at.After(now) {
@@ -282,12 +282,12 @@
 }
 
 // NextEvent returns the time at which a task next finishes or expires.
-func (w *Worker) NextEvent() (time.Time, bool) {
+func (w *SimulatedWorker) NextEvent() (time.Time, bool) {
 	_, at, ok := w.nextEvent()
 	return at, ok
 }
 
-func (w *Worker) nextEvent() (*task, time.Time, bool) {
+func (w *SimulatedWorker) nextEvent() (*task, time.Time, bool) {
 	var first *task
 	var at time.Time
 	for _, t := range w.sortedTasks() {
@@ -313,7 +313,7 @@
 	}
 }
 
-func (w *Worker) expire(at time.Time, t *task) {
+func (w *SimulatedWorker) expire(at time.Time, t *task) {
 	if t.State == worker.TaskReserved {
 		w.release(taskKey{tenant: t.Tenant, job: t.Job, attempt: t.Attempt})
 		return
@@ -328,7 +328,7 @@
 	}
 }
 
-func (w *Worker) finish(at time.Time, t *task) {
+func (w *SimulatedWorker) finish(at time.Time, t *task) {
 	for _, member := range t.Members {
 		content := Output(t.Job, t.Attempt, member, t.payload.OutputBytes)
 		w.Output(worker.ResultName(t.Tenant, t.Job, t.Attempt, member), content)
@@ -337,21 +337,21 @@
 	w.end(at, t, worker.TaskFinished)
 }
 
-func (w *Worker) end(at time.Time, t *task, state worker.TaskState) {
+func (w *SimulatedWorker) end(at time.Time, t *task, state worker.TaskState) {
 	w.updateUsage(t, -1)
 	t.State = state
 	w.record(at, t, false)
 	w.Report(t.order.Domain, worker.Report{Worker: w.machine.Name, Task: t.Task})
 }
 
-func (w *Worker) record(at time.Time, t *task, began bool) {
+func (w *SimulatedWorker) record(at time.Time, t *task, began bool) {
 	w.Record(Execution{
 		At: at, Worker: w.machine.Name, Tenant: t.Tenant, Job: t.Job, Attempt: t.Attempt,
 		Epoch: t.order.Epoch, Members: t.Members, Began: began, State: t.State,
 	})
 }
 
-func (w *Worker) sortedTasks() []*task {
+func (w *SimulatedWorker) sortedTasks() []*task {
 	sorted := make([]*task, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		sorted = append(sorted, t)
--- a/internal/standin/workers_test.go
+++ b/internal/standin/workers_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func stateOf(w *Worker) worker.TaskState {
+func stateOf(w *SimulatedWorker) worker.TaskState {
 	for _, t := range w.tasks {
 		return t.State
 	}
--- a/internal/worker/httpfleet/httpfleet_test.go
+++ b/internal/worker/httpfleet/httpfleet_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, int64(2), reply.Epoch)
 	_, err = fleet.Send(t.Context(), "r/z/rack09/worker00", address, order)
 	require.Error(t, err)
-	for _, mode := range []standin.Mode{standin.Down, standin.Frozen} {
+	for _, mode := range []standin.Mode{standin.Down, standin.Unresponsive} {
 		server.SetFault("worker:"+name, standin.Fault{Mode: mode})
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		_, err = fleet.Send(ctx, name, address, order)
