--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -11,15 +11,15 @@
 type Mode int
 
 const (
-	// Pass forwards all bytes.
-	Pass Mode = iota
+	// Forward forwards all bytes.
+	Forward Mode = iota
 	// Delay forwards them after a delay.
 	Delay
-	// Silence discards the bytes of both directions.
-	Silence
-	// CutAnswers discards the bytes from the target, CutRequests those to it.
-	CutAnswers
-	CutRequests
+	// Blackhole discards the bytes of both directions.
+	Blackhole
+	// DropResponses discards the bytes from the target, CutRequests those to it.
+	DropResponses
+	DropRequests
 )
 
 // proxyDelay is the delay of the mode Delay.
@@ -56,8 +56,8 @@
 	return p, nil
 }
 
-// Opened returns the number of connections established through the proxy so far.
-func (p *Proxy) Opened() int {
+// EstablishedConnections returns the number of connections established through the proxy so far.
+func (p *Proxy) EstablishedConnections() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.established
@@ -80,9 +80,9 @@
 	p.requests.set(bytesPerSecond)
 }
 
-// SilenceOpen makes all open connections discard bytes of both directions from now on, without
+// SilenceOpenConnections makes all open connections discard bytes of both directions from now on, without
 // closing them. New connections work.
-func (p *Proxy) SilenceOpen() {
+func (p *Proxy) SilenceOpenConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.open {
@@ -125,8 +125,8 @@
 		return
 	}
 	p.track(client, server)
-	go p.pipe(server, client, CutRequests, &p.requests)
-	p.pipe(client, server, CutAnswers, &p.answers)
+	go p.pipe(server, client, DropRequests, &p.requests)
+	p.pipe(client, server, DropResponses, &p.answers)
 }
 
 func (p *Proxy) track(connections ...net.Conn) {
@@ -160,7 +160,7 @@
 			return
 		}
 		switch mode := p.modeFor(from); {
-		case mode == Silence || mode == dropMode:
+		case mode == Blackhole || mode == dropMode:
 			lost = true
 		case mode == Delay:
 			time.Sleep(proxyDelay)
@@ -180,7 +180,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.silent[from] {
-		return Silence
+		return Blackhole
 	}
 	return p.mode
 }
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -35,7 +35,7 @@
 	proxy, err := New(echo(t))
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
-	for _, mode := range []Mode{Silence, CutAnswers, CutRequests} {
+	for _, mode := range []Mode{Blackhole, DropResponses, DropRequests} {
 		connection, err := net.Dial("tcp", proxy.Address())
 		require.NoError(t, err)
 		require.Equal(t, byte('a'), exchange(t, connection, 'a'))
@@ -45,7 +45,7 @@
 		require.NoError(t, connection.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 		_, err = connection.Read(make([]byte, 1))
 		require.Error(t, err, "mode %d", mode)
-		proxy.SetMode(Pass)
+		proxy.SetMode(Forward)
 	}
 	connection, err := net.Dial("tcp", proxy.Address())
 	require.NoError(t, err)
@@ -118,7 +118,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
 	require.Equal(t, byte('a'), exchange(t, silent, 'a'))
-	proxy.SilenceOpen()
+	proxy.SilenceOpenConnections()
 	_, err = silent.Write([]byte{'b'})
 	require.NoError(t, err)
 	require.NoError(t, silent.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
--- a/internal/httppool/httppool_test.go
+++ b/internal/httppool/httppool_test.go
@@ -33,7 +33,7 @@
 			address := "http://" + server.Address()
 			client := &http.Client{Transport: New(func() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: 2} })}
 			get(t, client, t.Context(), address)
-			require.Equal(t, 1, server.Opened())
+			require.Equal(t, 1, server.EstablishedConnections())
 			ctx, cancel := context.WithCancelCause(t.Context())
 			cancel(c.cause)
 			request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
@@ -41,7 +41,7 @@
 			_, err = client.Do(request)
 			require.Error(t, err)
 			get(t, client, t.Context(), address)
-			require.Equal(t, c.opened, server.Opened())
+			require.Equal(t, c.opened, server.EstablishedConnections())
 		})
 	}
 }
@@ -105,7 +105,7 @@
 			defer cancel()
 			closeIdleAfterTimeout(ctx, pool.transport(server.Address()))
 			get(t, client, t.Context(), address)
-			require.Equal(t, c.opened, server.Opened())
+			require.Equal(t, c.opened, server.EstablishedConnections())
 		})
 	}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -64,15 +64,15 @@
 func (r *run) injectLink(fault Fault, d *daemon) func() {
 	d.recordFault(fault.Length + faultMargin)
 	modes := map[Kind]faultproxy.Mode{
-		DelayLink: faultproxy.Delay, SilenceLink: faultproxy.Silence,
-		CutAnswerLink: faultproxy.CutAnswers, CutOrderLink: faultproxy.CutRequests,
+		DelayLink: faultproxy.Delay, SilenceLink: faultproxy.Blackhole,
+		CutAnswerLink: faultproxy.DropResponses, CutOrderLink: faultproxy.DropRequests,
 	}
 	if fault.Kind == ResetLink {
 		d.proxy.Reset()
 		return nil
 	}
 	d.proxy.SetMode(modes[fault.Kind])
-	return func() { d.proxy.SetMode(faultproxy.Pass) }
+	return func() { d.proxy.SetMode(faultproxy.Forward) }
 }
 
 // injectPlatform injects a fault of the platform, which affects every daemon.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -202,7 +202,7 @@
 		ends.Go(func() {
 			time.Sleep(time.Until(began.Add(silence.At)))
 			d.recordFault(silenceEffect + faultMargin)
-			d.proxy.SilenceOpen()
+			d.proxy.SilenceOpenConnections()
 		})
 	}
 }
