--- a/cmd/wheatroad-bench/faults_command.go
+++ b/cmd/wheatroad-bench/faults_command.go
@@ -76,7 +76,7 @@
 		}
 	}
 	if failed > 0 {
-		return errors.Wrapf(bench.ErrPromiseBroken, "%d of %d seeds", failed, flags.seeds)
+		return errors.Wrapf(bench.ErrInvariantViolated, "%d of %d seeds", failed, flags.seeds)
 	}
 	return nil
 }
--- a/cmd/wheatroad-bench/main.go
+++ b/cmd/wheatroad-bench/main.go
@@ -26,7 +26,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "wheatroad-bench:", err)
-	if errors.Is(err, bench.ErrPromiseBroken) {
+	if errors.Is(err, bench.ErrInvariantViolated) {
 		os.Exit(exitInvariantViolated)
 	}
 	os.Exit(exitUsage)
--- a/cmd/wheatroad-bench/overload.go
+++ b/cmd/wheatroad-bench/overload.go
@@ -84,7 +84,7 @@
 			}
 			for _, phase := range report.Phases {
 				if phase.RanTwice+phase.NotRunRan > 0 {
-					return errors.Wrap(bench.ErrPromiseBroken, "see ran_twice and not_run_ran")
+					return errors.Wrap(bench.ErrInvariantViolated, "see ran_twice and not_run_ran")
 				}
 			}
 			return nil
--- a/internal/bench/explore.go
+++ b/internal/bench/explore.go
@@ -25,7 +25,7 @@
 				return err
 			}
 			if len(report.Breaks) > 0 {
-				return errors.Wrap(ErrPromiseBroken, report.First)
+				return errors.Wrap(ErrInvariantViolated, report.First)
 			}
 			return nil
 		},
--- a/internal/bench/generate.go
+++ b/internal/bench/generate.go
@@ -22,7 +22,7 @@
 		Example: "  wheatroad-bench generate --cluster site.toml --load 0.9 --hours 72 --seed 1 --out trace.jsonl",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			options.Bursts = workload.Bursts(bursts)
+			options.Bursts = workload.BurstKind(bursts)
 			return generate(clusterPath, outputPath, options)
 		},
 	}
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -92,7 +92,7 @@
 
 func writeRow(file *os.File, name string, f figures.Figures) {
 	fmt.Fprintf(file, "| %s | %.0f | %.0f | %.0f | %.1f | %.3f | %.3f | %d | %d |\n", name, f.CompletionMean, f.CompletionP95,
-		f.WaitMean, f.UrgentStartP99, f.Fragmentation, f.Utilization, f.GuaranteeLate, f.Preemptions)
+		f.WaitMean, f.UrgentStartP99, f.Fragmentation, f.Utilization, f.LateGuaranteedStarts, f.Preemptions)
 }
 
 func writePlots(dir string, byPolicy, byWeight []series) error {
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -12,8 +12,8 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// ErrPromiseBroken is returned when a run violates an invariant.
-var ErrPromiseBroken = errors.New("a promise was broken")
+// ErrInvariantViolated is returned when a run violates an invariant.
+var ErrInvariantViolated = errors.New("a promise was broken")
 
 func newSoakCommand() *cobra.Command {
 	var seed uint64
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(violations) > 0 {
-		return errors.Wrapf(ErrPromiseBroken, "%s, seed %d", violations[0].Promise, options.Seed)
+		return errors.Wrapf(ErrInvariantViolated, "%s, seed %d", violations[0].Promise, options.Seed)
 	}
 	return nil
 }
--- a/internal/figures/capacity.go
+++ b/internal/figures/capacity.go
@@ -140,7 +140,7 @@
 }
 
 // change adds or removes a placement and returns the number of workers that it overcommits.
-func (k *capacity) change(placement []trace.Place, sign int) int {
+func (k *capacity) change(placement []trace.MemberPlacement, sign int) int {
 	overfilled := 0
 	for _, place := range placement {
 		w := k.workers[place.Worker]
@@ -153,7 +153,7 @@
 }
 
 // satisfiesSpread reports whether a placement satisfies its spread constraint.
-func (k *capacity) satisfiesSpread(placement []trace.Place, spread job.Spread) bool {
+func (k *capacity) satisfiesSpread(placement []trace.MemberPlacement, spread job.Spread) bool {
 	if len(placement) == 0 {
 		return false
 	}
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -13,25 +13,25 @@
 
 // Figures are the metrics of one replay. Times are in seconds.
 type Figures struct {
-	Policy          string  `json:"policy,omitempty"`
-	Jobs            int     `json:"jobs"`
-	CompletionMean  float64 `json:"completion_mean"`
-	CompletionP50   float64 `json:"completion_p50"`
-	CompletionP95   float64 `json:"completion_p95"`
-	CompletionP99   float64 `json:"completion_p99"`
-	WaitMean        float64 `json:"wait_mean"`
-	UrgentStartP99  float64 `json:"urgent_start_p99"`
-	Fragmentation   float64 `json:"fragmentation"`
-	Utilization     float64 `json:"utilization"`
-	GuaranteeLate   int     `json:"guarantee_late"`
-	Preemptions     int     `json:"preemptions"`
-	LostWorkSeconds float64 `json:"lost_work_seconds"`
-	Unfinished      int     `json:"unfinished"`
-	Refused         int     `json:"refused"`
-	PartialGangs    int     `json:"partial_gangs"`
-	OverCommits     int     `json:"over_commits"`
-	Decisions       int64   `json:"decisions,omitempty"`
-	DecisionSeconds float64 `json:"decision_seconds,omitempty"`
+	Policy               string  `json:"policy,omitempty"`
+	Jobs                 int     `json:"jobs"`
+	CompletionMean       float64 `json:"completion_mean"`
+	CompletionP50        float64 `json:"completion_p50"`
+	CompletionP95        float64 `json:"completion_p95"`
+	CompletionP99        float64 `json:"completion_p99"`
+	WaitMean             float64 `json:"wait_mean"`
+	UrgentStartP99       float64 `json:"urgent_start_p99"`
+	Fragmentation        float64 `json:"fragmentation"`
+	Utilization          float64 `json:"utilization"`
+	LateGuaranteedStarts int     `json:"guarantee_late"`
+	Preemptions          int     `json:"preemptions"`
+	LostWorkSeconds      float64 `json:"lost_work_seconds"`
+	Unfinished           int     `json:"unfinished"`
+	Refused              int     `json:"refused"`
+	PartialGangs         int     `json:"partial_gangs"`
+	OverCommits          int     `json:"over_commits"`
+	Decisions            int64   `json:"decisions,omitempty"`
+	DecisionSeconds      float64 `json:"decision_seconds,omitempty"`
 }
 
 // Sample is the state of the cluster from a time until the next sample, for plots.
@@ -58,7 +58,7 @@
 // progress is the state of one job according to the events.
 type progress struct {
 	line          *trace.Line
-	placement     []trace.Place
+	placement     []trace.MemberPlacement
 	firstStart    float64
 	startedAt     float64
 	remaining     float64
@@ -228,7 +228,7 @@
 		w.useful += p.line.Duration * float64(p.line.Members*p.line.Accelerators)
 		w.release(p)
 		w.guarantees.end(event.Job)
-	case trace.Refuse:
+	case trace.Reject:
 		p.refused = true
 		w.guarantees.remove(event.Job)
 	}
@@ -344,7 +344,7 @@
 	if w.upTime > 0 {
 		f.Utilization = w.useful / w.upTime
 	}
-	f.GuaranteeLate = w.guarantees.lateStarts
+	f.LateGuaranteedStarts = w.guarantees.lateStarts
 	w.result.Figures = w.figures
 	return w.result
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -164,7 +164,7 @@
 	r.jobs[spec.ID] = running
 	if !r.fitsIdle(spec.Shape) {
 		running.ended = true
-		r.emit(trace.Event{At: r.now, Event: trace.Refuse, Job: spec.ID, Reason: "never_fits"})
+		r.emit(trace.Event{At: r.now, Event: trace.Reject, Job: spec.ID, Reason: "never_fits"})
 		return
 	}
 	r.scheduler.Submit(trace.Time(r.now), spec, trace.Time(r.now), seconds(spec.Duration))
@@ -275,9 +275,9 @@
 	running.attempt++
 	running.running = true
 	running.startedAt = r.now
-	places := make([]trace.Place, len(placement))
+	places := make([]trace.MemberPlacement, len(placement))
 	for index, id := range placement {
-		places[index] = trace.Place{Worker: r.scheduler.Cluster().Workers[id].Name, Accelerators: running.spec.Accelerators}
+		places[index] = trace.MemberPlacement{Worker: r.scheduler.Cluster().Workers[id].Name, Accelerators: running.spec.Accelerators}
 	}
 	r.emit(trace.Event{At: r.now, Event: trace.Start, Job: running.spec.ID, Attempt: running.attempt, Placement: places})
 	r.setTimer(running, running.remaining, false)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -122,13 +122,13 @@
 	// requested accelerator-seconds, can use them; gangs of shape 2x4 cannot.
 	require.InDelta(t, 0.5, f.Fragmentation, 1e-9)
 	require.InDelta(t, (40.0+40.0)/(8*15), f.Utilization, 1e-9)
-	require.Zero(t, f.OverCommits+f.PartialGangs+f.Unfinished+f.GuaranteeLate)
+	require.Zero(t, f.OverCommits+f.PartialGangs+f.Unfinished+f.LateGuaranteedStarts)
 }
 
 func TestGeneratedTracesKeepTheirPromises(t *testing.T) {
 	cluster, err := trace.ReadCluster("../../examples/replay/sahil.toml")
 	require.NoError(t, err)
-	for _, bursts := range []workload.Bursts{workload.SmallBursts, workload.LargeBursts, workload.MixedBursts} {
+	for _, bursts := range []workload.BurstKind{workload.SmallBursts, workload.LargeBursts, workload.MixedBursts} {
 		for _, policy := range []string{"first-fit", "best-fit", "wheatroad"} {
 			t.Run(string(bursts)+" "+policy, func(t *testing.T) {
 				lines := workload.Generate(cluster, workload.Options{Seed: 3, Load: 0.9, Hours: 24, Bursts: bursts})
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -178,32 +178,34 @@
 	Preempt Action = "preempt"
 	Stop    Action = "stop"
 	Finish  Action = "finish"
-	Refuse  Action = "refuse"
+	Reject  Action = "refuse"
 )
 
-// Place is one member's worker and accelerators, written as a two-element array.
-type Place struct {
+// MemberPlacement is one member's worker and accelerators, written as a two-element array.
+type MemberPlacement struct {
 	Worker       string
 	Accelerators int
 }
 
 // MarshalJSON encodes the place as ["worker", accelerators].
-func (p Place) MarshalJSON() ([]byte, error) { return json.Marshal([]any{p.Worker, p.Accelerators}) }
+func (p MemberPlacement) MarshalJSON() ([]byte, error) {
+	return json.Marshal([]any{p.Worker, p.Accelerators})
+}
 
 // UnmarshalJSON decodes ["worker", accelerators].
-func (p *Place) UnmarshalJSON(text []byte) error {
+func (p *MemberPlacement) UnmarshalJSON(text []byte) error {
 	return json.Unmarshal(text, &[]any{&p.Worker, &p.Accelerators})
 }
 
 // Event is one event of a replay.
 type Event struct {
-	At        float64 `json:"at"`
-	Event     Action  `json:"event"`
-	Job       string  `json:"job"`
-	Attempt   int     `json:"attempt,omitempty"`
-	Placement []Place `json:"placement,omitempty"`
-	For       string  `json:"for,omitempty"`
-	Reason    string  `json:"reason,omitempty"`
+	At        float64           `json:"at"`
+	Event     Action            `json:"event"`
+	Job       string            `json:"job"`
+	Attempt   int               `json:"attempt,omitempty"`
+	Placement []MemberPlacement `json:"placement,omitempty"`
+	For       string            `json:"for,omitempty"`
+	Reason    string            `json:"reason,omitempty"`
 }
 
 // ReadEvents reads the events of a replay.
--- a/internal/workload/generate.go
+++ b/internal/workload/generate.go
@@ -11,13 +11,13 @@
 	"github.com/wheatroad/wheatroad/internal/trace"
 )
 
-// Bursts is the kind of jobs that arrive in bursts.
-type Bursts string
+// BurstKind is the kind of jobs that arrive in bursts.
+type BurstKind string
 
 const (
-	SmallBursts Bursts = "small"
-	LargeBursts Bursts = "large"
-	MixedBursts Bursts = "mixed"
+	SmallBursts BurstKind = "small"
+	LargeBursts BurstKind = "large"
+	MixedBursts BurstKind = "mixed"
 )
 
 // Options are the parameters of a generated trace.
@@ -27,7 +27,7 @@
 	Load float64
 	// Hours is the length of the trace.
 	Hours  float64
-	Bursts Bursts
+	Bursts BurstKind
 	// Failures adds machine, rack and zone failures.
 	Failures bool
 	// JobsPerDay fixes the number of jobs and scales their run times to Load; 0 means that Load
