--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(int64(s.MemoryMB)<<20)))
-	log := telemetry.NewDecisionLog(os.Stdout)
+	log := telemetry.NewAsyncLog(os.Stdout)
 	tele, err := telemetry.New(log.Logger())
 	if err != nil {
 		return err
--- a/internal/control/domain.go
+++ b/internal/control/domain.go
@@ -90,7 +90,7 @@
 	missing := d.scheduler.Configure(d.node.loop.Now(), d.localTenants())
 	if missing > 0 {
 		d.node.record.Count(CounterRefusals, "witness_missing")
-		d.node.record.Changed("guaranteed capacity has no place", "domain", d.name, "members", missing)
+		d.node.record.LogStateChange("guaranteed capacity has no place", "domain", d.name, "members", missing)
 	}
 	for _, name := range sortedKeys(d.workers) {
 		d.updateSchedulable(d.workers[name])
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -128,7 +128,7 @@
 
 func (n *Node) own(name string, epoch, revision int64, sent time.Time) {
 	n.record.Count(CounterOwnership, "acquired")
-	n.record.Changed("domain acquired", "domain", name, "epoch", epoch)
+	n.record.LogStateChange("domain acquired", "domain", name, "epoch", epoch)
 	d := newDomain(n, name, epoch, revision)
 	d.leaseRevision = revision
 	d.acquiredAt = sent
@@ -268,7 +268,7 @@
 	d.active = false
 	delete(d.node.domains, d.name)
 	d.node.record.Count(CounterOwnership, reason)
-	d.node.record.Changed("domain dropped", "domain", d.name, "epoch", d.epoch, "reason", reason)
+	d.node.record.LogStateChange("domain dropped", "domain", d.name, "epoch", d.epoch, "reason", reason)
 	d.abandon()
 	d.node.publish()
 	d.node.checkDrained()
@@ -315,7 +315,7 @@
 func (n *Node) Drain(done func()) {
 	n.board.Draining = true
 	n.drained = done
-	n.record.Changed("draining")
+	n.record.LogStateChange("draining")
 	n.member.now()
 	n.publish()
 	for _, name := range sortedKeys(n.domains) {
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -30,8 +30,8 @@
 type Recorder interface {
 	// Count adds one to a counter for a reason.
 	Count(counter, reason string)
-	// Changed logs a change of state.
-	Changed(message string, keysAndValues ...any)
+	// LogStateChange logs a change of state.
+	LogStateChange(message string, keysAndValues ...any)
 }
 
 // Names of counters.
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -119,7 +119,7 @@
 		}
 	}
 	d.endImpossible()
-	d.node.record.Changed("domain active", "domain", d.name, "epoch", d.epoch, "jobs", len(d.jobs))
+	d.node.record.LogStateChange("domain active", "domain", d.name, "epoch", d.epoch, "jobs", len(d.jobs))
 	d.node.publish()
 	d.renew(func() {})
 	d.renewTick()
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -119,7 +119,7 @@
 	n.board.Configuration = declaration.Configuration{
 		Version: n.head.Version, Digest: n.head.Digest, Declaration: declared,
 	}
-	n.record.Changed("configuration in force", "version", n.head.Version)
+	n.record.LogStateChange("configuration in force", "version", n.head.Version)
 	for _, name := range sortedKeys(n.domains) {
 		n.domains[name].configure()
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -169,7 +169,7 @@
 	failed := make(chan error, 2)
 	go func() { failed <- d.peerServer.Serve(d.listeners[1]) }()
 	go func() { failed <- d.http.Serve(d.listeners[0]) }()
-	d.telemetry.Changed("serving", "node", d.settings.Node, "http", d.listeners[0].Addr().String(), "peer", d.listeners[1].Addr().String())
+	d.telemetry.LogStateChange("serving", "node", d.settings.Node, "http", d.listeners[0].Addr().String(), "peer", d.listeners[1].Addr().String())
 	select {
 	case err := <-failed:
 		return errors.Wrap(err, "serve")
@@ -199,5 +199,5 @@
 	d.peers.Close()
 	d.loop.Post(d.node.Halt)
 	d.stopLoop()
-	d.telemetry.Changed("stopped", "node", d.settings.Node)
+	d.telemetry.LogStateChange("stopped", "node", d.settings.Node)
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -191,8 +191,8 @@
 // Count adds to the world's counters.
 func (r *recorder) Count(counter, reason string) { r.node.world.Counters[counter+"/"+reason]++ }
 
-// Changed notes applied configurations and passes the line on.
-func (r *recorder) Changed(message string, keysAndValues ...any) {
+// LogStateChange notes applied configurations and passes the line on.
+func (r *recorder) LogStateChange(message string, keysAndValues ...any) {
 	w := r.node.world
 	if message == "configuration in force" {
 		w.applied(r.node, keysAndValues[1].(int64))
--- a/internal/telemetry/async_log.go
+++ b/internal/telemetry/async_log.go
@@ -23,8 +23,8 @@
 	logger  logr.Logger
 }
 
-// NewDecisionLog returns a log that writes to sink until Close.
-func NewDecisionLog(sink io.Writer) *AsyncLog {
+// NewAsyncLog returns a log that writes to sink until Close.
+func NewAsyncLog(sink io.Writer) *AsyncLog {
 	d := &AsyncLog{lines: make(chan string, logQueueLines), closing: make(chan struct{}), done: make(chan struct{}), sink: sink}
 	d.logger = funcr.NewJSON(d.enqueue, funcr.Options{LogTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
 	go d.write()
--- a/internal/telemetry/async_log_test.go
+++ b/internal/telemetry/async_log_test.go
@@ -22,7 +22,7 @@
 // that dropped lines are counted.
 func TestBlockedOutputStopsNobody(t *testing.T) {
 	sink := &blockedWriter{open: make(chan struct{})}
-	log := NewDecisionLog(sink)
+	log := NewAsyncLog(sink)
 	for i := range 3 * logQueueLines {
 		log.Logger().Info("decision", "number", i)
 	}
@@ -37,7 +37,7 @@
 // shutdown logs to the closed log.
 func TestLinesAfterCloseAreLost(t *testing.T) {
 	var sink bytes.Buffer
-	log := NewDecisionLog(&sink)
+	log := NewAsyncLog(&sink)
 	log.Logger().Info("before")
 	log.Close()
 	for i := range 2 * logQueueLines {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -190,8 +190,8 @@
 	instrument.Add(context.Background(), 1, metric.WithAttributes(attribute.String(t.labels[counter], reason)))
 }
 
-// Changed logs a state change.
-func (t *Telemetry) Changed(message string, keysAndValues ...any) {
+// LogStateChange logs a state change.
+func (t *Telemetry) LogStateChange(message string, keysAndValues ...any) {
 	t.log.Info(message, keysAndValues...)
 }
 
