--- a/cmd/wheatroadd/main.go
+++ b/cmd/wheatroadd/main.go
@@ -29,7 +29,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
-	if _, invalid := err.(settings.Problems); invalid {
+	if _, invalid := err.(settings.FieldErrors); invalid {
 		os.Exit(exitSettings)
 	}
 	os.Exit(exitFailure)
@@ -57,7 +57,7 @@
 	}
 	if platform != "" {
 		s.Platform.URL = platform
-		if problems := s.Check(); len(problems) > 0 {
+		if problems := s.Validate(); len(problems) > 0 {
 			return problems
 		}
 	}
--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -102,9 +102,9 @@
 
 func newService(ctx context.Context, s *settings.Node, tele *telemetry.Telemetry) *service {
 	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), serverErrors: make(chan error, 4)}
-	unacknowledged := settings.Millis(s.Bounds.UnacknowledgedTimeout)
+	unacknowledged := settings.Millis(s.Periods.UnacknowledgedTimeoutMillis)
 	edges := node.Dependencies{
-		Store:    platform.NewStoreClient(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
+		Store:    platform.NewStoreClient(s.StoreAddress, platform.NewHTTPClient(unacknowledged, storeConnections)),
 		Workers:  platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
 		Peers:    peer.NewClient(nil),
 		Codec:    platform.Codec{},
@@ -117,21 +117,21 @@
 }
 
 func nodeOptions(s *settings.Node) node.Options {
-	b := &s.Bounds
+	b := &s.Periods
 	// ParseOff cannot fail: the settings were validated when read.
-	off, _ := mechanism.ParseDisabled(s.Without)
+	off, _ := mechanism.ParseDisabled(s.DisabledMechanisms)
 	return node.Options{
 		DisabledMechanisms: off,
-		Name:               s.Name, Incarnation: newIncarnation(), PeerAddress: s.Peers, Weight: s.CPUShare,
+		Name:               s.Name, Incarnation: newIncarnation(), PeerAddress: s.PeerAddress, Weight: s.CPUShare,
 		LinkBytesPerSecond: s.LinkMbps * bytesPerMbit,
 		PoolBounds: pool.Bounds{
 			MaxLease: settings.Millis(b.MaxHoldMillis), StopTimeout: settings.Millis(b.StopTimeoutMillis),
 			GangTimeout: settings.Millis(b.GangTimeoutMillis), GuaranteedStartTimeout: settings.Millis(b.ReclaimMillis),
 			CheckpointInterval: settings.Seconds(b.CheckpointSeconds),
-			StatusRetention:    settings.Seconds(b.StatusSeconds), CrossRackSlowdown: b.RemoteFactor,
-			EvacuationTimeout: settings.Millis(b.EvacuationMillis),
+			StatusRetention:    settings.Seconds(b.StatusRetentionSeconds), CrossRackSlowdown: b.RemoteFactor,
+			EvacuationTimeout: settings.Millis(b.EvacuationDelayMillis),
 		},
-		MaxConfigurationAge: settings.Millis(b.ConfigurationMillis),
+		MaxConfigurationAge: settings.Millis(b.ConfigurationAgeMillis),
 	}
 }
 
@@ -151,21 +151,21 @@
 		Handler: ingress, ReadHeaderTimeout: callerHeaderTimeout,
 		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: callerHeaderBytes,
 	}
-	if err := d.serveHTTP(d.settings.Callers, d.callerServer); err != nil {
+	if err := d.serveHTTP(d.settings.CallerAddress, d.callerServer); err != nil {
 		return errors.Wrap(err, "callers")
 	}
-	if err := d.serveHTTP(d.settings.Readiness, &http.Server{Handler: ingress.Readiness(), ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
+	if err := d.serveHTTP(d.settings.ReadinessAddress, &http.Server{Handler: ingress.Readiness(), ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
 		return errors.Wrap(err, "readiness")
 	}
-	if d.settings.Metrics != "" {
+	if d.settings.MetricsAddress != "" {
 		mux := http.NewServeMux()
 		mux.Handle("GET /metrics", d.telemetry.Handler())
 		mux.HandleFunc("GET /status", d.serveStatus)
-		if err := d.serveHTTP(d.settings.Metrics, &http.Server{Handler: mux, ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
+		if err := d.serveHTTP(d.settings.MetricsAddress, &http.Server{Handler: mux, ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
 			return errors.Wrap(err, "metrics")
 		}
 	}
-	listener, err := net.Listen("tcp", d.settings.Peers)
+	listener, err := net.Listen("tcp", d.settings.PeerAddress)
 	if err != nil {
 		return errors.Wrap(err, "peers")
 	}
@@ -237,8 +237,8 @@
 	began := time.Now()
 	released := make(chan struct{})
 	d.loop.Post(func() { d.node.Stop(func() { close(released) }) })
-	time.Sleep(settings.Seconds(d.settings.Stretches.ServeSeconds))
-	grace := settings.Seconds(d.settings.Bounds.GraceSeconds)
+	time.Sleep(settings.Seconds(d.settings.Shutdown.ServeSeconds))
+	grace := settings.Seconds(d.settings.Periods.GracePeriodSeconds)
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-stopMargin))
 	defer cancel()
 	// Requests still in flight at the deadline are aborted.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -64,7 +64,7 @@
 	s.Timing.DrainGrace = settings.Duration(100 * time.Millisecond)
 	s.Timing.Watch = settings.Duration(100 * time.Millisecond)
 	s.Timing.Lease = settings.Duration(2 * time.Second)
-	require.Empty(c.t, s.Check())
+	require.Empty(c.t, s.Validate())
 	d, err := New(&s, logr.Discard())
 	require.NoError(c.t, err)
 	stop, ended := make(chan struct{}), make(chan error, 1)
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -17,41 +17,41 @@
 	Name string `toml:"name"`
 	// Zone is the node's zone, for logging.
 	Zone string `toml:"zone"`
-	// Callers and Readiness are the addresses to listen on for requests and readiness probes.
-	Callers   string `toml:"callers"`
-	Readiness string `toml:"readiness"`
-	// Peers is the address at which other nodes reach this one.
-	Peers string `toml:"peers"`
-	// Metrics is the address to serve metrics on; empty disables them.
-	Metrics string `toml:"metrics"`
-	// Store is the address of the platform's store.
-	Store    string `toml:"store"`
-	MemoryMB int    `toml:"memory_mb"`
+	// CallerAddress and Readiness are the addresses to listen on for requests and readiness probes.
+	CallerAddress    string `toml:"callers"`
+	ReadinessAddress string `toml:"readiness"`
+	// PeerAddress is the address at which other nodes reach this one.
+	PeerAddress string `toml:"peers"`
+	// MetricsAddress is the address to serve metrics on; empty disables them.
+	MetricsAddress string `toml:"metrics"`
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string `toml:"store"`
+	MemoryMB     int    `toml:"memory_mb"`
 	// LinkMbps is the bandwidth of the machine's network link; 0 means unlimited.
 	LinkMbps float64 `toml:"link_mbps"`
 	// CPUShare is the machine's share of a CPU core. Nodes with a larger share acquire pools first.
-	CPUShare  float64         `toml:"cpu_share"`
-	Bounds    PlatformPeriods `toml:"bounds"`
-	Stretches Shutdown        `toml:"stop"`
-	// Without names mechanisms to disable, for measurements only.
-	Without []string `toml:"without"`
+	CPUShare float64         `toml:"cpu_share"`
+	Periods  PlatformPeriods `toml:"bounds"`
+	Shutdown Shutdown        `toml:"stop"`
+	// DisabledMechanisms names mechanisms to disable, for measurements only.
+	DisabledMechanisms []string `toml:"without"`
 }
 
 // PlatformPeriods holds the platform's time limits and periods.
 type PlatformPeriods struct {
-	MaxHoldMillis         int64   `toml:"max_hold_ms"`
-	StopTimeoutMillis     int64   `toml:"stop_timeout_ms"`
-	GangTimeoutMillis     int64   `toml:"gang_timeout_ms"`
-	ReclaimMillis         int64   `toml:"reclaim_ms"`
-	CheckpointSeconds     float64 `toml:"checkpoint_interval_s"`
-	StatusSeconds         float64 `toml:"status_s"`
-	RemoteFactor          float64 `toml:"remote_factor"`
-	ConfigurationMillis   int64   `toml:"config_apply_ms"`
-	GraceSeconds          float64 `toml:"grace_period_s"`
-	UnacknowledgedTimeout int64   `toml:"unacknowledged_ms"`
-	// EvacuationMillis is the time after the acknowledgement of a zone's evacuation after which
+	MaxHoldMillis               int64   `toml:"max_hold_ms"`
+	StopTimeoutMillis           int64   `toml:"stop_timeout_ms"`
+	GangTimeoutMillis           int64   `toml:"gang_timeout_ms"`
+	ReclaimMillis               int64   `toml:"reclaim_ms"`
+	CheckpointSeconds           float64 `toml:"checkpoint_interval_s"`
+	StatusRetentionSeconds      float64 `toml:"status_s"`
+	RemoteFactor                float64 `toml:"remote_factor"`
+	ConfigurationAgeMillis      int64   `toml:"config_apply_ms"`
+	GracePeriodSeconds          float64 `toml:"grace_period_s"`
+	UnacknowledgedTimeoutMillis int64   `toml:"unacknowledged_ms"`
+	// EvacuationDelayMillis is the time after the acknowledgement of a zone's evacuation after which
 	// no work starts there; 0 if the platform sets no limit.
-	EvacuationMillis int64 `toml:"evacuation_ms"`
+	EvacuationDelayMillis int64 `toml:"evacuation_ms"`
 }
 
 // minEvacuationMillis is the shortest supported limit. Half of it covers orders in flight; the
@@ -74,12 +74,12 @@
 func DefaultNode() Node {
 	return Node{
 		MemoryMB: 256, CPUShare: 1,
-		Bounds: PlatformPeriods{
+		Periods: PlatformPeriods{
 			MaxHoldMillis: 6000, StopTimeoutMillis: 1000, GangTimeoutMillis: 3000, ReclaimMillis: 3000,
-			CheckpointSeconds: 1, StatusSeconds: 120, RemoteFactor: 3,
-			ConfigurationMillis: 2000, GraceSeconds: 6, UnacknowledgedTimeout: 1500,
+			CheckpointSeconds: 1, StatusRetentionSeconds: 120, RemoteFactor: 3,
+			ConfigurationAgeMillis: 2000, GracePeriodSeconds: 6, UnacknowledgedTimeoutMillis: 1500,
 		},
-		Stretches: Shutdown{ServeSeconds: 3},
+		Shutdown: Shutdown{ServeSeconds: 3},
 	}
 }
 
@@ -98,7 +98,7 @@
 	s := DefaultNode()
 	meta, err := toml.Decode(text, &s)
 	if err != nil {
-		return nil, Problems{{Key: "file", Detail: err.Error()}}
+		return nil, FieldErrors{{Key: "file", Detail: err.Error()}}
 	}
 	c := &checker{}
 	for _, key := range meta.Undecoded() {
@@ -113,24 +113,24 @@
 
 func (s *Node) check(c *checker) {
 	c.require(job.ValidName(s.Name), "name", "must be 1 to 63 letters, digits, '.', '_' or '-'")
-	c.address("callers", s.Callers)
-	c.address("readiness", s.Readiness)
-	c.address("peers", s.Peers)
-	c.address("store", s.Store)
-	if s.Metrics != "" {
-		c.address("metrics", s.Metrics)
+	c.address("callers", s.CallerAddress)
+	c.address("readiness", s.ReadinessAddress)
+	c.address("peers", s.PeerAddress)
+	c.address("store", s.StoreAddress)
+	if s.MetricsAddress != "" {
+		c.address("metrics", s.MetricsAddress)
 	}
 	c.require(s.MemoryMB >= 32, "memory_mb", "must be at least 32")
 	c.require(s.LinkMbps >= 0, "link_mbps", "must not be negative")
 	c.require(s.CPUShare > 0, "cpu_share", "must be positive")
-	if _, err := mechanism.ParseDisabled(s.Without); err != nil {
+	if _, err := mechanism.ParseDisabled(s.DisabledMechanisms); err != nil {
 		c.require(false, "without", "%v", err)
 	}
-	b := &s.Bounds
+	b := &s.Periods
 	positive := map[string]int64{
 		"bounds.max_hold_ms": b.MaxHoldMillis, "bounds.stop_timeout_ms": b.StopTimeoutMillis,
 		"bounds.gang_timeout_ms": b.GangTimeoutMillis, "bounds.reclaim_ms": b.ReclaimMillis,
-		"bounds.config_apply_ms": b.ConfigurationMillis, "bounds.unacknowledged_ms": b.UnacknowledgedTimeout,
+		"bounds.config_apply_ms": b.ConfigurationAgeMillis, "bounds.unacknowledged_ms": b.UnacknowledgedTimeoutMillis,
 	}
 	for _, key := range []string{
 		"bounds.max_hold_ms", "bounds.stop_timeout_ms", "bounds.gang_timeout_ms", "bounds.reclaim_ms",
@@ -138,10 +138,10 @@
 	} {
 		c.require(positive[key] > 0, key, "must be positive")
 	}
-	c.require(b.EvacuationMillis == 0 || b.EvacuationMillis >= minEvacuationMillis, "bounds.evacuation_ms", "must be 0 or at least %d", minEvacuationMillis)
+	c.require(b.EvacuationDelayMillis == 0 || b.EvacuationDelayMillis >= minEvacuationMillis, "bounds.evacuation_ms", "must be 0 or at least %d", minEvacuationMillis)
 	c.require(b.CheckpointSeconds >= 0, "bounds.checkpoint_interval_s", "must not be negative")
-	c.require(b.StatusSeconds > 0, "bounds.status_s", "must be positive")
+	c.require(b.StatusRetentionSeconds > 0, "bounds.status_s", "must be positive")
 	c.require(b.RemoteFactor >= 1, "bounds.remote_factor", "must be at least 1")
-	c.require(b.GraceSeconds > 0, "bounds.grace_period_s", "must be positive")
-	c.require(s.Stretches.ServeSeconds >= 0 && s.Stretches.ServeSeconds < b.GraceSeconds, "stop.serve_s", "must be less than bounds.grace_period_s")
+	c.require(b.GracePeriodSeconds > 0, "bounds.grace_period_s", "must be positive")
+	c.require(s.Shutdown.ServeSeconds >= 0 && s.Shutdown.ServeSeconds < b.GracePeriodSeconds, "stop.serve_s", "must be less than bounds.grace_period_s")
 }
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -17,7 +17,7 @@
 func TestNodeSettings(t *testing.T) {
 	s, err := ParseNode(validNode)
 	require.NoError(t, err)
-	require.EqualValues(t, 6000, s.Bounds.MaxHoldMillis)
+	require.EqualValues(t, 6000, s.Periods.MaxHoldMillis)
 }
 
 func TestNodeSettingsNameEveryFault(t *testing.T) {
@@ -31,7 +31,7 @@
 [stop]
 serve_s = 60
 `)
-	var problems Problems
+	var problems FieldErrors
 	require.ErrorAs(t, err, &problems)
 	keys := map[string]bool{}
 	for _, problem := range problems {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -132,11 +132,11 @@
 	Detail string
 }
 
-// Problems lists all invalid settings of a file.
-type Problems []FieldError
+// FieldErrors lists all invalid settings of a file.
+type FieldErrors []FieldError
 
 // Error lists the invalid settings, one per line.
-func (p Problems) Error() string {
+func (p FieldErrors) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
 		lines[i] = p[i].Key + ": " + p[i].Detail
@@ -158,13 +158,13 @@
 	s := Default()
 	meta, err := toml.Decode(text, &s)
 	if err != nil {
-		return nil, Problems{{Key: "file", Detail: err.Error()}}
+		return nil, FieldErrors{{Key: "file", Detail: err.Error()}}
 	}
-	var problems Problems
+	var problems FieldErrors
 	for _, key := range meta.Undecoded() {
 		problems = append(problems, FieldError{Key: key.String(), Detail: "is not a known key"})
 	}
-	problems = append(problems, s.Check()...)
+	problems = append(problems, s.Validate()...)
 	if len(problems) > 0 {
 		return nil, problems
 	}
@@ -172,7 +172,7 @@
 }
 
 // checker collects invalid settings.
-type checker struct{ problems Problems }
+type checker struct{ problems FieldErrors }
 
 func (c *checker) require(ok bool, key, format string, args ...any) {
 	if !ok {
@@ -180,8 +180,8 @@
 	}
 }
 
-// Check returns all invalid settings.
-func (s *Settings) Check() Problems {
+// Validate returns all invalid settings.
+func (s *Settings) Validate() FieldErrors {
 	c := &checker{}
 	c.require(job.ValidName(s.Node), "node", "must be 1 to 63 letters, digits, '.', '_' or '-'")
 	c.require(strings.Count(s.Zone, "/") == 1, "zone", "must be region/zone")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse(c.text)
-			var problems Problems
+			var problems FieldErrors
 			require.ErrorAs(t, err, &problems)
 			var keys []string
 			for _, problem := range problems {
