--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -47,7 +47,7 @@
 		view: &blackboard.View{
 			Node: "node1", UpdatedAt: now, Synced: true,
 			Domains: map[string][]machines.Machine{"r/z": {machine}},
-			Configuration: declaration.Configuration{Version: 3, Declaration: declaration.Declaration{Tenant: []declaration.Tenant{
+			Configuration: declaration.Configuration{Version: 3, Declaration: declaration.Declaration{Tenants: []declaration.Tenant{
 				{Name: "a", KeyHashes: []string{auth.HashKey(keyA)}}, {Name: "b", KeyHashes: []string{auth.HashKey(keyB)}},
 			}}},
 		},
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -51,10 +51,10 @@
 			found, matched = Principal{Operator: true}, true
 		}
 	}
-	for i := range declared.Tenant {
-		for _, known := range declared.Tenant[i].KeyHashes {
+	for i := range declared.Tenants {
+		for _, known := range declared.Tenants[i].KeyHashes {
 			if subtle.ConstantTimeCompare(keyHash, []byte(known)) == 1 && !matched {
-				found, matched = Principal{Tenant: declared.Tenant[i].Name}, true
+				found, matched = Principal{Tenant: declared.Tenants[i].Name}, true
 			}
 		}
 	}
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -20,7 +20,7 @@
 )
 
 func readFolder(path string) (*declaration.Declaration, error) {
-	return declaration.ReadFolder(os.DirFS(path))
+	return declaration.ReadDir(os.DirFS(path))
 }
 
 func (a *app) makePlan(ctx context.Context, declared *declaration.Declaration) (*planning.Plan, error) {
@@ -197,9 +197,9 @@
 			return a.show(command, answer, func(w *tabwriter.Writer) {
 				fmt.Fprintf(w, "version\t%d\nin force everywhere\t%t\n", answer.Version, answer.Applied)
 				printMembers(w, answer.Members)
-				for _, tenant := range answer.Declaration.Tenant {
-					for _, g := range tenant.Guarantee {
-						fmt.Fprintf(w, "guarantee\t%s\t%d x %dx%d/%s in %s\n", tenant.Name, g.Count, g.Members, g.Accelerators, g.Spread, g.Zone)
+				for _, tenant := range answer.Declaration.Tenants {
+					for _, g := range tenant.Guarantees {
+						fmt.Fprintf(w, "guarantee\t%s\t%d x %dx%d/%s in %s\n", tenant.Name, g.Count, g.Members, g.Accelerators, g.Spread, g.Domain)
 					}
 				}
 			})
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -65,15 +65,15 @@
 // the bytes of what it changes.
 func rowChanges(from, to *declaration.Declaration) []store.Write {
 	var writes []store.Write
-	for i := range from.Tenant {
-		if to.Find(from.Tenant[i].Name) == nil {
-			writes = append(writes, store.Write{Key: tenantPrefix + from.Tenant[i].Name, Delete: true})
+	for i := range from.Tenants {
+		if to.FindTenant(from.Tenants[i].Name) == nil {
+			writes = append(writes, store.Write{Key: tenantPrefix + from.Tenants[i].Name, Delete: true})
 		}
 	}
-	for i := range to.Tenant {
-		old := from.Find(to.Tenant[i].Name)
-		if old == nil || !reflect.DeepEqual(*old, to.Tenant[i]) {
-			writes = append(writes, write(tenantPrefix+to.Tenant[i].Name, to.Tenant[i]))
+	for i := range to.Tenants {
+		old := from.FindTenant(to.Tenants[i].Name)
+		if old == nil || !reflect.DeepEqual(*old, to.Tenants[i]) {
+			writes = append(writes, write(tenantPrefix+to.Tenants[i].Name, to.Tenants[i]))
 		}
 	}
 	if !reflect.DeepEqual(from.DrainedRacks, to.DrainedRacks) {
--- a/internal/control/domain.go
+++ b/internal/control/domain.go
@@ -115,7 +115,7 @@
 
 // localTenants are the tenants with the guarantees that this domain holds.
 func (d *domain) localTenants() []declaration.Tenant {
-	return declaration.InDomain(d.node.board.Configuration.Declaration.Tenant, d.name)
+	return declaration.FilterGuarantees(d.node.board.Configuration.Declaration.Tenants, d.name)
 }
 
 // updateMachines applies changes of the machine list.
--- a/internal/control/impact.go
+++ b/internal/control/impact.go
@@ -46,7 +46,7 @@
 			copied.SetSchedulable(now, cluster.WorkerID(i), false)
 		}
 	}
-	copied.Configure(now, declaration.InDomain(declared.Tenant, d.name))
+	copied.Configure(now, declaration.FilterGuarantees(declared.Tenants, d.name))
 	for _, key := range sortedJobs(d.jobs) {
 		d.copyJob(copied, d.jobs[key], now)
 	}
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -70,7 +70,7 @@
 
 // admissible checks a job against the configuration in force.
 func (d *domain) admissible(spec *job.Spec) error {
-	tenant := d.node.board.Configuration.Declaration.Find(spec.Tenant)
+	tenant := d.node.board.Configuration.Declaration.FindTenant(spec.Tenant)
 	if tenant == nil {
 		return d.node.refuse(fault.NewField(fault.InvalidRequest, "tenant", "%q is not declared", spec.Tenant))
 	}
@@ -122,7 +122,7 @@
 
 // admissibleAgain repeats the checks that a newer configuration can change.
 func (d *domain) admissibleAgain(spec *job.Spec) error {
-	if d.node.board.Configuration.Declaration.Find(spec.Tenant) == nil {
+	if d.node.board.Configuration.Declaration.FindTenant(spec.Tenant) == nil {
 		return fault.NewField(fault.InvalidRequest, "tenant", "%q is not declared", spec.Tenant)
 	}
 	return nil
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -113,7 +113,7 @@
 	}
 	declared := declaration.Declaration{DrainedRacks: append([]string(nil), n.rackRow...)}
 	for _, name := range sortedKeys(n.tenantRows) {
-		declared.Tenant = append(declared.Tenant, n.tenantRows[name])
+		declared.Tenants = append(declared.Tenants, n.tenantRows[name])
 	}
 	declared.Normalize()
 	n.board.Configuration = declaration.Configuration{
--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -15,9 +15,9 @@
 type Guarantee struct {
 	job.Shape
 	Count int `json:"count" toml:"count"`
-	// Zone is the scheduling domain ("region/zone") that provides the guarantee.
+	// Domain is the scheduling domain ("region/zone") that provides the guarantee.
 	// If empty, the planner selects one.
-	Zone string `json:"zone,omitempty" toml:"zone"`
+	Domain string `json:"zone,omitempty" toml:"zone"`
 }
 
 // Quota limits a tenant's concurrent usage. Zero means unlimited.
@@ -31,14 +31,14 @@
 	Name string `json:"name" toml:"name"`
 	// KeyHashes are hex SHA-256 hashes of the tenant's access keys. During key
 	// rotation the old and the new key are both listed.
-	KeyHashes []string    `json:"key_hashes,omitempty" toml:"key_hashes"`
-	Quota     Quota       `json:"quota" toml:"quota"`
-	Guarantee []Guarantee `json:"guarantee,omitempty" toml:"guarantee"`
+	KeyHashes  []string    `json:"key_hashes,omitempty" toml:"key_hashes"`
+	Quota      Quota       `json:"quota" toml:"quota"`
+	Guarantees []Guarantee `json:"guarantee,omitempty" toml:"guarantee"`
 }
 
 // Declaration is the desired state that operators declare for all tenants and racks.
 type Declaration struct {
-	Tenant []Tenant `json:"tenant,omitempty" toml:"tenant"`
+	Tenants []Tenant `json:"tenant,omitempty" toml:"tenant"`
 	// DrainedRacks lists racks ("region/zone/rack") that accept no new tasks.
 	DrainedRacks []string `json:"drained_racks,omitempty" toml:"drained_racks"`
 }
@@ -58,11 +58,11 @@
 // Normalize sorts tenants and racks by name and sets defaults, so that equivalent
 // declarations have equal digests.
 func (d *Declaration) Normalize() {
-	slices.SortFunc(d.Tenant, func(a, b Tenant) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(d.Tenants, func(a, b Tenant) int { return strings.Compare(a.Name, b.Name) })
 	slices.Sort(d.DrainedRacks)
-	for t := range d.Tenant {
-		for g := range d.Tenant[t].Guarantee {
-			guarantee := &d.Tenant[t].Guarantee[g]
+	for t := range d.Tenants {
+		for g := range d.Tenants[t].Guarantees {
+			guarantee := &d.Tenants[t].Guarantees[g]
 			if guarantee.Spread == "" {
 				guarantee.Spread = job.SpreadZone
 			}
@@ -81,21 +81,21 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Find returns the named tenant, or nil if there is none. d must be normalized.
-func (d *Declaration) Find(name string) *Tenant {
-	index, found := slices.BinarySearchFunc(d.Tenant, name, func(t Tenant, n string) int { return strings.Compare(t.Name, n) })
+// FindTenant returns the named tenant, or nil if there is none. d must be normalized.
+func (d *Declaration) FindTenant(name string) *Tenant {
+	index, found := slices.BinarySearchFunc(d.Tenants, name, func(t Tenant, n string) int { return strings.Compare(t.Name, n) })
 	if !found {
 		return nil
 	}
-	return &d.Tenant[index]
+	return &d.Tenants[index]
 }
 
 // Validate checks a normalized declaration and returns an InvalidRequest error
 // for the first invalid key.
 func (d *Declaration) Validate() error {
-	for index := range d.Tenant {
-		tenant := &d.Tenant[index]
-		if index > 0 && d.Tenant[index-1].Name == tenant.Name {
+	for index := range d.Tenants {
+		tenant := &d.Tenants[index]
+		if index > 0 && d.Tenants[index-1].Name == tenant.Name {
 			return invalid("tenant."+tenant.Name, "is declared twice")
 		}
 		if err := tenant.validate(); err != nil {
@@ -126,7 +126,7 @@
 			return invalid(prefix+".key_hashes", "each must be a hex SHA-256 hash")
 		}
 	}
-	for _, guarantee := range t.Guarantee {
+	for _, guarantee := range t.Guarantees {
 		if err := guarantee.Shape.Validate(); err != nil {
 			cause := fault.From(err)
 			return invalid(prefix+".guarantee."+cause.Field, cause.Detail)
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -43,12 +43,12 @@
 
 func TestReadFolderNamesTheFile(t *testing.T) {
 	dir := fstest.MapFS{"a.toml": {Data: []byte(validDeclaration)}, "b.toml": {Data: []byte("[[tenant]]\nname = \"\"\n")}}
-	_, err := ReadFolder(dir)
+	_, err := ReadDir(dir)
 	require.ErrorContains(t, err, "b.toml")
 	delete(dir, "b.toml")
-	parsed, err := ReadFolder(dir)
+	parsed, err := ReadDir(dir)
 	require.NoError(t, err)
-	require.Equal(t, 2, parsed.Find("a").Guarantee[0].Count)
+	require.Equal(t, 2, parsed.FindTenant("a").Guarantees[0].Count)
 }
 
 func TestDigestIgnoresOrder(t *testing.T) {
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -18,13 +18,13 @@
 // Diff returns the changes that turn from into to. Both must be normalized.
 func Diff(from, to *Declaration) []Change {
 	var changes []Change
-	for i := range from.Tenant {
-		if to.Find(from.Tenant[i].Name) == nil {
-			changes = append(changes, Change{Action: "remove", Subject: "tenant " + from.Tenant[i].Name})
+	for i := range from.Tenants {
+		if to.FindTenant(from.Tenants[i].Name) == nil {
+			changes = append(changes, Change{Action: "remove", Subject: "tenant " + from.Tenants[i].Name})
 		}
 	}
-	for i := range to.Tenant {
-		if change, differs := diffTenant(from.Find(to.Tenant[i].Name), &to.Tenant[i]); differs {
+	for i := range to.Tenants {
+		if change, differs := diffTenant(from.FindTenant(to.Tenants[i].Name), &to.Tenants[i]); differs {
 			changes = append(changes, change)
 		}
 	}
@@ -55,7 +55,7 @@
 
 func describe(t *Tenant) string {
 	text := fmt.Sprintf("quota %d accelerators, %d keys", t.Quota.Accelerators, len(t.KeyHashes))
-	for _, g := range t.Guarantee {
+	for _, g := range t.Guarantees {
 		text += fmt.Sprintf(", guarantee %dx(%d members of %d accelerators in one %s)", g.Count, g.Members, g.Accelerators, g.Spread)
 	}
 	return text
--- a/internal/declaration/read.go
+++ b/internal/declaration/read.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// ReadFolder parses the .toml files in dir in name order, merges them into one
+// ReadDir parses the .toml files in dir in name order, merges them into one
 // declaration and validates it. A parse error includes the file and the key or line.
-func ReadFolder(dir fs.FS) (*Declaration, error) {
+func ReadDir(dir fs.FS) (*Declaration, error) {
 	names, err := fs.Glob(dir, "*.toml")
 	if err != nil {
 		return nil, err
@@ -26,7 +26,7 @@
 		if err != nil {
 			return nil, err
 		}
-		merged.Tenant = append(merged.Tenant, parsed.Tenant...)
+		merged.Tenants = append(merged.Tenants, parsed.Tenants...)
 		merged.DrainedRacks = append(merged.DrainedRacks, parsed.DrainedRacks...)
 	}
 	merged.Normalize()
--- a/internal/emulator/callers.go
+++ b/internal/emulator/callers.go
@@ -111,7 +111,7 @@
 		c.answer(nil, fault.New(fault.ConfigurationStale, "this node does not know the newest configuration now"))
 		return
 	}
-	if view.Configuration.Declaration.Find(c.request.Spec.Tenant) == nil {
+	if view.Configuration.Declaration.FindTenant(c.request.Spec.Tenant) == nil {
 		c.answer(nil, fault.New(fault.Unauthenticated, "the request carries no valid key"))
 		return
 	}
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -105,7 +105,7 @@
 		if team == variant%planTeams {
 			tenant.Quota.Accelerators = 1000 + variant
 		}
-		declared.Tenant = append(declared.Tenant, tenant)
+		declared.Tenants = append(declared.Tenants, tenant)
 	}
 	declared.Normalize()
 	return declared
--- a/internal/emulator/guarantees.go
+++ b/internal/emulator/guarantees.go
@@ -138,8 +138,8 @@
 		if json.Unmarshal(row.Value, &tenant) != nil {
 			continue
 		}
-		for _, guarantee := range tenant.Guarantee {
-			key := roomKey{tenant.Name, guarantee.Zone}
+		for _, guarantee := range tenant.Guarantees {
+			key := roomKey{tenant.Name, guarantee.Domain}
 			for range guarantee.Count {
 				rooms[key] = append(rooms[key], &room{shape: guarantee.Shape})
 			}
--- a/internal/emulator/impact_test.go
+++ b/internal/emulator/impact_test.go
@@ -77,7 +77,7 @@
 	w.submitNamed(t, "once", 1, func(s *job.Spec) { s.Repeatable = false })
 	guaranteed := baseTenantsWithoutGuarantees()
 	shape := job.Shape{Members: 2, Accelerators: 8, Spread: job.SpreadRack}
-	guaranteed.Tenant[0].Guarantee = []declaration.Guarantee{{Shape: shape, Count: 2, Zone: "r/z"}}
+	guaranteed.Tenants[0].Guarantees = []declaration.Guarantee{{Shape: shape, Count: 2, Domain: "r/z"}}
 	effects := w.impact(t, guaranteed)
 	require.Equal(t, "job_ends", effects["job a/once"])
 	preempted := 0
--- a/internal/emulator/soak.go
+++ b/internal/emulator/soak.go
@@ -85,20 +85,20 @@
 
 // baseTenants are the tenants of a soak run; the guest comes and goes.
 func baseTenants(guest bool) declaration.Declaration {
-	declared := declaration.Declaration{Tenant: []declaration.Tenant{
-		{Name: "a", Guarantee: []declaration.Guarantee{{Shape: job.Shape{Members: 2, Accelerators: 8, Spread: job.SpreadRack}, Count: 2}}},
-		{Name: "b", Guarantee: []declaration.Guarantee{{Shape: job.Shape{Members: 4, Accelerators: 8, Spread: job.SpreadRack}, Count: 1}}},
+	declared := declaration.Declaration{Tenants: []declaration.Tenant{
+		{Name: "a", Guarantees: []declaration.Guarantee{{Shape: job.Shape{Members: 2, Accelerators: 8, Spread: job.SpreadRack}, Count: 2}}},
+		{Name: "b", Guarantees: []declaration.Guarantee{{Shape: job.Shape{Members: 4, Accelerators: 8, Spread: job.SpreadRack}, Count: 1}}},
 		{Name: "c", Quota: declaration.Quota{Accelerators: 96}},
 	}}
 	if guest {
-		declared.Tenant = append(declared.Tenant, declaration.Tenant{Name: "guest"})
+		declared.Tenants = append(declared.Tenants, declaration.Tenant{Name: "guest"})
 	}
 	declared.Normalize()
 	return declared
 }
 
 func baseTenantsWithoutGuarantees() declaration.Declaration {
-	return declaration.Declaration{Tenant: []declaration.Tenant{{Name: "a"}}}
+	return declaration.Declaration{Tenants: []declaration.Tenant{{Name: "a"}}}
 }
 
 func (w *World) declare(declared declaration.Declaration) {
--- a/internal/figures/guarantees.go
+++ b/internal/figures/guarantees.go
@@ -39,7 +39,7 @@
 	k := &guaranteeChecker{copies: map[string][]*shapeCopy{}, byJob: map[string]*guaranteedJob{}}
 	for i := range c.Tenant {
 		tenant := &c.Tenant[i]
-		for _, guarantee := range tenant.Guarantee {
+		for _, guarantee := range tenant.Guarantees {
 			for range guarantee.Count {
 				k.copies[tenant.Name] = append(k.copies[tenant.Name], &shapeCopy{shape: guarantee.Shape, free: guarantee.Members})
 			}
--- a/internal/machines/httplist/httplist.go
+++ b/internal/machines/httplist/httplist.go
@@ -10,17 +10,19 @@
 	"github.com/wheatroad/wheatroad/internal/machines"
 )
 
-// List implements machines.List.
-type List struct {
+// Client implements machines.Client.
+type Client struct {
 	baseURL string
 	client  *http.Client
 }
 
 // New returns a List that sends its requests to the platform at baseURL.
-func New(baseURL string, client *http.Client) *List { return &List{baseURL: baseURL, client: client} }
+func New(baseURL string, client *http.Client) *Client {
+	return &Client{baseURL: baseURL, client: client}
+}
 
 // Changes implements machines.List.
-func (l *List) Changes(ctx context.Context, cursor int64) (machines.Update, error) {
+func (l *Client) Changes(ctx context.Context, cursor int64) (machines.Update, error) {
 	var update machines.Update
 	url := l.baseURL + "/machines?cursor=" + strconv.FormatInt(cursor, 10)
 	err := httpjson.Do(ctx, l.client, http.MethodGet, url, nil, &update)
--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -82,22 +82,22 @@
 	placer := newPlacer(site, declared.DrainedRacks, now)
 	assigned := declaration.Declaration{DrainedRacks: declared.DrainedRacks}
 	var effects []Effect
-	for i := range declared.Tenant {
-		tenant := declared.Tenant[i]
-		tenant.Guarantee = nil
-		assigned.Tenant = append(assigned.Tenant, tenant)
+	for i := range declared.Tenants {
+		tenant := declared.Tenants[i]
+		tenant.Guarantees = nil
+		assigned.Tenants = append(assigned.Tenants, tenant)
 	}
 	for _, request := range requestsOf(&declared, &current) {
 		placed, err := placer.place(request)
 		if err != nil {
 			return assigned, nil, err
 		}
-		tenant := &assigned.Tenant[request.tenant]
-		tenant.Guarantee = append(tenant.Guarantee, placed...)
+		tenant := &assigned.Tenants[request.tenant]
+		tenant.Guarantees = append(tenant.Guarantees, placed...)
 		for _, guarantee := range placed {
 			effects = append(effects, Effect{
 				Kind: "guarantee_placed", Subject: "tenant " + tenant.Name,
-				Detail: fmt.Sprintf("%d x (%d members of %d accelerators) in %s", guarantee.Count, guarantee.Members, guarantee.Accelerators, guarantee.Zone),
+				Detail: fmt.Sprintf("%d x (%d members of %d accelerators) in %s", guarantee.Count, guarantee.Members, guarantee.Accelerators, guarantee.Domain),
 			})
 		}
 	}
@@ -117,13 +117,13 @@
 // descending size.
 func requestsOf(declared, current *declaration.Declaration) []request {
 	var requests []request
-	for i := range declared.Tenant {
-		for _, guarantee := range declared.Tenant[i].Guarantee {
-			r := request{tenant: i, name: declared.Tenant[i].Name, guarantee: guarantee}
-			if existing := current.Find(r.name); existing != nil {
-				for _, placed := range existing.Guarantee {
+	for i := range declared.Tenants {
+		for _, guarantee := range declared.Tenants[i].Guarantees {
+			r := request{tenant: i, name: declared.Tenants[i].Name, guarantee: guarantee}
+			if existing := current.FindTenant(r.name); existing != nil {
+				for _, placed := range existing.Guarantees {
 					if placed.Shape == guarantee.Shape {
-						r.preferred = append(r.preferred, placed.Zone)
+						r.preferred = append(r.preferred, placed.Domain)
 					}
 				}
 			}
@@ -176,7 +176,7 @@
 
 // fits reports whether the domain can hold the guarantee in addition to those assigned so far.
 func (p *domainPlacements) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
-	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantee: []declaration.Guarantee{guarantee}})
+	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantees: []declaration.Guarantee{guarantee}})
 	return p.scheduler.Configure(now, tenants) == 0
 }
 
@@ -193,9 +193,9 @@
 		}
 		guarantee := r.guarantee
 		guarantee.Count = count
-		guarantee.Zone = name
+		guarantee.Domain = name
 		domain := p.domains[name]
-		domain.tenants = append(domain.tenants, declaration.Tenant{Name: r.name, Guarantee: []declaration.Guarantee{guarantee}})
+		domain.tenants = append(domain.tenants, declaration.Tenant{Name: r.name, Guarantees: []declaration.Guarantee{guarantee}})
 		domain.copies += count
 		placed = append(placed, guarantee)
 		remaining -= count
@@ -209,11 +209,11 @@
 // candidates returns the domains that may hold a guarantee: first those that hold it now, then by
 // ascending number of assigned copies.
 func (p *placer) candidates(r request) []string {
-	if r.guarantee.Zone != "" {
-		if _, ok := p.domains[r.guarantee.Zone]; !ok {
+	if r.guarantee.Domain != "" {
+		if _, ok := p.domains[r.guarantee.Domain]; !ok {
 			return nil
 		}
-		return []string{r.guarantee.Zone}
+		return []string{r.guarantee.Domain}
 	}
 	names := slices.Clone(p.names)
 	slices.SortStableFunc(names, func(a, b string) int {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -111,12 +111,12 @@
 
 // guaranteeRank is 0 for a domain that holds a guarantee which covers the job.
 func guaranteeRank(view *blackboard.View, spec *job.Spec, domain string) int {
-	tenant := view.Configuration.Declaration.Find(spec.Tenant)
+	tenant := view.Configuration.Declaration.FindTenant(spec.Tenant)
 	if !spec.Guaranteed || tenant == nil {
 		return 1
 	}
-	for _, guarantee := range tenant.Guarantee {
-		if guarantee.Zone == domain && guarantee.Members >= spec.Members && guarantee.Accelerators >= spec.Accelerators {
+	for _, guarantee := range tenant.Guarantees {
+		if guarantee.Domain == domain && guarantee.Members >= spec.Members && guarantee.Accelerators >= spec.Accelerators {
 			return 0
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -29,8 +29,8 @@
 	}
 	v.Leases["r/z0"] = blackboard.Lease{Owner: "n", Active: true, Summary: blackboard.Summary{Accelerators: 32, FreeAccelerators: 16}}
 	delete(v.Leases, "r/z2")
-	v.Configuration.Declaration.Tenant = []declaration.Tenant{{Name: "a", Guarantee: []declaration.Guarantee{
-		{Shape: job.Shape{Members: 2, Accelerators: 8, Spread: job.SpreadRack}, Count: 1, Zone: "r/z0"},
+	v.Configuration.Declaration.Tenants = []declaration.Tenant{{Name: "a", Guarantees: []declaration.Guarantee{
+		{Shape: job.Shape{Members: 2, Accelerators: 8, Spread: job.SpreadRack}, Count: 1, Domain: "r/z0"},
 	}}}
 	return v
 }
--- a/internal/schedule/property_test.go
+++ b/internal/schedule/property_test.go
@@ -44,7 +44,7 @@
 func drawTenants(t *rapid.T) []declaration.Tenant {
 	tenants := []declaration.Tenant{{Name: "a"}, {Name: "b", Quota: declaration.Quota{Accelerators: 16}}, {Name: "c"}}
 	for i := range 2 {
-		tenants[i].Guarantee = []declaration.Guarantee{{
+		tenants[i].Guarantees = []declaration.Guarantee{{
 			Shape: job.Shape{Members: rapid.IntRange(1, 3).Draw(t, "members"), Accelerators: rapid.IntRange(1, 4).Draw(t, "accelerators"), Spread: job.SpreadRack},
 			Count: rapid.IntRange(1, 2).Draw(t, "count"),
 		}}
--- a/internal/schedule/witness.go
+++ b/internal/schedule/witness.go
@@ -59,7 +59,7 @@
 func (w *witness) configure(tenants []declaration.Tenant) {
 	claimants := w.clear()
 	for i := range tenants {
-		for _, guarantee := range tenants[i].Guarantee {
+		for _, guarantee := range tenants[i].Guarantees {
 			for range guarantee.Count {
 				w.add(tenants[i].Name, guarantee)
 			}
@@ -78,7 +78,7 @@
 }
 
 func (w *witness) add(tenant string, guarantee declaration.Guarantee) {
-	added := &instance{tenant: tenant, shape: guarantee.Shape, zone: guarantee.Zone}
+	added := &instance{tenant: tenant, shape: guarantee.Shape, zone: guarantee.Domain}
 	w.absent += guarantee.Members
 	for range guarantee.Members {
 		added.slots = append(added.slots, &slot{instance: added, worker: nowhere})
--- a/internal/schedule/witness_test.go
+++ b/internal/schedule/witness_test.go
@@ -66,7 +66,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "copies") {
 			shape := job.Shape{Members: rapid.IntRange(1, 3).Draw(t, "members"), Accelerators: rapid.IntRange(1, 4).Draw(t, "accelerators"), Spread: job.SpreadRack}
 			copies = append(copies, shape)
-			tenant.Guarantee = append(tenant.Guarantee, declaration.Guarantee{Shape: shape, Count: 1})
+			tenant.Guarantees = append(tenant.Guarantees, declaration.Guarantee{Shape: shape, Count: 1})
 		}
 		found := s.Configure(now, []declaration.Tenant{tenant}) == 0
 		exists := fitsExhaustively(racks, copies)
--- a/internal/trace/cluster.go
+++ b/internal/trace/cluster.go
@@ -66,9 +66,9 @@
 			return nil, err
 		}
 	}
-	declared := declaration.Declaration{Tenant: parsed.Tenant}
+	declared := declaration.Declaration{Tenants: parsed.Tenant}
 	declared.Normalize()
-	parsed.Tenant = declared.Tenant
+	parsed.Tenant = declared.Tenants
 	return parsed, declared.Validate()
 }
 
