--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/catalog"
 	"github.com/wheatroad/wheatroad/internal/evacuation"
 	"github.com/wheatroad/wheatroad/internal/loop"
-	"github.com/wheatroad/wheatroad/internal/pacing"
 	"github.com/wheatroad/wheatroad/internal/pool"
+	"github.com/wheatroad/wheatroad/internal/ratelimit"
 	"github.com/wheatroad/wheatroad/internal/rows"
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
@@ -110,7 +110,7 @@
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
-	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
+	n.ports = &ports{ctx: ctx, node: n, pacer: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(edges.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: edges.Store, node: n}}
 	n.snapshot.Store(&snapshot{})
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/wheatroad/wheatroad/internal/fleet"
-	"github.com/wheatroad/wheatroad/internal/pacing"
 	"github.com/wheatroad/wheatroad/internal/progress"
+	"github.com/wheatroad/wheatroad/internal/ratelimit"
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
@@ -16,7 +16,7 @@
 	ctx  context.Context
 	node *Node
 	// pacer limits the rate of orders and reads on the machine's link.
-	pacer *pacing.Limiter
+	pacer *ratelimit.Limiter
 }
 
 // An owner's orders and reads come in bursts: a start and a hold for each task of a wide step, or
--- a/internal/pacing/pacer.go
+++ b/internal/ratelimit/limiter.go
@@ -1,6 +1,6 @@
-// Package pacing limits the bandwidth that a process uses, so that its bursts do not delay urgent
+// Package ratelimit limits the bandwidth that a process uses, so that its bursts do not delay urgent
 // messages, such as health checks, on a slow link.
-package pacing
+package ratelimit
 
 import (
 	"context"
--- a/internal/pacing/pacer_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -1,4 +1,4 @@
-package pacing
+package ratelimit
 
 import (
 	"context"
