--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/wheatroad/wheatroad/internal/loadplay"
+	"github.com/wheatroad/wheatroad/internal/loadsim"
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
@@ -46,32 +46,32 @@
 	if flags.seeds < 2 {
 		return errors.New("--seeds must be at least 2")
 	}
-	variants := []loadplay.Variant{{Name: "all"}}
+	variants := []loadsim.Variant{{Name: "all"}}
 	for _, names := range flags.disabledSets {
 		off, err := mechanism.ParseDisabled(strings.Split(names, ","))
 		if err != nil {
 			return errors.Wrap(err, "--without")
 		}
-		variants = append(variants, loadplay.Variant{Name: "without " + names, Off: off})
+		variants = append(variants, loadsim.Variant{Name: "without " + names, Off: off})
 	}
 	loads, err := selectLoads(flags.loads)
 	if err != nil {
 		return err
 	}
 	for i := range loads {
-		printComparison(out, &loads[i], loadplay.Compare(&loads[i], variants, flags.firstSeed, flags.seeds, runtime.NumCPU()))
+		printComparison(out, &loads[i], loadsim.Compare(&loads[i], variants, flags.firstSeed, flags.seeds, runtime.NumCPU()))
 	}
 	return nil
 }
 
-func selectLoads(names []string) ([]loadplay.Load, error) {
-	all := loadplay.Loads()
+func selectLoads(names []string) ([]loadsim.Load, error) {
+	all := loadsim.Loads()
 	if len(names) == 0 {
 		return all, nil
 	}
-	var selected []loadplay.Load
+	var selected []loadsim.Load
 	for _, name := range names {
-		i := slices.IndexFunc(all, func(load loadplay.Load) bool { return load.Name == name })
+		i := slices.IndexFunc(all, func(load loadsim.Load) bool { return load.Name == name })
 		if i < 0 {
 			return nil, errors.Newf("--load: no load %q", name)
 		}
@@ -80,7 +80,7 @@
 	return selected, nil
 }
 
-func printComparison(out io.Writer, load *loadplay.Load, comparisons []loadplay.Comparison) {
+func printComparison(out io.Writer, load *loadsim.Load, comparisons []loadsim.Comparison) {
 	fmt.Fprintf(out, "%s: %d seeds\n", load.Name, len(comparisons[0].Results))
 	fmt.Fprintf(out, "  %-44s %-15s %-15s %-8s", "way", "worth", "gain", "served")
 	for _, class := range comparisons[0].Results[0].Classes {
--- a/internal/loadplay/load.go
+++ b/internal/loadsim/load.go
@@ -1,7 +1,7 @@
-// Package loadplay simulates heavy load on a pool owner in virtual time: bursts of arrivals with
+// Package loadsim simulates heavy load on a pool owner in virtual time: bursts of arrivals with
 // random sizes and inaccurate estimates. It compares several scheduler configurations on the same
 // load over many seeds.
-package loadplay
+package loadsim
 
 import (
 	"fmt"
--- a/internal/loadplay/loadplay_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -1,4 +1,4 @@
-package loadplay
+package loadsim
 
 import (
 	"math"
