--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -118,7 +118,7 @@
 
 func nodeOptions(s *settings.Node) node.Options {
 	b := &s.Periods
-	// ParseOff cannot fail: the settings were validated when read.
+	// ParseDisabled cannot fail: the settings were validated when read.
 	off, _ := mechanism.ParseDisabled(s.DisabledMechanisms)
 	return node.Options{
 		DisabledMechanisms: off,
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -9,7 +9,7 @@
 // Ports reach the outside. Each call returns at once; done runs on the node's
 // loop, exactly once.
 type Ports interface {
-	// Commit applies a transaction. The error wraps store.ErrUnknown or
+	// Commit applies a transaction. The error wraps store.ErrOutcomeUnknown or
 	// store.ErrUnavailable.
 	Commit(transaction store.Transaction, done func(store.CommitResult, error))
 	// Scan reads the rows under a prefix written after a revision.
--- a/internal/declaration/assignment.go
+++ b/internal/declaration/assignment.go
@@ -1,6 +1,7 @@
 package declaration
 
-// FilterGuarantees returns a copy of tenants in which each keeps only the guarantees assigned to domain.
+// FilterGuarantees returns a copy of tenants in which each keeps only the guarantees assigned to
+// domain.
 func FilterGuarantees(tenants []Tenant, domain string) []Tenant {
 	filtered := make([]Tenant, len(tenants))
 	for i := range tenants {
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -18,8 +18,8 @@
 	Removed bool
 }
 
-// ParseChanges extracts the changes from rows. zoneOf returns the zone that a row evacuates, or false
-// for any other row.
+// ParseChanges extracts the changes from rows. zoneOf returns the zone that a row evacuates, or
+// false for any other row.
 func ParseChanges(listed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
 	var changes []Change
 	for i := range listed {
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Kind is the reason why a request was rejected or a job did not succeed. Every kind has an
-// entry in the answer table.
+// entry in the response table.
 type Kind string
 
 // Error kinds, in the order in which a request can encounter them.
@@ -82,7 +82,7 @@
 	Internal:           {Status: 500, Outcome: MayHaveRun},
 }
 
-// ResponseFor returns the answer for kind. Unknown kinds are answered as Internal.
+// ResponseFor returns the response for kind. Unknown kinds are answered as Internal.
 func ResponseFor(kind Kind) Response {
 	if answer, ok := answersByKind[kind]; ok {
 		return answer
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -17,7 +17,7 @@
 	Delay
 	// Blackhole discards the bytes of both directions.
 	Blackhole
-	// DropResponses discards the bytes from the target, CutRequests those to it.
+	// DropResponses discards the bytes from the target, DropRequests those to it.
 	DropResponses
 	DropRequests
 )
@@ -25,7 +25,7 @@
 // proxyDelay is the delay of the mode Delay.
 const proxyDelay = 150 * time.Millisecond
 
-// chunkBytes bounds a single write, so that on a slow link small answers are not blocked by a
+// chunkBytes bounds a single write, so that on a slow link small responses are not blocked by a
 // large one on another connection.
 const chunkBytes = 8 << 10
 
@@ -80,8 +80,8 @@
 	p.requests.set(bytesPerSecond)
 }
 
-// SilenceOpenConnections makes all open connections discard bytes of both directions from now on, without
-// closing them. New connections work.
+// SilenceOpenConnections makes all open connections discard bytes of both directions from now on,
+// without closing them. New connections work.
 func (p *Proxy) SilenceOpenConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -90,7 +90,7 @@
 // EndReason is the way in which a run ended.
 type EndReason string
 
-// Values of How.
+// Values of EndReason.
 const (
 	EndDone           EndReason = "done"
 	EndFailed         EndReason = "failed"
@@ -111,8 +111,8 @@
 
 // Reply is a worker's response to an order.
 type Reply struct {
-	// StartMillis is the start time of the incarnation that replied, 0 if unknown. Replies that list runs
-	// contain it.
+	// StartMillis is the start time of the incarnation that replied, 0 if unknown. Replies that
+	// list runs contain it.
 	StartMillis int64
 	ClockMillis int64
 	Running     []ActiveRun
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Incarnation identifies one incarnation of a worker, from the start of its process to its end. The next
-// incarnation under the same ID has no runs, numbers its ended runs from 1, has seen no fencing
-// token, and has another clock.
+// Incarnation identifies one incarnation of a worker, from the start of its process to its end. The
+// next incarnation under the same ID has no runs, numbers its ended runs from 1, has seen no
+// fencing token, and has another clock.
 type Incarnation struct {
 	ID string
 	// StartMillis is the start time in milliseconds since 1970 on the worker's clock. It is 0 on
--- a/internal/fleet/order_error.go
+++ b/internal/fleet/order_error.go
@@ -46,7 +46,7 @@
 	ErrOutcomeUnknown       = &OrderError{Reason: OutcomeUnknown}
 )
 
-// NewOrderError returns a Failure with a cause.
+// NewOrderError returns an OrderError with a cause.
 func NewOrderError(reason Reason, cause error) *OrderError {
 	return &OrderError{Reason: reason, cause: cause}
 }
@@ -62,13 +62,13 @@
 // Unwrap returns the underlying error.
 func (f *OrderError) Unwrap() error { return f.cause }
 
-// Is reports whether target is a Failure with the same reason.
+// Is reports whether target is an OrderError with the same reason.
 func (f *OrderError) Is(target error) bool {
 	other, ok := target.(*OrderError)
 	return ok && other.Reason == f.Reason
 }
 
-// ReasonOf returns the reason of a failed order. Errors of other types count as NoAnswer.
+// ReasonOf returns the reason of a failed order. Errors of other types count as OutcomeUnknown.
 func ReasonOf(err error) Reason {
 	var failure *OrderError
 	if errors.As(err, &failure) {
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -74,7 +74,7 @@
 	return content, nil
 }
 
-// markSendError marks connection failures as ErrNotSent and all other errors as ErrNoAnswer.
+// markSendError marks connection failures as ErrNotSent and all other errors as ErrOutcomeUnknown.
 func markSendError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/loadsim/compare.go
+++ b/internal/loadsim/compare.go
@@ -24,7 +24,7 @@
 	Variant    Variant
 	Results    []Result
 	ValueShare Estimate
-	// ValueGain is the mean difference of Worth to the first configuration, paired by seed.
+	// ValueGain is the mean difference of ValueShare to the first configuration, paired by seed.
 	ValueGain       Estimate
 	Served          Estimate
 	Classes         []Estimate
--- a/internal/loadsim/simulate.go
+++ b/internal/loadsim/simulate.go
@@ -12,22 +12,22 @@
 type ClassResult struct {
 	Name                       string
 	Jobs, OnTime, Late, Missed int
-	// Worth is the earned share of the attainable value.
+	// ValueShare is the earned share of the attainable value.
 	Worth float64
 }
 
 // Result is the outcome of one simulation of a load.
 type Result struct {
 	Classes []ClassResult
-	// Worth is the earned share of the attainable value of all classes.
+	// ValueShare is the earned share of the attainable value of all classes.
 	Worth float64
 	// Served is the share of jobs that completed in time or late.
 	Served float64
 	// Placed and Preempted count the placements and preemptions of tasks and gangs.
 	Placed, Preempted int
-	// MostStops is the highest number of preemptions of one task or gang.
+	// MaxPreemptions is the highest number of preemptions of one task or gang.
 	MostStops int
-	// ThrownAway is the unsaved work of stopped runs, in core-seconds.
+	// LostCoreSeconds is the unsaved work of stopped runs, in core-seconds.
 	ThrownAway float64
 	// Violations lists the violated invariants.
 	Violations []string
--- a/internal/machines/httplist/httplist.go
+++ b/internal/machines/httplist/httplist.go
@@ -10,13 +10,13 @@
 	"github.com/wheatroad/wheatroad/internal/machines"
 )
 
-// Client implements machines.Client.
+// Client implements machines.List.
 type Client struct {
 	baseURL string
 	client  *http.Client
 }
 
-// New returns a List that sends its requests to the platform at baseURL.
+// New returns a Client that sends its requests to the platform at baseURL.
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{baseURL: baseURL, client: client}
 }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -21,14 +21,16 @@
 	FailedWorkerAvoidance Name = "trusted-workers"
 	// LocalityWait makes units wait for a placement on which they run at full speed.
 	LocalityWait Name = "near-places"
-	// AdaptiveStallTimeout migrates a stalled run once the stall has cost as much as a migration, and keeps
-	// new tasks off its worker.
+	// AdaptiveStallTimeout migrates a stalled run once the stall has cost as much as a migration,
+	// and keeps new tasks off its worker.
 	AdaptiveStallTimeout Name = "quick-stalls"
-	// Stragglers migrates gangs that are delayed by a straggler, and keeps new tasks off its worker.
+	// Stragglers migrates gangs that are delayed by a straggler, and keeps new tasks off its
+	// worker.
 	Stragglers Name = "laggards"
 	// Headroom reserves the racks with the most free capacity for urgent jobs.
 	Headroom Name = "headroom"
-	// PreemptionBackoff holds back units with slack after other units were preempted for lack of resources.
+	// PreemptionBackoff holds back units with slack after other units were preempted for lack of
+	// resources.
 	PreemptionBackoff Name = "pressure"
 	// Reservations reserve resources for waiting units.
 	Reservations Name = "reservations"
--- a/internal/node/configuration_status.go
+++ b/internal/node/configuration_status.go
@@ -49,7 +49,7 @@
 func (n *Node) pollConfiguration() {
 	limit := configurationPollAge
 	if n.storeLost() {
-		// No answer of the store is pending.
+		// No response of the store is pending.
 		limit = staleConfirmationAge
 	}
 	confirmedAge := age(n.confirmed.Load())
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -20,8 +20,8 @@
 	// chunkTimeout bounds the call for one chunk: 30 times its transmission time on a link of 10
 	// Mbit/s.
 	chunkTimeout = time.Second
-	// storeTransferGrace is how long the store's own answer may take before other nodes are polled
-	// too. It is below the strictest limit on the configuration's age, 2 s.
+	// storeTransferGrace is how long the store's own response may take before other nodes are
+	// polled too. It is below the strictest limit on the configuration's age, 2 s.
 	storeTransferGrace = 1500 * time.Millisecond
 	// servedRetention is how long a replaced version is kept after the last request for it, so that
 	// frequent changes do not make transfers start over.
@@ -167,8 +167,8 @@
 	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return d.document == oldest.document })
 }
 
-// trackStoreTransfer returns a context that records when the store's answer with the configuration
-// starts to arrive, and a function that ends the tracking.
+// trackStoreTransfer returns a context that records when the store's response with the
+// configuration starts to arrive, and a function that ends the tracking.
 func (n *Node) trackStoreTransfer(ctx context.Context) (context.Context, func()) {
 	observed := progress.WithObserver(ctx, func(int) {
 		now := uptime.Now()
@@ -177,7 +177,7 @@
 	return observed, func() { n.configurationTransferStart.Store(nil) }
 }
 
-// storeTransferPending reports whether the store's answer with the configuration is arriving and
+// storeTransferPending reports whether the store's response with the configuration is arriving and
 // still within storeTransferGrace.
 func (n *Node) storeTransferPending() bool {
 	startedAt := n.configurationTransferStart.Load()
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// handleOperatorFeed handles an answer of the feed of the operators' rows after its rows are
+// handleOperatorFeed handles a response of the feed of the operators' rows after its rows are
 // applied: the configuration and the evacuations are current as of it.
 func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
 	n.confirm(listing.AsOf)
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -44,7 +44,7 @@
 type cancelableRead struct {
 	wait   time.Duration
 	cancel context.CancelCauseFunc
-	// receiving is true once the first byte of the answer has arrived.
+	// receiving is true once the first byte of the response has arrived.
 	receiving bool
 }
 
@@ -75,7 +75,7 @@
 }
 
 // cancelIdle cancels the pending reads that wait for minWait or longer and have not received a
-// byte. On a slow link a large answer may take longer to receive than any interval between
+// byte. On a slow link a large response may take longer to receive than any interval between
 // cancellations.
 func (r *cancelableReads) cancelIdle(minWait time.Duration) {
 	r.mutex.Lock()
@@ -146,7 +146,7 @@
 	// wait returns how long the next feed waits for a change.
 	wait  func() time.Duration
 	apply func(rows.Row)
-	// onAnswer is called after each answer with the time of the request; it may be nil.
+	// onAnswer is called after each response with the time of the request; it may be nil.
 	onAnswer func(listing rows.Listing, requestedAt time.Time)
 	// needed reports whether to continue; nil means always.
 	needed func() bool
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -131,12 +131,13 @@
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
 }
 
-// partHedgeDelay is how long a part of the store may take before the write is also sent to the next
-// part. A store at a fiftieth of its usual speed commits in 0.5 s.
+// partHedgeDelay is how long a partition of the store may take before the write is also sent to the
+// next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
 const partHedgeDelay = 600 * time.Millisecond
 
-// commitJob writes an accepted job into one of its parts. It tries the next part once one fails, or
-// takes long while the store is otherwise fast. Writing the job to several parts is harmless.
+// commitJob writes an accepted job into one of its partitions. It tries the next partition once one
+// fails, or takes long while the store is otherwise fast. Writing the job to several partitions is
+// harmless.
 func (g *Gateway) commitJob(ctx context.Context, poolName string, job *pool.Accepted) error {
 	value := pool.Encode(job)
 	parts := pool.JobPartitions(poolName, job.Spec.ID)
@@ -172,7 +173,7 @@
 	return failure
 }
 
-// commitJobRow writes an accepted job into one part.
+// commitJobRow writes an accepted job into one partition.
 func (g *Gateway) commitJobRow(ctx context.Context, key rows.Key, value []byte, job *pool.Accepted) error {
 	result, err := g.node.ports.commit(ctx, rows.Transaction{
 		Conditions: []rows.Condition{{Key: key, Version: rows.Absent}},
@@ -224,8 +225,8 @@
 	AtMillis int64 `json:"at_ms"`
 }
 
-// commitCancel writes a cancellation to the part that holds the job's accepted row, or to another
-// of its parts if that one is unavailable.
+// commitCancel writes a cancellation to the partition that holds the job's accepted row, or to
+// another of its partitions if that one is unavailable.
 func (g *Gateway) commitCancel(ctx context.Context, poolName, id string) error {
 	accepted, cancelled, err := g.storedJob(ctx, poolName, id)
 	if err != nil {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -23,8 +23,8 @@
 	jobID    = "00000000000000aa"
 )
 
-// fakeStore keeps rows in memory. Calls about the parts in refuse fail with ErrRefused, those about
-// the parts in unanswered with ErrNoAnswer.
+// fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect, those
+// about the partitions in unanswered with ErrOutcomeUnknown.
 type fakeStore struct {
 	rows       map[rows.Key]rows.Row
 	refuse     map[string]bool
@@ -152,7 +152,7 @@
 	}
 }
 
-// hangingPartStore never answers transactions in one part.
+// hangingPartStore never answers transactions in one partition.
 type hangingPartStore struct {
 	*fakeStore
 	part string
@@ -166,7 +166,7 @@
 	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
-// TestWriteIsHedgedToNextPart: one unresponsive part must not use up the time of a
+// TestWriteIsHedgedToNextPart: one unresponsive partition must not use up the time of a
 // submission.
 func TestWriteIsHedgedToNextPart(t *testing.T) {
 	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
@@ -268,7 +268,7 @@
 	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
-// fieldsRecorder keeps the fields of logged decisions.
+// fieldsRecorder keeps the fields of log events.
 type fieldsRecorder struct {
 	discardRecorder
 	fields map[string][]any
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -80,8 +80,8 @@
 	return state, err
 }
 
-// storedJob returns the part that holds a job, empty if there is none, and whether the job is
-// canceled. A job counts as absent only if every part has answered.
+// storedJob returns the partition that holds a job, empty if there is none, and whether the job is
+// canceled. A job counts as absent only if every partition has answered.
 func (g *Gateway) storedJob(ctx context.Context, poolName, id string) (accepted string, cancelled bool, err error) {
 	for _, part := range pool.JobPartitions(poolName, id) {
 		listing, failure := g.node.ports.scan(ctx, pool.JobTable, part, id)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -16,8 +16,8 @@
 
 // A node knows a bounded sample of the others: the candidates at the head of the takeover order and
 // some of its own successors in that order. Each node writes its own row when it starts. Nodes of a
-// large cluster do not follow each other's rows, as each restart would cost one answer of the store
-// for every node.
+// large cluster do not follow each other's rows, as each restart would cost one response of the
+// store for every node.
 //
 // Rows are ordered by descending weight and by a hash among equal weights, so that neighbors in the
 // order are spread over all zones.
@@ -35,8 +35,8 @@
 	// legacyMemberCount is how many nodes are read, once, whose version does not write memberTable.
 	legacyMemberCount = 4
 	// initialJoinBackoff is the first backoff after a failed write of a node's rows. It doubles up
-	// to maxJoinBackoff, with jitter: all member rows are in one part of the store, which commits
-	// some 200 writes a second, and hundreds of nodes may start at once.
+	// to maxJoinBackoff, with jitter: all member rows are in one partition of the store, which
+	// commits some 200 writes a second, and hundreds of nodes may start at once.
 	initialJoinBackoff = 500 * time.Millisecond
 	maxJoinBackoff     = 16 * time.Second
 	// sampleRefreshInterval is the interval between reads of the sample, startupRefreshDelay the
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -98,11 +98,11 @@
 	return listener.Addr().String()
 }
 
-// A node that follows the rows of all others makes each restart cost one answer of the store for
+// A node that follows the rows of all others makes each restart cost one response of the store for
 // every node of the cluster.
 
-// TestMemberReadsDoNotGrowWithCluster with their number, neither at its start nor as they
-// restart.
+// TestMemberReadsDoNotGrowWithCluster: a node reads few member rows, both at its start and as
+// others restart.
 func TestMemberReadsDoNotGrowWithCluster(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 	document atomic.Pointer[document]
 	// servedDocuments are the documents that other nodes are downloading.
 	servedDocuments servedDocuments
-	// configurationTransferStart is when the first byte of the store's current answer with the
+	// configurationTransferStart is when the first byte of the store's current response with the
 	// configuration arrived; nil if none is arriving. There is one such call at a time.
 	configurationTransferStart atomic.Pointer[time.Time]
 	// confirmed is when the catalog was last known to be the newest.
@@ -63,9 +63,9 @@
 	// confirmedByPeer is the time as of which another node last confirmed the catalog.
 	confirmedByPeer atomic.Pointer[time.Time]
 	snapshot        atomic.Pointer[snapshot]
-	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or a
-	// probe last failed, and storeReached when the store last answered directly or through another
-	// node.
+	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or
+	// a probe last failed, and storeReached when the store last answered directly or through
+	// another node.
 	storeAnswered atomic.Pointer[time.Time]
 	storeFailed   atomic.Pointer[time.Time]
 	storeReached  atomic.Pointer[time.Time]
@@ -73,7 +73,7 @@
 	// last reported.
 	storeLatency    latencyWindow
 	reportedLatency atomic.Pointer[reportedLatency]
-	// storeUnavailable is true from a failure of the store until its next answer.
+	// storeUnavailable is true from a failure of the store until its next response.
 	storeUnavailable atomic.Bool
 	// currentProbe is the store probe in flight, nil if there is none.
 	currentProbe    atomic.Pointer[storeProbe]
@@ -151,8 +151,8 @@
 	n.snapshot.Store(v)
 }
 
-// recordStoreResult records a direct answer of the store; errors are ignored. It may be called from
-// any goroutine.
+// recordStoreResult records a direct response of the store; errors are ignored. It may be called
+// from any goroutine.
 func (n *Node) recordStoreResult(err error) {
 	if err != nil {
 		return
@@ -177,7 +177,7 @@
 }
 
 // recordStoreFailure records a failed feed or probe. Failed transactions are not recorded here, as
-// they may concern only one part of the store.
+// they may concern only one partition of the store.
 func (n *Node) recordStoreFailure(err error) {
 	if err == nil || errors.Is(err, rows.ErrHistoryExpired) {
 		return
@@ -191,7 +191,7 @@
 	}
 }
 
-// recordStoreReached records an answer of the store through another node.
+// recordStoreReached records a response of the store through another node.
 func (n *Node) recordStoreReached() {
 	now := uptime.Now()
 	n.storeReached.Store(&now)
@@ -211,7 +211,7 @@
 func (n *Node) storeReachedAge() time.Duration { return age(n.storeReached.Load()) }
 
 // storeLost reports whether the last failure of the store is more recent than its last direct
-// answer.
+// response.
 func (n *Node) storeLost() bool {
 	answered, failed := n.storeAnswered.Load(), n.storeFailed.Load()
 	return failed != nil && (answered == nil || failed.After(*answered))
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -11,8 +11,8 @@
 )
 
 // observedStore is the store as this node calls it directly. It records each received byte as a
-// sign that the store is reachable, since small calls may time out behind a large answer, and logs
-// answers that were abandoned midway.
+// sign that the store is reachable, since small calls may time out behind a large response, and
+// logs responses that were abandoned midway.
 type observedStore struct {
 	rows.Store
 	node *Node
@@ -57,13 +57,13 @@
 	return answer.finish(listing, err)
 }
 
-// observe returns a context that tracks the answer to a call about a table.
+// observe returns a context that tracks the response to a call about a table.
 func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
 	answer := &observedAnswer{node: s.node, table: table, requestedAt: uptime.Now()}
 	return progress.WithObserver(ctx, answer.recordBytes), answer
 }
 
-// observedAnswer tracks the receipt of one answer.
+// observedAnswer tracks the receipt of one response.
 type observedAnswer struct {
 	node        *Node
 	table       string
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -18,14 +18,15 @@
 	ConfigurationKey() rows.Key
 	WorkerTable() string
 	// EvacuationRows returns the table and the name prefix of the rows with which operators
-	// evacuate zones. ParseEvacuationKey returns the zone in such a row's key, and false for other rows.
+	// evacuate zones. ParseEvacuationKey returns the zone in such a row's key, and false for other
+	// rows.
 	EvacuationRows() (table, prefix string)
 	ParseEvacuationKey(key rows.Key) (string, bool)
 	DecodeCatalog(value []byte) (*catalog.Catalog, error)
 	DecodeWorker(id string, value []byte) (*fleet.Worker, error)
 }
 
-// Recorder logs decisions and records metrics.
+// Recorder logs events and records metrics.
 type Recorder = pool.Recorder
 
 // Options configure a node.
@@ -36,11 +37,11 @@
 	PeerAddress string
 	// Weight is the node's share of a processor. Nodes with more weight take over pools first.
 	Weight float64
-	// LinkBytesPerSecond is the bandwidth of the machine's link; 0 disables pacing.
+	// LinkBytesPerSecond is the bandwidth of the machine's link; 0 disables rate limiting.
 	LinkBytesPerSecond float64
 	PoolBounds         pool.Bounds
-	// MaxConfigurationAge is the maximum age of the configuration's confirmation. Requests are refused
-	// beyond it.
+	// MaxConfigurationAge is the maximum age of the configuration's confirmation. Requests are
+	// refused beyond it.
 	MaxConfigurationAge time.Duration
 	// DisabledMechanisms are the mechanisms that are disabled, for measurements.
 	DisabledMechanisms mechanism.Disabled
@@ -61,7 +62,7 @@
 	// feedWait is how long an owner's feeds of jobs and workers wait for a change.
 	feedWait = time.Second
 	// feedSlack is how long after its wait a feed may still be answered. It doubles with each
-	// consecutive feed without an answer, up to maxFeedSlack, so that a very slow store can still
+	// consecutive feed without a response, up to maxFeedSlack, so that a very slow store can still
 	// be followed.
 	feedSlack    = 800 * time.Millisecond
 	maxFeedSlack = 3200 * time.Millisecond
@@ -74,7 +75,7 @@
 	submitTimeout = 1200 * time.Millisecond
 	// orderTimeout bounds an order to a worker, which replies in some 2 ms.
 	orderTimeout = 350 * time.Millisecond
-	// holdSlack is how long after its wait a hold may still be answered.
+	// holdSlack is how long after its wait a poll may still be answered.
 	holdSlack = 400 * time.Millisecond
 	// pingPeriod and standbyPingPeriod are the intervals between pings of an owner. With
 	// pingTimeout a standby detects an unresponsive owner in 0.65 to 0.9 s; throttling by a
@@ -84,14 +85,15 @@
 	pingTimeout       = 400 * time.Millisecond
 	// suspectAfterFailures consecutive failures make an owner suspected.
 	suspectAfterFailures = 2
-	// storeLossTimeout is the age of the store's last answer from which a node has lost the store.
+	// storeLossTimeout is the age of the store's last response from which a node has lost the
+	// store.
 	storeLossTimeout = 2200 * time.Millisecond
 	// failingStoreLossTimeout replaces storeLossTimeout for nodes whose feeds fail.
 	failingStoreLossTimeout = 700 * time.Millisecond
-	// answerStallTimeout bounds the time without progress in an answer that has begun. It is longer
-	// than a retransmission or throttling by a processor quota.
+	// answerStallTimeout bounds the time without progress in a response that has begun. It is
+	// longer than a retransmission or throttling by a processor quota.
 	answerStallTimeout = 1500 * time.Millisecond
-	// answerTimeout bounds an answer as a whole. The largest one, 16 MiB, takes 14 s on a link of
+	// answerTimeout bounds a response as a whole. The largest one, 16 MiB, takes 14 s on a link of
 	// 10 Mbit/s, which may be shared.
 	answerTimeout = 60 * time.Second
 	// takeoverRankDelay is the delay between nodes of consecutive takeover ranks.
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -19,9 +19,9 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// partialAnswerStore sends the first byte of each answer about a table at once, and the rest when
+// partialAnswerStore sends the first byte of each response about a table at once, and the rest when
 // the test closes complete. It gives up when the caller does. Calls about other tables get no
-// answer.
+// response.
 type partialAnswerStore struct {
 	rows.Store
 	table    string
@@ -57,7 +57,7 @@
 	return s.answer(ctx, table)
 }
 
-// receiveBytes simulates the arrival of some bytes of an answer.
+// receiveBytes simulates the arrival of some bytes of a response.
 func receiveBytes(ctx context.Context, count int) {
 	_, _ = io.Copy(io.Discard, progress.NewReader(ctx, bytes.NewReader(make([]byte, count))))
 }
@@ -79,8 +79,8 @@
 	require.NoError(t, loop.Call(context.Background(), n.edges.Loop, fn))
 }
 
-// TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its answer when idle feeds
-// are canceled.
+// TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its response when idle
+// feeds are canceled.
 func TestReceivingFeedIsNotCanceled(t *testing.T) {
 	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
@@ -95,7 +95,7 @@
 	require.NoError(t, <-ended)
 }
 
-// TestReceivedBytesKeepStoreFromBeingLost: small calls that time out behind a large answer must
+// TestReceivedBytesKeepStoreFromBeingLost: small calls that time out behind a large response must
 // not make the node lose the store.
 func TestReceivedBytesKeepStoreFromBeingLost(t *testing.T) {
 	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
@@ -123,8 +123,8 @@
 	return ctx
 }
 
-// TestListingIsDatedByItsFirstByte: the time an answer takes to arrive must count towards the age of
-// the configuration, or a revoked key may be accepted.
+// TestListingIsDatedByItsFirstByte: the time a response takes to arrive must count towards the age
+// of the configuration, or a revoked key may be accepted.
 func TestListingIsDatedByItsFirstByte(t *testing.T) {
 	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -137,7 +137,7 @@
 	require.False(t, n.confirmed.Load().After(begun), "confirmed as of %v after the first byte", n.confirmed.Load().Sub(begun))
 }
 
-// slowAnswerStore sends its answers slowly but without stalling.
+// slowAnswerStore sends its responses slowly but without stalling.
 type slowAnswerStore struct{ rows.Store }
 
 func (s slowAnswerStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
@@ -219,7 +219,7 @@
 	}
 }
 
-// TestLargeAnswerThroughAnotherNodeIsWaitedFor: on a slow link the whole answer takes longer than
+// TestLargeAnswerThroughAnotherNodeIsWaitedFor: on a slow link the whole response takes longer than
 // its first byte may.
 func TestLargeAnswerThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -44,7 +44,7 @@
 	WaitMillis int64  `json:"wait_ms"`
 }
 
-// storeReply is the store's answer.
+// storeReply is the store's response.
 type storeReply struct {
 	Result  rows.Result  `json:"result"`
 	Listing rows.Listing `json:"listing"`
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -29,7 +29,7 @@
 	// StoreAgeMillis is how long ago the store last answered the node, directly or through another
 	// one.
 	StoreAgeMillis int64 `json:"store_age_ms"`
-	// StoreLost is true if the node's feeds have failed since that answer.
+	// StoreLost is true if the node's feeds have failed since that response.
 	StoreLost bool           `json:"store_lost,omitempty"`
 	Waiting   map[string]int `json:"waiting,omitempty"`
 	// StoreLatencyMillis is the minimum latency of the node's recent store calls; 0 if there were
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -19,9 +19,9 @@
 	pacer *ratelimit.Limiter
 }
 
-// An owner's orders and reads come in bursts: a start and a hold for each task of a wide step, or
-// all rows of a pool at a takeover. Without pacing, pings queue behind them on a slow link and time
-// out, and the pool is taken over.
+// An owner's orders and reads come in bursts: a start and a poll for each task of a wide step, or
+// all rows of a pool at a takeover. Without rate limiting, pings queue behind them on a slow link
+// and time out, and the pool is taken over.
 const (
 	// linkFraction is the part of the link's bandwidth for orders and reads, linkBurst the length
 	// of a burst at that rate.
@@ -34,7 +34,7 @@
 	scanEstimateBytes = 4 << 10
 )
 
-// runPaced is runAsync after the pacer admits the given bytes. The timeouts start then.
+// runPaced is runAsync after the rate limiter admits the given bytes. The timeouts start then.
 func runPaced[T any](p *ports, bytes int, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
 		if err := p.pacer.Wait(p.ctx, bytes); err == nil {
@@ -51,8 +51,8 @@
 	p.node.edges.Loop.Post(func() { done(result, err) })
 }
 
-// progressTimeout lets an answer whose first byte arrives within limit continue while it makes
-// progress. Abandoning and repeating large answers would saturate slow links.
+// progressTimeout lets a response whose first byte arrives within limit continue while it makes
+// progress. Abandoning and repeating large responses would saturate slow links.
 func progressTimeout(limit time.Duration) progress.Timeouts {
 	return progress.Timeouts{FirstByte: limit, Idle: answerStallTimeout, Total: max(limit, answerTimeout)}
 }
@@ -93,7 +93,7 @@
 	return p.node.store.Scan(ctx, table, part, prefix)
 }
 
-// page reads up to limit rows of a part, starting at a name.
+// page reads up to limit rows of a partition, starting at a name.
 func (p *ports) page(table, part, from string, limit int, done func(rows.Listing, error)) {
 	runAsync(p, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Page(ctx, table, part, from, limit)
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// storeFreshAge is the age of the store's last answer below which no probe is needed.
+// storeFreshAge is the age of the store's last response below which no probe is needed.
 const storeFreshAge = time.Second
 
 // probe reads this node's own row directly from the store.
--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -14,8 +14,8 @@
 	// memberExpiry is how long a node may send no ping before its row is removed, many times the
 	// interval between pings. A live node whose row was removed writes it again.
 	memberExpiry = 15 * time.Second
-	// maxPingGap is the longest interval between consecutive pings of an owner if there is more than
-	// one other node. After a longer gap the owner was partitioned or stalled and cannot judge
+	// maxPingGap is the longest interval between consecutive pings of an owner if there is more
+	// than one other node. After a longer gap the owner was partitioned or stalled and cannot tell
 	// other nodes.
 	maxPingGap = 2 * time.Second
 	// prunePageSize is how many rows are checked at a time, prunePageInterval the interval between
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -27,7 +27,8 @@
 	relayTimeout = 500 * time.Millisecond
 	relayHops    = 2
 	// relayScanTimeout bounds the wait for the first byte of a relayed scan of all job rows in a
-	// part. The relaying node reads all of them before it replies: 3.7 MB on a link of 10 Mbit/s.
+	// partition. The relaying node reads all of them before it replies: 3.7 MB on a link of 10
+	// Mbit/s.
 	relayScanTimeout = 3 * time.Second
 	// relayBackoff is how long no call is relayed after all attempts have failed, as the store is
 	// then unavailable to all nodes.
@@ -89,7 +90,7 @@
 // errStoreLost is returned for direct calls while this node has lost the store.
 var errStoreLost = errors.Mark(errors.New("the store does not answer this node"), rows.ErrNoEffect)
 
-// scanDirect reads a part without relays.
+// scanDirect reads a partition without relays.
 func (s *relayedStore) scanDirect(ctx context.Context, table, part string) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
@@ -114,7 +115,7 @@
 	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrOutcomeUnknown) || s.node.storeAge() > probeTimeout {
 		// A feed that times out while other calls are answered does not mean that the store is
-		// lost: its answer may be queued behind a larger one.
+		// lost: its response may be queued behind a larger one.
 		s.node.recordStoreFailure(err)
 	}
 	return listing, err
@@ -129,10 +130,10 @@
 	err    error
 }
 
-// answered reports whether the outcome is the store's own answer.
+// answered reports whether the outcome is the store's own response.
 func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired) }
 
-// callTimeouts bound the wait for the first byte of an answer.
+// callTimeouts bound the wait for the first byte of a response.
 type callTimeouts struct {
 	direct time.Duration
 	// relayed is the timeout for each other node.
@@ -182,7 +183,7 @@
 	return firstAnswer(attempts, direct)
 }
 
-// firstAnswer returns the first answer of two attempts, one of which may already have failed.
+// firstAnswer returns the first response of two attempts, one of which may already have failed.
 func firstAnswer[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
 	first := <-attempts
 	if first.answered() {
--- a/internal/node/scheduling_delay_test.go
+++ b/internal/node/scheduling_delay_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSchedulingDelayExtendsTimeouts: an owner short of processor time must not take replies that it reads
-// late for timeouts.
+// TestSchedulingDelayExtendsTimeouts: an owner short of processor time must not take replies that
+// it reads late for timeouts.
 func TestSchedulingDelayExtendsTimeouts(t *testing.T) {
 	var l schedulingDelay
 	l.record(minSchedulingDelay - time.Millisecond)
--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -18,7 +18,7 @@
 )
 
 // latencyWindow keeps the minimum latency of the current and the previous period. The minimum is
-// the store's own latency: other calls may have queued behind large answers on a slow link.
+// the store's own latency: other calls may have queued behind large responses on a slow link.
 type latencyWindow struct {
 	mutex             sync.Mutex
 	startedAt         time.Time
@@ -89,8 +89,8 @@
 
 // storeSlow reports whether the store is slow for all calls, judging by this node's own calls or
 // else by the latency that a pool's owner reported. Calls to a slow store are not hedged to another
-// part or relayed through another node, as duplicates add to its load. It may be called from any
-// goroutine.
+// partition or relayed through another node, as duplicates add to its load. It may be called from
+// any goroutine.
 func (n *Node) storeSlow() bool {
 	if least, known := n.storeLatency.least(uptime.Now()); known {
 		return least > slowStoreLatency
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -37,7 +37,7 @@
 	s.mutex.Lock()
 	s.commits++
 	s.mutex.Unlock()
-	// Transactions queue for their part and take longer than a read.
+	// Transactions queue for their partition and take longer than a read.
 	for range 2 {
 		if err := s.wait(ctx); err != nil {
 			return rows.Result{}, err
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestWriteIsHedgedWhileStoreIsFast: a write is still hedged to a second part while
+// TestWriteIsHedgedWhileStoreIsFast: a write is still hedged to a second partition while
 // the store is otherwise fast.
 func TestWriteIsHedgedWhileStoreIsFast(t *testing.T) {
 	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -139,8 +139,8 @@
 	return total >= request.Count
 }
 
-// FitsWhenEmpty reports whether the request would fit if nothing ran on the workers and all that are not
-// cordoned were usable.
+// FitsWhenEmpty reports whether the request would fit if nothing ran on the workers and all that
+// are not cordoned were usable.
 func FitsWhenEmpty(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -24,7 +24,7 @@
 	Workers []int
 	// Wait is the expected wait.
 	Wait time.Duration
-	// Unreserved maps each place to the resources that other tasks may occupy beyond that time.
+	// Unreserved maps each worker to the resources that other tasks may occupy beyond that time.
 	Unreserved map[int]taskgraph.Resources
 }
 
--- a/internal/poison/loss_tracker.go
+++ b/internal/poison/loss_tracker.go
@@ -82,7 +82,7 @@
 	Suspects []Suspect
 }
 
-// NewLossTracker returns an empty ledger.
+// NewLossTracker returns an empty loss tracker.
 func NewLossTracker() *LossTracker { return &LossTracker{tracked: map[string]bool{}} }
 
 // SetWorkers sets the number of workers in the pool.
@@ -161,8 +161,8 @@
 	}
 }
 
-// WithdrawLoss withdraws the loss of a worker that is alive. It returns true if the worker was recorded
-// as lost.
+// WithdrawLoss withdraws the loss of a worker that is alive. It returns true if the worker was
+// recorded as lost.
 func (l *LossTracker) WithdrawLoss(worker string) bool {
 	if !l.tracked[worker] {
 		return false
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -7,13 +7,13 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Operators evacuate zones: no run may start there later than Bounds.Evacuation after the store
-// acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of evacuated
-// zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay until the
-// start is carried out, it stays within the bound.
+// Operators evacuate zones: no run may start there later than Bounds.EvacuationTimeout after the
+// store acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of
+// evacuated zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay
+// until the start is carried out, it stays within the bound.
 const (
-	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which come
-	// every 0.3 s.
+	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which
+	// come every 0.3 s.
 	maxEvacuationAge = 2 * time.Second
 	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
@@ -98,8 +98,8 @@
 	})
 }
 
-// EvacuationsChanged handles a change of the evacuated zones or of their freshness: it logs the change
-// and schedules a cycle.
+// EvacuationsChanged handles a change of the evacuated zones or of their freshness: it logs the
+// change and schedules a cycle.
 func (p *Pool) EvacuationsChanged() {
 	if p.closed {
 		return
--- a/internal/pool/incarnations.go
+++ b/internal/pool/incarnations.go
@@ -20,8 +20,8 @@
 	restartConfirmedByReply restartEvidence = "row and answer"
 	// restartSeenInReply: another incarnation answered at the address of the former one.
 	restartSeenInReply restartEvidence = "answer"
-	// restartSeenInProgress: the progress rows of an earlier owner name a later incarnation than the
-	// worker's row.
+	// restartSeenInProgress: the progress rows of an earlier owner name a later incarnation than
+	// the worker's row.
 	restartSeenInProgress restartEvidence = "progress row"
 )
 
@@ -50,7 +50,7 @@
 
 // isSuccessor reports whether the incarnation that answered a request sent at askedAt succeeds the
 // known one. Start times are wall-clock times, and the clock may be set back between two
-// incarnations. So an answer to a request that was sent after the known incarnation's last report
+// incarnations. So a reply to a request that was sent after the known incarnation's last report
 // counts as that of a successor, even if its start time is earlier.
 func (p *Pool) isSuccessor(w *worker, born int64, askedAt time.Time) bool {
 	switch p.compareIncarnation(w, born) {
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -16,8 +16,8 @@
 // restart.
 const farAheadClock = 7_000_000
 
-// newWorldWithOneWorker returns a world with a single worker, on which everything is placed, and
-// its owner. Tasks take two seconds.
+// newWorldWithOneWorker returns a simulated cluster with a single worker, on which everything is
+// placed, and its owner. Tasks take two seconds.
 func newWorldWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 1)
 	w.Without = without
@@ -29,7 +29,7 @@
 
 // restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
 // sent before the restart reach the next incarnation, where they fail at once with lower numbers
-// than the ends before the restart. If holdsLost is true, answers to polls are lost for a while.
+// than the ends before the restart. If holdsLost is true, replies to polls are lost for a while.
 func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
 	w, _ := newWorldWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
@@ -392,7 +392,7 @@
 	}
 }
 
-// An answer to a start does not identify the incarnation. If an unknown restart precedes it, the
+// A reply to a start does not identify the incarnation. If an unknown restart precedes it, the
 // next owner must not take the run for lost with the former incarnation, or the task runs twice.
 
 // TestStartAnsweredByUnknownIncarnation: the next owner looks for the run in the new incarnation,
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -141,8 +141,8 @@
 	// startUnanswered is true once a start of the present run got no response: the order may still
 	// be executed, whatever the response to a later attempt.
 	startUnanswered bool
-	// incarnationUnknown is true if the start may have been answered by an unknown incarnation of the
-	// worker; the next run report shows which.
+	// incarnationUnknown is true if the start may have been answered by an unknown incarnation of
+	// the worker; the next run report shows which.
 	incarnationUnknown bool
 	// confirmedBefore is true if the present run was confirmed to an earlier owner.
 	confirmedBefore bool
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// newWorldWithLongTask returns a world of two workers in which the first owner has started one long
-// task, and that owner.
+// newWorldWithLongTask returns a simulated cluster of two workers in which the first owner has
+// started one long task, and that owner.
 func newWorldWithLongTask() (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 2)
 	return w, startLongTask(w)
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -49,8 +49,8 @@
 	DisabledMechanisms mechanism.Disabled
 	// DisabledSafeguards disables safeguards, for tests that show what they prevent.
 	DisabledSafeguards DisabledSafeguards
-	// SchedulingDelay returns the current delay of this process, which is added to timeouts and deadlines
-	// of orders; nil means no delay.
+	// SchedulingDelay returns the current delay of this process, which is added to timeouts and
+	// deadlines of orders; nil means no delay.
 	SchedulingDelay func() time.Duration
 	// OnOwnershipEnded is called once the node is no longer the owner.
 	OnOwnershipEnded func(reason string)
@@ -68,8 +68,8 @@
 	HeadCondition bool
 	// Confirmation: leases are extended even if the owner may have been replaced.
 	Confirmation bool
-	// FormerOwnerLeaseWait: the wait for former owners' leases begins when the workers are read, not
-	// when the progress partitions are fenced.
+	// FormerOwnerLeaseWait: the wait for former owners' leases begins when the workers are read,
+	// not when the progress partitions are fenced.
 	FormerOwnerLeaseWait bool
 	// CapacityAge: starts on workers that do not enforce their capacity rely on capacities of
 	// any age.
@@ -119,6 +119,6 @@
 	Observe(histogram string, d time.Duration)
 	// Set sets a gauge.
 	Set(gauge string, value int64)
-	// LogEvent logs a scheduling decision or a change of assumed state.
+	// LogEvent logs a scheduling event or a change of assumed state.
 	LogEvent(decision string, keysAndValues ...any)
 }
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -94,7 +94,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// failFirstOrder returns a function that gives the first order this fate and answers all others.
+// failFirstOrder returns a function that gives the first order this outcome and answers all others.
 func failFirstOrder(fate simulation.Outcome) func() simulation.Outcome {
 	orders := 0
 	return func() simulation.Outcome {
@@ -144,7 +144,7 @@
 	requireInvariants(t, w)
 }
 
-// Guards against starting a task elsewhere while its first run is still stopping: the answer to the
+// Guards against starting a task elsewhere while its first run is still stopping: the reply to the
 // stop is lost, and a poll no longer lists the run.
 
 func TestStopWithoutAnswerIsWaitedOut(t *testing.T) {
@@ -210,7 +210,7 @@
 // during which the whole gang waits.
 
 // TestGangLeavesUnresponsiveWorkerSoon: a gang ends in time although one of its starts gets no
-// answer.
+// reply.
 func TestGangLeavesUnresponsiveWorkerSoon(t *testing.T) {
 	w := newGangCluster(2, 4)
 	w.AcquirePool()
--- a/internal/pool/ownership_confirmation.go
+++ b/internal/pool/ownership_confirmation.go
@@ -11,10 +11,10 @@
 // too.
 const ownershipCheckInterval = time.Second
 
-// ConfirmOwnership records that this owner held the pool at a given time. Leases of runs may extend at
-// most MaxHold beyond it, which is how long a successor waits for workers that it cannot reach.
-// Otherwise an owner that was replaced while partitioned or suspended could keep runs alive
-// that its successor has started elsewhere.
+// ConfirmOwnership records that this owner held the pool at a given time. Leases of runs may extend
+// at most MaxLease beyond it, which is how long a successor waits for workers that it cannot reach.
+// Otherwise an owner that was replaced while partitioned or suspended could keep runs alive that
+// its successor has started elsewhere.
 func (p *Pool) ConfirmOwnership(at time.Time) {
 	if at.After(p.ownershipConfirmedAt) {
 		p.ownershipConfirmedAt = at
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -9,7 +9,7 @@
 const (
 	// pollWait is how long a poll waits at the worker for a run to end.
 	pollWait = 2 * time.Second
-	// pollRetryDelay is the delay after a poll without an answer.
+	// pollRetryDelay is the delay after a poll without a reply.
 	pollRetryDelay = 300 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 	return pollWait
 }
 
-// A worker that left a call unanswered may do so again, and an end reported in a lost answer is
+// A worker that left a call unanswered may do so again, and an end reported in a lost reply is
 // noticed only with the next poll. For lossyDuration, about as long as such faults last, polls wait
 // only for lossyPollWait.
 const (
@@ -116,7 +116,7 @@
 	w.clock, w.clockAt = clock, now
 	if jumped {
 		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
-		// identifies the incarnation; the answer to a start does not.
+		// identifies the incarnation; the reply to a start does not.
 		w.deadline = clock + p.options.Bounds.MaxLease.Milliseconds()
 		p.pollNow(w)
 	}
@@ -158,7 +158,7 @@
 	return true
 }
 
-// noteNoReply records a call without an answer.
+// noteNoReply records a call without a reply.
 func (p *Pool) noteNoReply(w *worker) {
 	first := w.unansweredCalls == 0
 	w.unansweredCalls++
--- a/internal/pool/poll_queue.go
+++ b/internal/pool/poll_queue.go
@@ -1,7 +1,7 @@
 package pool
 
 // maxQueuedPollsInFlight bounds the queued polls in flight. Each may open a connection; a new owner
-// that polls thousands of workers at once reads the answers too late and takes the workers for
+// that polls thousands of workers at once reads the replies too late and takes the workers for
 // unresponsive.
 const maxQueuedPollsInFlight = 128
 
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -59,8 +59,8 @@
 	// storeRecoveredAt is the time of the first response after the last outage longer than
 	// storeOutageThreshold.
 	storeRecoveredAt time.Time
-	// preemptionBackoffUntil is when units of lower priority than preemptionBackoffPriority, if they
-	// can wait, may be placed again.
+	// preemptionBackoffUntil is when units of lower priority than preemptionBackoffPriority, if
+	// they can wait, may be placed again.
 	preemptionBackoffUntil    time.Time
 	preemptionBackoffPriority int
 	// medianLogRunTime is the median of the workers' relative task durations, as a logarithm,
@@ -85,14 +85,14 @@
 	lossTracker *poison.LossTracker
 	// progressFencedAt is when all progress partitions were fenced against former owners.
 	progressFencedAt time.Time
-	// ownershipConfirmedAt is when this owner last was known to hold the pool; confirmingOwnership is
-	// true while a read of the lease row is in flight.
+	// ownershipConfirmedAt is when this owner last was known to hold the pool; confirmingOwnership
+	// is true while a read of the lease row is in flight.
 	ownershipConfirmedAt time.Time
 	confirmingOwnership  bool
 	// workersReadAt is the time as of which the worker rows are known.
 	workersReadAt time.Time
-	// evacuationsRead holds the evacuated zones as read by this owner, reportedEvacuations those last
-	// logged, and evacuationsWereFresh whether they were recent enough for starts.
+	// evacuationsRead holds the evacuated zones as read by this owner, reportedEvacuations those
+	// last logged, and evacuationsWereFresh whether they were recent enough for starts.
 	evacuationsRead, reportedEvacuations         evacuation.Set
 	evacuationsWereFresh, evacuationReadInFlight bool
 	invalidRows                                  invalidWorkerRows
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -198,8 +198,8 @@
 	require.Equal(t, "handed back", owner.Ended)
 }
 
-// TestUnresponsivePartitionDelaysStartsBriefly: a store partition that does not respond must delay starts
-// only briefly.
+// TestUnresponsivePartitionDelaysStartsBriefly: a store partition that does not respond must delay
+// starts only briefly.
 func TestUnresponsivePartitionDelaysStartsBriefly(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	w.AcquirePool()
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -131,8 +131,8 @@
 	Checkpoint string `json:"p,omitempty"`
 	// Workers holds the worker of each member that may be running, and otherwise "".
 	Workers []string `json:"w,omitempty"`
-	// WorkerStartMillis holds the start time of the worker incarnation in which each member may be running;
-	// nil if none is known, as in rows of older versions.
+	// WorkerStartMillis holds the start time of the worker incarnation in which each member may be
+	// running; nil if none is known, as in rows of older versions.
 	WorkerStartMillis []int64 `json:"b,omitempty"`
 	// Confirmed is a bit set of the members whose run was confirmed by the worker. It is written
 	// with a delay, so the bit of a confirmed run may be missing.
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -13,8 +13,8 @@
 const (
 	// failureLimit is the number of failures without such a run that excludes a worker.
 	failureLimit = 2
-	// exclusionPeriod is how long a worker that failed or stalled gets no new work. Such faults last 5
-	// to 7 s on the platform.
+	// exclusionPeriod is how long a worker that failed or stalled gets no new work. Such faults
+	// last 5 to 7 s on the platform.
 	exclusionPeriod = 6 * time.Second
 	// A failure is early, and so attributed to the worker, within earlyFailureShare of the expected
 	// duration and earlyFailureLimit. A run resumed from a checkpoint gets restoreAllowance more,
@@ -29,8 +29,8 @@
 
 // reliability is the record of a worker's failures.
 type reliability struct {
-	// failures counts the failed runs since the worker was last known to be healthy, and earlyFailures
-	// those of them that failed early.
+	// failures counts the failed runs since the worker was last known to be healthy, and
+	// earlyFailures those of them that failed early.
 	failures      int
 	earlyFailures int
 	failedAt      time.Time
--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -87,7 +87,7 @@
 			p.memberEnded(m, fleet.EndStopped)
 		}
 	case m.stopAttempted && m.state == memberRunning && !p.options.DisabledSafeguards.StopConfirmation:
-		// The worker may be carrying out a stop whose answer was lost: a run that is being stopped
+		// The worker may be carrying out a stop whose reply was lost: a run that is being stopped
 		// is not listed but may still run. A run whose start was never confirmed may still arrive,
 		// and is gone only once a stop is answered.
 		m.stopAnswered = true
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -9,16 +9,16 @@
 // Detection of stalled runs. The duration of a stall is unknown; a restart after a wait as long
 // as the time that it loses costs at most twice the optimum.
 const (
-	// A run is stalled once its progress has not changed for stallPeriod and for stallEstimateShare of
-	// its estimate. Progress is reported in whole percent, so a run that takes eight times its
+	// A run is stalled once its progress has not changed for stallPeriod and for stallEstimateShare
+	// of its estimate. Progress is reported in whole percent, so a run that takes eight times its
 	// estimate still progresses within that time.
 	stallPeriod        = time.Second
 	stallEstimateShare = 0.08
-	// nearEndPercent is the progress in percent from which a member of a gang may be waiting for the
-	// others.
+	// nearEndPercent is the progress in percent from which a member of a gang may be waiting for
+	// the others.
 	nearEndPercent = 95
-	// maxStallTimeout, or maxStallTimeoutShare of the estimate if that is longer, bounds the wait for
-	// a stalled run, however much a restart loses.
+	// maxStallTimeout, or maxStallTimeoutShare of the estimate if that is longer, bounds the wait
+	// for a stalled run, however much a restart loses.
 	maxStallTimeout      = 8 * time.Second
 	maxStallTimeoutShare = 0.4
 	// maxStallDoublings bounds the doublings of these times, one for each stall of the unit. Work
@@ -27,8 +27,8 @@
 	maxStallDoublings = 8
 	// slowWorkStalls is the number of stalls from which the unit's own work counts as slow.
 	slowWorkStalls = 2
-	// gangStartTimeoutShare is the share of the gang timeout after which a gang with unanswered starts
-	// is stopped.
+	// gangStartTimeoutShare is the share of the gang timeout after which a gang with unanswered
+	// starts is stopped.
 	gangStartTimeoutShare = 0.6
 	// firstPollDelay is the age of a run from which its worker is polled if it reports no progress,
 	// and pollInterval the minimum time between polls.
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -9,7 +9,7 @@
 const (
 	// startTimeout is the time from sending a start to its deadline on the worker's clock. A worker
 	// that does not answer cannot have started the run after it; until then the gang waits. The
-	// poll after an answer renews the lease.
+	// poll after a reply renews the lease.
 	startTimeout = 2 * time.Second
 	// startRetryDelay is the delay before an unanswered start is sent again.
 	startRetryDelay = 50 * time.Millisecond
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -26,14 +26,14 @@
 	fleet.Worker
 	machineState
 	rack string
-	// claimedIncarnation is another incarnation that the worker's row names and that has not answered
-	// yet, or nil. verifying is true while it is being polled.
+	// claimedIncarnation is another incarnation that the worker's row names and that has not
+	// answered yet, or nil. verifying is true while it is being polled.
 	claimedIncarnation *fleet.Worker
 	verifying          bool
 	// hasRow is false once the worker's row is gone.
 	hasRow bool
-	// leftWithoutDrain is true once the worker has answered after its row was deleted: it is shutting
-	// down as planned and still serves for a while.
+	// leftWithoutDrain is true once the worker has answered after its row was deleted: it is
+	// shutting down as planned and still serves for a while.
 	leftWithoutDrain bool
 	// rowMissing is true while the row is gone but may only have expired during a store outage.
 	rowMissing bool
@@ -41,8 +41,8 @@
 	contacted bool
 	// contactedAt is when the worker first did so.
 	contactedAt time.Time
-	// pollQueued is true while a poll is queued, and queuedPollInFlight while a poll from the queue is
-	// in flight.
+	// pollQueued is true while a poll is queued, and queuedPollInFlight while a poll from the queue
+	// is in flight.
 	pollQueued, queuedPollInFlight bool
 	// members are the members that may run here, in order of assignment.
 	members []*member
@@ -58,10 +58,10 @@
 	polledAt        time.Time
 	pollInFlight    bool
 	cancelPollTimer func()
-	// unansweredCalls counts the calls without an answer since the last reply.
+	// unansweredCalls counts the calls without a reply since the last reply.
 	unansweredCalls   int
 	unresponsiveSince time.Time
-	// lossyUntil is until when polls of the worker are kept short, because its answers get lost.
+	// lossyUntil is until when polls of the worker are kept short, because its replies get lost.
 	lossyUntil time.Time
 	// coldStartUntil is until when the worker is slow after its start.
 	coldStartUntil time.Time
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -9,8 +9,8 @@
 
 type observerKey struct{}
 
-// WithObserver returns a context for a call whose received bytes are reported to observe, on the goroutine
-// that reads them. Observers of the parent context are called too.
+// WithObserver returns a context for a call whose received bytes are reported to observe, on the
+// goroutine that reads them. Observers of the parent context are called too.
 func WithObserver(ctx context.Context, observe func(bytes int)) context.Context {
 	outer, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,5 +1,5 @@
-// Package ratelimit limits the bandwidth that a process uses, so that its bursts do not delay urgent
-// messages, such as health checks, on a slow link.
+// Package ratelimit limits the bandwidth that a process uses, so that its bursts do not delay
+// urgent messages, such as health checks, on a slow link.
 package ratelimit
 
 import (
@@ -20,7 +20,7 @@
 	availableAt time.Time
 }
 
-// New returns a Pacer that permits bursts of as many bytes as the rate transfers in burst. It
+// New returns a Limiter that permits bursts of as many bytes as the rate transfers in burst. It
 // returns nil if the rate is not positive.
 func New(bytesPerSecond float64, burst time.Duration, now func() time.Time) *Limiter {
 	if bytesPerSecond <= 0 {
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -15,8 +15,8 @@
 // ErrOutcomeUnknown means that a call may have had an effect, or may have one later.
 var ErrOutcomeUnknown = errors.New("rows: no answer")
 
-// ErrHistoryExpired means that the store no longer has the changes since a feed's version. The caller
-// must scan again.
+// ErrHistoryExpired means that the store no longer has the changes since a feed's version. The
+// caller must scan again.
 var ErrHistoryExpired = errors.New("rows: history is gone")
 
 // Absent as a condition's version requires that the row does not exist.
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -17,7 +17,8 @@
 	Name string `toml:"name"`
 	// Zone is the node's zone, for logging.
 	Zone string `toml:"zone"`
-	// CallerAddress and Readiness are the addresses to listen on for requests and readiness probes.
+	// CallerAddress and ReadinessAddress are the addresses to listen on for requests and readiness
+	// probes.
 	CallerAddress    string `toml:"callers"`
 	ReadinessAddress string `toml:"readiness"`
 	// PeerAddress is the address at which other nodes reach this one.
@@ -49,8 +50,8 @@
 	ConfigurationAgeMillis      int64   `toml:"config_apply_ms"`
 	GracePeriodSeconds          float64 `toml:"grace_period_s"`
 	UnacknowledgedTimeoutMillis int64   `toml:"unacknowledged_ms"`
-	// EvacuationDelayMillis is the time after the acknowledgement of a zone's evacuation after which
-	// no work starts there; 0 if the platform sets no limit.
+	// EvacuationDelayMillis is the time after the acknowledgement of a zone's evacuation after
+	// which no work starts there; 0 if the platform sets no limit.
 	EvacuationDelayMillis int64 `toml:"evacuation_ms"`
 }
 
@@ -84,7 +85,7 @@
 }
 
 // ReadNode reads and validates a settings file. Invalid settings give an error of type
-// Problems.
+// FieldErrors.
 func ReadNode(path string) (*Node, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -144,7 +144,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Read reads and validates a settings file. Invalid settings give an error of type Problems.
+// Read reads and validates a settings file. Invalid settings give an error of type FieldErrors.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -9,17 +9,17 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Checker checks invariants over all runs and records violations. As the pool.Recorder of the owners
-// it also collects their decisions and counters.
+// Checker checks invariants over all runs and records violations. As the pool.Recorder of the
+// owners it also collects their log events and counters.
 type Checker struct {
 	world *Cluster
 	// Violations lists the violations in the order of detection.
 	Violations []string
-	// DecisionLog contains the owners' decisions, unless Quiet is set.
+	// DecisionLog contains the owners' log events, unless Quiet is set.
 	DecisionLog []string
 	Quiet       bool
-	// DecisionCounts counts the owners' decisions by name, ThrownAway is the unsaved work of ended runs
-	// in core-seconds, and preemptions counts the preemptions of each unit.
+	// DecisionCounts counts the owners' log events by name, LostCoreSeconds is the unsaved work of
+	// ended runs in core-seconds, and preemptions counts the preemptions of each unit.
 	DecisionCounts  map[string]int
 	LostCoreSeconds float64
 	preemptions     map[string]int
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -27,7 +27,7 @@
 	return fleet.Start{Task: taskgraph.TaskName{Job: testJobID, Step: step}, Run: number, Payload: "p", DeadlineMillis: 5000}
 }
 
-// TestJudgeCatchesBrokenHistories violates each invariant that the judge checks.
+// TestJudgeCatchesBrokenHistories violates each invariant that the checker checks.
 func TestJudgeCatchesBrokenHistories(t *testing.T) {
 	cases := map[string]struct {
 		history func(*Cluster)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -38,10 +38,10 @@
 	Crashing map[taskgraph.TaskName]Crash
 	// RestartWithSameID restarts workers that were crashed by a task under the same identifier.
 	RestartWithSameID bool
-	// OrderDelay is the delay of an order whose outcome is DoneLate.
+	// OrderDelay is the delay of an order whose outcome is AppliedLate.
 	OrderDelay time.Duration
-	// LateOrdersReachRestartedWorkers delivers delayed orders to the current instance of a restarted
-	// worker.
+	// LateOrdersReachRestartedWorkers delivers delayed orders to the current instance of a
+	// restarted worker.
 	LateOrdersReachRestartedWorkers bool
 	// StopTime is the duration of a stop.
 	StopTime time.Duration
@@ -202,7 +202,7 @@
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: pool.Encode(accepted)}}})
 }
 
-// RegisterJob registers a job with the workers and the judge before it is accepted.
+// RegisterJob registers a job with the workers and the checker before it is accepted.
 func (w *Cluster) RegisterJob(spec taskgraph.Spec, queue catalog.Queue) {
 	if err := spec.Validate(); err != nil {
 		panic(err)
--- a/internal/simulation/crash.go
+++ b/internal/simulation/crash.go
@@ -9,7 +9,7 @@
 type CrashTrigger int
 
 const (
-	// AtStart is the start of the run; AtWork is when all members of a gang are present.
+	// AtStart is the start of the run; AtWorkStart is when all members of a gang are present.
 	AtStart CrashTrigger = iota
 	AtWorkStart
 )
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -16,8 +16,8 @@
 	Process *emulator.Process
 	// Ended is the reason why the owner gave up the pool; empty while it owns it.
 	Ended string
-	// PartitionedFromStore partitions the owner from the store; CutFrom contains the workers that it
-	// cannot reach.
+	// PartitionedFromStore partitions the owner from the store; PartitionedFrom contains the
+	// workers that it cannot reach.
 	PartitionedFromStore bool
 	PartitionedFrom      map[string]bool
 	world                *Cluster
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -9,7 +9,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// ports implements pool.Ports for an owner in a World.
+// ports implements pool.Ports for an owner in a Cluster.
 type ports struct {
 	world   *Cluster
 	owner   *Owner
--- a/internal/simulation/restart.go
+++ b/internal/simulation/restart.go
@@ -12,16 +12,16 @@
 	w.world.scheduleRestart(w, after, clockMillis)
 }
 
-// RestartWithoutReset is Restart during a network partition: open connections stay silent instead of
-// being reset.
+// RestartWithoutReset is Restart during a network partition: open connections become unresponsive
+// instead of being reset.
 func (w *Worker) RestartWithoutReset(after time.Duration, clockMillis int64) {
 	w.Crash()
 	w.resets = nil
 	w.world.scheduleRestart(w, after, clockMillis)
 }
 
-// ReplaceWithoutReset is CrashAndRestart during a network partition: open connections stay silent
-// instead of being reset.
+// ReplaceWithoutReset is CrashAndRestart during a network partition: open connections become
+// unresponsive instead of being reset.
 func (w *Worker) ReplaceWithoutReset() {
 	w.resets = nil
 	w.CrashAndRestart()
@@ -52,8 +52,8 @@
 	maxInitialClockMillis = 8_000_000
 )
 
-// RestartRandomWorkers occasionally restarts a worker: alone, twice in a row, during a partition, or with a
-// third of the others. It draws only from random.
+// RestartRandomWorkers occasionally restarts a worker: alone, twice in a row, during a partition,
+// or with a third of the others. It draws only from random.
 func (w *Cluster) RestartRandomWorkers(random *rand.Rand) {
 	running := w.RunningWorkers()
 	if len(running) == 0 {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -17,15 +17,15 @@
 	rows    map[rows.Key]rows.Row
 	changes []rows.Row
 	version int64
-	// UnavailablePartitions contains the parts that refuse calls.
+	// UnavailablePartitions contains the partitions that refuse calls.
 	UnavailablePartitions map[string]bool
-	// UnresponsivePartitions contains the parts that drop transactions without an answer.
+	// UnresponsivePartitions contains the partitions that drop transactions without a response.
 	UnresponsivePartitions map[string]bool
 	// Unavailable makes the store refuse all calls.
 	Unavailable bool
-	// WriteOutcome chooses the outcome of each write; nil means Answered.
+	// WriteOutcome chooses the outcome of each write; nil means Acknowledged.
 	WriteOutcome func() Outcome
-	// FeedsUnresponsive withholds the answers of feeds.
+	// FeedsUnresponsive withholds the responses of feeds.
 	FeedsUnresponsive bool
 	// ScansUnresponsive lets scans time out.
 	ScansUnresponsive bool
@@ -45,7 +45,7 @@
 const (
 	// Acknowledged means applied and acknowledged.
 	Acknowledged Outcome = iota
-	// AppliedUnacknowledged means applied, with the answer lost.
+	// AppliedUnacknowledged means applied, with the response lost.
 	AppliedUnacknowledged
 	// AppliedLate means applied after a delay and never acknowledged.
 	AppliedLate
@@ -53,10 +53,10 @@
 	Dropped
 )
 
-// lateWriteDelay is the delay of a write whose outcome is DoneLate.
+// lateWriteDelay is the delay of a write whose outcome is AppliedLate.
 const lateWriteDelay = 3 * time.Second
 
-// answerTimeout is how long a caller waits for an answer of the store.
+// answerTimeout is how long a caller waits for a response of the store.
 const answerTimeout = 1500 * time.Millisecond
 
 // NewStore returns an empty store.
@@ -144,7 +144,7 @@
 	return rows.Result{Committed: true, Version: s.version}
 }
 
-// Scan passes the rows of a part to done.
+// Scan passes the rows of a partition to done.
 func (s *Store) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	s.clock.After(s.Latency, func() {
 		if s.unavailable(part) {
@@ -161,7 +161,7 @@
 	})
 }
 
-// List returns the rows of a part, regardless of faults.
+// List returns the rows of a partition, regardless of faults.
 func (s *Store) List(table, part, prefix string) rows.Listing {
 	listing := rows.Listing{Version: s.version}
 	for key, row := range s.rows {
@@ -210,7 +210,7 @@
 	s.pollOnChange(table, after, deadline, done)
 }
 
-// feedLimit is the number of rows after which a feed answer ends; the rows of one transaction are
+// feedLimit is the number of rows after which a feed response ends; the rows of one transaction are
 // never split.
 const feedLimit = 500
 
@@ -219,8 +219,8 @@
 	return sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > version })
 }
 
-// pollOnChange polls again at the next change or at the deadline. While feeds are silent it polls
-// periodically.
+// pollOnChange polls again at the next change or at the deadline. While feeds are unresponsive it
+// polls periodically.
 func (s *Store) pollOnChange(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
 	if s.FeedsUnresponsive {
 		s.clock.After(silentFeedPollPeriod, func() { s.poll(table, after, deadline, done) })
@@ -237,5 +237,5 @@
 	s.clock.At(deadline, again)
 }
 
-// silentFeedPollPeriod is the interval at which a feed checks whether feeds are still silent.
+// silentFeedPollPeriod is the interval at which a feed checks whether feeds are still unresponsive.
 const silentFeedPollPeriod = 50 * time.Millisecond
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -27,7 +27,7 @@
 	leaseExpirations int
 	endedAt          map[int64]int
 	waiters          []func()
-	// resets fail the pending holds when the worker process crashes.
+	// resets fail the pending polls when the worker process crashes.
 	resets []func()
 	// Crashed is set once the process has crashed.
 	Crashed bool
@@ -35,19 +35,20 @@
 	Partitioned bool
 	// Replaced is set once another instance listens at the worker's address.
 	Replaced bool
-	// OrderOutcome chooses the outcome of each order except holds; nil means Answered.
+	// OrderOutcome chooses the outcome of each order except polls; nil means Acknowledged.
 	OrderOutcome func() Outcome
-	// DropPollReply reports whether the reply to a hold is lost.
+	// DropPollReply reports whether the reply to a poll is lost.
 	DropPollReply func() bool
 	// Unreachable workers refuse connections.
 	Unreachable bool
 	// Unhealthy workers refuse starts as unhealthy.
 	Unhealthy bool
-	// Failing workers fail all runs that they start. On Standing workers runs make no progress and
+	// Failing workers fail all runs that they start. On Stalled workers runs make no progress and
 	// do not finish.
 	Failing bool
 	Stalled bool
-	// SlowdownFactor is the factor on the duration of work, less than 1 for fast workers; 0 means 1.
+	// SlowdownFactor is the factor on the duration of work, less than 1 for fast workers; 0 means
+	// 1.
 	SlowdownFactor float64
 	// capacities contains the capacity changes in order.
 	capacities []capacityChange
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// callTimeout is how long a caller waits for an answer.
+	// callTimeout is how long a caller waits for a response.
 	callTimeout = 3 * time.Second
 	// maxRefusalTime is the time within which a daemon without an injected fault must refuse a
 	// call.
@@ -37,7 +37,7 @@
 // submission is a job and what its caller was told about it.
 type submission struct {
 	spec *taskgraph.Spec
-	// accepted is set once an answer confirmed the job. refused is true while every answer
+	// accepted is set once a response confirmed the job. refused is true while every response
 	// rejected it.
 	accepted  bool
 	refused   bool
@@ -49,7 +49,7 @@
 	state  taskgraph.State
 }
 
-// observations collects the answers to callers and the violations that they show.
+// observations collects the responses to callers and the violations that they show.
 type observations struct {
 	mutex       sync.Mutex
 	submissions []*submission
@@ -144,8 +144,8 @@
 	return answer, err
 }
 
-// submit submits a job by the rules of PROTOCOL: it retries after a missing answer but not after a
-// refusal.
+// submit submits a job by the rules of PROTOCOL: it retries after a missing response but not after
+// a refusal.
 func (r *run) submit(caller *standin.Client, random *rand.Rand, s *submission) {
 	for range submitAttempts {
 		d := r.randomDaemon(random)
@@ -178,7 +178,7 @@
 	}
 }
 
-// checkState queries the state of a job once and checks the answer.
+// checkState queries the state of a job once and checks the response.
 func (r *run) checkState(caller *standin.Client, random *rand.Rand, s *submission) {
 	d := r.randomDaemon(random)
 	answer, err := r.checkedCall(d, "look", func() (standin.Response, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -195,7 +195,7 @@
 	require.Empty(t, r.observations.violations, "a refused job without starts is no violation")
 }
 
-// TestJudgeOfAnswers checks which single answers are violations, depending on the faults at the
+// TestJudgeOfAnswers checks which single responses are violations, depending on the faults at the
 // daemon.
 func TestJudgeOfAnswers(t *testing.T) {
 	lost := errors.New("connection reset")
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -17,7 +17,7 @@
 	Target int  `json:"target"`
 	Series bool `json:"series,omitempty"`
 	// Downtime is the time until the new instance starts. WithoutReset leaves open connections
-	// silent instead of resetting them. ClockMillis is the new instance's initial clock.
+	// unresponsive instead of resetting them. ClockMillis is the new instance's initial clock.
 	Downtime     time.Duration `json:"away"`
 	WithoutReset bool          `json:"unseen,omitempty"`
 	ClockMillis  int64         `json:"clock_ms"`
@@ -33,7 +33,7 @@
 	Value  []byte `json:"value"`
 }
 
-// InstanceFaults are the restarts of workers and the foreign rows of a run.
+// InstanceFaults are the restarts of workers and the invalid worker rows of a run.
 type InstanceFaults struct {
 	Restarts    []Restart    `json:"restarts,omitempty"`
 	ForeignRows []ForeignRow `json:"foreign_rows,omitempty"`
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -25,7 +25,7 @@
 	FaultDuration time.Duration
 	Daemons       int
 	Callers       int
-	// InstanceFaults adds restarts of workers and foreign rows also to seeds that draw none.
+	// InstanceFaults adds restarts of workers and invalid worker rows also to seeds that draw none.
 	InstanceFaults bool
 	// Directory contains settings and logs.
 	Directory string
@@ -40,15 +40,15 @@
 	Faults map[Kind]int `json:"faults"`
 	// Links are the rates of the daemons' links and the growth of the configuration.
 	Links Links `json:"links"`
-	// Silences are the times at which open connections become silent.
+	// Silences are the times at which open connections become unresponsive.
 	Silences []Silence `json:"silences,omitempty"`
 	// Evacuations are the evacuated zones.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 	// Workers are the worker faults that are not part of the plan.
 	Workers WorkerFaults `json:"workers"`
-	// InstanceFaults are the restarts of workers and the foreign rows.
+	// InstanceFaults are the restarts of workers and the invalid worker rows.
 	InstanceFaults InstanceFaults `json:"lives"`
-	// Answers counts the answers to callers by call and status.
+	// Answers counts the responses to callers by call and status.
 	Answers map[string]int `json:"answers"`
 	// States counts accepted jobs by final state.
 	States map[taskgraph.State]int `json:"states"`
--- a/internal/soak/silences.go
+++ b/internal/soak/silences.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Silence makes the open connections between a daemon and the platform silent for good; new
+// Silence makes the open connections between a daemon and the platform unresponsive for good; new
 // connections work.
 type Silence struct {
 	At time.Duration `json:"at"`
@@ -19,7 +19,7 @@
 	silencesEvery = 2
 	silencesDrawn = 1
 	// A series has up to mostSilences, at most silenceGap apart, so that the replacement
-	// connections also become silent.
+	// connections also become unresponsive.
 	mostSilences = 4
 	silenceGap   = 1500 * time.Millisecond
 	// silenceEffect is how long a silence affects its daemon: the wait of a feed call.
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -66,7 +66,7 @@
 }
 
 // statusUntil polls the state of an unknown job until the daemon answers with the wanted status or
-// the deadline is over, and returns the last status; zero means no answer.
+// the deadline is over, and returns the last status; zero means no response.
 func (d *daemon) statusUntil(key string, wanted int, deadline time.Time) int {
 	caller := standin.NewClient(callTimeout)
 	for {
--- a/internal/speeds/cohort.go
+++ b/internal/speeds/cohort.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// UpdateEstimate compares a task with the others of its cohort and updates the worker's estimate and the
-// spread. It returns false if there are too few other tasks.
+// UpdateEstimate compares a task with the others of its cohort and updates the worker's estimate
+// and the spread. It returns false if there are too few other tasks.
 func (c *Cohort) UpdateEstimate(m *Member, worker *Estimate, spread *WorkVariance) bool {
 	peers := c.count - 1
 	if !m.added || peers < minCohortPeers {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// WorkVariance estimates the variance of the logarithm of work among tasks of one step. The zero value
-// is the prior.
+// WorkVariance estimates the variance of the logarithm of work among tasks of one step. The zero
+// value is the prior.
 type WorkVariance struct {
 	sum, weight float64
 }
--- a/internal/speeds/estimate.go
+++ b/internal/speeds/estimate.go
@@ -72,14 +72,14 @@
 	return math.Pow(roundingError/float64(max(1, percent)), 2)
 }
 
-// ExpectedWork is the expected amount of work before it began: the logarithm of its time on a worker whose
-// estimate is 0. A zero Variance means that there is no expectation.
+// ExpectedWork is the expected amount of work before it began: the logarithm of its time on a
+// worker whose estimate is 0. A zero Variance means that there is no expectation.
 type ExpectedWork struct {
 	LogTime, Variance float64
 }
 
-// UpdateEstimates updates the workers' estimates from samples of equal work that began together. The
-// amount of work is estimated from the expectation and from the other samples; without an
+// UpdateEstimates updates the workers' estimates from samples of equal work that began together.
+// The amount of work is estimated from the expectation and from the other samples; without an
 // expectation, a gang whose workers are all slow is indistinguishable from one with more work.
 func UpdateEstimates(samples []Sample, work ExpectedWork) {
 	sum, weight := 0.0, 0.0
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -15,9 +15,9 @@
 	Slow Mode = "slow"
 	// Down services reject all requests.
 	Down Mode = "down"
-	// Lossy services apply requests but lose some answers.
+	// Lossy services apply requests but lose some responses.
 	Lossy Mode = "lossy"
-	// Late services lose some answers and apply those requests after Delay.
+	// Late services lose some responses and apply those requests after Delay.
 	Late Mode = "late"
 	// Unresponsive services accept requests, never apply them and never answer.
 	Unresponsive Mode = "frozen"
@@ -36,7 +36,7 @@
 type RequestOutcome struct {
 	// Rejected requests are answered with an error and have no effect.
 	Rejected bool
-	// AnswerLost requests get no answer.
+	// AnswerLost requests get no response.
 	AnswerLost bool
 	// NoEffect requests are never applied.
 	NoEffect bool
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -40,7 +40,7 @@
 	frozenWait = 30 * time.Second
 )
 
-// NewServer returns a server for the site. The seed determines which answers are lost.
+// NewServer returns a server for the site. The seed determines which responses are lost.
 func NewServer(site *Site, seed uint64, now func() time.Time) *Server {
 	s := &Server{
 		site: site, faults: map[string]Fault{}, now: now,
@@ -72,7 +72,7 @@
 }
 
 // serve applies the current fault of the service to a request. The effect runs under the lock and
-// returns the answer.
+// returns the response.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, service string, effect func(now time.Time) any) {
 	s.mutex.Lock()
 	verdict := s.faults[service].Apply(s.random)
@@ -121,14 +121,14 @@
 	}
 }
 
-// abortConnection closes the connection without an answer.
+// abortConnection closes the connection without a response.
 func abortConnection(http.ResponseWriter) {
 	panic(http.ErrAbortHandler)
 }
 
 func respond(w http.ResponseWriter, answer any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that went away needs no answer.
+	// A caller that went away needs no response.
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
@@ -186,7 +186,7 @@
 		http.Error(w, "no such object", http.StatusNotFound)
 	default:
 		wait(r, verdict.Delay)
-		// A caller that went away needs no answer.
+		// A caller that went away needs no response.
 		_, _ = w.Write(content)
 	}
 }
@@ -274,7 +274,7 @@
 	respond(w, s.run(func(time.Time) any { return append([]Execution{}, s.site.History()...) }))
 }
 
-// Counts is the answer of GET /counts.
+// Counts is the response of GET /counts.
 type Counts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,8 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOutcomeUnknown means that a transaction's response was lost: it may have taken effect, or may do so
-// later. Reading the rows back does not settle it; see Settle in the operation marker design note.
+// ErrOutcomeUnknown means that a transaction's response was lost: it may have taken effect, or may
+// do so later. Reading the rows back does not settle it; see Settle in the operation marker design
+// note.
 var ErrOutcomeUnknown = errors.New("store: outcome unknown")
 
 // ErrUnavailable means that a read failed, or that a write was rejected and had no effect.
@@ -64,7 +65,7 @@
 
 // Table is a client of the transactional table service.
 type Table interface {
-	// Commit applies a transaction. The error wraps ErrUnknown or ErrUnavailable.
+	// Commit applies a transaction. The error wraps ErrOutcomeUnknown or ErrUnavailable.
 	Commit(ctx context.Context, transaction Transaction) (CommitResult, error)
 	// Scan returns the rows under prefix written after revision since, including deleted ones
 	// unless since is 0. The error wraps ErrUnavailable.
--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -135,8 +135,8 @@
 	return time.UnixMilli(s.FirstRunMillis + int64(k)*s.IntervalMillis)
 }
 
-// CriticalPaths returns, for each step, the duration of the longest chain of steps that starts with it,
-// given the durations of the steps.
+// CriticalPaths returns, for each step, the duration of the longest chain of steps that starts with
+// it, given the durations of the steps.
 func (s *Spec) CriticalPaths(durations []time.Duration) []time.Duration {
 	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
--- a/internal/worker/order.go
+++ b/internal/worker/order.go
@@ -103,7 +103,7 @@
 	Digest uint64 `json:"digest"`
 }
 
-// Reply is a worker's answer to an order.
+// Reply is a worker's reply to an order.
 type Reply struct {
 	Refusal Refusal `json:"refusal,omitempty"`
 	// Epoch is the highest epoch that the worker has seen for the domain.
