--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -53,8 +53,7 @@
 
 // mayAcquire reports whether a domain's lease is free and this node the one to
 // take it. A node waits for a heartbeat after its start, so that of nodes that start
-// together the first does not take everything. A node that is not proposed steps in when the
-// proposed one does not.
+// together the first does not take everything. A node that is not proposed steps in when the proposed one does not.
 func (n *Node) mayAcquire(name, proposed string) bool {
 	if n.board.Draining || n.acquiring[name] || n.loop.Now().Sub(n.startedAt) < n.options.Timing.Heartbeat {
 		return false
--- a/internal/loadsim/compare.go
+++ b/internal/loadsim/compare.go
@@ -64,16 +64,16 @@
 		}
 		return estimate(values)
 	}
-	c.ValueShare = over(func(i int) float64 { return c.Results[i].Worth })
-	c.ValueGain = over(func(i int) float64 { return c.Results[i].Worth - base[i].Worth })
+	c.ValueShare = over(func(i int) float64 { return c.Results[i].ValueShare })
+	c.ValueGain = over(func(i int) float64 { return c.Results[i].ValueShare - base[i].ValueShare })
 	c.Served = over(func(i int) float64 { return c.Results[i].Served })
 	c.PreemptionRate = over(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
-	c.LostCoreSeconds = over(func(i int) float64 { return c.Results[i].ThrownAway })
+	c.LostCoreSeconds = over(func(i int) float64 { return c.Results[i].LostCoreSeconds })
 	for class := range c.Results[0].Classes {
 		c.Classes = append(c.Classes, over(func(i int) float64 { return c.Results[i].Classes[class].Worth }))
 	}
 	for i := range c.Results {
-		c.MaxPreemptions = max(c.MaxPreemptions, c.Results[i].MostStops)
+		c.MaxPreemptions = max(c.MaxPreemptions, c.Results[i].MaxPreemptions)
 	}
 }
 
--- a/internal/loadsim/loadsim_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -18,7 +18,7 @@
 	first, second := load.Simulate(3, nil), load.Simulate(3, nil)
 	require.Equal(t, first, second)
 	require.Empty(t, first.Violations)
-	require.Greater(t, first.Worth, 0.5)
+	require.Greater(t, first.ValueShare, 0.5)
 	require.NotEqual(t, first, load.Simulate(4, nil))
 }
 
--- a/internal/loadsim/simulate.go
+++ b/internal/loadsim/simulate.go
@@ -20,15 +20,15 @@
 type Result struct {
 	Classes []ClassResult
 	// ValueShare is the earned share of the attainable value of all classes.
-	Worth float64
+	ValueShare float64
 	// Served is the share of jobs that completed in time or late.
 	Served float64
 	// Placed and Preempted count the placements and preemptions of tasks and gangs.
 	Placed, Preempted int
 	// MaxPreemptions is the highest number of preemptions of one task or gang.
-	MostStops int
+	MaxPreemptions int
 	// LostCoreSeconds is the unsaved work of stopped runs, in core-seconds.
-	ThrownAway float64
+	LostCoreSeconds float64
 	// Violations lists the violated invariants.
 	Violations []string
 }
@@ -104,7 +104,7 @@
 	result := Result{
 		Classes: make([]ClassResult, len(l.Classes)), Violations: w.Checker.Violations,
 		Placed: w.Checker.DecisionCounts["placed"], Preempted: w.Checker.Metrics["stops/preempted"],
-		MostStops: w.Checker.MaxPreemptions(), ThrownAway: w.Checker.LostCoreSeconds,
+		MaxPreemptions: w.Checker.MaxPreemptions(), LostCoreSeconds: w.Checker.LostCoreSeconds,
 	}
 	attainable, earned := make([]float64, len(l.Classes)), make([]float64, len(l.Classes))
 	sizes := l.meanSizes(arrivals)
@@ -149,7 +149,7 @@
 		jobs += class.Jobs
 		served += class.OnTime + class.Late
 	}
-	r.Worth = allEarned / max(allOwed, minAttainable)
+	r.ValueShare = allEarned / max(allOwed, minAttainable)
 	r.Served = float64(served) / float64(max(1, jobs))
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -131,9 +131,9 @@
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
 }
 
-// partHedgeDelay is how long a partition of the store may take before the write is also sent to the
+// partitionHedgeDelay is how long a partition of the store may take before the write is also sent to the
 // next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
-const partHedgeDelay = 600 * time.Millisecond
+const partitionHedgeDelay = 600 * time.Millisecond
 
 // commitJob writes an accepted job into one of its partitions. It tries the next partition once one
 // fails, or takes long while the store is otherwise fast. Writing the job to several partitions is
@@ -150,7 +150,7 @@
 		go func() { results <- g.commitJobRow(ctx, key, value, job) }()
 	}
 	startAttempt()
-	hedge := time.NewTicker(partHedgeDelay)
+	hedge := time.NewTicker(partitionHedgeDelay)
 	defer hedge.Stop()
 	var failure error
 	for inFlight > 0 {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -152,13 +152,13 @@
 	}
 }
 
-// hangingPartStore never answers transactions in one partition.
-type hangingPartStore struct {
+// hangingPartitionStore never answers transactions in one partition.
+type hangingPartitionStore struct {
 	*fakeStore
 	part string
 }
 
-func (p *hangingPartStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+func (p *hangingPartitionStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	if transaction.Puts[0].Part != p.part {
 		return p.fakeStore.Commit(ctx, transaction)
 	}
@@ -166,10 +166,10 @@
 	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
-// TestWriteIsHedgedToNextPart: one unresponsive partition must not use up the time of a
+// TestWriteIsHedgedToNextPartition: one unresponsive partition must not use up the time of a
 // submission.
-func TestWriteIsHedgedToNextPart(t *testing.T) {
-	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
+func TestWriteIsHedgedToNextPartition(t *testing.T) {
+	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
 	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[1], jobID))
 }
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -75,8 +75,8 @@
 	submitTimeout = 1200 * time.Millisecond
 	// orderTimeout bounds an order to a worker, which replies in some 2 ms.
 	orderTimeout = 350 * time.Millisecond
-	// holdSlack is how long after its wait a poll may still be answered.
-	holdSlack = 400 * time.Millisecond
+	// pollSlack is how long after its wait a poll may still be answered.
+	pollSlack = 400 * time.Millisecond
 	// pingPeriod and standbyPingPeriod are the intervals between pings of an owner. With
 	// pingTimeout a standby detects an unresponsive owner in 0.65 to 0.9 s; throttling by a
 	// processor quota stops a process for at most 0.1 s.
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -149,7 +149,7 @@
 // Poll implements pool.Ports.
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+holdSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+pollSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.edges.Workers.Poll(ctx, &target, order)
 	}, done)
 }
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -80,7 +80,7 @@
 // TestWriteIsHedgedWhileStoreIsFast: a write is still hedged to a second partition while
 // the store is otherwise fast.
 func TestWriteIsHedgedWhileStoreIsFast(t *testing.T) {
-	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
+	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
 	gateway.node.recordReportedLatency(5)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -37,7 +37,7 @@
 // removeRowOfBusyWorker starts a task on a worker whose row is then deleted without a drain, while
 // the worker still serves. The owner is replaced, and the job is cancelled.
 func removeRowOfBusyWorker(replace func(*simulation.Cluster, *simulation.Owner)) *simulation.Cluster {
-	w, former := newWorldWithLongTask()
+	w, former := newClusterWithLongTask()
 	w.RemoveWorkerRow(busyWorker(w))
 	w.Run(500 * time.Millisecond)
 	replace(w, former)
@@ -88,7 +88,7 @@
 		"leaving": func(w *simulation.Cluster, worker *simulation.Worker) { w.RemoveWorkerRow(worker) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, former := newWorldWithLongTask()
+			w, former := newClusterWithLongTask()
 			busy := busyWorker(w)
 			busy.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 			w.Cancel(jobID(1))
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -16,9 +16,9 @@
 // restart.
 const farAheadClock = 7_000_000
 
-// newWorldWithOneWorker returns a simulated cluster with a single worker, on which everything is
+// newClusterWithOneWorker returns a simulated cluster with a single worker, on which everything is
 // placed, and its owner. Tasks take two seconds.
-func newWorldWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
+func newClusterWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 1)
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
@@ -31,7 +31,7 @@
 // sent before the restart reach the next incarnation, where they fail at once with lower numbers
 // than the ends before the restart. If holdsLost is true, replies to polls are lost for a while.
 func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
-	w, _ := newWorldWithOneWorker(without)
+	w, _ := newClusterWithOneWorker(without)
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
@@ -142,7 +142,7 @@
 // written, the start reaches the next incarnation, and the owner is killed. The progress row names
 // the former incarnation.
 func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
-	w, owner := newWorldWithOneWorker(pool.DisabledSafeguards{})
+	w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	w.Store.FeedsUnresponsive = true
 	w.Store.Latency = 400 * time.Millisecond
 	w.Submit(spec(1, single(2)), batch)
@@ -175,7 +175,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, owner := newWorldWithOneWorker(pool.DisabledSafeguards{})
+			w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
 			w.Submit(spec(1, single(4)), batch)
 			w.Run(time.Second)
 			if c.killBefore {
@@ -200,7 +200,7 @@
 // TestRestartIsKnownAtOnce: runs that ended with a restart are placed again without waiting for the
 // lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
-	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
+	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	w.Submit(spec(1, single(8)), batch)
 	w.Run(time.Second)
 	w.Workers[0].Restart(500*time.Millisecond, 0)
@@ -213,7 +213,7 @@
 // TestStaleRowOfFormerIncarnationIsIgnored: a row of the former incarnation arrives after a row of
 // the next one.
 func TestStaleRowOfFormerIncarnationIsIgnored(t *testing.T) {
-	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
+	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	former := w.Workers[0]
 	former.Restart(100*time.Millisecond, 0)
 	w.Run(time.Second)
@@ -233,7 +233,7 @@
 // TestFalseRowOfLaterIncarnationStopsNothing: a row names an incarnation that does not exist. Runs
 // continue, and nothing new is placed on the worker until a correct row is back.
 func TestFalseRowOfLaterIncarnationStopsNothing(t *testing.T) {
-	w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
+	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	requireRunsSurviveInvalidRow(t, w, func() {
 		falseRow := *w.Workers[0]
 		falseRow.StartMillis += 3_600_000
@@ -365,7 +365,7 @@
 func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
+			w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 			if busy {
 				w.Submit(spec(1, single(2)), batch)
 			}
--- a/internal/pool/invalid_worker_rows_test.go
+++ b/internal/pool/invalid_worker_rows_test.go
@@ -36,9 +36,9 @@
 func TestRunsSurviveInvalidWorkerRow(t *testing.T) {
 	for name, value := range map[string]string{"no JSON document": "{", "null": "null", "another service": `{"ID":"w-0-0","Pool":"other","Address":"w-0-0"}`} {
 		t.Run(name, func(t *testing.T) {
-			w, _ := newWorldWithOneWorker(pool.DisabledSafeguards{})
+			w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 			w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
-			requireRunsSurviveInvalidRow(t, w, func() { w.PutForeignRow(w.Workers[0].ID, []byte(value)) })
+			requireRunsSurviveInvalidRow(t, w, func() { w.PutInvalidRow(w.Workers[0].ID, []byte(value)) })
 		})
 	}
 }
@@ -51,7 +51,7 @@
 	owner := w.AcquirePool()
 	w.Submit(spec(1, single(4)), batch)
 	w.Run(time.Second)
-	w.PutForeignRow(w.Workers[0].ID, []byte("null"))
+	w.PutInvalidRow(w.Workers[0].ID, []byte("null"))
 	w.Run(500 * time.Millisecond)
 	owner.Process.Kill()
 	w.Run(time.Second)
@@ -67,13 +67,13 @@
 func TestInvalidWorkerRowsAreLoggedOnce(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	for n := range 3000 {
-		w.PutForeignRow(fmt.Sprintf("foreign-%d", n), []byte("{}"))
+		w.PutInvalidRow(fmt.Sprintf("foreign-%d", n), []byte("{}"))
 	}
 	w.AcquirePool()
 	w.Submit(spec(1, single(16)), batch)
 	w.Run(3 * time.Second)
 	for n := range 3000 {
-		w.PutForeignRow(fmt.Sprintf("foreign-%d", n), []byte("[]"))
+		w.PutInvalidRow(fmt.Sprintf("foreign-%d", n), []byte("[]"))
 	}
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -11,9 +11,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// newWorldWithLongTask returns a simulated cluster of two workers in which the first owner has
+// newClusterWithLongTask returns a simulated cluster of two workers in which the first owner has
 // started one long task, and that owner.
-func newWorldWithLongTask() (*simulation.Cluster, *simulation.Owner) {
+func newClusterWithLongTask() (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 2)
 	return w, startLongTask(w)
 }
@@ -43,7 +43,7 @@
 // must wait out leases from the time of the progress rows, because the former owner may have
 // renewed them in between.
 func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
-	w, _ := newWorldWithLongTask()
+	w, _ := newClusterWithLongTask()
 	busy := busyWorker(w)
 	for _, part := range pool.ProgressPartitions(simulation.PoolName) {
 		w.Store.UnresponsivePartitions[part] = true
@@ -63,7 +63,7 @@
 // delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
 // the worker list.
 func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.Cluster {
-	w, _ := newWorldWithLongTask()
+	w, _ := newClusterWithLongTask()
 	w.Without = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
 	busy := busyWorker(w)
--- a/internal/simulation/capacity.go
+++ b/internal/simulation/capacity.go
@@ -29,7 +29,7 @@
 	w.recordCapacity()
 	w.clock.After(rowAfter, func() {
 		if !w.Crashed {
-			w.world.PutWorkerRow(w)
+			w.cluster.PutWorkerRow(w)
 		}
 	})
 }
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -12,7 +12,7 @@
 // Checker checks invariants over all runs and records violations. As the pool.Recorder of the
 // owners it also collects their log events and counters.
 type Checker struct {
-	world *Cluster
+	cluster *Cluster
 	// Violations lists the violations in the order of detection.
 	Violations []string
 	// DecisionLog contains the owners' log events, unless Quiet is set.
@@ -52,7 +52,7 @@
 }
 
 func newChecker(w *Cluster) *Checker {
-	return &Checker{world: w, Metrics: map[string]int{}, DecisionCounts: map[string]int{}, preemptions: map[string]int{}, jobs: map[string]*jobRecord{}, tasks: map[taskgraph.TaskName]*taskRecord{}}
+	return &Checker{cluster: w, Metrics: map[string]int{}, DecisionCounts: map[string]int{}, preemptions: map[string]int{}, jobs: map[string]*jobRecord{}, tasks: map[taskgraph.TaskName]*taskRecord{}}
 }
 
 // Count implements pool.Recorder.
@@ -77,7 +77,7 @@
 	if j.Quiet {
 		return
 	}
-	at := j.world.Clock.Now().Sub(j.world.epoch)
+	at := j.cluster.Clock.Now().Sub(j.cluster.epoch)
 	j.DecisionLog = append(j.DecisionLog, fmt.Sprintf("%v %s %v", at, decision, keysAndValues))
 }
 
@@ -108,7 +108,7 @@
 }
 
 func (j *Checker) violated(format string, args ...any) {
-	at := j.world.Clock.Now().Sub(j.world.epoch)
+	at := j.cluster.Clock.Now().Sub(j.cluster.epoch)
 	j.Violations = append(j.Violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
@@ -143,7 +143,7 @@
 	return true
 }
 
-func (j *Checker) cancelled(id string) { j.jobs[id].cancelledAt = j.world.Clock.Now() }
+func (j *Checker) cancelled(id string) { j.jobs[id].cancelledAt = j.cluster.Clock.Now() }
 
 func (j *Checker) task(name taskgraph.TaskName) *taskRecord {
 	known := j.tasks[name]
@@ -169,7 +169,7 @@
 
 // checkCrashes reports a violation if a task that crashes workers starts too often.
 func (j *Checker) checkCrashes(r *run, t *taskRecord) {
-	if _, guilty := j.world.Crashing[r.name]; !guilty || t.crashes < crashAllowance {
+	if _, guilty := j.cluster.Crashing[r.name]; !guilty || t.crashes < crashAllowance {
 		return
 	}
 	if t.startsAfterCrashes++; t.startsAfterCrashes > startAllowance {
@@ -190,11 +190,11 @@
 	switch {
 	case len(t.running) > 0:
 		j.violated("%v run %d starts on %s beside another run", r.name, r.number, r.worker.ID)
-	case t.acknowledged && !j.world.step(r.name).LongRunning:
+	case t.acknowledged && !j.cluster.step(r.name).LongRunning:
 		j.violated("%v run %d starts after an end that was taken note of", r.name, r.number)
-	case t.failures >= job.queue.MaxAttempts && !j.world.step(r.name).LongRunning:
+	case t.failures >= job.queue.MaxAttempts && !j.cluster.step(r.name).LongRunning:
 		j.violated("%v run %d starts after all its attempts", r.name, r.number)
-	case !job.cancelledAt.IsZero() && j.world.Clock.Now().Sub(job.cancelledAt) > cancelBound && j.recentlyFaultFree(order.Token):
+	case !job.cancelledAt.IsZero() && j.cluster.Clock.Now().Sub(job.cancelledAt) > cancelBound && j.recentlyFaultFree(order.Token):
 		j.violated("%v run %d starts long after the cancellation", r.name, r.number)
 	}
 	if order.Payload != job.spec.Payload {
@@ -206,7 +206,7 @@
 	if taken, allowed := r.worker.usage(), r.worker.allowedUsage(); !taken.FitsIn(allowed) {
 		j.violated("%v run %d brings %s to %+v, over %+v", r.name, r.number, r.worker.ID, taken, allowed)
 	}
-	if t.done && !j.world.step(r.name).LongRunning {
+	if t.done && !j.cluster.step(r.name).LongRunning {
 		t.repeatedRun = max(t.repeatedRun, r.number)
 	}
 	t.running[r] = true
@@ -216,7 +216,7 @@
 // checkZone reports a violation if a run starts in a zone after the evacuation bound. Faults are
 // no exception: owners that cannot read the rows start nothing, and workers refuse late orders.
 func (j *Checker) checkZone(r *run) {
-	if evacuatedFor := j.world.evacuatedFor(r.worker.Zone); evacuatedFor > j.world.Bounds.EvacuationTimeout {
+	if evacuatedFor := j.cluster.evacuatedFor(r.worker.Zone); evacuatedFor > j.cluster.Bounds.EvacuationTimeout {
 		j.violated("%v run %d starts on %s, whose zone was evacuated %v before", r.name, r.number, r.worker.ID, evacuatedFor)
 	}
 }
@@ -229,10 +229,10 @@
 // recent fault. Right after a fault an owner may know that its placements were written but not yet
 // which cancellations were written meanwhile.
 func (j *Checker) recentlyFaultFree(token int64) bool {
-	now := j.world.Clock.Now()
-	owner := j.world.ownerOf[token]
+	now := j.cluster.Clock.Now()
+	owner := j.cluster.ownerOf[token]
 	paused := owner != nil && now.Sub(owner.Process.PausedUntil()) < faultFreeTime
-	return !paused && now.Sub(j.world.Store.lastFaultAt) >= faultFreeTime
+	return !paused && now.Sub(j.cluster.Store.lastFaultAt) >= faultFreeTime
 }
 
 func (j *Checker) checkDependencies(r *run, job *jobRecord) {
@@ -256,7 +256,7 @@
 	case fleet.EndDone:
 		t.done = true
 		t.doneRuns[r.number] = true
-		if j.world.step(r.name).Gang {
+		if j.cluster.step(r.name).Gang {
 			j.markGangDone(r)
 		}
 	case fleet.EndFailed:
@@ -266,7 +266,7 @@
 
 // markGangDone marks all tasks of a gang as done when one member completes.
 func (j *Checker) markGangDone(r *run) {
-	for index := range j.world.step(r.name).Count {
+	for index := range j.cluster.step(r.name).Count {
 		name := r.name
 		name.Index = index
 		j.task(name).done = true
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -15,7 +15,7 @@
 
 const testJobID = "00000000000000aa"
 
-func newTestWorld() *Cluster {
+func newTestCluster() *Cluster {
 	w := NewCluster(1, 2)
 	spec := taskgraph.Spec{ID: testJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 2000}}, {Count: 1, After: []int{0}}}}
 	w.Submit(spec, catalog.Queue{Name: "q", MaxAttempts: 2})
@@ -40,14 +40,14 @@
 		"after an acknowledged end": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
-			w.Workers[0].hold(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
+			w.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 			_, _ = w.Workers[1].start(startOrder(0, 2))
 		}, "taken note of"},
 		"after an end that is acknowledged later": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			_, _ = w.Workers[1].start(startOrder(0, 2))
-			w.Workers[0].hold(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
+			w.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 		}, "only now"},
 		"before an earlier step": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(1, 1))
@@ -96,14 +96,14 @@
 		}, "payload"},
 	}
 	for name, c := range cases {
-		w := newTestWorld()
+		w := newTestCluster()
 		c.history(w)
 		require.Contains(t, strings.Join(w.Checker.Violations, "\n"), c.want, name)
 	}
 }
 
 func TestWorkersFenceAndBar(t *testing.T) {
-	w := newTestWorld()
+	w := newTestCluster()
 	first := w.Workers[0]
 	order := startOrder(0, 1)
 	order.Token = 5
@@ -123,7 +123,7 @@
 // TestCapacityGrace guards against reporting a violation before owners can know of a smaller
 // capacity, and against leaving stopping runs out of the usage.
 func TestCapacityGrace(t *testing.T) {
-	w := newTestWorld()
+	w := newTestCluster()
 	w.SkipCapacityCheck = true
 	first := w.Workers[0]
 	first.SetCapacity(taskgraph.Resources{CPU: 2000}, 0)
--- a/internal/simulation/checkpoint.go
+++ b/internal/simulation/checkpoint.go
@@ -22,13 +22,13 @@
 	if r.working && !w.Stalled {
 		done += time.Duration(float64(w.clock.Now().Sub(r.workingSince)) / w.slowness())
 	}
-	return min(done, w.world.Work(r.name))
+	return min(done, w.cluster.Work(r.name))
 }
 
 // newCheckpoint returns the checkpoint that a stopped run saves; it is empty if the step does not
 // support checkpoints.
 func (w *Worker) newCheckpoint(r *run) string {
-	if !w.world.step(r.name).Checkpoints {
+	if !w.cluster.step(r.name).Checkpoints {
 		return ""
 	}
 	return strconv.FormatInt(w.completedWork(r).Milliseconds(), 10)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -109,7 +109,7 @@
 			Incarnation: fleet.Incarnation{ID: id, StartMillis: w.Clock.Now().UnixMilli()},
 			Pool:        PoolName, Address: id, Zone: zoneOf(rack), Labels: []string{"a", rack}, Capacity: WorkerCapacity,
 		},
-		world: w, clock: w.Clock, clockEpoch: w.epoch,
+		cluster: w, clock: w.Clock, clockEpoch: w.epoch,
 		runs: map[taskgraph.TaskName]*run{}, supersededRuns: map[taskgraph.TaskName]int{}, endedAt: map[int64]int{},
 	}
 	added.recordCapacity()
@@ -159,7 +159,7 @@
 	case fleet.Stop:
 		w.carryOut(worker, func() (fleet.Reply, error) { return worker.stop(order) }, done)
 	case fleet.Poll:
-		worker.hold(order, done)
+		worker.poll(order, done)
 	}
 }
 
--- a/internal/simulation/crash.go
+++ b/internal/simulation/crash.go
@@ -30,14 +30,14 @@
 // scheduleCrash schedules a crash of the worker if the task of the run is configured to crash
 // workers.
 func (w *Worker) scheduleCrash(r *run, point CrashTrigger) {
-	crash, guilty := w.world.Crashing[r.name]
+	crash, guilty := w.cluster.Crashing[r.name]
 	if !guilty || crash.From != point {
 		return
 	}
 	w.clock.After(crash.After, func() {
 		switch {
 		case r.over || w.Crashed:
-		case w.world.RestartWithSameID:
+		case w.cluster.RestartWithSameID:
 			w.Restart(restartDelay, 0)
 		default:
 			w.CrashAndRestart()
@@ -49,15 +49,15 @@
 // instance without runs listens at the same address.
 func (w *Worker) CrashAndRestart() {
 	w.crashAndResetConnections()
-	w.clock.After(rowExpiry, func() { w.world.RemoveWorkerRow(w) })
+	w.clock.After(rowExpiry, func() { w.cluster.RemoveWorkerRow(w) })
 	w.clock.After(restartDelay, func() {
 		w.Unreachable, w.Replaced = false, true
-		w.world.restarts++
-		id := fmt.Sprintf("%s+%d", w.Address, w.world.restarts)
-		successor := w.world.AddWorker(id, w.Rack())
+		w.cluster.restarts++
+		id := fmt.Sprintf("%s+%d", w.Address, w.cluster.restarts)
+		successor := w.cluster.AddWorker(id, w.Rack())
 		successor.Address = w.Address
 		successor.OrderOutcome, successor.DropPollReply = w.OrderOutcome, w.DropPollReply
-		w.world.PutWorkerRow(successor)
+		w.cluster.PutWorkerRow(successor)
 	})
 }
 
--- a/internal/simulation/foreignrows.go
+++ b/internal/simulation/invalid_rows.go
@@ -8,14 +8,14 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// PutForeignRow writes a row to the worker table that did not come from a worker.
-func (w *Cluster) PutForeignRow(name string, value []byte) {
+// PutInvalidRow writes a row to the worker table that did not come from a worker.
+func (w *Cluster) PutInvalidRow(name string, value []byte) {
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: w.WorkerTable, Name: name}, Value: value}}})
 }
 
 // OverwriteWorkerRow overwrites a worker's row until the worker's next heartbeat.
 func (w *Cluster) OverwriteWorkerRow(worker *Worker, value []byte) {
-	w.PutForeignRow(worker.ID, value)
+	w.PutInvalidRow(worker.ID, value)
 	w.Clock.After(heartbeatPeriod, func() {
 		if !worker.Crashed {
 			w.PutWorkerRow(worker)
@@ -26,8 +26,8 @@
 // UnknownWorkerID is a worker identifier that no worker has.
 const UnknownWorkerID = "nobody"
 
-// foreignValues are row values that do not decode to a usable worker.
-var foreignValues = [][]byte{
+// invalidRowValues are row values that do not decode to a usable worker.
+var invalidRowValues = [][]byte{
 	nil, []byte("null"), []byte("{}"), []byte("[]"), []byte("{"), {0xff, 0x00, 0xfe}, []byte(`"ready"`),
 	[]byte(`{"ID":7}`), []byte(`{"Pool":"workers","Address":["w-0-0"],"Capacity":{"GPUs":"8"}}`),
 }
@@ -35,11 +35,11 @@
 // InjectInvalidRow occasionally writes an invalid row, under the identifier of a worker or of none.
 // It draws only from random.
 func (w *Cluster) InjectInvalidRow(random *rand.Rand) {
-	value := foreignValues[random.IntN(len(foreignValues))]
+	value := invalidRowValues[random.IntN(len(invalidRowValues))]
 	living := w.RunningWorkers()
 	switch random.IntN(8) {
 	case 0:
-		w.PutForeignRow(UnknownWorkerID, value)
+		w.PutInvalidRow(UnknownWorkerID, value)
 	case 1:
 		if len(living) == 0 {
 			return
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -36,7 +36,7 @@
 	}
 	result := w.Store.Apply(pool.Acquire(options, w.leaseVersion(), name))
 	w.ownerOf[result.Version] = owner
-	owner.Pool = pool.New(options, owner.Process, &ports{world: w, owner: owner, process: owner.Process}, w.Checker, result.Version)
+	owner.Pool = pool.New(options, owner.Process, &ports{cluster: w, owner: owner, process: owner.Process}, w.Checker, result.Version)
 	owner.Process.Post(owner.Pool.Start)
 	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
 	return owner
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -11,7 +11,7 @@
 
 // ports implements pool.Ports for an owner in a Cluster.
 type ports struct {
-	world   *Cluster
+	cluster   *Cluster
 	owner   *Owner
 	process *emulator.Process
 }
@@ -26,7 +26,7 @@
 func failIfPartitioned[T any](p *ports, done func(T, error)) bool {
 	if p.owner.PartitionedFromStore {
 		var nothing T
-		p.world.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrOutcomeUnknown) })
+		p.cluster.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrOutcomeUnknown) })
 	}
 	return p.owner.PartitionedFromStore
 }
@@ -34,14 +34,14 @@
 // Commit implements pool.Ports.
 func (p *ports) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	if !failIfPartitioned(p, done) {
-		p.world.Store.Commit(transaction, postAnswer(p, done))
+		p.cluster.Store.Commit(transaction, postAnswer(p, done))
 	}
 }
 
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	if !failIfPartitioned(p, done) {
-		p.world.Store.Scan(table, part, prefix, postAnswer(p, done))
+		p.cluster.Store.Scan(table, part, prefix, postAnswer(p, done))
 	}
 }
 
@@ -51,7 +51,7 @@
 // Feed implements pool.Ports.
 func (p *ports) Feed(table string, after int64, done func(rows.Listing, error)) {
 	if !failIfPartitioned(p, done) {
-		p.world.Store.Feed(table, after, feedTimeout, postAnswer(p, done))
+		p.cluster.Store.Feed(table, after, feedTimeout, postAnswer(p, done))
 	}
 }
 
@@ -66,14 +66,14 @@
 }
 
 func (p *ports) order(to *fleet.Worker, carryOut func(*Worker) (fleet.Reply, error), done func(fleet.Reply, error)) {
-	clock := p.world.Clock
+	clock := p.cluster.Clock
 	id := to.ID
 	if to.Address == "" {
 		clock.After(orderLatency/2, func() { done(fleet.Reply{}, fleet.ErrUnreachable) })
 		return
 	}
 	clock.After(orderLatency/2, func() {
-		w := p.world.worker(id)
+		w := p.cluster.worker(id)
 		if w == nil {
 			// No worker listens at the row's address.
 			clock.After(orderLatency/2, func() { done(fleet.Reply{}, fleet.ErrUnreachable) })
@@ -102,10 +102,10 @@
 		case AppliedUnacknowledged:
 			_, _ = carryOut(w)
 		case AppliedLate:
-			clock.After(p.world.OrderDelay, func() {
+			clock.After(p.cluster.OrderDelay, func() {
 				then := w
-				if p.world.LateOrdersReachRestartedWorkers {
-					then = p.world.worker(id)
+				if p.cluster.LateOrdersReachRestartedWorkers {
+					then = p.cluster.worker(id)
 				}
 				if !then.Crashed {
 					_, _ = carryOut(then)
@@ -118,7 +118,7 @@
 
 // Poll implements pool.Ports.
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
-	clock := p.world.Clock
+	clock := p.cluster.Clock
 	answer := postAnswer(p, done)
 	over := false
 	once := func(reply fleet.Reply, err error) {
@@ -129,7 +129,7 @@
 	}
 	clock.After(order.Wait+orderTimeout, func() { once(fleet.Reply{}, fleet.ErrOutcomeUnknown) })
 	clock.After(orderLatency/2, func() {
-		w := p.world.worker(to.ID)
+		w := p.cluster.worker(to.ID)
 		if w == nil {
 			clock.After(orderLatency/2, func() { once(fleet.Reply{}, fleet.ErrUnreachable) })
 			return
@@ -145,7 +145,7 @@
 		if w.Crashed || w.Partitioned || p.owner.PartitionedFrom[to.ID] {
 			return
 		}
-		w.hold(order, func(reply fleet.Reply, err error) {
+		w.poll(order, func(reply fleet.Reply, err error) {
 			if w.DropPollReply != nil && w.DropPollReply() {
 				return
 			}
@@ -161,7 +161,7 @@
 
 // EvacuationRows implements pool.Ports.
 func (p *ports) EvacuationRows() (table, prefix string) {
-	return p.world.OperatorTable, evacuationPrefix
+	return p.cluster.OperatorTable, evacuationPrefix
 }
 
 // ParseEvacuationKey implements pool.Ports.
@@ -170,4 +170,4 @@
 }
 
 // WorkerTable implements pool.Ports.
-func (p *ports) WorkerTable() string { return p.world.WorkerTable }
+func (p *ports) WorkerTable() string { return p.cluster.WorkerTable }
--- a/internal/simulation/restart.go
+++ b/internal/simulation/restart.go
@@ -9,7 +9,7 @@
 // address. The new instance's clock starts at clockMillis.
 func (w *Worker) Restart(after time.Duration, clockMillis int64) {
 	w.crashAndResetConnections()
-	w.world.scheduleRestart(w, after, clockMillis)
+	w.cluster.scheduleRestart(w, after, clockMillis)
 }
 
 // RestartWithoutReset is Restart during a network partition: open connections become unresponsive
@@ -17,7 +17,7 @@
 func (w *Worker) RestartWithoutReset(after time.Duration, clockMillis int64) {
 	w.Crash()
 	w.resets = nil
-	w.world.scheduleRestart(w, after, clockMillis)
+	w.cluster.scheduleRestart(w, after, clockMillis)
 }
 
 // ReplaceWithoutReset is CrashAndRestart during a network partition: open connections become
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -223,7 +223,7 @@
 // polls periodically.
 func (s *Store) pollOnChange(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
 	if s.FeedsUnresponsive {
-		s.clock.After(silentFeedPollPeriod, func() { s.poll(table, after, deadline, done) })
+		s.clock.After(unresponsiveFeedPollPeriod, func() { s.poll(table, after, deadline, done) })
 		return
 	}
 	answered := false
@@ -237,5 +237,5 @@
 	s.clock.At(deadline, again)
 }
 
-// silentFeedPollPeriod is the interval at which a feed checks whether feeds are still unresponsive.
-const silentFeedPollPeriod = 50 * time.Millisecond
+// unresponsiveFeedPollPeriod is the interval at which a feed checks whether feeds are still unresponsive.
+const unresponsiveFeedPollPeriod = 50 * time.Millisecond
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -12,7 +12,7 @@
 // Worker is one instance of a worker: a restart under the same identifier creates another Worker.
 type Worker struct {
 	fleet.Worker
-	world *Cluster
+	cluster *Cluster
 	clock *emulator.Clock
 	// clockEpoch is when the worker's own clock was 0.
 	clockEpoch time.Time
@@ -82,7 +82,7 @@
 		return
 	}
 	end := w.clockEpoch.Add(time.Duration(deadline) * time.Millisecond)
-	if limit := w.clock.Now().Add(w.world.Bounds.MaxLease); end.After(limit) {
+	if limit := w.clock.Now().Add(w.cluster.Bounds.MaxLease); end.After(limit) {
 		end = limit
 	}
 	if end.After(w.leaseEnd) {
@@ -121,8 +121,8 @@
 		return reply, fleet.ErrDeadlinePassed
 	}
 	w.extendLease(order.DeadlineMillis)
-	step := w.world.step(order.Task)
-	if !w.world.SkipCapacityCheck && !step.Requirements().FitsIn(w.free()) {
+	step := w.cluster.step(order.Task)
+	if !w.cluster.SkipCapacityCheck && !step.Requirements().FitsIn(w.free()) {
 		return reply, fleet.ErrInsufficientCapacity
 	}
 	w.begin(order)
@@ -132,7 +132,7 @@
 func (w *Worker) free() taskgraph.Resources {
 	free := w.Capacity
 	for _, r := range w.runs {
-		free = free.Minus(w.world.step(r.name).Requirements())
+		free = free.Minus(w.cluster.step(r.name).Requirements())
 	}
 	return free
 }
@@ -140,14 +140,14 @@
 func (w *Worker) begin(order fleet.Start) {
 	r := &run{name: order.Task, number: order.Run, worker: w, startedAt: w.clock.Now(), checkpoint: order.Checkpoint}
 	w.runs[order.Task] = r
-	w.world.addToGang(r)
-	w.world.Checker.started(r, order)
+	w.cluster.addToGang(r)
+	w.cluster.Checker.started(r, order)
 	if w.Failing {
 		w.clock.After(failureDelay, func() { w.end(r, fleet.EndFailed, "") })
 		return
 	}
 	w.scheduleCrash(r, AtStart)
-	w.world.startWhenGangComplete(r)
+	w.cluster.startWhenGangComplete(r)
 }
 
 const failureDelay = 40 * time.Millisecond
@@ -160,7 +160,7 @@
 	r.working = true
 	r.workingSince = w.clock.Now()
 	w.scheduleCrash(r, AtWorkStart)
-	duration := time.Duration(float64(w.world.Work(r.name)-savedWork(r.checkpoint)) * w.world.remoteFactor(r))
+	duration := time.Duration(float64(w.cluster.Work(r.name)-savedWork(r.checkpoint)) * w.cluster.remoteFactor(r))
 	duration = time.Duration(float64(duration) * w.slowness())
 	w.clock.After(duration, func() { w.finish(r) })
 }
@@ -182,7 +182,7 @@
 	case w.Stalled:
 		w.clock.After(stalledRetryPeriod, func() { w.finish(r) })
 	default:
-		w.world.finish(r)
+		w.cluster.finish(r)
 	}
 }
 
@@ -193,13 +193,13 @@
 	}
 	r.over = true
 	delete(w.runs, r.name)
-	w.world.removeFromGang(r)
+	w.cluster.removeFromGang(r)
 	w.supersededRuns[r.name] = max(w.supersededRuns[r.name], r.number)
 	w.lastEndNumber++
 	w.endedAt[w.lastEndNumber] = w.leaseExpirations
 	w.ended = append(w.ended, fleet.EndedRun{Number: w.lastEndNumber, Task: r.name, Run: r.number, Reason: how, Checkpoint: checkpoint})
-	w.world.Checker.ended(r, how)
-	w.world.breakGang(r, how)
+	w.cluster.Checker.ended(r, how)
+	w.cluster.breakGang(r, how)
 	waiters := w.waiters
 	w.waiters = nil
 	for _, wake := range waiters {
@@ -216,14 +216,14 @@
 	w.supersededRuns[order.Task] = max(w.supersededRuns[order.Task], order.Run)
 	if r := w.runs[order.Task]; r != nil && r.number <= order.Run && !r.stopping {
 		r.stopping = true
-		w.clock.After(w.world.StopTime, func() { w.end(r, fleet.EndStopped, w.newCheckpoint(r)) })
+		w.clock.After(w.cluster.StopTime, func() { w.end(r, fleet.EndStopped, w.newCheckpoint(r)) })
 	}
 	return reply, nil
 }
 
-// hold passes the reply to done: immediately if there is something to report, otherwise when a run
+// poll passes the reply to done: immediately if there is something to report, otherwise when a run
 // ends or the wait is over.
-func (w *Worker) hold(order fleet.Poll, done func(fleet.Reply, error)) {
+func (w *Worker) poll(order fleet.Poll, done func(fleet.Reply, error)) {
 	if order.Token < w.token {
 		done(fleet.Reply{ClockMillis: w.clockMillis()}, fleet.ErrFenced)
 		return
@@ -235,7 +235,7 @@
 		if entry.Number > order.AcknowledgedEnd {
 			kept = append(kept, entry)
 		} else {
-			w.world.Checker.endAcknowledged(w, entry)
+			w.cluster.Checker.endAcknowledged(w, entry)
 		}
 	}
 	w.ended = kept
@@ -273,7 +273,7 @@
 func (w *Worker) percent(r *run) int {
 	if r.working && !w.Stalled {
 		done := float64(savedWork(r.checkpoint)) + float64(w.clock.Now().Sub(r.startedAt))/w.slowness()
-		share := done / float64(w.world.Work(r.name))
+		share := done / float64(w.cluster.Work(r.name))
 		r.percent = min(99, int(100*share))
 	}
 	return r.percent
@@ -284,10 +284,10 @@
 	w.Crashed = true
 	for _, r := range w.sortedRuns() {
 		r.over = true
-		w.world.Checker.crashed(r)
-		w.world.removeFromGang(r)
-		w.world.Checker.ended(r, fleet.EndLeaseExpired)
-		w.world.breakGang(r, fleet.EndLeaseExpired)
+		w.cluster.Checker.crashed(r)
+		w.cluster.removeFromGang(r)
+		w.cluster.Checker.ended(r, fleet.EndLeaseExpired)
+		w.cluster.breakGang(r, fleet.EndLeaseExpired)
 	}
 	w.runs = map[taskgraph.TaskName]*run{}
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -79,9 +79,9 @@
 		r.observations.submissions = append(r.observations.submissions, s)
 		r.observations.mutex.Unlock()
 		r.platform.WithLock(func() {
-			r.platform.World.RegisterJob(*s.spec, catalog.Queue{Name: standin.QueueName, MaxAttempts: maxAttempts})
+			r.platform.Cluster.RegisterJob(*s.spec, catalog.Queue{Name: standin.QueueName, MaxAttempts: maxAttempts})
 			if s.poison = r.workers.poisons(number, serial, s.spec); s.poison {
-				r.platform.World.Crashing[taskgraph.TaskName{Job: s.spec.ID}] = r.workers.Crash
+				r.platform.Cluster.Crashing[taskgraph.TaskName{Job: s.spec.ID}] = r.workers.Crash
 			}
 		})
 		r.submit(caller, random, s)
@@ -172,7 +172,7 @@
 	switch answer.Status {
 	case http.StatusOK:
 		s.cancelled = true
-		r.platform.WithLock(func() { r.platform.World.Checker.Cancelled(s.spec.ID) })
+		r.platform.WithLock(func() { r.platform.Cluster.Checker.Cancelled(s.spec.ID) })
 	case http.StatusGone:
 		r.observations.addViolation("cancel of accepted job %s at node-%d: 410", s.spec.ID, d.number)
 	}
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -48,7 +48,7 @@
 // applyEvacuations schedules the evacuations and cancels all of them at the end of the run, so
 // that all jobs can complete.
 func (r *run) applyEvacuations(evacuations []Evacuation, began time.Time, ends *sync.WaitGroup) {
-	world := r.platform.World
+	world := r.platform.Cluster
 	zones := world.Zones()
 	for _, evacuation := range evacuations {
 		zone := zones[evacuation.Target%len(zones)]
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -152,7 +152,7 @@
 	t.Cleanup(platform.Close)
 	r := &run{platform: platform, observations: observations{answers: map[string]int{}}}
 	s := &submission{spec: &taskgraph.Spec{ID: "00000000000000aa", Steps: []taskgraph.Step{{Count: 1, EstimateMillis: 1}}}}
-	platform.WithLock(func() { platform.World.RegisterJob(*s.spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.Cluster.RegisterJob(*s.spec, catalog.Queue{MaxAttempts: 1}) })
 	return r, s
 }
 
@@ -160,7 +160,7 @@
 func (r *run) startTask(s *submission) {
 	r.platform.WithLock(func() {
 		order := fleet.Start{Task: taskgraph.TaskName{Job: s.spec.ID}, Run: 1, DeadlineMillis: 3000}
-		r.platform.World.Order(r.platform.World.Workers[0].ID, order, func(fleet.Reply, error) {})
+		r.platform.Cluster.Order(r.platform.Cluster.Workers[0].ID, order, func(fleet.Reply, error) {})
 	})
 }
 
@@ -268,7 +268,7 @@
 func TestShortSoakOfLives(t *testing.T) {
 	report := runShortSoak(t, 20063)
 	require.NotEmpty(t, report.InstanceFaults.Restarts)
-	require.NotEmpty(t, report.InstanceFaults.ForeignRows)
+	require.NotEmpty(t, report.InstanceFaults.InvalidRows)
 }
 
 func TestLivesAreTheSameForASeed(t *testing.T) {
@@ -285,7 +285,7 @@
 				series++
 			}
 		}
-		foreign += len(faults.ForeignRows)
+		foreign += len(faults.InvalidRows)
 	}
 	require.InDelta(t, seeds/instanceFaultsEvery, drawn, seeds/10)
 	require.Positive(t, series)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -80,7 +80,7 @@
 	for _, d := range r.daemons {
 		d.recordFault(fault.Length + faultMargin)
 	}
-	world := r.platform.World
+	world := r.platform.Cluster
 	var begin, end func()
 	switch fault.Kind {
 	case StoreUnavailable:
@@ -124,7 +124,7 @@
 // workerFault returns the functions that start and end the fault of one worker. Both must be
 // called with the platform locked.
 func (r *run) workerFault(fault Fault) (begin, end func()) {
-	world := r.platform.World
+	world := r.platform.Cluster
 	worker := world.Workers[fault.Target%len(world.Workers)]
 	switch fault.Kind {
 	case WorkerCrash:
@@ -153,7 +153,7 @@
 	if worker.Crashed {
 		return
 	}
-	world := r.platform.World
+	world := r.platform.Cluster
 	worker.Crash()
 	world.RemoveWorkerRow(worker)
 	r.replaced++
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -23,20 +23,20 @@
 	ClockMillis  int64         `json:"clock_ms"`
 }
 
-// ForeignRow is a row that overwrites a worker's row until its next heartbeat, or stays under an
+// InvalidWorkerRow is a row that overwrites a worker's row until its next heartbeat, or stays under an
 // identifier that no worker has.
-type ForeignRow struct {
+type InvalidWorkerRow struct {
 	At     time.Duration `json:"at"`
 	Target int           `json:"target"`
-	// Nobody writes the row under an identifier that no worker has.
-	Nobody bool   `json:"nobody,omitempty"`
+	// UnknownWorker writes the row under an identifier that no worker has.
+	UnknownWorker bool   `json:"nobody,omitempty"`
 	Value  []byte `json:"value"`
 }
 
 // InstanceFaults are the restarts of workers and the invalid worker rows of a run.
 type InstanceFaults struct {
 	Restarts    []Restart    `json:"restarts,omitempty"`
-	ForeignRows []ForeignRow `json:"foreign_rows,omitempty"`
+	InvalidRows []InvalidWorkerRow `json:"foreign_rows,omitempty"`
 }
 
 const (
@@ -52,11 +52,11 @@
 	maxDowntime     = 4 * time.Second
 	minDowntime     = 20 * time.Millisecond
 	mostClockMillis = 8_000_000
-	mostForeignRows = 6
+	maxInvalidRows = 6
 )
 
-// foreignContents are row values that no worker writes.
-var foreignContents = [][]byte{
+// invalidRowContents are row values that no worker writes.
+var invalidRowContents = [][]byte{
 	[]byte("null"), []byte("{"), {0xff, 0xfe}, []byte(`{"service":"workers","state":"resting"}`),
 	[]byte(`{"service":["workers"],"address":"127.0.0.1:1","zone":"z","state":"ready"}`),
 }
@@ -76,8 +76,8 @@
 	for range 1 + random.IntN(mostRestarts) {
 		drawn.Restarts = append(drawn.Restarts, drawRestart(random, length))
 	}
-	for range random.IntN(mostForeignRows + 1) {
-		drawn.ForeignRows = append(drawn.ForeignRows, drawForeignRow(random, length))
+	for range random.IntN(maxInvalidRows + 1) {
+		drawn.InvalidRows = append(drawn.InvalidRows, drawInvalidRow(random, length))
 	}
 	return drawn
 }
@@ -94,20 +94,20 @@
 	return drawn
 }
 
-func drawForeignRow(random *rand.Rand, length time.Duration) ForeignRow {
-	return ForeignRow{
+func drawInvalidRow(random *rand.Rand, length time.Duration) InvalidWorkerRow {
+	return InvalidWorkerRow{
 		At: time.Duration(random.Int64N(int64(length))), Target: random.IntN(1 << 16),
-		Nobody: random.IntN(2) == 0, Value: foreignContents[random.IntN(len(foreignContents))],
+		UnknownWorker: random.IntN(2) == 0, Value: invalidRowContents[random.IntN(len(invalidRowContents))],
 	}
 }
 
 // applyInstanceFaults schedules the faults.
 func (r *run) applyInstanceFaults(faults InstanceFaults, began time.Time, ends *sync.WaitGroup) {
 	for _, restart := range faults.Restarts {
-		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.World, restart) })
+		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.Cluster, restart) })
 	}
-	for _, foreign := range faults.ForeignRows {
-		r.scheduleLocked(began.Add(foreign.At), ends, func() { putForeignRow(r.platform.World, foreign) })
+	for _, foreign := range faults.InvalidRows {
+		r.scheduleLocked(began.Add(foreign.At), ends, func() { putInvalidRow(r.platform.Cluster, foreign) })
 	}
 }
 
@@ -129,10 +129,10 @@
 	}
 }
 
-func putForeignRow(world *simulation.Cluster, foreign ForeignRow) {
+func putInvalidRow(world *simulation.Cluster, foreign InvalidWorkerRow) {
 	living := world.RunningWorkers()
-	if foreign.Nobody || len(living) == 0 {
-		world.PutForeignRow(simulation.UnknownWorkerID, foreign.Value)
+	if foreign.UnknownWorker || len(living) == 0 {
+		world.PutInvalidRow(simulation.UnknownWorkerID, foreign.Value)
 		return
 	}
 	world.OverwriteWorkerRow(living[foreign.Target%len(living)], foreign.Value)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -236,7 +236,7 @@
 		r.checkJob(s)
 	}
 	report.Violations = append(report.Violations, r.observations.violations...)
-	r.platform.WithLock(func() { report.Violations = append(report.Violations, r.platform.World.Checker.Violations...) })
+	r.platform.WithLock(func() { report.Violations = append(report.Violations, r.platform.Cluster.Checker.Violations...) })
 	for _, d := range r.daemons {
 		d.mutex.Lock()
 		report.Violations = append(report.Violations, d.unexpectedExits...)
@@ -248,7 +248,7 @@
 // checkJob compares the final state of a job with what its caller was told.
 func (r *run) checkJob(s *submission) {
 	starts := 0
-	r.platform.WithLock(func() { starts = r.platform.World.Checker.JobStarts(s.spec.ID) })
+	r.platform.WithLock(func() { starts = r.platform.Cluster.Checker.JobStarts(s.spec.ID) })
 	switch {
 	case s.refused && starts > 0:
 		r.observations.addViolation("job %s was refused and ran", s.spec.ID)
@@ -269,7 +269,7 @@
 
 func (r *run) allDone(s *submission) bool {
 	done := true
-	r.platform.WithLock(func() { done = r.platform.World.Checker.JobDone(s.spec.ID) })
+	r.platform.WithLock(func() { done = r.platform.Cluster.Checker.JobDone(s.spec.ID) })
 	return done
 }
 
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -94,7 +94,7 @@
 	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
-	platform.WithLock(func() { putEndedJobs(platform.World, oldJobs) })
+	platform.WithLock(func() { putEndedJobs(platform.Cluster, oldJobs) })
 	r := &run{
 		options:  Options{DaemonPath: buildDaemon(t), Daemons: 1, Directory: t.TempDir()},
 		platform: platform, observations: observations{answers: map[string]int{}},
@@ -111,7 +111,7 @@
 	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
 
 	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
-	platform.WithLock(func() { platform.World.RegisterJob(*spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.Cluster.RegisterJob(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
 		answer, err := caller.Submit(d.callers, keyName(1), spec)
 		return err == nil && answer.Status == http.StatusOK
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -91,7 +91,7 @@
 // applyWorkerFaults schedules the faults and restores all capacities at the end of the run, so
 // that all jobs can complete.
 func (r *run) applyWorkerFaults(began time.Time, ends *sync.WaitGroup) {
-	world := r.platform.World
+	world := r.platform.Cluster
 	for _, crash := range r.workers.Crashes {
 		r.scheduleLocked(began.Add(crash.At), ends, func() {
 			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Crashed {
