--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -11,7 +11,7 @@
 
 // ports implements pool.Ports for an owner in a Cluster.
 type ports struct {
-	cluster   *Cluster
+	cluster *Cluster
 	owner   *Owner
 	process *emulator.Process
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -13,7 +13,7 @@
 type Worker struct {
 	fleet.Worker
 	cluster *Cluster
-	clock *emulator.Clock
+	clock   *emulator.Clock
 	// clockEpoch is when the worker's own clock was 0.
 	clockEpoch time.Time
 	token      int64
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -30,12 +30,12 @@
 	Target int           `json:"target"`
 	// UnknownWorker writes the row under an identifier that no worker has.
 	UnknownWorker bool   `json:"nobody,omitempty"`
-	Value  []byte `json:"value"`
+	Value         []byte `json:"value"`
 }
 
 // InstanceFaults are the restarts of workers and the invalid worker rows of a run.
 type InstanceFaults struct {
-	Restarts    []Restart    `json:"restarts,omitempty"`
+	Restarts    []Restart          `json:"restarts,omitempty"`
 	InvalidRows []InvalidWorkerRow `json:"foreign_rows,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 	maxDowntime     = 4 * time.Second
 	minDowntime     = 20 * time.Millisecond
 	mostClockMillis = 8_000_000
-	maxInvalidRows = 6
+	maxInvalidRows  = 6
 )
 
 // invalidRowContents are row values that no worker writes.
