--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -136,7 +136,7 @@
 	return answer
 }
 
-func TestBadInputIsRefusedByField(t *testing.T) {
+func TestInvalidInputIsRejectedByField(t *testing.T) {
 	cases := map[string]struct {
 		key, body string
 		kind      fault.Kind
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestTenantsSeeOnlyTheirOwn(t *testing.T) {
+func TestTenantsSeeOnlyTheirOwnJobs(t *testing.T) {
 	s := newServer(newBackend(time.Now()), time.Now)
 	for _, route := range s.Routes() {
 		if !strings.HasPrefix(route.Path, "/v1/") {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestResultsArriveWholeOrNotAtAll(t *testing.T) {
+func TestResultsAreCompleteOrMissing(t *testing.T) {
 	backend := newBackend(time.Now())
 	s := newServer(backend, time.Now)
 	recorder := send(s, keyA, "GET", "/v1/jobs/a/one/result", "")
@@ -221,7 +221,7 @@
 	return d.kept, nil
 }
 
-func TestOldConfigurationAnswersNoTenant(t *testing.T) {
+func TestStaleConfigurationRejectsTenantRequests(t *testing.T) {
 	now := time.Now()
 	backend := newBackend(now)
 	s := newServer(backend, func() time.Time { return now.Add(9 * time.Second) })
@@ -233,7 +233,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, send(s, "", "GET", "/readyz", "").Code)
 }
 
-func TestOneTenantsBurstCostsTheOthersNothing(t *testing.T) {
+func TestTenantBurstDoesNotDelayOthers(t *testing.T) {
 	now := time.Now()
 	s := newServer(newBackend(now), func() time.Time { return now })
 	body := `{"members":1,"duration":1}`
@@ -248,7 +248,7 @@
 	require.Equal(t, http.StatusAccepted, send(s, keyA, "POST", "/v1/jobs", body).Code)
 }
 
-func TestSubmissionIsRetriedOnlyWhileNobodyHasIt(t *testing.T) {
+func TestSubmissionIsRetriedOnlyIfNotAccepted(t *testing.T) {
 	noOwner := fault.New(fault.NoOwner, "moving")
 	cases := map[string]struct {
 		errors []error
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestDomainsWithoutAnOwnerAreTriedLastForAWhile(t *testing.T) {
+func TestDomainsWithoutOwnerAreTriedLast(t *testing.T) {
 	now := time.Unix(0, 0)
 	unowned := newUnownedDomains()
 	unowned.add("a", now)
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -19,7 +19,7 @@
 	return strings.Split(strings.TrimSpace(output.String()), "\n")
 }
 
-func TestTraceOrdersLinesAndMarksTheDecidingOne(t *testing.T) {
+func TestTraceOrdersLinesAndMarksOutcome(t *testing.T) {
 	input := strings.Join([]string{
 		`  1.0 node-2 {"ts":"2026-01-01T00:00:01Z","msg":"job accepted","job":"00000000000000aa"}`,
 		`  1.1 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"placed","job":"00000000000000aa","step":0}`,
@@ -33,9 +33,9 @@
 	require.True(t, strings.HasPrefix(lines[2], "* 9.9 node-1"), lines[2])
 }
 
-// TestTraceMarksWhyAJobWasGivenUp checks that the trace marks the line with the reason, not the
+// TestTraceMarksReasonOfFailedJob checks that the trace marks the line with the reason, not the
 // later one that reports the end.
-func TestTraceMarksWhyAJobWasGivenUp(t *testing.T) {
+func TestTraceMarksReasonOfFailedJob(t *testing.T) {
 	input := strings.Join([]string{
 		`1.0 node-1 {"ts":"2026-01-01T00:00:01Z","msg":"run lost","job":"00000000000000aa","worker":"w-1"}`,
 		`2.0 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"job given up","job":"00000000000000aa","reason":"crash_odds"}`,
@@ -46,9 +46,9 @@
 	require.True(t, strings.HasPrefix(lines[1], "* 2.0 node-1"), lines[1])
 }
 
-// TestTraceTellsTheLivesOfRuns checks that runs on a worker before and after its restart are
+// TestTraceShowsRuns checks that runs on a worker before and after its restart are
 // distinguished.
-func TestTraceTellsTheLivesOfRuns(t *testing.T) {
+func TestTraceShowsRuns(t *testing.T) {
 	input := strings.Join([]string{
 		`{"ts":"1","msg":"run lost","job":"00000000000000aa","task":"00000000000000aa.0.0.1","run":1,"worker":"w-1","born":5,"reason":"worker restarted"}`,
 		`{"ts":"2","msg":"run ended","job":"00000000000000aa","task":"00000000000000aa.0.0.1","run":2,"worker":"w-1","born":9,"how":"done","reason":""}`,
@@ -60,7 +60,7 @@
 	require.Equal(t, "run: 00000000000000aa.0.0.1 run 2 in w-1@9: done", strings.TrimSpace(lines[4]))
 }
 
-func TestTraceOfAnUnknownJobIsAnError(t *testing.T) {
+func TestTraceOfUnknownJobIsAnError(t *testing.T) {
 	command := newTraceCommand()
 	command.SetIn(strings.NewReader(""))
 	command.SilenceErrors, command.SilenceUsage = true, true
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -119,9 +119,9 @@
 	require.True(c.t, answer.Applied)
 }
 
-// TestWholePathOverLoopback runs jobs with results of several megabytes through three daemons
+// TestEndToEndOverLoopback runs jobs with results of several megabytes through three daemons
 // and stops the owner of a running job.
-func TestWholePathOverLoopback(t *testing.T) {
+func TestEndToEndOverLoopback(t *testing.T) {
 	c := startCluster(t, 3)
 	c.applyConfiguration()
 	submit := func(node int, id string, seconds float64, output int) *job.Record {
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -18,7 +18,7 @@
   count = 2
 `
 
-func TestParseNamesTheFault(t *testing.T) {
+func TestParseErrorNamesField(t *testing.T) {
 	cases := map[string]struct{ document, wantInError string }{
 		"malformed":         {"[[tenant]\n", "line 2"},
 		"unknown key":       {"[[tenant]]\nname = \"a\"\ncolour = 1\n", "tenant.colour"},
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestReadFolderNamesTheFile(t *testing.T) {
+func TestReadDirErrorNamesFile(t *testing.T) {
 	dir := fstest.MapFS{"a.toml": {Data: []byte(validDeclaration)}, "b.toml": {Data: []byte("[[tenant]]\nname = \"\"\n")}}
 	_, err := ReadDir(dir)
 	require.ErrorContains(t, err, "b.toml")
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -11,7 +11,7 @@
 
 func at(seconds int) time.Time { return startTime.Add(time.Duration(seconds) * time.Second) }
 
-func TestWithAddsAndRemovesZones(t *testing.T) {
+func TestApplyAddsAndRemovesZones(t *testing.T) {
 	empty := Set{}
 	require.False(t, empty.Contains("a"))
 	first := NewSet([]Change{{Zone: "a", Revision: 5}}, 7, at(1))
@@ -25,8 +25,8 @@
 	require.EqualValues(t, 12, removed.Revision)
 }
 
-// TestWithIgnoresStaleChanges covers responses of the store that arrive out of order.
-func TestWithIgnoresStaleChanges(t *testing.T) {
+// TestApplyIgnoresStaleChanges covers responses of the store that arrive out of order.
+func TestApplyIgnoresStaleChanges(t *testing.T) {
 	known := NewSet([]Change{{Zone: "a", Revision: 10}}, 10, at(5))
 	stale := known.Apply([]Change{{Zone: "a", Revision: 4, Removed: true}}, 6, at(1))
 	require.True(t, stale.Contains("a"))
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEveryKindHasACompleteAnswer(t *testing.T) {
+func TestEveryKindHasCompleteResponse(t *testing.T) {
 	for _, kind := range Kinds() {
 		answer := ResponseFor(kind)
 		require.Contains(t, []Outcome{NotRun, MayHaveRun, Ran}, answer.Outcome, kind)
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -108,9 +108,9 @@
 	return answer[0]
 }
 
-// TestSilentConnectionsStaySilentBesideNewOnes guards against silenced connections that forward or
+// TestBlackholedConnectionsStayBlackholed guards against silenced connections that forward or
 // close, and against new connections that are silenced too.
-func TestSilentConnectionsStaySilentBesideNewOnes(t *testing.T) {
+func TestBlackholedConnectionsStayBlackholed(t *testing.T) {
 	proxy, err := New(echo(t))
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
--- a/internal/loadsim/loadsim_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -10,9 +10,9 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// TestPlaysAreTheSameBySeed checks that the result depends only on the seed and that no invariant
-// is violated.
-func TestPlaysAreTheSameBySeed(t *testing.T) {
+// TestSimulationIsDeterministicPerSeed checks that the result depends only on the seed and that no
+// invariant is violated.
+func TestSimulationIsDeterministicPerSeed(t *testing.T) {
 	load := Loads()[0]
 	load.Length /= 6
 	first, second := load.Simulate(3, nil), load.Simulate(3, nil)
@@ -22,10 +22,10 @@
 	require.NotEqual(t, first, load.Simulate(4, nil))
 }
 
-// TestWhatGainsAtWorstLoad guards, under overlapping bursts, against placing late units before
-// units that can still meet their objective, and against placing work far from its data or rack
-// instead of waiting.
-func TestWhatGainsAtWorstLoad(t *testing.T) {
+// TestOnTimeFirstAndLocalityWaitGainUnderOverload guards, under overlapping bursts, against placing
+// late units before units that can still meet their objective, and against placing work far from
+// its data or rack instead of waiting.
+func TestOnTimeFirstAndLocalityWaitGainUnderOverload(t *testing.T) {
 	load := loadNamed(t, "three-bursts").scaled(0.4)
 	load.Length = 24 * time.Second
 	ways := []Variant{
@@ -55,14 +55,14 @@
 	return nil
 }
 
-func TestEstimatesOfConfidence(t *testing.T) {
+func TestEstimateConfidenceInterval(t *testing.T) {
 	require.Equal(t, Estimate{Mean: 2, HalfWidth: zScore95 / math.Sqrt(3)}, estimate([]float64{1, 2, 3}))
 	require.True(t, math.IsInf(estimate([]float64{1}).HalfWidth, 1))
 }
 
-// TestSpeedsOfWorkersAreWorthKnowing guards against estimates that ignore worker speeds:
+// TestLearnedSpeedsImproveValue guards against estimates that ignore worker speeds:
 // stragglers and workers of different speed delay urgent jobs.
-func TestSpeedsOfWorkersAreWorthKnowing(t *testing.T) {
+func TestLearnedSpeedsImproveValue(t *testing.T) {
 	load := loadNamed(t, "mixed-speeds").scaled(0.5)
 	load.Length = 24 * time.Second
 	ways := []Variant{{Name: "all"}, {Name: "speeds not learned", Off: mechanism.Disabled{mechanism.LearnedSpeeds: true}}}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -51,7 +51,7 @@
 	return log.Summarize()
 }
 
-func TestLateJobsNameWhatTookMostOfTheirTime(t *testing.T) {
+func TestLateJobsAreAttributedToDominantCause(t *testing.T) {
 	cases := map[string]struct {
 		lines []string
 		cause Cause
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestTimelyAndForbiddenJobsAreNoLosses checks that failed runs extend a job's objective, and
+// TestOnTimeAndRejectedJobsAreNotLosses checks that failed runs extend a job's objective, and
 // that requests without valid credentials are not counted.
-func TestTimelyAndForbiddenJobsAreNoLosses(t *testing.T) {
+func TestOnTimeAndRejectedJobsAreNotLosses(t *testing.T) {
 	s := summarize(t,
 		accepted(0, "x"), placed(0, "x", 1, 0, ""), runEnded(1500, "x", 1, 1500, "failed", ""),
 		placed(1500, "x", 2, 0, ""), runEnded(3000, "x", 2, 1500, "done", ""), jobEnded(3000, "x", "completed"),
@@ -95,9 +95,9 @@
 	require.Equal(t, map[string]float64{"failed": 5}, s.wastedCoreSeconds)
 }
 
-// TestJobsOfWhichLinesWereLeftOutGoByTheOwnersObjective guards against counting a job as late
+// TestJobsWithDroppedLinesUseOwnersObjective guards against counting a job as late
 // because the log lines of its runs were dropped.
-func TestJobsOfWhichLinesWereLeftOutGoByTheOwnersObjective(t *testing.T) {
+func TestJobsWithDroppedLinesUseOwnersObjective(t *testing.T) {
 	ended := func(at int, objective int) string {
 		return line("a", at, "job ended", fmt.Sprintf(`"job":"x","queue":"urgent","state":"completed","stretch":1.5,"target_ms":200,"objective_ms":%d`, objective))
 	}
@@ -107,7 +107,7 @@
 	require.Equal(t, &queueCounts{jobs: 1, late: 1}, s.queues["urgent"])
 }
 
-func TestLinesOfSeveralNodesAreReadInTheOrderOfTheirTime(t *testing.T) {
+func TestLinesOfSeveralNodesAreOrderedByTime(t *testing.T) {
 	s := summarize(t, jobEnded(1000, "x", "completed"), runEnded(1000, "x", 1, 1000, "done", ""), placed(0, "x", 1, 0, ""), accepted(0, "x"))
 	require.Equal(t, 1, s.queues["urgent"].inTime)
 }
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestParseOff(t *testing.T) {
+func TestParseDisabled(t *testing.T) {
 	off, err := ParseDisabled([]string{"headroom", "store-relay"})
 	require.NoError(t, err)
 	require.True(t, off[Headroom])
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -131,8 +131,8 @@
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
 }
 
-// partitionHedgeDelay is how long a partition of the store may take before the write is also sent to the
-// next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
+// partitionHedgeDelay is how long a partition of the store may take before the write is also sent
+// to the next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
 const partitionHedgeDelay = 600 * time.Millisecond
 
 // commitJob writes an accepted job into one of its partitions. It tries the next partition once one
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -127,7 +127,7 @@
 	return Access{Queue: catalog.Queue{Name: "q", Pool: poolName}, Tenant: "tenant"}
 }
 
-func TestSubmitByWhatTheStoreSays(t *testing.T) {
+func TestSubmitOutcomeByStoreResult(t *testing.T) {
 	parts := pool.JobPartitions(poolName, jobID)
 	cases := map[string]struct {
 		prepare func(*fakeStore)
@@ -192,7 +192,7 @@
 	require.True(t, fault.IsKind(err, fault.DuplicateID), "%v", err)
 }
 
-func TestUnknownJobTakesAnAnswerOfEveryPart(t *testing.T) {
+func TestUnknownJobNeedsResponseOfEveryPartition(t *testing.T) {
 	store := newFakeStore()
 	gateway := newGateway(t, store)
 	_, err := gateway.Lookup(context.Background(), testAccess(), jobID)
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -298,8 +298,8 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// TestOwnersAreAskedForTheStoreToo: all other known members may have failed.
-func TestOwnersAreAskedForTheStoreToo(t *testing.T) {
+// TestStoreRelayIncludesOwners: all other known members may have failed.
+func TestStoreRelayIncludesOwners(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -173,7 +173,7 @@
 	require.GreaterOrEqual(t, n.takeoverRank(poolName), standbyCount-1, "nodes with less weight must not be standbys")
 }
 
-func TestRetriesAreMadeOnceTheStoreIsBack(t *testing.T) {
+func TestRetriesRunWhenStoreRecovers(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	retried := 0
 	n.storeRetries.After(time.Hour, func() { retried++ })
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -159,7 +159,7 @@
 	return rows.Listing{Version: 7}, nil
 }
 
-func TestAnswersThatArriveSlowlyAreWaitedFor(t *testing.T) {
+func TestSlowResponsesAreWaitedFor(t *testing.T) {
 	n := runningNode(t, slowAnswerStore{}, peer.NewClient(nil))
 	calls := map[string]func(done func(rows.Listing, error)){
 		"scan":                      func(done func(rows.Listing, error)) { n.ports.Scan(pool.JobTable, "part", "", done) },
@@ -219,9 +219,9 @@
 	}
 }
 
-// TestLargeAnswerThroughAnotherNodeIsWaitedFor: on a slow link the whole response takes longer than
+// TestLargeRelayedResponseIsWaitedFor: on a slow link the whole response takes longer than
 // its first byte may.
-func TestLargeAnswerThroughAnotherNodeIsWaitedFor(t *testing.T) {
+func TestLargeRelayedResponseIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestScanThroughASilentNodeEndsOnceTheStoreIsBack: the read must not wait for its relay timeout
-// once the store answers this node.
-func TestScanThroughASilentNodeEndsOnceTheStoreIsBack(t *testing.T) {
+// TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers: the read must not wait for its relay
+// timeout once the store answers this node.
+func TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers(t *testing.T) {
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
 	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
@@ -284,10 +284,10 @@
 	return s.listing, nil
 }
 
-// TestOtherNodesAreAskedOnceTheStoreTakesTooLong: no other node is polled while the store sends a
+// TestOtherNodesAreQueriedWhenStoreIsSlow: no other node is polled while the store sends a
 // configuration, as both would share the link, unless the store takes longer than
 // storeTransferGrace.
-func TestOtherNodesAreAskedOnceTheStoreTakesTooLong(t *testing.T) {
+func TestOtherNodesAreQueriedWhenStoreIsSlow(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.edges.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
@@ -319,7 +319,7 @@
 	}, transferTimeout, time.Millisecond)
 }
 
-func TestArrivalIsNotedUntilItsEnd(t *testing.T) {
+func TestTransferIsTrackedUntilItsEnd(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	ctx, ended := n.trackStoreTransfer(context.Background())
 	require.False(t, n.storeTransferPending())
@@ -329,9 +329,9 @@
 	require.False(t, n.storeTransferPending())
 }
 
-// TestDownloadGoesOnAfterAFailure: received content is kept, one transfer runs at a time, and
+// TestDownloadResumesAfterFailure: received content is kept, one transfer runs at a time, and
 // another node that has the version sends the rest.
-func TestDownloadGoesOnAfterAFailure(t *testing.T) {
+func TestDownloadResumesAfterFailure(t *testing.T) {
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	content := largeDocument(t, 2)
 	first := chunkReply{Version: 2, Size: len(content), Content: content[:maxChunkBytes]}
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -27,9 +27,9 @@
 // Bursts of orders on a slow link delay the pings of standbys until the owner is suspected and the
 // pool is taken over; the next owner then does the same.
 
-// TestBurstsOfOrdersAreSpreadOverASmallLink: on a link of one byte per second the second order
+// TestOrderBurstsAreRateLimited: on a link of one byte per second the second order
 // waits for minutes; without a rate all orders are sent at once.
-func TestBurstsOfOrdersAreSpreadOverASmallLink(t *testing.T) {
+func TestOrderBurstsAreRateLimited(t *testing.T) {
 	const burst = 50
 	for name, c := range map[string]struct {
 		rate float64
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -200,8 +200,8 @@
 	return rows.Listing{}, nil
 }
 
-// TestSlowStoreIsNotAskedTwice: relaying the calls to a slow store would double its load.
-func TestSlowStoreIsNotAskedTwice(t *testing.T) {
+// TestSlowStoreIsNotQueriedTwice: relaying the calls to a slow store would double its load.
+func TestSlowStoreIsNotQueriedTwice(t *testing.T) {
 	store := &slowStore{fakeStore: newFakeStore()}
 	gateway := newGatewayWithPeer(t, store, store)
 	require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
--- a/internal/pool/job_announcement_test.go
+++ b/internal/pool/job_announcement_test.go
@@ -21,7 +21,7 @@
 	return w.Store.List(pool.JobTable, part, id).Rows[0]
 }
 
-func TestAnnouncedJobStartsThoughFeedsAreSilent(t *testing.T) {
+func TestAnnouncedJobStartsWhileFeedsAreUnresponsive(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	owner := w.AcquirePool()
 	w.Run(time.Second)
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -75,9 +75,9 @@
 	requireInvariants(t, w)
 }
 
-// TestEndsAreNotedSoonThoughAnswersAreLost: an end whose report was lost is recorded soon, with a
+// TestEndsAreRecordedSoonDespiteLostReplies: an end whose report was lost is recorded soon, with a
 // shorter poll.
-func TestEndsAreNotedSoonThoughAnswersAreLost(t *testing.T) {
+func TestEndsAreRecordedSoonDespiteLostReplies(t *testing.T) {
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
 	begun := w.Clock.Now()
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -157,7 +157,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-func TestStoreAwayLongerThanAnyLease(t *testing.T) {
+func TestStoreOutageLongerThanAnyLease(t *testing.T) {
 	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 15 * time.Second }
 	w.Submit(spec(1, single(8)), batch)
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestUrgentGangStopsOthers(t *testing.T) {
+func TestUrgentGangPreemptsOthers(t *testing.T) {
 	w := simulation.NewCluster(1, 4)
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		if name.Job == jobID(9) {
@@ -323,7 +323,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-func TestTimedJobRunsAtItsTimes(t *testing.T) {
+func TestRepeatedJobRunsAtItsDueTimes(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	timed := spec(1, single(1))
 	timed.Repetitions, timed.IntervalMillis = 3, 2000
--- a/internal/pool/worker_restart_test.go
+++ b/internal/pool/worker_restart_test.go
@@ -37,7 +37,7 @@
 	return w
 }
 
-func TestEndsOfARestartedWorkerAreTakenIn(t *testing.T) {
+func TestEndsOfRestartedWorkerAreProcessed(t *testing.T) {
 	for name, clockMillis := range clocksAfterRestart {
 		t.Run(name, func(t *testing.T) {
 			w := restartWithEndedRuns(clockMillis, batch, func(*simulation.Worker) {})
--- a/internal/progress/timeouts_test.go
+++ b/internal/progress/timeouts_test.go
@@ -73,7 +73,7 @@
 	require.NoError(t, inner.Err())
 }
 
-func TestAnswerBy(t *testing.T) {
+func TestFirstByteDeadline(t *testing.T) {
 	_, bounded := FirstByteDeadline(context.Background())
 	require.False(t, bounded)
 	before := time.Now()
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPacerSpreadsBursts(t *testing.T) {
+func TestLimiterSpreadsBursts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New(1000, 100*time.Millisecond, func() time.Time { return now })
 	var pauses []time.Duration
@@ -22,7 +22,7 @@
 	require.Equal(t, 950*time.Millisecond, p.reserve(1))
 }
 
-func TestNilPacerDoesNotLimit(t *testing.T) {
+func TestNilLimiterDoesNotLimit(t *testing.T) {
 	p := New(0, time.Second, time.Now)
 	require.Nil(t, p)
 	require.NoError(t, p.Wait(context.Background(), 1<<40))
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -125,7 +125,7 @@
 	require.Zero(t, f.OverCommits+f.PartialGangs+f.Unfinished+f.LateGuaranteedStarts)
 }
 
-func TestGeneratedTracesKeepTheirPromises(t *testing.T) {
+func TestGeneratedTracesMeetGuarantees(t *testing.T) {
 	cluster, err := trace.ReadCluster("../../examples/replay/sahil.toml")
 	require.NoError(t, err)
 	for _, bursts := range []workload.BurstKind{workload.SmallBursts, workload.LargeBursts, workload.MixedBursts} {
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestAGangIsNotStarved guards against a stream of small jobs that delays a gang of the size of
+// TestGangIsNotStarved guards against a stream of small jobs that delays a gang of the size of
 // the cluster beyond its due time plus the run time of the jobs running then.
-func TestAGangIsNotStarved(t *testing.T) {
+func TestGangIsNotStarved(t *testing.T) {
 	const gangAt, gangRun, smallRun = 50.0, 50.0, 100.0
 	for _, weight := range []float64{0, 0.5, 1} {
 		t.Run(fmt.Sprint(weight), func(t *testing.T) {
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestBadTraces(t *testing.T) {
+func TestInvalidTracesAreRejected(t *testing.T) {
 	good := submit(5, "j1", `"members":1,"accelerators":1,"duration":10`)
 	cases := map[string]struct{ line, reason string }{
 		"unknown worker":  {`{"at":6,"event":"worker_down","worker":"r/z/rack09/worker00"}`, `worker: "r/z/rack09/worker00" is unknown`},
--- a/internal/settings/node_test.go
+++ b/internal/settings/node_test.go
@@ -20,7 +20,7 @@
 	require.EqualValues(t, 6000, s.Periods.MaxHoldMillis)
 }
 
-func TestNodeSettingsNameEveryFault(t *testing.T) {
+func TestNodeSettingsReportEveryInvalidField(t *testing.T) {
 	_, err := ParseNode(`
 name = "not a name"
 callers = "host:1"
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 url = "http://127.0.0.1:7000"
 `
 
-func TestParseNamesEveryFaultByKey(t *testing.T) {
+func TestParseReportsEveryInvalidKey(t *testing.T) {
 	_, err := Parse(validSettings)
 	require.NoError(t, err)
 	cases := map[string]struct {
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -27,8 +27,8 @@
 	return fleet.Start{Task: taskgraph.TaskName{Job: testJobID, Step: step}, Run: number, Payload: "p", DeadlineMillis: 5000}
 }
 
-// TestJudgeCatchesBrokenHistories violates each invariant that the checker checks.
-func TestJudgeCatchesBrokenHistories(t *testing.T) {
+// TestCheckerDetectsViolations violates each invariant that the checker checks.
+func TestCheckerDetectsViolations(t *testing.T) {
 	cases := map[string]struct {
 		history func(*Cluster)
 		want    string
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestWorkersFenceAndBar(t *testing.T) {
+func TestWorkersFenceOwnersAndBlockStoppedRuns(t *testing.T) {
 	w := newTestCluster()
 	first := w.Workers[0]
 	order := startOrder(0, 1)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -237,5 +237,6 @@
 	s.clock.At(deadline, again)
 }
 
-// unresponsiveFeedPollPeriod is the interval at which a feed checks whether feeds are still unresponsive.
+// unresponsiveFeedPollPeriod is the interval at which a feed checks whether feeds are still
+// unresponsive.
 const unresponsiveFeedPollPeriod = 50 * time.Millisecond
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheatroad/wheatroad/platform/standin"
 )
 
-func TestPlanIsTheSameForASeed(t *testing.T) {
+func TestPlanIsDeterministicPerSeed(t *testing.T) {
 	plan := NewPlan(7, time.Minute)
 	require.Equal(t, plan, NewPlan(7, time.Minute))
 	require.NotEqual(t, plan, NewPlan(8, time.Minute))
@@ -30,7 +30,7 @@
 	require.Len(t, drawn, len(Kinds()), "every kind is drawn")
 }
 
-func TestEvacuationsAreTheSameForASeed(t *testing.T) {
+func TestEvacuationsAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 100
 	drawn, overlapping := 0, 0
 	for seed := range uint64(seeds) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestLinksAreTheSameForASeed(t *testing.T) {
+func TestLinksAreDeterministicPerSeed(t *testing.T) {
 	const (
 		seeds   = 300
 		daemons = 3
@@ -91,7 +91,7 @@
 	require.Less(t, unlimited, drawn*daemons, "some links must be limited")
 }
 
-func TestSilencesAreTheSameForASeed(t *testing.T) {
+func TestSilencesAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 200
 	drawn, series := 0, 0
 	for seed := range uint64(seeds) {
@@ -129,9 +129,9 @@
 	require.Equal(t, Fault{At: 11899188807, Kind: ResetLink, Target: 1654, Length: 3864325320}, plan[11])
 }
 
-// TestVersionsRiseAndKeepWhatGrew guards against a key rotation that drops extra queues, a growth
+// TestVersionsIncreaseAndKeepGrowth guards against a key rotation that drops extra queues, a growth
 // that drops keys, and a version that does not increase.
-func TestVersionsRiseAndKeepWhatGrew(t *testing.T) {
+func TestVersionsIncreaseAndKeepGrowth(t *testing.T) {
 	r, _ := newTestRun(t)
 	r.putInitialConfiguration()
 	first := r.configuration
@@ -164,8 +164,8 @@
 	})
 }
 
-// TestJudgeCatchesBrokenHistories violates one invariant per history.
-func TestJudgeCatchesBrokenHistories(t *testing.T) {
+// TestViolationsAreDetected violates one invariant per history.
+func TestViolationsAreDetected(t *testing.T) {
 	cases := map[string]struct {
 		submission submission
 		starts     bool
@@ -195,9 +195,9 @@
 	require.Empty(t, r.observations.violations, "a refused job without starts is no violation")
 }
 
-// TestJudgeOfAnswers checks which single responses are violations, depending on the faults at the
-// daemon.
-func TestJudgeOfAnswers(t *testing.T) {
+// TestResponseViolations checks which single responses are violations, depending on the faults at
+// the daemon.
+func TestResponseViolations(t *testing.T) {
 	lost := errors.New("connection reset")
 	cases := map[string]struct {
 		answer          standin.Response
@@ -255,23 +255,23 @@
 
 func TestShortSoak(t *testing.T) { runShortSoak(t, 1) }
 
-// TestShortSoakOfWorkerTroubles runs a seed whose workers crash under some tasks and at random,
+// TestShortSoakOfWorkerFaults runs a seed whose workers crash under some tasks and at random,
 // and change their capacity.
-func TestShortSoakOfWorkerTroubles(t *testing.T) {
+func TestShortSoakOfWorkerFaults(t *testing.T) {
 	report := runShortSoak(t, 10001)
 	require.Positive(t, report.Workers.PoisonEvery)
 	require.Positive(t, report.States[taskgraph.Failed])
 }
 
-// TestShortSoakOfLives runs a seed whose workers restart under the same identifier and whose rows
-// are overwritten for a while.
-func TestShortSoakOfLives(t *testing.T) {
+// TestShortSoakOfInstanceFaults runs a seed whose workers restart under the same identifier and
+// whose rows are overwritten for a while.
+func TestShortSoakOfInstanceFaults(t *testing.T) {
 	report := runShortSoak(t, 20063)
 	require.NotEmpty(t, report.InstanceFaults.Restarts)
 	require.NotEmpty(t, report.InstanceFaults.InvalidRows)
 }
 
-func TestLivesAreTheSameForASeed(t *testing.T) {
+func TestInstanceFaultsAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 200
 	drawn, series, foreign := 0, 0, 0
 	for seed := range uint64(seeds) {
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestWorkerTroublesAreTheSameForASeed(t *testing.T) {
+func TestWorkerFaultsAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 200
 	drawn, poison, unguarded, changes := 0, 0, 0, 0
 	long := &taskgraph.Spec{Steps: []taskgraph.Step{{EstimateMillis: 1000}}}
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreeAddressesAreTheDaemonsOwn guards against ports of the ephemeral range, which the system
-// may assign to another process before the daemon listens.
-func TestFreeAddressesAreTheDaemonsOwn(t *testing.T) {
+// TestFreeAddressesAreOutsideEphemeralRange guards against ports of the ephemeral range, which the
+// system may assign to another process before the daemon listens.
+func TestFreeAddressesAreOutsideEphemeralRange(t *testing.T) {
 	const most = 32768
 	given := map[string]bool{}
 	for range 50 {
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -23,8 +23,8 @@
 	ClockMillis  int64         `json:"clock_ms"`
 }
 
-// InvalidWorkerRow is a row that overwrites a worker's row until its next heartbeat, or stays under an
-// identifier that no worker has.
+// InvalidWorkerRow is a row that overwrites a worker's row until its next heartbeat, or stays under
+// an identifier that no worker has.
 type InvalidWorkerRow struct {
 	At     time.Duration `json:"at"`
 	Target int           `json:"target"`
--- a/internal/speeds/speeds_test.go
+++ b/internal/speeds/speeds_test.go
@@ -131,8 +131,8 @@
 	require.Greater(t, disturbed.LogTime()-before, math.Log(2), "a lasting slowdown must be learned")
 }
 
-// TestCohortForgetRemovesSample checks that the sums match the members.
-func TestCohortForgetRemovesSample(t *testing.T) {
+// TestCohortRemoveRemovesSample checks that the sums match the members.
+func TestCohortRemoveRemovesSample(t *testing.T) {
 	cohort, worker, members := &Cohort{}, &Estimate{}, make([]Member, 3)
 	for k := range members {
 		cohort.Record(&members[k], worker, float64(k))
--- a/internal/taskgraph/spec_test.go
+++ b/internal/taskgraph/spec_test.go
@@ -35,7 +35,7 @@
 	require.NoError(t, (&Spec{ID: id, Steps: []Step{validStep}}).Validate())
 }
 
-func TestTails(t *testing.T) {
+func TestCriticalPaths(t *testing.T) {
 	spec := Spec{Steps: []Step{
 		{EstimateMillis: 1000}, {EstimateMillis: 2000, After: []int{0}}, {EstimateMillis: 500, After: []int{0}},
 	}}
--- a/internal/telemetry/async_log_test.go
+++ b/internal/telemetry/async_log_test.go
@@ -18,9 +18,9 @@
 	return b.content.Write(p)
 }
 
-// TestBlockedOutputStopsNobody checks that logging does not block while the output does, and
-// that dropped lines are counted.
-func TestBlockedOutputStopsNobody(t *testing.T) {
+// TestBlockedOutputDoesNotBlockCallers checks that logging does not block while the output does,
+// and that dropped lines are counted.
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	sink := &blockedWriter{open: make(chan struct{})}
 	log := NewAsyncLog(sink)
 	for i := range 3 * logQueueLines {
--- a/internal/telemetry/rate_limiter_test.go
+++ b/internal/telemetry/rate_limiter_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBudgetBoundsEachDecision checks that messages are limited independently and that the
+// TestRateLimitAppliesPerMessage checks that messages are limited independently and that the
 // number of dropped lines is reported once in the next second.
-func TestBudgetBoundsEachDecision(t *testing.T) {
+func TestRateLimitAppliesPerMessage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limiter := newRateLimiter(func() time.Time { return now })
 	for i := range defaultLinesPerSecond + 5 {
