--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return errors.Wrap(err, "--without")
 		}
-		variants = append(variants, loadsim.Variant{Name: "without " + names, Off: off})
+		variants = append(variants, loadsim.Variant{Name: "without " + names, DisabledMechanisms: off})
 	}
 	loads, err := selectLoads(flags.loads)
 	if err != nil {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -41,7 +41,7 @@
 
 // format describes the end of the run and identifies the worker process.
 func (e *runEnd) format(decision string) string {
-	life := fleet.Incarnation{ID: e.Worker, StartMillis: e.StartedAt}
+	incarnation := fleet.Incarnation{ID: e.Worker, StartMillis: e.StartedAt}
 	result := e.Result
 	if result == "" {
 		result = strings.TrimPrefix(decision, "run ")
@@ -49,7 +49,7 @@
 	if e.Reason != "" {
 		result += ", " + e.Reason
 	}
-	return fmt.Sprintf("%s run %d in %s: %s", e.Task, e.Run, life, result)
+	return fmt.Sprintf("%s run %d in %s: %s", e.Task, e.Run, incarnation, result)
 }
 
 // logLine holds the log fields that the trace uses.
--- a/internal/loadsim/compare.go
+++ b/internal/loadsim/compare.go
@@ -9,8 +9,8 @@
 
 // Variant is a scheduler configuration, given by the mechanisms that are switched off.
 type Variant struct {
-	Name string
-	Off  mechanism.Disabled
+	Name               string
+	DisabledMechanisms mechanism.Disabled
 }
 
 // Estimate is a mean over seeds with the half width of its 95% confidence interval.
@@ -45,7 +45,7 @@
 			slots <- struct{}{}
 			group.Go(func() {
 				defer func() { <-slots }()
-				compared[k].Results[n] = load.Simulate(firstSeed+uint64(n), ways[k].Off)
+				compared[k].Results[n] = load.Simulate(firstSeed+uint64(n), ways[k].DisabledMechanisms)
 			})
 		}
 	}
--- a/internal/loadsim/loadsim_test.go
+++ b/internal/loadsim/loadsim_test.go
@@ -30,8 +30,8 @@
 	load.Length = 24 * time.Second
 	ways := []Variant{
 		{Name: "all"},
-		{Name: "late units first", Off: mechanism.Disabled{mechanism.OnTimeFirst: true}},
-		{Name: "anywhere", Off: mechanism.Disabled{mechanism.LocalityWait: true}},
+		{Name: "late units first", DisabledMechanisms: mechanism.Disabled{mechanism.OnTimeFirst: true}},
+		{Name: "anywhere", DisabledMechanisms: mechanism.Disabled{mechanism.LocalityWait: true}},
 	}
 	compared := Compare(load, ways, 1, 2, 3)
 	require.Less(t, compared[1].ValueGain.Mean, 0.0)
@@ -65,7 +65,7 @@
 func TestLearnedSpeedsImproveValue(t *testing.T) {
 	load := loadNamed(t, "mixed-speeds").scaled(0.5)
 	load.Length = 24 * time.Second
-	ways := []Variant{{Name: "all"}, {Name: "speeds not learned", Off: mechanism.Disabled{mechanism.LearnedSpeeds: true}}}
+	ways := []Variant{{Name: "all"}, {Name: "speeds not learned", DisabledMechanisms: mechanism.Disabled{mechanism.LearnedSpeeds: true}}}
 	compared := Compare(load, ways, 1, 4, 4)
 	require.Less(t, compared[1].ValueGain.Mean, -0.1)
 	require.Greater(t, compared[0].Classes[0].Mean, compared[1].Classes[0].Mean+0.1, "urgent jobs must gain from learned speeds")
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -274,7 +274,7 @@
 	fields map[string][]any
 }
 
-func (l fieldsRecorder) LogEvent(decision string, fields ...any) { l.fields[decision] = fields }
+func (l fieldsRecorder) LogEvent(event string, fields ...any) { l.fields[event] = fields }
 
 // TestEarlyRefusalsAreLogged: a request that is refused before its body is read is logged with the
 // job's identifier.
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -49,7 +49,7 @@
 // shrinkDuringStoreOutage shrinks a worker while its new owner waits for an unavailable store.
 func shrinkDuringStoreOutage(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Submit(spec(1, single(8)), batch)
 	w.AcquirePool()
 	w.Run(8 * time.Millisecond)
@@ -67,7 +67,7 @@
 // unresponsive for a while afterwards.
 func shrinkWhileSuspended(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.Submit(spec(1, single(16)), batch)
 	owner := w.AcquirePool()
@@ -100,7 +100,7 @@
 // that fills a worker, while another job waits.
 func takeOverWhileStopping(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(2, single(8)), batch)
 	owner := w.AcquirePool()
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -30,7 +30,7 @@
 // evacuated.
 func newEvacuatedCluster(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner, string) {
 	w := simulation.NewCluster(2, 3)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	owner := w.AcquirePool()
 	w.Run(time.Second)
@@ -111,7 +111,7 @@
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
 		runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
 			w := simulation.NewCluster(2, 3)
-			w.Without = without
+			w.DisabledSafeguards = without
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 			owner := w.AcquirePool()
 			w.Run(time.Second)
@@ -131,7 +131,7 @@
 	t.Run("owner was suspended", func(t *testing.T) {
 		runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
 			w := simulation.NewCluster(2, 3)
-			w.Without = without
+			w.DisabledSafeguards = without
 			owner := w.AcquirePool()
 			w.Run(time.Second)
 			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = true, true
@@ -169,7 +169,7 @@
 	runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
 		w := simulation.NewCluster(2, 3)
 		w.Bounds.EvacuationTimeout = 2 * time.Second
-		w.Without = without
+		w.DisabledSafeguards = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 		w.AcquirePool()
 		w.Run(time.Second)
--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -53,7 +53,7 @@
 // takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
 func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 3)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
 	long := single(4)
 	long.EstimateMillis = 6000
@@ -97,7 +97,7 @@
 func randomFaults(seed uint64, without pool.DisabledSafeguards) (*simulation.Cluster, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := simulation.NewCluster(2, 5)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Duration(500+random.IntN(3000)) * time.Millisecond }
 	fate := func(probability float64) func() simulation.Outcome {
 		return func() simulation.Outcome {
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -74,9 +74,9 @@
 
 // leaveIncarnation records that the member's run was last known in an incarnation that has ended.
 // The next incarnation has not confirmed the run yet.
-func (m *member) leaveIncarnation(life fleet.Incarnation) {
+func (m *member) leaveIncarnation(incarnation fleet.Incarnation) {
 	if m.wasConfirmed() {
-		m.formerIncarnation = life
+		m.formerIncarnation = incarnation
 	}
 	m.confirmedBefore = false
 }
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -20,7 +20,7 @@
 // placed, and its owner. Tasks take two seconds.
 func newClusterWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 1)
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	owner := w.AcquirePool()
 	w.Run(100 * time.Millisecond)
@@ -81,7 +81,7 @@
 func TestLateStartIsBlockedAfterRestart(t *testing.T) {
 	simulate := func(without pool.DisabledSafeguards) *simulation.Cluster {
 		w := simulation.NewCluster(1, 2)
-		w.Without = without
+		w.DisabledSafeguards = without
 		w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
 		w.LateOrdersReachRestartedWorkers = true
 		w.AcquirePool()
@@ -112,7 +112,7 @@
 func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	w.Bounds.MaxLease = 10 * time.Second
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
 	w.Workers[0].Restart(time.Millisecond, farAheadClock)
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -64,7 +64,7 @@
 // the worker list.
 func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.Cluster {
 	w, _ := newClusterWithLongTask()
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
 	busy := busyWorker(w)
 	next := w.AcquirePool()
@@ -105,7 +105,7 @@
 // one that cannot reach the worker of the run.
 func replaceCutOffOwner(stop pauseFunc, without pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
-	w.Without, w.SuspendedClock = without, steadyTime
+	w.DisabledSafeguards, w.SuspendedClock = without, steadyTime
 	former := startLongTask(w)
 	busy := busyWorker(w)
 	former.PartitionedFromStore = true
@@ -143,7 +143,7 @@
 	w := simulation.NewCluster(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
 	w.Bounds.EvacuationTimeout = 0
-	w.Without = without
+	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	former := w.AcquirePool()
 	w.Run(time.Second)
--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -120,5 +120,5 @@
 	// Set sets a gauge.
 	Set(gauge string, value int64)
 	// LogEvent logs a scheduling event or a change of assumed state.
-	LogEvent(decision string, keysAndValues ...any)
+	LogEvent(event string, keysAndValues ...any)
 }
--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -85,15 +85,15 @@
 }
 
 // setIncarnation records the worker incarnation on which a member may run.
-func (r *unitProgress) setIncarnation(member int, life fleet.Incarnation) {
-	r.Workers[member] = life.ID
-	if life.StartMillis == 0 {
+func (r *unitProgress) setIncarnation(member int, incarnation fleet.Incarnation) {
+	r.Workers[member] = incarnation.ID
+	if incarnation.StartMillis == 0 {
 		return
 	}
 	if r.WorkerStartMillis == nil {
 		r.WorkerStartMillis = make([]int64, len(r.Workers))
 	}
-	r.WorkerStartMillis[member] = life.StartMillis
+	r.WorkerStartMillis[member] = incarnation.StartMillis
 }
 
 func (r *unitProgress) setAddress(w *fleet.Worker) {
--- a/internal/pool/progress_restore.go
+++ b/internal/pool/progress_restore.go
@@ -73,12 +73,12 @@
 		if id == "" || i >= len(u.members) {
 			continue
 		}
-		m, life := u.members[i], saved.incarnationOf(i)
-		p.assign(m, p.workerFromProgress(life, saved.Addresses[id]))
+		m, incarnation := u.members[i], saved.incarnationOf(i)
+		p.assign(m, p.workerFromProgress(incarnation, saved.Addresses[id]))
 		m.state = memberUnconfirmed
 		m.confirmedBefore = bitset(saved.Confirmed).has(i)
-		if p.compareIncarnation(m.worker, life.StartMillis) == earlierIncarnation {
-			m.leaveIncarnation(life)
+		if p.compareIncarnation(m.worker, incarnation.StartMillis) == earlierIncarnation {
+			m.leaveIncarnation(incarnation)
 		}
 		u.state = unitActive
 	}
@@ -91,22 +91,22 @@
 // worker's own row was gone at the time of the write. If a later incarnation than the named one
 // is known, it is returned: it may run the task, as the worker may have restarted between the
 // write and the start.
-func (p *Pool) workerFromProgress(life fleet.Incarnation, address string) *worker {
-	known := p.workers[life.ID]
+func (p *Pool) workerFromProgress(incarnation fleet.Incarnation, address string) *worker {
+	known := p.workers[incarnation.ID]
 	if known == nil {
-		w := p.addUnlistedWorker(life)
+		w := p.addUnlistedWorker(incarnation)
 		w.Address = address
 		return w
 	}
-	if p.compareIncarnation(known, life.StartMillis) != laterIncarnation {
+	if p.compareIncarnation(known, incarnation.StartMillis) != laterIncarnation {
 		return known
 	}
 	next := known.Worker
-	next.Incarnation = life
+	next.Incarnation = incarnation
 	if address != "" {
 		next.Address = address
 	}
-	p.recordRestart(known, life, restartSeenInProgress, len(known.members))
+	p.recordRestart(known, incarnation, restartSeenInProgress, len(known.members))
 	return p.replaceIncarnation(known, next)
 }
 
--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -147,11 +147,11 @@
 // incarnationOf returns the worker incarnation in which a member may be running; its identifier is
 // empty if there is none.
 func (r *unitProgress) incarnationOf(member int) fleet.Incarnation {
-	life := fleet.Incarnation{ID: r.Workers[member]}
+	incarnation := fleet.Incarnation{ID: r.Workers[member]}
 	if member < len(r.WorkerStartMillis) {
-		life.StartMillis = r.WorkerStartMillis[member]
+		incarnation.StartMillis = r.WorkerStartMillis[member]
 	}
-	return life
+	return incarnation
 }
 
 // memberLosses holds the losses of workers under one member of a unit.
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -154,7 +154,7 @@
 		Cluster: simulation.NewCluster(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
 		invalidRows: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
 	}
-	f.Without, f.SuspendedClock, f.SkipCapacityCheck = without, steady, seed%2 == 1
+	f.DisabledSafeguards, f.SuspendedClock, f.SkipCapacityCheck = without, steady, seed%2 == 1
 	f.Catalog.Pools[0].EnforcesCapacity = !f.SkipCapacityCheck
 	f.LateOrdersReachRestartedWorkers = seed%3 == 0
 	if maxHold > 0 {
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -89,13 +89,13 @@
 }
 
 // addUnlistedWorker adds a worker of which only the incarnation is known.
-func (p *Pool) addUnlistedWorker(life fleet.Incarnation) *worker {
+func (p *Pool) addUnlistedWorker(incarnation fleet.Incarnation) *worker {
 	w := &worker{
-		Worker:     fleet.Worker{Incarnation: life},
+		Worker:     fleet.Worker{Incarnation: incarnation},
 		unexpected: map[runID]unexpectedRun{},
 		clockAt:    p.loop.Now(),
 	}
-	p.workers[life.ID] = w
+	p.workers[incarnation.ID] = w
 	p.invalidateWorkerCaches()
 	return w
 }
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -65,9 +65,9 @@
 func (j *Checker) Observe(string, time.Duration) {}
 
 // LogEvent implements pool.Recorder.
-func (j *Checker) LogEvent(decision string, keysAndValues ...any) {
-	j.DecisionCounts[decision]++
-	switch decision {
+func (j *Checker) LogEvent(event string, keysAndValues ...any) {
+	j.DecisionCounts[event]++
+	switch event {
 	case "stopped":
 		j.countPreemption(fieldsOf(keysAndValues))
 	case "run ended":
@@ -78,7 +78,7 @@
 		return
 	}
 	at := j.cluster.Clock.Now().Sub(j.cluster.epoch)
-	j.DecisionLog = append(j.DecisionLog, fmt.Sprintf("%v %s %v", at, decision, keysAndValues))
+	j.DecisionLog = append(j.DecisionLog, fmt.Sprintf("%v %s %v", at, event, keysAndValues))
 }
 
 // fieldsOf converts key-value pairs to a map.
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -25,8 +25,8 @@
 	Checker *Checker
 	Bounds  pool.Bounds
 	Catalog *catalog.Catalog
-	// Without is passed to every owner.
-	Without pool.DisabledSafeguards
+	// DisabledSafeguards is passed to every owner.
+	DisabledSafeguards pool.DisabledSafeguards
 	// Work returns the duration of a task.
 	Work    func(taskgraph.TaskName) time.Duration
 	Workers []*Worker
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -30,7 +30,7 @@
 	owner := &Owner{world: w, Process: emulator.NewProcess(w.Clock), PartitionedFrom: map[string]bool{}}
 	owner.Process.SteadyTime = w.SuspendedClock
 	options := pool.Options{
-		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, DisabledSafeguards: w.Without, DisabledMechanisms: w.DisabledMechanisms,
+		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, DisabledSafeguards: w.DisabledSafeguards, DisabledMechanisms: w.DisabledMechanisms,
 		Catalog:          func() *catalog.Catalog { return w.Catalog },
 		OnOwnershipEnded: func(reason string) { owner.Ended = reason },
 	}
