--- a/cmd/wheatroad-bench/overload.go
+++ b/cmd/wheatroad-bench/overload.go
@@ -84,7 +84,7 @@
 			}
 			for _, phase := range report.Phases {
 				if phase.RanTwice+phase.NotRunRan > 0 {
-					return errors.Wrap(bench.ErrPromiseBroken, "see ran_twice and not_run_ran")
+					return errors.Wrap(bench.ErrInvariantViolated, "see ran_twice and not_run_ran")
 				}
 			}
 			return nil
@@ -169,7 +169,7 @@
 // findTwoOwners returns two nodes that each own a domain.
 func (s *testCluster) findTwoOwners() (first, second string, err error) {
 	var answer struct {
-		Domains []api.DomainAnswer `json:"domains"`
+		Domains []api.DomainResponse `json:"domains"`
 	}
 	for _, address := range s.addresses {
 		if err = s.call(address, operatorKey, "GET", "/v1/domains", nil, &answer); err == nil {
--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(int64(s.MemoryMB)<<20)))
-	log := telemetry.NewDecisionLog(os.Stdout)
+	log := telemetry.NewAsyncLog(os.Stdout)
 	tele, err := telemetry.New(log.Logger())
 	if err != nil {
 		return err
@@ -93,23 +93,23 @@
 	}
 	go d.loop.Run(ctx)
 	d.loop.Post(d.node.Start)
-	tele.Decided("started", "node", s.Name, "zone", s.Zone, "version", buildinfo.Version)
+	tele.LogEvent("started", "node", s.Name, "zone", s.Zone, "version", buildinfo.Version)
 	err = d.wait(path)
-	tele.Decided("stopped", "node", s.Name)
+	tele.LogEvent("stopped", "node", s.Name)
 	log.Close()
 	return err
 }
 
 func newService(ctx context.Context, s *settings.Node, tele *telemetry.Telemetry) *service {
 	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), serverErrors: make(chan error, 4)}
-	unacknowledged := settings.Millis(s.Bounds.UnacknowledgedTimeout)
-	edges := node.Edges{
-		Store:  platform.NewStore(s.Store, platform.NewHTTPClient(unacknowledged, storeConnections)),
-		Orders: platform.NewWorkers(platform.NewHTTPClient(unacknowledged, workerConnections)),
-		Peers:  peer.NewClient(nil),
-		Codec:  platform.Codec{},
-		Loop:   d.loop,
-		Record: tele,
+	unacknowledged := settings.Millis(s.Periods.UnacknowledgedTimeoutMillis)
+	edges := node.Dependencies{
+		Store:    platform.NewStoreClient(s.StoreAddress, platform.NewHTTPClient(unacknowledged, storeConnections)),
+		Workers:  platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
+		Peers:    peer.NewClient(nil),
+		Codec:    platform.Codec{},
+		Loop:     d.loop,
+		Recorder: tele,
 	}
 	d.node = node.New(ctx, nodeOptions(s), edges)
 	d.peerServer = peer.NewServer(d.node.ServePeer)
@@ -117,21 +117,21 @@
 }
 
 func nodeOptions(s *settings.Node) node.Options {
-	b := &s.Bounds
-	// ParseOff cannot fail: the settings were validated when read.
-	off, _ := mechanism.ParseOff(s.Without)
+	b := &s.Periods
+	// ParseDisabled cannot fail: the settings were validated when read.
+	off, _ := mechanism.ParseDisabled(s.DisabledMechanisms)
 	return node.Options{
-		Off:  off,
-		Name: s.Name, Incarnation: newIncarnation(), PeerAddress: s.Peers, Weight: s.CPUShare,
+		DisabledMechanisms: off,
+		Name:               s.Name, Incarnation: newIncarnation(), PeerAddress: s.PeerAddress, Weight: s.CPUShare,
 		LinkBytesPerSecond: s.LinkMbps * bytesPerMbit,
-		Bounds: pool.Bounds{
-			MaxHold: settings.Millis(b.MaxHoldMillis), StopTimeout: settings.Millis(b.StopTimeoutMillis),
-			GangTimeout: settings.Millis(b.GangTimeoutMillis), Reclaim: settings.Millis(b.ReclaimMillis),
+		PoolBounds: pool.Bounds{
+			MaxLease: settings.Millis(b.MaxHoldMillis), StopTimeout: settings.Millis(b.StopTimeoutMillis),
+			GangTimeout: settings.Millis(b.GangTimeoutMillis), GuaranteedStartTimeout: settings.Millis(b.ReclaimMillis),
 			CheckpointInterval: settings.Seconds(b.CheckpointSeconds),
-			StatusRetention:    settings.Seconds(b.StatusSeconds), RemoteFactor: b.RemoteFactor,
-			Evacuation: settings.Millis(b.EvacuationMillis),
+			StatusRetention:    settings.Seconds(b.StatusRetentionSeconds), CrossRackSlowdown: b.RemoteFactor,
+			EvacuationTimeout: settings.Millis(b.EvacuationDelayMillis),
 		},
-		ConfigurationAge: settings.Millis(b.ConfigurationMillis),
+		MaxConfigurationAge: settings.Millis(b.ConfigurationAgeMillis),
 	}
 }
 
@@ -151,21 +151,21 @@
 		Handler: ingress, ReadHeaderTimeout: callerHeaderTimeout,
 		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: callerHeaderBytes,
 	}
-	if err := d.serveHTTP(d.settings.Callers, d.callerServer); err != nil {
+	if err := d.serveHTTP(d.settings.CallerAddress, d.callerServer); err != nil {
 		return errors.Wrap(err, "callers")
 	}
-	if err := d.serveHTTP(d.settings.Readiness, &http.Server{Handler: ingress.Readiness(), ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
+	if err := d.serveHTTP(d.settings.ReadinessAddress, &http.Server{Handler: ingress.Readiness(), ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
 		return errors.Wrap(err, "readiness")
 	}
-	if d.settings.Metrics != "" {
+	if d.settings.MetricsAddress != "" {
 		mux := http.NewServeMux()
 		mux.Handle("GET /metrics", d.telemetry.Handler())
 		mux.HandleFunc("GET /status", d.serveStatus)
-		if err := d.serveHTTP(d.settings.Metrics, &http.Server{Handler: mux, ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
+		if err := d.serveHTTP(d.settings.MetricsAddress, &http.Server{Handler: mux, ReadHeaderTimeout: callerHeaderTimeout}); err != nil {
 			return errors.Wrap(err, "metrics")
 		}
 	}
-	listener, err := net.Listen("tcp", d.settings.Peers)
+	listener, err := net.Listen("tcp", d.settings.PeerAddress)
 	if err != nil {
 		return errors.Wrap(err, "peers")
 	}
@@ -224,21 +224,21 @@
 // validateSettings checks the settings file on SIGHUP. Changes take effect at the next start.
 func (d *service) validateSettings(path string) {
 	if _, err := settings.ReadNode(path); err != nil {
-		d.telemetry.Decided("settings refused", "reason", err.Error())
+		d.telemetry.LogEvent("settings refused", "reason", err.Error())
 		return
 	}
-	d.telemetry.Decided("settings read", "effect", "at the next start")
+	d.telemetry.LogEvent("settings read", "effect", "at the next start")
 }
 
 // stop releases the pools immediately and keeps serving callers while the load balancer
 // takes the node out of rotation.
 func (d *service) stop() {
-	d.telemetry.Decided("stopping", "node", d.settings.Name)
+	d.telemetry.LogEvent("stopping", "node", d.settings.Name)
 	began := time.Now()
 	released := make(chan struct{})
 	d.loop.Post(func() { d.node.Stop(func() { close(released) }) })
-	time.Sleep(settings.Seconds(d.settings.Stretches.ServeSeconds))
-	grace := settings.Seconds(d.settings.Bounds.GraceSeconds)
+	time.Sleep(settings.Seconds(d.settings.Shutdown.ServeSeconds))
+	grace := settings.Seconds(d.settings.Periods.GracePeriodSeconds)
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-stopMargin))
 	defer cancel()
 	// Requests still in flight at the deadline are aborted.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -45,10 +45,10 @@
 	machine := machines.Machine{Name: "r/z/k/w", Region: "r", Zone: "z", Rack: "k", Status: machines.Live, Accelerators: 8, CPUs: 64, MemoryGB: 256, Slots: 8}
 	return &fakeBackend{
 		view: &blackboard.View{
-			Node: "node1", WatchedAt: now, Synced: true,
+			Node: "node1", UpdatedAt: now, Synced: true,
 			Domains: map[string][]machines.Machine{"r/z": {machine}},
-			Configuration: declaration.Configuration{Version: 3, Declaration: declaration.Declaration{Tenant: []declaration.Tenant{
-				{Name: "a", KeyHashes: []string{auth.Hash(keyA)}}, {Name: "b", KeyHashes: []string{auth.Hash(keyB)}},
+			Configuration: declaration.Configuration{Version: 3, Declaration: declaration.Declaration{Tenants: []declaration.Tenant{
+				{Name: "a", KeyHashes: []string{auth.HashKey(keyA)}}, {Name: "b", KeyHashes: []string{auth.HashKey(keyB)}},
 			}}},
 		},
 		outputs: [][]byte{bytes.Repeat([]byte("first"), 1<<20), bytes.Repeat([]byte("second"), 1<<20)},
@@ -102,7 +102,7 @@
 }
 func (b *fakeBackend) SavePlan(context.Context, *planning.Plan) error { return nil }
 func (b *fakeBackend) LoadPlan(context.Context, string) (*planning.Plan, error) {
-	return &planning.Plan{Base: 3}, nil
+	return &planning.Plan{BaseVersion: 3}, nil
 }
 func (b *fakeBackend) Impact(context.Context, string, *planning.Plan) ([]planning.Effect, error) {
 	return []planning.Effect{{Kind: "job_waits", Subject: "job a/one"}}, nil
@@ -115,8 +115,8 @@
 
 func newServer(b Backend, now func() time.Time) *Server {
 	return New(Options{
-		OperatorKeyHashes: []string{auth.Hash(operator)}, BodyBytes: 4 << 10, InFlight: 8, InFlightPerTenant: 4,
-		SubmitsPerSecond: 1, SubmitBurst: 2, MaxWait: time.Second, DefaultDeadline: time.Second, ConfigurationAge: 8 * time.Second,
+		OperatorKeyHashes: []string{auth.HashKey(operator)}, BodyBytes: 4 << 10, InFlight: 8, InFlightPerTenant: 4,
+		SubmitsPerSecond: 1, SubmitBurst: 2, MaxWait: time.Second, DefaultDeadline: time.Second, MaxConfigurationAge: 8 * time.Second,
 	}, b, noCounter{}, http.NotFoundHandler(), now)
 }
 
@@ -130,13 +130,13 @@
 	return recorder
 }
 
-func decodeError(t *testing.T, recorder *httptest.ResponseRecorder) ErrorAnswer {
-	var answer ErrorAnswer
+func decodeError(t *testing.T, recorder *httptest.ResponseRecorder) ErrorResponse {
+	var answer ErrorResponse
 	require.NoError(t, json.Unmarshal(recorder.Body.Bytes(), &answer), recorder.Body.String())
 	return answer
 }
 
-func TestBadInputIsRefusedByField(t *testing.T) {
+func TestInvalidInputIsRejectedByField(t *testing.T) {
 	cases := map[string]struct {
 		key, body string
 		kind      fault.Kind
@@ -157,7 +157,7 @@
 		"unknown spread":   {keyA, `{"members":1,"duration":1,"spread":"shelf"}`, fault.InvalidRequest, "spread"},
 		"unknown priority": {keyA, `{"members":1,"duration":1,"priority":"now"}`, fault.InvalidRequest, "priority"},
 		"unknown zone":     {keyA, `{"members":1,"duration":1,"zone":"r/y"}`, fault.InvalidRequest, "zone"},
-		"impossible shape": {keyA, `{"members":9,"accelerators":1,"duration":1}`, fault.NeverFits, "members"},
+		"impossible shape": {keyA, `{"members":9,"accelerators":1,"duration":1}`, fault.Unsatisfiable, "members"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -167,13 +167,13 @@
 			require.Equal(t, c.kind, answer.Error, recorder.Body.String())
 			require.Equal(t, c.field, answer.Field)
 			require.Equal(t, fault.NotRun, answer.Outcome)
-			require.Equal(t, fault.AnswerFor(c.kind).Status, recorder.Code)
+			require.Equal(t, fault.ResponseFor(c.kind).Status, recorder.Code)
 			require.Empty(t, backend.submitted)
 		})
 	}
 }
 
-func TestTenantsSeeOnlyTheirOwn(t *testing.T) {
+func TestTenantsSeeOnlyTheirOwnJobs(t *testing.T) {
 	s := newServer(newBackend(time.Now()), time.Now)
 	for _, route := range s.Routes() {
 		if !strings.HasPrefix(route.Path, "/v1/") {
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestResultsArriveWholeOrNotAtAll(t *testing.T) {
+func TestResultsAreCompleteOrMissing(t *testing.T) {
 	backend := newBackend(time.Now())
 	s := newServer(backend, time.Now)
 	recorder := send(s, keyA, "GET", "/v1/jobs/a/one/result", "")
@@ -221,19 +221,19 @@
 	return d.kept, nil
 }
 
-func TestOldConfigurationAnswersNoTenant(t *testing.T) {
+func TestStaleConfigurationRejectsTenantRequests(t *testing.T) {
 	now := time.Now()
 	backend := newBackend(now)
 	s := newServer(backend, func() time.Time { return now.Add(9 * time.Second) })
 	answer := decodeError(t, send(s, keyA, "GET", "/v1/jobs/a/one", ""))
-	require.Equal(t, fault.ConfigurationOld, answer.Error)
+	require.Equal(t, fault.ConfigurationStale, answer.Error)
 	require.Positive(t, answer.RetryAfterSeconds)
 	require.Equal(t, http.StatusOK, send(s, operator, "GET", "/v1/domains", "").Code)
 	backend.view.Synced = false
 	require.Equal(t, http.StatusServiceUnavailable, send(s, "", "GET", "/readyz", "").Code)
 }
 
-func TestOneTenantsBurstCostsTheOthersNothing(t *testing.T) {
+func TestTenantBurstDoesNotDelayOthers(t *testing.T) {
 	now := time.Now()
 	s := newServer(newBackend(now), func() time.Time { return now })
 	body := `{"members":1,"duration":1}`
@@ -248,7 +248,7 @@
 	require.Equal(t, http.StatusAccepted, send(s, keyA, "POST", "/v1/jobs", body).Code)
 }
 
-func TestSubmissionIsRetriedOnlyWhileNobodyHasIt(t *testing.T) {
+func TestSubmissionIsRetriedOnlyIfNotAccepted(t *testing.T) {
 	noOwner := fault.New(fault.NoOwner, "moving")
 	cases := map[string]struct {
 		errors []error
@@ -259,7 +259,7 @@
 		"no owner until the deadline": {[]error{noOwner, noOwner, noOwner, noOwner, noOwner}, 2, fault.NoOwner},
 		"outcome unknown":             {[]error{fault.New(fault.OutcomeUnknown, "lost")}, 1, fault.OutcomeUnknown},
 		"store unavailable":           {[]error{fault.New(fault.StoreUnavailable, "down")}, 1, fault.StoreUnavailable},
-		"never fits anywhere":         {[]error{fault.New(fault.NeverFits, "no")}, 1, fault.NeverFits},
+		"never fits anywhere":         {[]error{fault.New(fault.Unsatisfiable, "no")}, 1, fault.Unsatisfiable},
 		"over the tenant's limit":     {[]error{fault.New(fault.TenantLimit, "full")}, 1, fault.TenantLimit},
 	}
 	for name, c := range cases {
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestDomainsWithoutAnOwnerAreTriedLastForAWhile(t *testing.T) {
+func TestDomainsWithoutOwnerAreTriedLast(t *testing.T) {
 	now := time.Unix(0, 0)
 	unowned := newUnownedDomains()
 	unowned.add("a", now)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -38,15 +38,15 @@
 	Name string `json:"name"`
 	// EnforcesCapacity is true if the workers reject tasks that do not fit.
 	EnforcesCapacity bool `json:"enforces_capacity"`
-	// Spare pools hold machines that are powered off.
-	Spare bool `json:"spare"`
+	// Standby pools hold machines that are powered off.
+	Standby bool `json:"spare"`
 }
 
 // Tenant is a customer with keys and a guarantee.
 type Tenant struct {
-	Name       string           `json:"name"`
-	Keys       []string         `json:"keys"`
-	Guaranteed taskgraph.Amount `json:"guaranteed"`
+	Name       string              `json:"name"`
+	Keys       []string            `json:"keys"`
+	Guaranteed taskgraph.Resources `json:"guaranteed"`
 }
 
 // Limits restrict the size of requests.
@@ -110,20 +110,20 @@
 }
 
 // Guarantee returns the guaranteed resources of a tenant.
-func (c *Catalog) Guarantee(tenant string) taskgraph.Amount {
+func (c *Catalog) Guarantee(tenant string) taskgraph.Resources {
 	for i := range c.Tenants {
 		if c.Tenants[i].Name == tenant {
 			return c.Tenants[i].Guaranteed
 		}
 	}
-	return taskgraph.Amount{}
+	return taskgraph.Resources{}
 }
 
 // PoolNames returns the pools that run queues, in order of declaration.
 func (c *Catalog) PoolNames() []string {
 	names := make([]string, 0, len(c.Pools))
 	for i := range c.Pools {
-		if !c.Pools[i].Spare {
+		if !c.Pools[i].Standby {
 			names = append(names, c.Pools[i].Name)
 		}
 	}
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -66,7 +66,7 @@
 	if !exists {
 		return patience == 0
 	}
-	age := n.board.WatchedAt.Sub(lease.ChangedAt)
+	age := n.board.UpdatedAt.Sub(lease.ChangedAt)
 	if lease.Value.Owner == "" {
 		return age >= patience
 	}
@@ -117,7 +117,7 @@
 	n.beat++
 	row := blackboard.Lease{
 		Domain: name, Owner: n.options.Node, Incarnation: n.options.Incarnation,
-		PeerAddress: n.options.PeerAddress, Epoch: epoch, Beat: n.beat,
+		PeerAddress: n.options.PeerAddress, Epoch: epoch, RenewalCount: n.beat,
 	}
 	if d := n.domains[name]; d != nil {
 		row.Active = d.active
@@ -128,7 +128,7 @@
 
 func (n *Node) own(name string, epoch, revision int64, sent time.Time) {
 	n.record.Count(CounterOwnership, "acquired")
-	n.record.Changed("domain acquired", "domain", name, "epoch", epoch)
+	n.record.LogStateChange("domain acquired", "domain", name, "epoch", epoch)
 	d := newDomain(n, name, epoch, revision)
 	d.leaseRevision = revision
 	d.acquiredAt = sent
@@ -202,7 +202,7 @@
 		if d.gone {
 			return
 		}
-		if errors.Is(err, store.ErrUnknown) {
+		if errors.Is(err, store.ErrOutcomeUnknown) {
 			n.record.Count(CounterRetries, "lease_renew")
 			d.rereadLease()
 			return
@@ -268,7 +268,7 @@
 	d.active = false
 	delete(d.node.domains, d.name)
 	d.node.record.Count(CounterOwnership, reason)
-	d.node.record.Changed("domain dropped", "domain", d.name, "epoch", d.epoch, "reason", reason)
+	d.node.record.LogStateChange("domain dropped", "domain", d.name, "epoch", d.epoch, "reason", reason)
 	d.abandon()
 	d.node.publish()
 	d.node.checkDrained()
@@ -291,7 +291,7 @@
 		return
 	}
 	d.releasing = true
-	row := blackboard.Lease{Domain: d.name, Epoch: d.epoch, Beat: d.node.beat}
+	row := blackboard.Lease{Domain: d.name, Epoch: d.epoch, RenewalCount: d.node.beat}
 	transaction := store.Transaction{
 		Conditions: []store.Condition{{Key: leaseKey(d.name), Revision: d.leaseRevision}},
 		Writes:     []store.Write{write(leaseKey(d.name), row)},
@@ -315,7 +315,7 @@
 func (n *Node) Drain(done func()) {
 	n.board.Draining = true
 	n.drained = done
-	n.record.Changed("draining")
+	n.record.LogStateChange("draining")
 	n.member.now()
 	n.publish()
 	for _, name := range sortedKeys(n.domains) {
--- a/internal/control/ports.go
+++ b/internal/control/ports.go
@@ -9,7 +9,7 @@
 // Ports reach the outside. Each call returns at once; done runs on the node's
 // loop, exactly once.
 type Ports interface {
-	// Commit applies a transaction. The error wraps store.ErrUnknown or
+	// Commit applies a transaction. The error wraps store.ErrOutcomeUnknown or
 	// store.ErrUnavailable.
 	Commit(transaction store.Transaction, done func(store.CommitResult, error))
 	// Scan reads the rows under a prefix written after a revision.
@@ -30,8 +30,8 @@
 type Recorder interface {
 	// Count adds one to a counter for a reason.
 	Count(counter, reason string)
-	// Changed logs a change of state.
-	Changed(message string, keysAndValues ...any)
+	// LogStateChange logs a change of state.
+	LogStateChange(message string, keysAndValues ...any)
 }
 
 // Names of counters.
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -18,7 +18,7 @@
   count = 2
 `
 
-func TestParseNamesTheFault(t *testing.T) {
+func TestParseErrorNamesField(t *testing.T) {
 	cases := map[string]struct{ document, wantInError string }{
 		"malformed":         {"[[tenant]\n", "line 2"},
 		"unknown key":       {"[[tenant]]\nname = \"a\"\ncolour = 1\n", "tenant.colour"},
@@ -41,14 +41,14 @@
 	}
 }
 
-func TestReadFolderNamesTheFile(t *testing.T) {
+func TestReadDirErrorNamesFile(t *testing.T) {
 	dir := fstest.MapFS{"a.toml": {Data: []byte(validDeclaration)}, "b.toml": {Data: []byte("[[tenant]]\nname = \"\"\n")}}
-	_, err := ReadFolder(dir)
+	_, err := ReadDir(dir)
 	require.ErrorContains(t, err, "b.toml")
 	delete(dir, "b.toml")
-	parsed, err := ReadFolder(dir)
+	parsed, err := ReadDir(dir)
 	require.NoError(t, err)
-	require.Equal(t, 2, parsed.Find("a").Guarantee[0].Count)
+	require.Equal(t, 2, parsed.FindTenant("a").Guarantees[0].Count)
 }
 
 func TestDigestIgnoresOrder(t *testing.T) {
--- a/internal/emulator/callers.go
+++ b/internal/emulator/callers.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		listed := fault.From(err)
 		c.request.Kind = listed.Kind
-		c.request.Outcome = listed.OutcomeOf()
+		c.request.Outcome = listed.EffectiveOutcome()
 	} else {
 		c.request.Accepted = true
 		c.request.Outcome = record.Outcome
@@ -107,11 +107,11 @@
 		return
 	}
 	view := c.entry.control.View()
-	if !view.Synced || c.world.clock.now.Sub(view.WatchedAt) > c.entry.control.Timing().ConfigurationAge {
-		c.answer(nil, fault.New(fault.ConfigurationOld, "this node does not know the newest configuration now"))
+	if !view.Synced || c.world.clock.now.Sub(view.UpdatedAt) > c.entry.control.Timing().ConfigurationAge {
+		c.answer(nil, fault.New(fault.ConfigurationStale, "this node does not know the newest configuration now"))
 		return
 	}
-	if view.Configuration.Declaration.Find(c.request.Spec.Tenant) == nil {
+	if view.Configuration.Declaration.FindTenant(c.request.Spec.Tenant) == nil {
 		c.answer(nil, fault.New(fault.Unauthenticated, "the request carries no valid key"))
 		return
 	}
@@ -162,7 +162,7 @@
 func (c *call) settle(record *job.Record, err error) {
 	unowned := err != nil && fault.IsKind(err, fault.NoOwner)
 	c.unowned = c.unowned || unowned
-	if (unowned || err != nil && fault.IsKind(err, fault.NeverFits)) && c.refused+1 < c.candidates {
+	if (unowned || err != nil && fault.IsKind(err, fault.Unsatisfiable)) && c.refused+1 < c.candidates {
 		c.refused++
 		c.entry.process.Post(c.try)
 		return
@@ -212,7 +212,7 @@
 	}
 	entry.process.Post(func() {
 		view := entry.control.View()
-		plan, err := planning.Make(view.Configuration, declared, view.Domains, w.clock.now)
+		plan, err := planning.New(view.Configuration, declared, view.Domains, w.clock.now)
 		if err != nil {
 			done(0, err)
 			return
--- /dev/null
+++ b/internal/loadsim/loadsim_test.go
@@ -0,0 +1,77 @@
+package loadsim
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/wheatroad/wheatroad/internal/mechanism"
+)
+
+// TestSimulationIsDeterministicPerSeed checks that the result depends only on the seed and that no
+// invariant is violated.
+func TestSimulationIsDeterministicPerSeed(t *testing.T) {
+	load := Loads()[0]
+	load.Length /= 6
+	first, second := load.Simulate(3, nil), load.Simulate(3, nil)
+	require.Equal(t, first, second)
+	require.Empty(t, first.Violations)
+	require.Greater(t, first.ValueShare, 0.5)
+	require.NotEqual(t, first, load.Simulate(4, nil))
+}
+
+// TestOnTimeFirstAndLocalityWaitGainUnderOverload guards, under overlapping bursts, against placing
+// late units before units that can still meet their objective, and against placing work far from
+// its data or rack instead of waiting.
+func TestOnTimeFirstAndLocalityWaitGainUnderOverload(t *testing.T) {
+	load := loadNamed(t, "three-bursts").scaled(0.4)
+	load.Length = 24 * time.Second
+	ways := []Variant{
+		{Name: "all"},
+		{Name: "late units first", DisabledMechanisms: mechanism.Disabled{mechanism.OnTimeFirst: true}},
+		{Name: "anywhere", DisabledMechanisms: mechanism.Disabled{mechanism.LocalityWait: true}},
+	}
+	compared := Compare(load, ways, 1, 2, 3)
+	require.Less(t, compared[1].ValueGain.Mean, 0.0)
+	require.Less(t, compared[1].Classes[2].Mean, compared[0].Classes[2].Mean, "wide steps must lose without TimelyFirst")
+	require.Less(t, compared[2].ValueGain.Mean, -0.1)
+	for _, way := range compared {
+		for _, result := range way.Results {
+			require.Empty(t, result.Violations)
+		}
+	}
+}
+
+func loadNamed(t *testing.T, name string) *Load {
+	loads := Loads()
+	for i := range loads {
+		if loads[i].Name == name {
+			return &loads[i]
+		}
+	}
+	require.Fail(t, "no predefined load with this name")
+	return nil
+}
+
+func TestEstimateConfidenceInterval(t *testing.T) {
+	require.Equal(t, Estimate{Mean: 2, HalfWidth: zScore95 / math.Sqrt(3)}, estimate([]float64{1, 2, 3}))
+	require.True(t, math.IsInf(estimate([]float64{1}).HalfWidth, 1))
+}
+
+// TestLearnedSpeedsImproveValue guards against estimates that ignore worker speeds:
+// stragglers and workers of different speed delay urgent jobs.
+func TestLearnedSpeedsImproveValue(t *testing.T) {
+	load := loadNamed(t, "mixed-speeds").scaled(0.5)
+	load.Length = 24 * time.Second
+	ways := []Variant{{Name: "all"}, {Name: "speeds not learned", DisabledMechanisms: mechanism.Disabled{mechanism.LearnedSpeeds: true}}}
+	compared := Compare(load, ways, 1, 4, 4)
+	require.Less(t, compared[1].ValueGain.Mean, -0.1)
+	require.Greater(t, compared[0].Classes[0].Mean, compared[1].Classes[0].Mean+0.1, "urgent jobs must gain from learned speeds")
+	for _, way := range compared {
+		for _, result := range way.Results {
+			require.Empty(t, result.Violations)
+		}
+	}
+}
--- a/internal/loadplay/simulate.go
+++ b/internal/loadsim/simulate.go
@@ -1,4 +1,4 @@
-package loadplay
+package loadsim
 
 import (
 	"time"
@@ -12,25 +12,25 @@
 type ClassResult struct {
 	Name                       string
 	Jobs, OnTime, Late, Missed int
-	// Worth is the earned share of the attainable value.
+	// ValueShare is the earned share of the attainable value.
 	Worth float64
 }
 
 // Result is the outcome of one simulation of a load.
 type Result struct {
 	Classes []ClassResult
-	// Worth is the earned share of the attainable value of all classes.
-	Worth float64
+	// ValueShare is the earned share of the attainable value of all classes.
+	ValueShare float64
 	// Served is the share of jobs that completed in time or late.
 	Served float64
 	// Placed and Preempted count the placements and preemptions of tasks and gangs.
 	Placed, Preempted int
-	// MostStops is the highest number of preemptions of one task or gang.
-	MostStops int
-	// ThrownAway is the unsaved work of stopped runs, in core-seconds.
-	ThrownAway float64
-	// Broken lists the violated invariants.
-	Broken []string
+	// MaxPreemptions is the highest number of preemptions of one task or gang.
+	MaxPreemptions int
+	// LostCoreSeconds is the unsaved work of stopped runs, in core-seconds.
+	LostCoreSeconds float64
+	// Violations lists the violated invariants.
+	Violations []string
 }
 
 const (
@@ -53,15 +53,15 @@
 )
 
 // Simulate runs a load with some mechanisms switched off.
-func (l *Load) Simulate(seed uint64, off mechanism.Off) Result {
+func (l *Load) Simulate(seed uint64, off mechanism.Disabled) Result {
 	arrivals := l.generateArrivals(seed)
-	w := simulation.NewWorld(l.Racks, l.PerRack)
-	w.Off, w.StopTime, w.Judge.Quiet = off, stopTime, true
-	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.Reclaim = stopTime, checkpointInterval, reclaimTime
+	w := simulation.NewCluster(l.Racks, l.PerRack)
+	w.DisabledMechanisms, w.StopTime, w.Checker.Quiet = off, stopTime, true
+	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.GuaranteedStartTimeout = stopTime, checkpointInterval, reclaimTime
 	slowness := l.randomSlowdowns(seed)
 	for i, worker := range w.Workers {
 		worker.SetCapacity(workerCapacity, 0)
-		worker.Slowness = slowness[i]
+		worker.SlowdownFactor = slowness[i]
 	}
 	for i := range l.Classes {
 		queue := l.Classes[i].Queue
@@ -73,14 +73,14 @@
 		works[arrivals[i].spec.ID] = arrivals[i].work
 	}
 	w.Work = func(name taskgraph.TaskName) time.Duration { return works[name.Job] }
-	w.Own()
+	w.AcquirePool()
 	w.Run(time.Second)
 	ends := l.runArrivals(w, arrivals)
 	return l.evaluate(w, arrivals, ends)
 }
 
 // runArrivals submits the jobs and returns the completion times of those that complete.
-func (l *Load) runArrivals(w *simulation.World, arrivals []arrival) map[string]time.Duration {
+func (l *Load) runArrivals(w *simulation.Cluster, arrivals []arrival) map[string]time.Duration {
 	ends := map[string]time.Duration{}
 	open := map[string]time.Duration{}
 	next := 0
@@ -91,7 +91,7 @@
 		}
 		w.Run(pollPeriod)
 		for id, since := range open {
-			if w.Judge.JobDone(id) {
+			if w.Checker.JobDone(id) {
 				ends[id] = now + pollPeriod - since
 				delete(open, id)
 			}
@@ -100,11 +100,11 @@
 	return ends
 }
 
-func (l *Load) evaluate(w *simulation.World, arrivals []arrival, ends map[string]time.Duration) Result {
+func (l *Load) evaluate(w *simulation.Cluster, arrivals []arrival, ends map[string]time.Duration) Result {
 	result := Result{
-		Classes: make([]ClassResult, len(l.Classes)), Broken: w.Judge.Broken,
-		Placed: w.Judge.Decisions["placed"], Preempted: w.Judge.Counts["stops/preempted"],
-		MostStops: w.Judge.MostStops(), ThrownAway: w.Judge.ThrownAway,
+		Classes: make([]ClassResult, len(l.Classes)), Violations: w.Checker.Violations,
+		Placed: w.Checker.DecisionCounts["placed"], Preempted: w.Checker.Metrics["stops/preempted"],
+		MaxPreemptions: w.Checker.MaxPreemptions(), LostCoreSeconds: w.Checker.LostCoreSeconds,
 	}
 	attainable, earned := make([]float64, len(l.Classes)), make([]float64, len(l.Classes))
 	sizes := l.meanSizes(arrivals)
@@ -149,14 +149,14 @@
 		jobs += class.Jobs
 		served += class.OnTime + class.Late
 	}
-	r.Worth = allEarned / max(allOwed, minAttainable)
+	r.ValueShare = allEarned / max(allOwed, minAttainable)
 	r.Served = float64(served) / float64(max(1, jobs))
 }
 
 // size returns the job's work in core-seconds.
 func (a *arrival) size() float64 {
 	step := &a.spec.Steps[0]
-	return step.Amount.Cores() * float64(step.Count) * a.work.Seconds()
+	return step.Resources.Cores() * float64(step.Count) * a.work.Seconds()
 }
 
 func (l *Load) meanSizes(arrivals []arrival) []float64 {
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -16,7 +16,7 @@
 // announce sends the stored row of an accepted job to the pool's owner, without waiting for the
 // reply: the owner's feed delivers the row in any case. It may be called from any goroutine.
 func (n *Node) announce(poolName string, row rows.Row) {
-	if n.options.Off[mechanism.Announcements] {
+	if n.options.DisabledMechanisms[mechanism.Announcements] {
 		return
 	}
 	v := n.snapshot.Load()
@@ -35,14 +35,14 @@
 		if _, err := n.call(ctx, lease.Address, methodAccepted, acceptedNotice{Pool: poolName, Row: row}); err != nil {
 			result = "lost"
 		}
-		n.edges.Record.Count("announcements", result)
+		n.edges.Recorder.Count("announcements", result)
 	}()
 }
 
 // handleAnnouncedJob passes a row to the pool if this node owns it.
 func (n *Node) handleAnnouncedJob(poolName string, row rows.Row) {
 	if p := n.owned[poolName]; p != nil {
-		p.TakeAnnounced(row)
+		p.HandleJobAnnouncement(row)
 	}
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -31,7 +31,7 @@
 // Ready reports whether the node should receive new connections.
 func (g *Gateway) Ready() bool {
 	n := g.node
-	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.ConfigurationAge
+	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.MaxConfigurationAge
 }
 
 // Stopping reports whether the node is shutting down.
@@ -42,8 +42,8 @@
 	n := g.node
 	current := n.catalog.Load()
 	confirmedAge := age(n.confirmed.Load())
-	if current == nil || confirmedAge > n.options.ConfigurationAge {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationOld, "the configuration in force is not known"))
+	if current == nil || confirmedAge > n.options.MaxConfigurationAge {
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration in force is not known"))
 	}
 	queue := current.Match(host, path)
 	if queue == nil {
@@ -68,7 +68,7 @@
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
 	}
-	g.node.edges.Record.Decided("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
+	g.node.edges.Recorder.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
 		"job", jobInPath(path), "reason", string(err.Kind), "configuration", version, "configuration_age_ms", confirmedAge.Milliseconds())
 	return g.countRefusal(err)
 }
@@ -84,7 +84,7 @@
 
 // countRefusal counts a refusal and returns its error.
 func (g *Gateway) countRefusal(err error) error {
-	g.node.edges.Record.Count("refusals", string(fault.From(err).Kind))
+	g.node.edges.Recorder.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
 
@@ -99,13 +99,13 @@
 		return g.commitJob(ctx, access.Queue.Pool, job)
 	})
 	if err != nil {
-		g.node.edges.Record.Decided("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
+		g.node.edges.Recorder.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
 			"detail", fault.From(err).Detail, "store_answered_ms_ago", g.node.storeAge().Milliseconds())
 		return g.countRefusal(err)
 	}
-	g.node.edges.Record.Count("job_transitions", "accepted")
-	g.node.edges.Record.Observe("acceptance", time.Since(receivedAt))
-	g.node.edges.Record.Decided("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
+	g.node.edges.Recorder.Count("job_transitions", "accepted")
+	g.node.edges.Recorder.Observe("acceptance", time.Since(receivedAt))
+	g.node.edges.Recorder.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
 	return nil
 }
 
@@ -125,21 +125,22 @@
 
 // storeWriteFault converts an error of a store write into a fault.
 func storeWriteFault(err error) error {
-	if errors.Is(err, rows.ErrRefused) {
+	if errors.Is(err, rows.ErrNoEffect) {
 		return fault.New(fault.StoreUnavailable, "the store did nothing")
 	}
 	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
 }
 
-// partHedgeDelay is how long a part of the store may take before the write is also sent to the next
-// part. A store at a fiftieth of its usual speed commits in 0.5 s.
-const partHedgeDelay = 600 * time.Millisecond
+// partitionHedgeDelay is how long a partition of the store may take before the write is also sent
+// to the next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
+const partitionHedgeDelay = 600 * time.Millisecond
 
-// commitJob writes an accepted job into one of its parts. It tries the next part once one fails, or
-// takes long while the store is otherwise fast. Writing the job to several parts is harmless.
+// commitJob writes an accepted job into one of its partitions. It tries the next partition once one
+// fails, or takes long while the store is otherwise fast. Writing the job to several partitions is
+// harmless.
 func (g *Gateway) commitJob(ctx context.Context, poolName string, job *pool.Accepted) error {
 	value := pool.Encode(job)
-	parts := pool.JobParts(poolName, job.Spec.ID)
+	parts := pool.JobPartitions(poolName, job.Spec.ID)
 	results := make(chan error, len(parts))
 	inFlight := 0
 	startAttempt := func() {
@@ -149,7 +150,7 @@
 		go func() { results <- g.commitJobRow(ctx, key, value, job) }()
 	}
 	startAttempt()
-	hedge := time.NewTicker(partHedgeDelay)
+	hedge := time.NewTicker(partitionHedgeDelay)
 	defer hedge.Stop()
 	var failure error
 	for inFlight > 0 {
@@ -172,7 +173,7 @@
 	return failure
 }
 
-// commitJobRow writes an accepted job into one part.
+// commitJobRow writes an accepted job into one partition.
 func (g *Gateway) commitJobRow(ctx context.Context, key rows.Key, value []byte, job *pool.Accepted) error {
 	result, err := g.node.ports.commit(ctx, rows.Transaction{
 		Conditions: []rows.Condition{{Key: key, Version: rows.Absent}},
@@ -212,10 +213,10 @@
 		return g.commitCancel(ctx, access.Queue.Pool, id)
 	})
 	if err != nil {
-		g.node.edges.Record.Decided("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
+		g.node.edges.Recorder.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
 		return g.countRefusal(err)
 	}
-	g.node.edges.Record.Decided("cancellation accepted", "job", id)
+	g.node.edges.Recorder.LogEvent("cancellation accepted", "job", id)
 	return nil
 }
 
@@ -224,8 +225,8 @@
 	AtMillis int64 `json:"at_ms"`
 }
 
-// commitCancel writes a cancellation to the part that holds the job's accepted row, or to another
-// of its parts if that one is unavailable.
+// commitCancel writes a cancellation to the partition that holds the job's accepted row, or to
+// another of its partitions if that one is unavailable.
 func (g *Gateway) commitCancel(ctx context.Context, poolName, id string) error {
 	accepted, cancelled, err := g.storedJob(ctx, poolName, id)
 	if err != nil {
@@ -238,7 +239,7 @@
 		return nil
 	}
 	value := pool.Encode(cancellation{AtMillis: time.Now().UnixMilli()})
-	parts := append([]string{accepted}, pool.JobParts(poolName, id)...)
+	parts := append([]string{accepted}, pool.JobPartitions(poolName, id)...)
 	var failure error
 	for _, part := range parts {
 		_, err := g.node.ports.commit(ctx, rows.Transaction{Puts: []rows.Put{{Key: pool.CancelledKey(part, id), Value: value}}})
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -23,8 +23,8 @@
 	jobID    = "00000000000000aa"
 )
 
-// fakeStore keeps rows in memory. Calls about the parts in refuse fail with ErrRefused, those about
-// the parts in unanswered with ErrNoAnswer.
+// fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect, those
+// about the partitions in unanswered with ErrOutcomeUnknown.
 type fakeStore struct {
 	rows       map[rows.Key]rows.Row
 	refuse     map[string]bool
@@ -39,9 +39,9 @@
 func (f *fakeStore) failure(part string) error {
 	switch {
 	case f.refuse[part]:
-		return rows.ErrRefused
+		return rows.ErrNoEffect
 	case f.unanswered[part]:
-		return rows.ErrNoAnswer
+		return rows.ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -89,13 +89,13 @@
 }
 
 func (f *fakeStore) Feed(context.Context, string, int64, time.Duration) (rows.Listing, error) {
-	return rows.Listing{}, rows.ErrRefused
+	return rows.Listing{}, rows.ErrNoEffect
 }
 
 type discardRecorder struct{}
 
-func (discardRecorder) Count(string, string)   {}
-func (discardRecorder) Decided(string, ...any) {}
+func (discardRecorder) Count(string, string)    {}
+func (discardRecorder) LogEvent(string, ...any) {}
 
 func (discardRecorder) Set(string, int64)             {}
 func (discardRecorder) Observe(string, time.Duration) {}
@@ -103,8 +103,8 @@
 func newGateway(t *testing.T, store rows.Store) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	edges := Edges{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{}}
-	n := New(ctx, Options{Name: "node-1", ConfigurationAge: time.Hour}, edges)
+	edges := Dependencies{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{}}
+	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, edges)
 	current := &catalog.Catalog{
 		Version: 1,
 		Queues: []catalog.Queue{
@@ -127,8 +127,8 @@
 	return Access{Queue: catalog.Queue{Name: "q", Pool: poolName}, Tenant: "tenant"}
 }
 
-func TestSubmitByWhatTheStoreSays(t *testing.T) {
-	parts := pool.JobParts(poolName, jobID)
+func TestSubmitOutcomeByStoreResult(t *testing.T) {
+	parts := pool.JobPartitions(poolName, jobID)
 	cases := map[string]struct {
 		prepare func(*fakeStore)
 		want    fault.Kind
@@ -152,26 +152,26 @@
 	}
 }
 
-// hangingPartStore never answers transactions in one part.
-type hangingPartStore struct {
+// hangingPartitionStore never answers transactions in one partition.
+type hangingPartitionStore struct {
 	*fakeStore
 	part string
 }
 
-func (p *hangingPartStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+func (p *hangingPartitionStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
 	if transaction.Puts[0].Part != p.part {
 		return p.fakeStore.Commit(ctx, transaction)
 	}
 	<-ctx.Done()
-	return rows.Result{}, rows.ErrNoAnswer
+	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
-// TestPartWithoutAnswerIsPassedOver: one unresponsive part must not use up the time of a
+// TestWriteIsHedgedToNextPartition: one unresponsive partition must not use up the time of a
 // submission.
-func TestPartWithoutAnswerIsPassedOver(t *testing.T) {
-	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+func TestWriteIsHedgedToNextPartition(t *testing.T) {
+	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
-	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
+	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[1], jobID))
 }
 
 func allOf(parts []string) map[string]bool {
@@ -192,12 +192,12 @@
 	require.True(t, fault.IsKind(err, fault.DuplicateID), "%v", err)
 }
 
-func TestUnknownJobTakesAnAnswerOfEveryPart(t *testing.T) {
+func TestUnknownJobNeedsResponseOfEveryPartition(t *testing.T) {
 	store := newFakeStore()
 	gateway := newGateway(t, store)
 	_, err := gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.True(t, fault.IsKind(err, fault.UnknownJob), "%v", err)
-	store.refuse[pool.JobParts(poolName, jobID)[2]] = true
+	store.refuse[pool.JobPartitions(poolName, jobID)[2]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.True(t, fault.IsKind(err, fault.StoreUnavailable), "%v", err)
 }
@@ -209,7 +209,7 @@
 	state, err := gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.NoError(t, err)
 	require.Equal(t, taskgraph.Queued, state)
-	parts := pool.ProgressParts(poolName)
+	parts := pool.ProgressPartitions(poolName)
 	put := func(part string, record pool.Progress) {
 		key := rows.Key{Table: pool.ProgressTable, Part: part, Name: jobID}
 		store.rows[key] = rows.Row{Key: key, Value: pool.Encode(record), Version: 1}
@@ -255,7 +255,7 @@
 	old := time.Now().Add(-2 * time.Hour)
 	gateway.node.confirmed.Store(&old)
 	_, _, err = gateway.Resolve("h", "/q/x", "key")
-	require.True(t, fault.IsKind(err, fault.ConfigurationOld), "a key that may have been revoked must be refused: %v", err)
+	require.True(t, fault.IsKind(err, fault.ConfigurationStale), "a key that may have been revoked must be refused: %v", err)
 	require.False(t, gateway.Ready())
 }
 
@@ -268,20 +268,20 @@
 	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
-// fieldsRecorder keeps the fields of logged decisions.
+// fieldsRecorder keeps the fields of log events.
 type fieldsRecorder struct {
 	discardRecorder
 	fields map[string][]any
 }
 
-func (l fieldsRecorder) Decided(decision string, fields ...any) { l.fields[decision] = fields }
+func (l fieldsRecorder) LogEvent(event string, fields ...any) { l.fields[event] = fields }
 
-// TestEarlyRefusalsHaveALine: a request that is refused before its body is read is logged with the
+// TestEarlyRefusalsAreLogged: a request that is refused before its body is read is logged with the
 // job's identifier.
-func TestEarlyRefusalsHaveALine(t *testing.T) {
+func TestEarlyRefusalsAreLogged(t *testing.T) {
 	g := newGateway(t, newFakeStore())
 	recorder := fieldsRecorder{fields: map[string][]any{}}
-	g.node.edges.Record = recorder
+	g.node.edges.Recorder = recorder
 	_, _, err := g.Resolve("h", "/q/"+jobID, "unknown key")
 	require.True(t, fault.IsKind(err, fault.Unauthenticated))
 	require.Contains(t, recorder.fields["request refused"], jobID)
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -98,12 +98,12 @@
 	return listener.Addr().String()
 }
 
-// A node that follows the rows of all others makes each restart cost one answer of the store for
+// A node that follows the rows of all others makes each restart cost one response of the store for
 // every node of the cluster.
 
-// TestWhatANodeReadsOfOthersDoesNotGrow with their number, neither at its start nor as they
-// restart.
-func TestWhatANodeReadsOfOthersDoesNotGrow(t *testing.T) {
+// TestMemberReadsDoNotGrowWithCluster: a node reads few member rows, both at its start and as
+// others restart.
+func TestMemberReadsDoNotGrowWithCluster(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -119,8 +119,8 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
 			own := loop.NewGoroutine()
-			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Edges{
-				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Record: discardRecorder{},
+			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Dependencies{
+				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
 			})
 			go own.Run(ctx)
 			own.Post(n.Start)
@@ -208,9 +208,9 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
-// TestRowsOfGoneNodesAreRemoved: an owner removes the rows of nodes only while it receives the
+// TestRowsOfExpiredMembersAreRemoved: an owner removes the rows of nodes only while it receives the
 // pings of others.
-func TestRowsOfGoneNodesAreRemoved(t *testing.T) {
+func TestRowsOfExpiredMembersAreRemoved(t *testing.T) {
 	began := time.Now()
 	cases := map[string]struct {
 		// pings are the times, in seconds, at which each node pings the owner.
@@ -254,8 +254,8 @@
 	return times
 }
 
-// TestRowsThatWereWrittenAnewStay: the node wrote its row again between the read and the removal.
-func TestRowsThatWereWrittenAnewStay(t *testing.T) {
+// TestRewrittenRowsAreKept: the node wrote its row again between the read and the removal.
+func TestRewrittenRowsAreKept(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
 	store.writeMember(member{Name: "gone", Weight: 1})
@@ -298,8 +298,8 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// TestOwnersAreAskedForTheStoreToo: all other known members may have failed.
-func TestOwnersAreAskedForTheStoreToo(t *testing.T) {
+// TestStoreRelayIncludesOwners: all other known members may have failed.
+func TestStoreRelayIncludesOwners(t *testing.T) {
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
@@ -356,7 +356,7 @@
 	truncated := after < s.horizon
 	s.mutex.Unlock()
 	if truncated {
-		return rows.Listing{}, rows.ErrHistoryGone
+		return rows.Listing{}, rows.ErrHistoryExpired
 	}
 	return s.countingStore.Feed(ctx, table, after, wait)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/catalog"
 	"github.com/wheatroad/wheatroad/internal/evacuation"
 	"github.com/wheatroad/wheatroad/internal/loop"
-	"github.com/wheatroad/wheatroad/internal/pacing"
 	"github.com/wheatroad/wheatroad/internal/pool"
+	"github.com/wheatroad/wheatroad/internal/ratelimit"
 	"github.com/wheatroad/wheatroad/internal/rows"
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
@@ -41,7 +41,7 @@
 // otherwise.
 type Node struct {
 	options Options
-	edges   Edges
+	edges   Dependencies
 	ports   *ports
 	feeds   cancelableReads
 	// feedFailures counts consecutive direct feeds that were not answered in time.
@@ -55,7 +55,7 @@
 	document atomic.Pointer[document]
 	// servedDocuments are the documents that other nodes are downloading.
 	servedDocuments servedDocuments
-	// configurationTransferStart is when the first byte of the store's current answer with the
+	// configurationTransferStart is when the first byte of the store's current response with the
 	// configuration arrived; nil if none is arriving. There is one such call at a time.
 	configurationTransferStart atomic.Pointer[time.Time]
 	// confirmed is when the catalog was last known to be the newest.
@@ -63,9 +63,9 @@
 	// confirmedByPeer is the time as of which another node last confirmed the catalog.
 	confirmedByPeer atomic.Pointer[time.Time]
 	snapshot        atomic.Pointer[snapshot]
-	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or a
-	// probe last failed, and storeReached when the store last answered directly or through another
-	// node.
+	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or
+	// a probe last failed, and storeReached when the store last answered directly or through
+	// another node.
 	storeAnswered atomic.Pointer[time.Time]
 	storeFailed   atomic.Pointer[time.Time]
 	storeReached  atomic.Pointer[time.Time]
@@ -73,7 +73,7 @@
 	// last reported.
 	storeLatency    latencyWindow
 	reportedLatency atomic.Pointer[reportedLatency]
-	// storeUnavailable is true from a failure of the store until its next answer.
+	// storeUnavailable is true from a failure of the store until its next response.
 	storeUnavailable atomic.Bool
 	// currentProbe is the store probe in flight, nil if there is none.
 	currentProbe    atomic.Pointer[storeProbe]
@@ -103,14 +103,14 @@
 }
 
 // New returns a node that is idle until Start.
-func New(ctx context.Context, options Options, edges Edges) *Node {
+func New(ctx context.Context, options Options, edges Dependencies) *Node {
 	n := &Node{
 		options: options, edges: edges,
 		sample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
-	n.ports = &ports{ctx: ctx, node: n, pacer: pacing.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
+	n.ports = &ports{ctx: ctx, node: n, pacer: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(edges.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: edges.Store, node: n}}
 	n.snapshot.Store(&snapshot{})
@@ -151,8 +151,8 @@
 	n.snapshot.Store(v)
 }
 
-// recordStoreResult records a direct answer of the store; errors are ignored. It may be called from
-// any goroutine.
+// recordStoreResult records a direct response of the store; errors are ignored. It may be called
+// from any goroutine.
 func (n *Node) recordStoreResult(err error) {
 	if err != nil {
 		return
@@ -162,7 +162,7 @@
 	silentFor := age(n.storeAnswered.Swap(&now))
 	if n.storeUnavailable.CompareAndSwap(true, false) {
 		n.edges.Loop.Post(n.handleStoreRecovery)
-		n.edges.Record.Decided("store answers again", "silent_ms", silentFor.Milliseconds())
+		n.edges.Recorder.LogEvent("store answers again", "silent_ms", silentFor.Milliseconds())
 	}
 }
 
@@ -170,16 +170,16 @@
 // are canceled, so that they go to the store directly.
 func (n *Node) handleStoreRecovery() {
 	n.store.relayedReads.cancelIdle(0)
-	n.storeRetries.Now()
+	n.storeRetries.RunPending()
 	for _, name := range sortedKeys(n.owned) {
-		n.owned[name].StoreBack()
+		n.owned[name].StoreRecovered()
 	}
 }
 
 // recordStoreFailure records a failed feed or probe. Failed transactions are not recorded here, as
-// they may concern only one part of the store.
+// they may concern only one partition of the store.
 func (n *Node) recordStoreFailure(err error) {
-	if err == nil || errors.Is(err, rows.ErrHistoryGone) {
+	if err == nil || errors.Is(err, rows.ErrHistoryExpired) {
 		return
 	}
 	now := uptime.Now()
@@ -187,11 +187,11 @@
 	if n.storeUnavailable.CompareAndSwap(false, true) {
 		n.edges.Loop.After(probePeriod, n.startRecoveryProbes)
 		n.feeds.cancelIdle(0)
-		n.edges.Record.Decided("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
+		n.edges.Recorder.LogEvent("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
 
-// recordStoreReached records an answer of the store through another node.
+// recordStoreReached records a response of the store through another node.
 func (n *Node) recordStoreReached() {
 	now := uptime.Now()
 	n.storeReached.Store(&now)
@@ -211,7 +211,7 @@
 func (n *Node) storeReachedAge() time.Duration { return age(n.storeReached.Load()) }
 
 // storeLost reports whether the last failure of the store is more recent than its last direct
-// answer.
+// response.
 func (n *Node) storeLost() bool {
 	answered, failed := n.storeAnswered.Load(), n.storeFailed.Load()
 	return failed != nil && (answered == nil || failed.After(*answered))
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -15,7 +15,7 @@
 
 // countingOrders counts the orders that reach workers.
 type countingOrders struct {
-	fleet.Orders
+	fleet.WorkerClient
 	stops atomic.Int32
 }
 
@@ -27,9 +27,9 @@
 // Bursts of orders on a slow link delay the pings of standbys until the owner is suspected and the
 // pool is taken over; the next owner then does the same.
 
-// TestBurstsOfOrdersAreSpreadOverASmallLink: on a link of one byte per second the second order
+// TestOrderBurstsAreRateLimited: on a link of one byte per second the second order
 // waits for minutes; without a rate all orders are sent at once.
-func TestBurstsOfOrdersAreSpreadOverASmallLink(t *testing.T) {
+func TestOrderBurstsAreRateLimited(t *testing.T) {
 	const burst = 50
 	for name, c := range map[string]struct {
 		rate float64
@@ -39,8 +39,8 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
 			orders := &countingOrders{}
-			n := New(ctx, Options{Name: "node-1", LinkBytesPerSecond: c.rate}, Edges{
-				Store: refusingStore{}, Orders: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Record: discardRecorder{},
+			n := New(ctx, Options{Name: "node-1", LinkBytesPerSecond: c.rate}, Dependencies{
+				Store: refusingStore{}, Workers: orders, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{},
 			})
 			for range burst {
 				n.ports.Stop(&fleet.Worker{}, fleet.Stop{}, func(fleet.Reply, error) {})
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -29,7 +29,7 @@
 	case <-time.After(s.latency):
 		return nil
 	case <-ctx.Done():
-		return errors.Mark(ctx.Err(), rows.ErrNoAnswer)
+		return errors.Mark(ctx.Err(), rows.ErrOutcomeUnknown)
 	}
 }
 
@@ -37,7 +37,7 @@
 	s.mutex.Lock()
 	s.commits++
 	s.mutex.Unlock()
-	// Transactions queue for their part and take longer than a read.
+	// Transactions queue for their partition and take longer than a read.
 	for range 2 {
 		if err := s.wait(ctx); err != nil {
 			return rows.Result{}, err
@@ -77,14 +77,14 @@
 	}
 }
 
-// TestSilentPartIsPassedOverWhileTheStoreIsQuick: a write is still hedged to a second part while
+// TestWriteIsHedgedWhileStoreIsFast: a write is still hedged to a second partition while
 // the store is otherwise fast.
-func TestSilentPartIsPassedOverWhileTheStoreIsQuick(t *testing.T) {
-	store := &hangingPartStore{fakeStore: newFakeStore(), part: pool.JobParts(poolName, jobID)[0]}
+func TestWriteIsHedgedWhileStoreIsFast(t *testing.T) {
+	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
 	gateway.node.recordReportedLatency(5)
 	require.NoError(t, gateway.Submit(t.Context(), testAccess(), testSpec()))
-	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobParts(poolName, jobID)[1], jobID))
+	require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[1], jobID))
 }
 
 func TestLeastLatencyFollowsTheStore(t *testing.T) {
@@ -106,8 +106,8 @@
 	require.False(t, known)
 }
 
-// TestOwnCallsGoBeforeWhatTheOwnerTells: a store that answers this node quickly is not slow.
-func TestOwnCallsGoBeforeWhatTheOwnerTells(t *testing.T) {
+// TestOwnLatencyOverridesReportedLatency: a store that answers this node quickly is not slow.
+func TestOwnLatencyOverridesReportedLatency(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.False(t, n.storeSlow())
 	n.recordReportedLatency(400)
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -14,9 +14,9 @@
 func (n *Node) watchSuspensions() {
 	before := uptime.Suspended()
 	n.edges.Loop.After(suspensionCheckInterval, func() {
-		uptime.Look()
+		uptime.Refresh()
 		if suspended := uptime.Suspended() - before; suspended >= minLoggedSuspension {
-			n.edges.Record.Decided("machine was suspended", "for_ms", suspended.Milliseconds())
+			n.edges.Recorder.LogEvent("machine was suspended", "for_ms", suspended.Milliseconds())
 		}
 		n.watchSuspensions()
 	})
--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -10,7 +10,7 @@
 // capacitiesFresh reports whether the workers' capacities are fresh enough for placement; always
 // true if the workers enforce them.
 func (p *Pool) capacitiesFresh() bool {
-	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
+	if p.options.DisabledSafeguards.CapacityAge || p.workersEnforceCapacity() {
 		return true
 	}
 	return p.loop.Now().Sub(p.workersReadAt) <= maxCapacityAge
@@ -36,7 +36,7 @@
 func (w *worker) fitsMembers(now time.Time) bool {
 	free := w.Capacity
 	for _, m := range w.members {
-		free = free.Minus(m.unit.spec().Room())
+		free = free.Minus(m.unit.spec().Requirements())
 	}
 	free = w.subtractUnexpected(free, now)
 	return free.CPU >= 0 && free.MemoryMB >= 0 && free.GPUs >= 0
--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -105,7 +105,7 @@
 		}
 	}
 	now := p.loop.Now()
-	timelyFirst := !p.options.Off[mechanism.TimelyFirst]
+	timelyFirst := !p.options.DisabledMechanisms[mechanism.OnTimeFirst]
 	slices.SortFunc(waiting, func(a, b *unit) int { return compareUnits(a, b, now, timelyFirst) })
 	return waiting
 }
@@ -161,14 +161,14 @@
 	if !u.likelyPoison() && p.mayPreempt(s, u) && p.preemptFor(s, u, request) {
 		return false
 	}
-	if !p.options.Off[mechanism.Reservations] {
+	if !p.options.DisabledMechanisms[mechanism.Reservations] {
 		s.reserve(u, request, s.earliestPlacement(u, request))
 	}
 	return false
 }
 
 func (p *Pool) assignTo(s *snapshot, u *unit, request *placement.Request, places []int) {
-	placement.Reserve(s.workers, places, request.Room)
+	placement.Reserve(s.workers, places, request.Resources)
 	workers := make([]*worker, len(places))
 	for i, place := range places {
 		workers[i] = s.poolWorkers[place]
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -7,13 +7,13 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Operators evacuate zones: no run may start there later than Bounds.Evacuation after the store
-// acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of evacuated
-// zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay until the
-// start is carried out, it stays within the bound.
+// Operators evacuate zones: no run may start there later than Bounds.EvacuationTimeout after the
+// store acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of
+// evacuated zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay
+// until the start is carried out, it stays within the bound.
 const (
-	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which come
-	// every 0.3 s.
+	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which
+	// come every 0.3 s.
 	maxEvacuationAge = 2 * time.Second
 	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
@@ -26,10 +26,10 @@
 // carried out later.
 func (p *Pool) maxStartDelay() time.Duration {
 	ahead := startTimeout
-	if p.options.Late != nil {
-		ahead += p.options.Late()
+	if p.options.SchedulingDelay != nil {
+		ahead += p.options.SchedulingDelay()
 	}
-	if bound := p.options.Bounds.Evacuation; bound > 0 {
+	if bound := p.options.Bounds.EvacuationTimeout; bound > 0 {
 		return min(ahead, bound/2)
 	}
 	return ahead
@@ -38,8 +38,8 @@
 // evacuationAgeLimit returns the maximum age of the set of evacuated zones for a start; 0 if it is
 // unlimited.
 func (p *Pool) evacuationAgeLimit() time.Duration {
-	bound := p.options.Bounds.Evacuation
-	if bound <= 0 || p.options.Without.EvacuationAge {
+	bound := p.options.Bounds.EvacuationTimeout
+	if bound <= 0 || p.options.DisabledSafeguards.EvacuationAge {
 		return 0
 	}
 	return min(maxEvacuationAge, bound-p.maxStartDelay()-evacuationMargin)
@@ -56,10 +56,10 @@
 
 // evacuatedZones returns the newest known set of evacuated zones.
 func (p *Pool) evacuatedZones() evacuation.Set {
-	if p.options.Evacuated == nil {
+	if p.options.EvacuatedZones == nil {
 		return p.evacuationsRead
 	}
-	return p.evacuationsRead.Newest(p.options.Evacuated())
+	return p.evacuationsRead.Newest(p.options.EvacuatedZones())
 }
 
 // evacuationsFresh reports whether the set of evacuated zones is fresh enough for starts.
@@ -70,7 +70,7 @@
 
 // mayStartOn reports whether a run may start on a worker: its zone is known not to be evacuated.
 func (p *Pool) mayStartOn(w *worker, now time.Time) bool {
-	if p.options.Without.Evacuations {
+	if p.options.DisabledSafeguards.Evacuations {
 		return true
 	}
 	return p.evacuationsFresh(now) && !p.evacuatedZones().Contains(w.Zone)
@@ -79,7 +79,7 @@
 // checkEvacuations handles changes of the evacuated zones, and reads the operators' rows if the set
 // is older than evacuationReadAgeLimit.
 func (p *Pool) checkEvacuations() {
-	p.NoteEvacuations()
+	p.EvacuationsChanged()
 	askedAt := p.loop.Now()
 	if p.evacuationReadInFlight || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
 		return
@@ -92,15 +92,15 @@
 			return
 		}
 		p.recordStoreAnswer()
-		read := evacuation.Of(evacuation.Changes(listing.Rows, p.ports.EvacuatedZone), listing.Version, askedAt)
+		read := evacuation.NewSet(evacuation.ParseChanges(listing.Rows, p.ports.ParseEvacuationKey), listing.Version, askedAt)
 		p.evacuationsRead = p.evacuationsRead.Newest(read)
-		p.NoteEvacuations()
+		p.EvacuationsChanged()
 	})
 }
 
-// NoteEvacuations handles a change of the evacuated zones or of their freshness: it logs the change
-// and schedules a cycle.
-func (p *Pool) NoteEvacuations() {
+// EvacuationsChanged handles a change of the evacuated zones or of their freshness: it logs the
+// change and schedules a cycle.
+func (p *Pool) EvacuationsChanged() {
 	if p.closed {
 		return
 	}
@@ -111,7 +111,7 @@
 	}
 	p.reportedEvacuations, p.evacuationsWereFresh = current, known
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
-	p.record.Decided("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
+	p.record.LogEvent("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
 	p.scheduleCycle()
 }
--- a/internal/pool/find_placement.go
+++ b/internal/pool/find_placement.go
@@ -23,7 +23,7 @@
 		if places := p.findUnmeasuredWorker(s, u, &visible); places != nil {
 			return places
 		}
-		if !p.options.Off[mechanism.Headroom] {
+		if !p.options.DisabledMechanisms[mechanism.Headroom] {
 			visible.Allowed = s.excludeHeadroom(request.Allowed, u.job.Queue.Priority)
 		}
 	}
@@ -85,10 +85,10 @@
 // waitsForLocality reports whether a unit still waits for locality. It waits no longer than the
 // extra time that a remote run takes.
 func (p *Pool) waitsForLocality(s *snapshot, u *unit, request *placement.Request) bool {
-	if p.options.Off[mechanism.NearPlaces] || !s.hasLocalPlacement(u, request) {
+	if p.options.DisabledMechanisms[mechanism.LocalityWait] || !s.hasLocalPlacement(u, request) {
 		return false
 	}
-	maxWait := (p.options.Bounds.RemoteFactor - 1) * float64(u.estimate())
+	maxWait := (p.options.Bounds.CrossRackSlowdown - 1) * float64(u.estimate())
 	return s.now.Sub(u.readyAt) < time.Duration(maxWait)
 }
 
@@ -97,13 +97,13 @@
 func (s *snapshot) hasLocalPlacement(u *unit, request *placement.Request) bool {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
-		return placement.Holds(s.workers, members, request)
+		return placement.FitsWhenEmpty(s.workers, members, request)
 	}
 	if !spec.SameRack || len(u.members) < 2 {
 		return false
 	}
 	for _, name := range s.racks.Names {
-		if placement.Holds(s.workers, s.racks.Members[name], request) {
+		if placement.FitsWhenEmpty(s.workers, s.racks.Members[name], request) {
 			return true
 		}
 	}
@@ -119,7 +119,7 @@
 // inPreemptionBackoff reports whether a deferrable unit waits because a unit of higher priority has
 // just preempted others.
 func (p *Pool) inPreemptionBackoff(s *snapshot, u *unit) bool {
-	return !p.options.Off[mechanism.Pressure] && u.job.Queue.Priority > p.preemptionBackoffPriority && s.now.Before(p.preemptionBackoffUntil)
+	return !p.options.DisabledMechanisms[mechanism.PreemptionBackoff] && u.job.Queue.Priority > p.preemptionBackoffPriority && s.now.Before(p.preemptionBackoffUntil)
 }
 
 // excludeHeadroom restricts allowed to workers outside the headroom of a priority.
@@ -137,7 +137,7 @@
 	excluded := make([]bool, len(s.workers))
 	count := int(math.Ceil(headroomShares[priority] * float64(len(s.racks.Names))))
 	if count < len(s.racks.Names) {
-		for _, name := range s.racks.Emptiest(s.workers)[:count] {
+		for _, name := range s.racks.ByFreeCapacity(s.workers)[:count] {
 			for _, i := range s.racks.Members[name] {
 				excluded[i] = true
 			}
@@ -149,16 +149,16 @@
 
 // reservationLimiter returns a limit that hides reserved resources from units whose estimate
 // exceeds the time until the reservation starts; nil if nothing is reserved.
-func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Amount) taskgraph.Amount {
+func (s *snapshot) reservationLimiter(estimate time.Duration) func(int, taskgraph.Resources) taskgraph.Resources {
 	if len(s.reservations) == 0 {
 		return nil
 	}
-	return func(i int, free taskgraph.Amount) taskgraph.Amount {
+	return func(i int, free taskgraph.Resources) taskgraph.Resources {
 		reserved, found := s.reservations[i]
 		if !found || estimate <= reserved.startsIn {
 			return free
 		}
-		return free.Least(reserved.unreserved)
+		return free.Min(reserved.unreserved)
 	}
 }
 
@@ -180,36 +180,36 @@
 
 // earliestPlacement returns the earliest future placement of a unit; nil if there is none, or if
 // the cycle has no reservations left and the unit's priority is not 0.
-func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.Promise {
+func (s *snapshot) earliestPlacement(u *unit, request *placement.Request) *placement.FuturePlacement {
 	if s.reservationsLeft == 0 && u.job.Queue.Priority > 0 {
 		return nil
 	}
-	var best *placement.Promise
+	var best *placement.FuturePlacement
 	limit := time.Duration(math.MaxInt64)
 	for _, scope := range s.localityGroups(u) {
 		if found := placement.EarliestFit(s.workers, scope, s.units, request, limit); found != nil {
 			best = found
-			limit = found.After
+			limit = found.Wait
 		}
 	}
 	return best
 }
 
 // reserve reserves the resources of a future placement for a unit.
-func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.Promise) {
+func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.FuturePlacement) {
 	if promise == nil {
 		return
 	}
 	if u.job.Queue.Priority > 0 {
 		s.reservationsLeft--
 	}
-	for i, spare := range promise.Spare {
+	for i, spare := range promise.Unreserved {
 		existing, found := s.reservations[i]
 		if found {
-			spare = spare.Least(existing.unreserved)
+			spare = spare.Min(existing.unreserved)
 		}
-		if !found || promise.After < existing.startsIn {
-			existing.startsIn = promise.After
+		if !found || promise.Wait < existing.startsIn {
+			existing.startsIn = promise.Wait
 		}
 		s.reservations[i] = reservation{startsIn: existing.startsIn, unreserved: spare}
 	}
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -21,7 +21,7 @@
 	w.members = nil
 	var kept []*member
 	for _, m := range all {
-		if m.endedWithIncarnation(sentAt, p.options.Without) && !listed[runID{task: m.name(), run: m.unit.run}] {
+		if m.endedWithIncarnation(sentAt, p.options.DisabledSafeguards) && !listed[runID{task: m.name(), run: m.unit.run}] {
 			w.members = append(w.members, m)
 		} else {
 			kept = append(kept, m)
@@ -36,7 +36,7 @@
 // this owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner
 // is fenced there by the request. A run that is being stopped is missing from reports, so it counts
 // as ended only if an earlier owner had it confirmed in the former incarnation.
-func (m *member) endedWithIncarnation(sentAt time.Time, without Without) bool {
+func (m *member) endedWithIncarnation(sentAt time.Time, without DisabledSafeguards) bool {
 	switch m.state {
 	case memberNone:
 		return true
@@ -44,7 +44,7 @@
 		return m.confirmedBefore
 	case memberRunning:
 		open := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
-		return (!open || without.OpenStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
+		return (!open || without.UnansweredStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
 	}
 	return false
 }
@@ -57,10 +57,10 @@
 		if m.formerIncarnation.ID == "" || m.state != memberUnconfirmed || !m.sentAt.IsZero() || listed[m] {
 			continue
 		}
-		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Life == m.formerIncarnation })
+		index := slices.IndexFunc(formers, func(known *worker) bool { return known.Incarnation == m.formerIncarnation })
 		if index < 0 {
 			index = len(formers)
-			formers = append(formers, &worker{Worker: fleet.Worker{Life: m.formerIncarnation, Address: w.Address}})
+			formers = append(formers, &worker{Worker: fleet.Worker{Incarnation: m.formerIncarnation, Address: w.Address}})
 		}
 		former := formers[index]
 		w.members = slices.DeleteFunc(w.members, func(other *member) bool { return other == m })
@@ -74,9 +74,9 @@
 
 // leaveIncarnation records that the member's run was last known in an incarnation that has ended.
 // The next incarnation has not confirmed the run yet.
-func (m *member) leaveIncarnation(life fleet.Life) {
+func (m *member) leaveIncarnation(incarnation fleet.Incarnation) {
 	if m.wasConfirmed() {
-		m.formerIncarnation = life
+		m.formerIncarnation = incarnation
 	}
 	m.confirmedBefore = false
 }
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -14,16 +14,16 @@
 // Stored rows may be corrupt or written by another program. A new owner must take over regardless.
 
 // takeOverWithRow starts an owner that reads the given row beside those of valid jobs.
-func takeOverWithRow(key rows.Key, value []byte) *simulation.World {
-	w := simulation.NewWorld(1, 2)
-	w.Judge.Quiet = true
+func takeOverWithRow(key rows.Key, value []byte) *simulation.Cluster {
+	w := simulation.NewCluster(1, 2)
+	w.Checker.Quiet = true
 	for _, worker := range w.Workers {
-		worker.Unwell = key.Table == pool.JobTable
+		worker.Unhealthy = key.Table == pool.JobTable
 	}
 	w.Submit(spec(1, single(2), gang(2)), batch)
 	w.Submit(spec(2, single(1)), batch)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: value}}})
-	w.Own()
+	w.AcquirePool()
 	w.Run(300 * time.Millisecond)
 	return w
 }
@@ -38,7 +38,7 @@
 		f.Add([]byte(damaged))
 	}
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		key := rows.Key{Table: pool.ProgressTable, Part: pool.ProgressParts(simulation.PoolName)[0], Name: jobID(1)}
+		key := rows.Key{Table: pool.ProgressTable, Part: pool.ProgressPartitions(simulation.PoolName)[0], Name: jobID(1)}
 		takeOverWithRow(key, value)
 	})
 }
@@ -51,7 +51,7 @@
 			t.Skip("20,000 tasks that ask for nothing take 6 s on two workers")
 		}
 		// The simulation does not know the job, so the workers must not start it.
-		takeOverWithRow(pool.AcceptedKey(pool.JobParts(simulation.PoolName, jobID(3))[0], jobID(3)), value)
+		takeOverWithRow(pool.AcceptedKey(pool.JobPartitions(simulation.PoolName, jobID(3))[0], jobID(3)), value)
 	})
 }
 
@@ -70,6 +70,6 @@
 func FuzzHeadRow(f *testing.F) {
 	f.Add([]byte(`{"token":1,"nonce":"n","durations":{"q":{}}}`))
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		takeOverWithRow(rows.Key{Table: pool.ProgressTable, Part: pool.ProgressParts(simulation.PoolName)[0], Name: "!head"}, value)
+		takeOverWithRow(rows.Key{Table: pool.ProgressTable, Part: pool.ProgressPartitions(simulation.PoolName)[0], Name: "!head"}, value)
 	})
 }
--- a/internal/pool/isolation.go
+++ b/internal/pool/isolation.go
@@ -49,7 +49,7 @@
 // loss beside another suspected unit proves nothing.
 func (u *unit) needsEmptyWorkers() bool {
 	for _, m := range u.suspects() {
-		if m.losses.Count() >= isolationLosses || m.losses.Count() > 1 && m.losses.Suspicious() {
+		if m.losses.LossCount() >= isolationLosses || m.losses.LossCount() > 1 && m.losses.SuspectedByOdds() {
 			return true
 		}
 	}
@@ -98,9 +98,9 @@
 // these are the workers that will have none.
 func (s *snapshot) restrictToEmpty(request *placement.Request) *placement.Request {
 	restricted := *request
-	restricted.Limit = func(i int, free taskgraph.Amount) taskgraph.Amount {
+	restricted.Limit = func(i int, free taskgraph.Resources) taskgraph.Resources {
 		if free != s.workers[i].Capacity {
-			return taskgraph.Amount{}
+			return taskgraph.Resources{}
 		}
 		if request.Limit != nil {
 			return request.Limit(i, free)
@@ -116,8 +116,8 @@
 	if promise == nil {
 		return
 	}
-	for i := range promise.Spare {
-		promise.Spare[i] = taskgraph.Amount{}
+	for i := range promise.Unreserved {
+		promise.Unreserved[i] = taskgraph.Resources{}
 	}
 	s.reserve(u, request, promise)
 }
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -23,17 +23,17 @@
 // leasesExpired reports whether all leases of the worker have certainly expired.
 func (p *Pool) leasesExpired(w *worker) bool {
 	deadline := w.deadline
-	if p.options.Without.LeaseWait {
+	if p.options.DisabledSafeguards.LeaseExpiryWait {
 		return true
 	}
 	if deadline == 0 {
 		// This owner granted no lease. The former owner may have granted some until this one had
 		// fenced the progress partitions.
 		since := w.clockAt
-		if p.progressFencedAt.After(since) && !p.options.Without.ClaimWait {
+		if p.progressFencedAt.After(since) && !p.options.DisabledSafeguards.FormerOwnerLeaseWait {
 			since = p.progressFencedAt
 		}
-		return p.loop.Now().Sub(since) > time.Duration(float64(p.options.Bounds.MaxHold)*(1+clockDrift))+leaseExpiryMargin
+		return p.loop.Now().Sub(since) > time.Duration(float64(p.options.Bounds.MaxLease)*(1+clockDrift))+leaseExpiryMargin
 	}
 	return w.estimatedClock(p.loop.Now()) > deadline+leaseExpiryMargin.Milliseconds()
 }
@@ -44,7 +44,7 @@
 	for _, w := range p.sortedWorkers() {
 		silent := w.unansweredCalls > 0 || (!w.contacted && p.loaded)
 		if silent && len(w.members) > 0 && p.leasesExpired(w) {
-			p.record.Decided("lease ran out", "worker", w.ID, "runs", len(w.members))
+			p.record.LogEvent("lease ran out", "worker", w.ID, "runs", len(w.members))
 			p.markRunsLost(w, lostLeaseExpired)
 			p.removeIfIdle(w)
 		} else if silent && !w.hasRow && p.leasesExpired(w) {
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -13,8 +13,8 @@
 		return
 	}
 	now := p.loop.Now()
-	for k := 0; k < j.Spec.Times(); k++ {
-		due := j.Spec.Due(k)
+	for k := 0; k < j.Spec.RepetitionCount(); k++ {
+		due := j.Spec.DueTime(k)
 		if timeOfDay := p.loop.TimeOfDay(); !due.IsZero() && due.After(timeOfDay) {
 			p.loop.After(due.Sub(timeOfDay)+dueTimeMargin, func() { p.createReadyUnits(j); p.scheduleCycle() })
 			break
@@ -51,7 +51,7 @@
 		return
 	}
 	j.cancelled = true
-	p.record.Decided("job cancelled", "job", id)
+	p.record.LogEvent("job cancelled", "job", id)
 	p.finishJob(j, taskgraph.Cancelled)
 }
 
@@ -67,7 +67,7 @@
 		}
 	}
 	p.record.Count("job_transitions", string(state))
-	p.record.Decided("job ended", "job", j.id, "queue", j.Queue.Name, "state", string(state),
+	p.record.LogEvent("job ended", "job", j.id, "queue", j.Queue.Name, "state", string(state),
 		"age_ms", p.loop.Now().Sub(j.acceptedAt).Milliseconds(), "objective_ms", j.objective.Milliseconds(), "stretch", j.Queue.Stretch, "target_ms", j.Queue.TargetMillis)
 	p.persist(j)
 }
@@ -99,7 +99,7 @@
 
 func (p *Pool) removeJobRows(id string) {
 	p.removingExpiredJob = true
-	parts := JobParts(p.options.Pool, id)
+	parts := JobPartitions(p.options.Pool, id)
 	pending, failed := len(parts), false
 	for _, part := range parts {
 		removes := []rows.Key{AcceptedKey(part, id), CancelledKey(part, id)}
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -33,7 +33,7 @@
 	}
 	var suspects []*member
 	for _, m := range u.members {
-		if m.losses.Count() > 0 {
+		if m.losses.LossCount() > 0 {
 			suspects = append(suspects, m)
 		}
 	}
@@ -68,7 +68,7 @@
 // failPoisonJob fails the unit's job if one of its tasks crashes the workers that run it, since
 // each further start would crash another worker. It returns true if it failed the job.
 func (p *Pool) failPoisonJob(u *unit) bool {
-	if p.options.Without.LossRecords || u.job.pendingState.Final() {
+	if p.options.DisabledSafeguards.LossRecords || u.job.pendingState.Final() {
 		return false
 	}
 	for _, m := range u.suspects() {
@@ -77,8 +77,8 @@
 			continue
 		}
 		p.record.Count("given_up", string(verdict))
-		p.record.Decided("job given up", "job", u.job.id, "task", m.name().String(), "reason", string(verdict),
-			"losses", m.losses.Count(), "odds", m.losses.Odds(), "workers", m.losses.Workers())
+		p.record.LogEvent("job given up", "job", u.job.id, "task", m.name().String(), "reason", string(verdict),
+			"losses", m.losses.LossCount(), "odds", m.losses.Odds(), "workers", m.losses.Workers())
 		p.finishJob(u.job, taskgraph.Failed)
 		return true
 	}
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -9,7 +9,7 @@
 const (
 	// pollWait is how long a poll waits at the worker for a run to end.
 	pollWait = 2 * time.Second
-	// pollRetryDelay is the delay after a poll without an answer.
+	// pollRetryDelay is the delay after a poll without a reply.
 	pollRetryDelay = 300 * time.Millisecond
 )
 
@@ -24,16 +24,16 @@
 	}
 	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Hold{Token: p.token, LastSeen: w.endAcks.acknowledgeable(now, p.options.Without)}
+	order := fleet.Poll{Token: p.token, AcknowledgedEnd: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
 	if w.contacted && w.unansweredCalls == 0 {
-		order.Wait = p.pollWaitFor(w, order.LastSeen)
-		if extension := min(leaseDuration, p.options.Bounds.MaxHold, p.remainingLease(now)); extension > 0 {
+		order.Wait = p.pollWaitFor(w, order.AcknowledgedEnd)
+		if extension := min(leaseDuration, p.options.Bounds.MaxLease, p.remainingLease(now)); extension > 0 {
 			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
 			w.deadline = max(w.deadline, order.DeadlineMillis)
 		}
 	}
 	p.record.Count("worker_orders", "hold")
-	p.ports.Hold(&w.Worker, order, func(reply fleet.Reply, err error) {
+	p.ports.Poll(&w.Worker, order, func(reply fleet.Reply, err error) {
 		p.queuedPollDone(w)
 		if p.closed || p.workers[w.ID] != w {
 			return
@@ -46,7 +46,7 @@
 		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
-		w.endAcks.acknowledge(order.LastSeen)
+		w.endAcks.acknowledge(order.AcknowledgedEnd)
 		p.handlePollReply(w, reply, now)
 	})
 }
@@ -66,7 +66,7 @@
 	return pollWait
 }
 
-// A worker that left a call unanswered may do so again, and an end reported in a lost answer is
+// A worker that left a call unanswered may do so again, and an end reported in a lost reply is
 // noticed only with the next poll. For lossyDuration, about as long as such faults last, polls wait
 // only for lossyPollWait.
 const (
@@ -93,7 +93,7 @@
 	}
 	sentAt := p.loop.Now()
 	p.record.Count("worker_orders", "look")
-	p.ports.Hold(&w.Worker, fleet.Hold{Token: p.token}, func(reply fleet.Reply, err error) {
+	p.ports.Poll(&w.Worker, fleet.Poll{Token: p.token}, func(reply fleet.Reply, err error) {
 		if p.closed || p.workers[w.ID] != w {
 			return
 		}
@@ -116,12 +116,12 @@
 	w.clock, w.clockAt = clock, now
 	if jumped {
 		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
-		// identifies the incarnation; the answer to a start does not.
-		w.deadline = clock + p.options.Bounds.MaxHold.Milliseconds()
+		// identifies the incarnation; the reply to a start does not.
+		w.deadline = clock + p.options.Bounds.MaxLease.Milliseconds()
 		p.pollNow(w)
 	}
 	if w.unansweredCalls > 0 {
-		p.record.Decided("worker answers again", "worker", w.ID, "unanswered", w.unansweredCalls)
+		p.record.LogEvent("worker answers again", "worker", w.ID, "unanswered", w.unansweredCalls)
 	}
 	w.unansweredCalls = 0
 	w.leftWithoutDrain = w.leftWithoutDrain || (!w.hasRow && !w.rowMissing)
@@ -132,8 +132,8 @@
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	p.noteReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
-	if p.lossTracker.Alive(w.Life.String()) {
-		p.record.Decided("worker lives after all", "worker", w.ID)
+	if p.lossTracker.WithdrawLoss(w.Incarnation.String()) {
+		p.record.LogEvent("worker lives after all", "worker", w.ID)
 	}
 	p.applyReport(w, reply, sentAt)
 }
@@ -154,17 +154,17 @@
 	if difference.Abs() <= allowed {
 		return false
 	}
-	p.record.Decided("worker clock jumped", "worker", w.ID, "by_ms", difference.Milliseconds(), "runs", len(w.members))
+	p.record.LogEvent("worker clock jumped", "worker", w.ID, "by_ms", difference.Milliseconds(), "runs", len(w.members))
 	return true
 }
 
-// noteNoReply records a call without an answer.
+// noteNoReply records a call without a reply.
 func (p *Pool) noteNoReply(w *worker) {
 	first := w.unansweredCalls == 0
 	w.unansweredCalls++
 	if first {
 		w.unresponsiveSince = p.loop.Now()
-		p.record.Decided("worker does not answer", "worker", w.ID, "runs", len(w.members))
+		p.record.LogEvent("worker does not answer", "worker", w.ID, "runs", len(w.members))
 		p.pollIdleWorkers()
 	}
 	w.lossyUntil = p.loop.Now().Add(lossyDuration)
--- a/internal/pool/unexpected_runs.go
+++ b/internal/pool/unexpected_runs.go
@@ -16,13 +16,13 @@
 // unexpectedRun is a run that a worker listed and that this owner did not expect there. It occupies
 // capacity until it has ended.
 type unexpectedRun struct {
-	room taskgraph.Amount
+	room taskgraph.Resources
 	// endedBy is the time by which the run has certainly ended; zero while the worker lists it.
 	endedBy time.Time
 }
 
 // runIDs returns the identifiers of the runs that a worker lists as running.
-func runIDs(running []fleet.Running) map[runID]bool {
+func runIDs(running []fleet.ActiveRun) map[runID]bool {
 	names := make(map[runID]bool, len(running))
 	for i := range running {
 		names[runID{task: running[i].Task, run: running[i].Run}] = true
@@ -32,13 +32,13 @@
 
 // stopUnexpected stops a run that should not be on a worker.
 func (p *Pool) stopUnexpected(w *worker, name taskgraph.TaskName, run int) {
-	room := taskgraph.Amount{}
+	room := taskgraph.Resources{}
 	if j := p.jobs[name.Job]; j != nil && name.Step < len(j.Spec.Steps) {
-		room = j.Spec.Steps[name.Step].Room()
+		room = j.Spec.Steps[name.Step].Requirements()
 	}
 	w.unexpected[runID{task: name, run: run}] = unexpectedRun{room: room}
 	p.record.Count("worker_orders", "stop_stranger")
-	p.record.Decided("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.Born)
+	p.record.LogEvent("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.StartMillis)
 	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
 		if !p.closed && err != nil {
 			p.handleOrderError(w, err)
@@ -68,7 +68,7 @@
 }
 
 // subtractUnexpected subtracts the capacity of a worker's unexpected runs from its free capacity.
-func (w *worker) subtractUnexpected(free taskgraph.Amount, now time.Time) taskgraph.Amount {
+func (w *worker) subtractUnexpected(free taskgraph.Resources, now time.Time) taskgraph.Resources {
 	for _, run := range w.unexpected {
 		if run.endedBy.IsZero() || now.Before(run.endedBy) {
 			free = free.Minus(run.room)
@@ -81,7 +81,7 @@
 // that do not enforce their capacity. Runs that the former owner was stopping at the first contact
 // are in no report; they end within the time of a stop.
 func (p *Pool) usageKnown(w *worker, now time.Time) bool {
-	if p.options.Without.AccountAge || p.workersEnforceCapacity() {
+	if p.options.DisabledSafeguards.CapacityAge || p.workersEnforceCapacity() {
 		return true
 	}
 	return now.Sub(w.contactedAt) > p.options.Bounds.StopTimeout+stopMargin
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -50,9 +50,9 @@
 		return
 	}
 	if w == nil {
-		w = p.addUnlistedWorker(described.Life)
+		w = p.addUnlistedWorker(described.Incarnation)
 	}
-	switch order := p.compareIncarnation(w, described.Born); {
+	switch order := p.compareIncarnation(w, described.StartMillis); {
 	case order == laterIncarnation, order == earlierIncarnation && w.unansweredCalls > 0:
 		// If the known incarnation does not respond, an earlier start time may come from a clock
 		// that was set back.
@@ -67,12 +67,12 @@
 // updateFromRow applies the content of a worker row to the known incarnation.
 func (p *Pool) updateFromRow(w *worker, described *fleet.Worker) {
 	if !w.hasRow {
-		p.lossTracker.Replaced(described.Address, described.Life.String())
+		p.lossTracker.MarkReplaced(described.Address, described.Incarnation.String())
 	}
 	wasDraining := w.Draining
-	born := max(w.Born, described.Born)
+	born := max(w.StartMillis, described.StartMillis)
 	w.Worker = *described
-	w.Born = born
+	w.StartMillis = born
 	w.claimedIncarnation = nil
 	if rack := described.Rack(); w.rack != rack {
 		w.rack = rack
@@ -81,7 +81,7 @@
 	w.hasRow, w.rowMissing, w.leftWithoutDrain = true, false, false
 	w.coldStartUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
 	if w.Draining && !wasDraining {
-		p.record.Decided("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
+		p.record.LogEvent("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
 		p.drainWorker(w)
 	}
 	p.enqueueFirstContact(w)
@@ -89,13 +89,13 @@
 }
 
 // addUnlistedWorker adds a worker of which only the incarnation is known.
-func (p *Pool) addUnlistedWorker(life fleet.Life) *worker {
+func (p *Pool) addUnlistedWorker(incarnation fleet.Incarnation) *worker {
 	w := &worker{
-		Worker:     fleet.Worker{Life: life},
+		Worker:     fleet.Worker{Incarnation: incarnation},
 		unexpected: map[runID]unexpectedRun{},
 		clockAt:    p.loop.Now(),
 	}
-	p.workers[life.ID] = w
+	p.workers[incarnation.ID] = w
 	p.invalidateWorkerCaches()
 	return w
 }
@@ -129,7 +129,7 @@
 // markUnlisted marks a worker as no longer listed. Its runs may continue.
 func (p *Pool) markUnlisted(w *worker) {
 	if w.hasRow {
-		p.record.Decided("worker gone from the list", "worker", w.ID, "runs", len(w.members))
+		p.record.LogEvent("worker gone from the list", "worker", w.ID, "runs", len(w.members))
 	}
 	w.hasRow = false
 	for _, m := range w.members {
@@ -163,7 +163,7 @@
 	case fleet.OtherInstance:
 		p.handleWorkerReplaced(w, "another instance answers")
 		return true
-	case fleet.NoAnswer, fleet.Unreachable:
+	case fleet.OutcomeUnknown, fleet.Unreachable:
 		p.noteNoReply(w)
 	case fleet.Unhealthy:
 		w.excludedUntil = p.loop.Now().Add(exclusionPeriod)
@@ -173,7 +173,7 @@
 
 // handleWorkerReplaced marks all runs on a worker as lost after another instance has replaced it.
 func (p *Pool) handleWorkerReplaced(w *worker, reason string) {
-	p.record.Decided("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
+	p.record.LogEvent("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
 	p.markRunsLost(w, lostInstanceReplaced)
 	w.hasRow = false
 	p.removeIfIdle(w)
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -48,18 +48,18 @@
 // applyEvacuations schedules the evacuations and cancels all of them at the end of the run, so
 // that all jobs can complete.
 func (r *run) applyEvacuations(evacuations []Evacuation, began time.Time, ends *sync.WaitGroup) {
-	world := r.platform.World
+	world := r.platform.Cluster
 	zones := world.Zones()
 	for _, evacuation := range evacuations {
 		zone := zones[evacuation.Target%len(zones)]
 		r.scheduleLocked(began.Add(evacuation.At), ends, func() { world.Evacuate(zone) })
-		if until := evacuation.At + evacuation.Length; until < r.options.Length {
-			r.scheduleLocked(began.Add(until), ends, func() { world.TakeBack(zone) })
+		if until := evacuation.At + evacuation.Length; until < r.options.FaultDuration {
+			r.scheduleLocked(began.Add(until), ends, func() { world.CancelEvacuation(zone) })
 		}
 	}
-	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
+	r.scheduleLocked(began.Add(r.options.FaultDuration), ends, func() {
 		for _, zone := range zones {
-			world.TakeBack(zone)
+			world.CancelEvacuation(zone)
 		}
 	})
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -17,7 +17,7 @@
 	"github.com/wheatroad/wheatroad/platform/standin"
 )
 
-func TestPlanIsTheSameForASeed(t *testing.T) {
+func TestPlanIsDeterministicPerSeed(t *testing.T) {
 	plan := NewPlan(7, time.Minute)
 	require.Equal(t, plan, NewPlan(7, time.Minute))
 	require.NotEqual(t, plan, NewPlan(8, time.Minute))
@@ -30,7 +30,7 @@
 	require.Len(t, drawn, len(Kinds()), "every kind is drawn")
 }
 
-func TestEvacuationsAreTheSameForASeed(t *testing.T) {
+func TestEvacuationsAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 100
 	drawn, overlapping := 0, 0
 	for seed := range uint64(seeds) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestLinksAreTheSameForASeed(t *testing.T) {
+func TestLinksAreDeterministicPerSeed(t *testing.T) {
 	const (
 		seeds   = 300
 		daemons = 3
@@ -91,7 +91,7 @@
 	require.Less(t, unlimited, drawn*daemons, "some links must be limited")
 }
 
-func TestSilencesAreTheSameForASeed(t *testing.T) {
+func TestSilencesAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 200
 	drawn, series := 0, 0
 	for seed := range uint64(seeds) {
@@ -129,9 +129,9 @@
 	require.Equal(t, Fault{At: 11899188807, Kind: ResetLink, Target: 1654, Length: 3864325320}, plan[11])
 }
 
-// TestVersionsRiseAndKeepWhatGrew guards against a key rotation that drops extra queues, a growth
+// TestVersionsIncreaseAndKeepGrowth guards against a key rotation that drops extra queues, a growth
 // that drops keys, and a version that does not increase.
-func TestVersionsRiseAndKeepWhatGrew(t *testing.T) {
+func TestVersionsIncreaseAndKeepGrowth(t *testing.T) {
 	r, _ := newTestRun(t)
 	r.putInitialConfiguration()
 	first := r.configuration
@@ -147,25 +147,25 @@
 
 // newTestRun returns a run without daemons, and a job that is registered with its platform.
 func newTestRun(t *testing.T) (*run, *submission) {
-	platform, err := standin.Start(simulation.NewWorld(1, 1))
+	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
 	r := &run{platform: platform, observations: observations{answers: map[string]int{}}}
 	s := &submission{spec: &taskgraph.Spec{ID: "00000000000000aa", Steps: []taskgraph.Step{{Count: 1, EstimateMillis: 1}}}}
-	platform.Locked(func() { platform.World.Expect(*s.spec, catalog.Queue{MaxAttempts: 1}) })
+	platform.WithLock(func() { platform.Cluster.RegisterJob(*s.spec, catalog.Queue{MaxAttempts: 1}) })
 	return r, s
 }
 
 // startTask starts the task of the job on the simulated worker.
 func (r *run) startTask(s *submission) {
-	r.platform.Locked(func() {
+	r.platform.WithLock(func() {
 		order := fleet.Start{Task: taskgraph.TaskName{Job: s.spec.ID}, Run: 1, DeadlineMillis: 3000}
-		r.platform.World.Order(r.platform.World.Workers[0].ID, order, func(fleet.Reply, error) {})
+		r.platform.Cluster.Order(r.platform.Cluster.Workers[0].ID, order, func(fleet.Reply, error) {})
 	})
 }
 
-// TestJudgeCatchesBrokenHistories violates one invariant per history.
-func TestJudgeCatchesBrokenHistories(t *testing.T) {
+// TestViolationsAreDetected violates one invariant per history.
+func TestViolationsAreDetected(t *testing.T) {
 	cases := map[string]struct {
 		submission submission
 		starts     bool
@@ -195,21 +195,21 @@
 	require.Empty(t, r.observations.violations, "a refused job without starts is no violation")
 }
 
-// TestJudgeOfAnswers checks which single answers are violations, depending on the faults at the
-// daemon.
-func TestJudgeOfAnswers(t *testing.T) {
+// TestResponseViolations checks which single responses are violations, depending on the faults at
+// the daemon.
+func TestResponseViolations(t *testing.T) {
 	lost := errors.New("connection reset")
 	cases := map[string]struct {
-		answer          standin.Answer
+		answer          standin.Response
 		err             error
 		takes           time.Duration
 		faulty, planned bool
 		want            string
 	}{
-		"whole":                                {answer: standin.Answer{Status: http.StatusOK, Whole: true}},
-		"truncated body":                       {answer: standin.Answer{Status: http.StatusOK}, want: "without a whole body"},
-		"key refused":                          {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, want: "key in force"},
-		"key refused during a fault":           {answer: standin.Answer{Status: http.StatusUnauthorized, Whole: true}, faulty: true},
+		"whole":                                {answer: standin.Response{Status: http.StatusOK, Valid: true}},
+		"truncated body":                       {answer: standin.Response{Status: http.StatusOK}, want: "without a whole body"},
+		"key refused":                          {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, want: "key in force"},
+		"key refused during a fault":           {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, faulty: true},
 		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
 		"sent while an idle connection closes": {err: lost, planned: true},
 		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, faulty: true},
@@ -223,7 +223,7 @@
 		if c.planned {
 			d.plannedStopUntil = time.Now().Add(time.Minute)
 		}
-		_, _ = r.checkedCall(d, "look", func() (standin.Answer, error) {
+		_, _ = r.checkedCall(d, "look", func() (standin.Response, error) {
 			time.Sleep(c.takes)
 			return c.answer, c.err
 		})
@@ -246,32 +246,32 @@
 
 // runShortSoak runs one seed with daemon processes.
 func runShortSoak(t *testing.T, seed uint64) *Report {
-	report, err := Run(Options{Program: buildDaemon(t), Seed: seed, Length: 6 * time.Second, Daemons: 3, Callers: 2, Folder: t.TempDir()})
+	report, err := Run(Options{DaemonPath: buildDaemon(t), Seed: seed, FaultDuration: 6 * time.Second, Daemons: 3, Callers: 2, Directory: t.TempDir()})
 	require.NoError(t, err)
-	require.Empty(t, report.Broken)
+	require.Empty(t, report.Violations)
 	require.Positive(t, report.States[taskgraph.Completed])
 	return report
 }
 
 func TestShortSoak(t *testing.T) { runShortSoak(t, 1) }
 
-// TestShortSoakOfWorkerTroubles runs a seed whose workers crash under some tasks and at random,
+// TestShortSoakOfWorkerFaults runs a seed whose workers crash under some tasks and at random,
 // and change their capacity.
-func TestShortSoakOfWorkerTroubles(t *testing.T) {
+func TestShortSoakOfWorkerFaults(t *testing.T) {
 	report := runShortSoak(t, 10001)
 	require.Positive(t, report.Workers.PoisonEvery)
 	require.Positive(t, report.States[taskgraph.Failed])
 }
 
-// TestShortSoakOfLives runs a seed whose workers restart under the same identifier and whose rows
-// are overwritten for a while.
-func TestShortSoakOfLives(t *testing.T) {
+// TestShortSoakOfInstanceFaults runs a seed whose workers restart under the same identifier and
+// whose rows are overwritten for a while.
+func TestShortSoakOfInstanceFaults(t *testing.T) {
 	report := runShortSoak(t, 20063)
 	require.NotEmpty(t, report.InstanceFaults.Restarts)
-	require.NotEmpty(t, report.InstanceFaults.ForeignRows)
+	require.NotEmpty(t, report.InstanceFaults.InvalidRows)
 }
 
-func TestLivesAreTheSameForASeed(t *testing.T) {
+func TestInstanceFaultsAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 200
 	drawn, series, foreign := 0, 0, 0
 	for seed := range uint64(seeds) {
@@ -285,7 +285,7 @@
 				series++
 			}
 		}
-		foreign += len(faults.ForeignRows)
+		foreign += len(faults.InvalidRows)
 	}
 	require.InDelta(t, seeds/instanceFaultsEvery, drawn, seeds/10)
 	require.Positive(t, series)
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestWorkerTroublesAreTheSameForASeed(t *testing.T) {
+func TestWorkerFaultsAreDeterministicPerSeed(t *testing.T) {
 	const seeds = 200
 	drawn, poison, unguarded, changes := 0, 0, 0, 0
 	long := &taskgraph.Spec{Steps: []taskgraph.Step{{EstimateMillis: 1000}}}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -64,15 +64,15 @@
 func (r *run) injectLink(fault Fault, d *daemon) func() {
 	d.recordFault(fault.Length + faultMargin)
 	modes := map[Kind]faultproxy.Mode{
-		DelayLink: faultproxy.Delay, SilenceLink: faultproxy.Silence,
-		CutAnswerLink: faultproxy.CutAnswers, CutOrderLink: faultproxy.CutRequests,
+		DelayLink: faultproxy.Delay, SilenceLink: faultproxy.Blackhole,
+		CutAnswerLink: faultproxy.DropResponses, CutOrderLink: faultproxy.DropRequests,
 	}
 	if fault.Kind == ResetLink {
 		d.proxy.Reset()
 		return nil
 	}
 	d.proxy.SetMode(modes[fault.Kind])
-	return func() { d.proxy.SetMode(faultproxy.Pass) }
+	return func() { d.proxy.SetMode(faultproxy.Forward) }
 }
 
 // injectPlatform injects a fault of the platform, which affects every daemon.
@@ -80,27 +80,27 @@
 	for _, d := range r.daemons {
 		d.recordFault(fault.Length + faultMargin)
 	}
-	world := r.platform.World
+	world := r.platform.Cluster
 	var begin, end func()
 	switch fault.Kind {
 	case StoreUnavailable:
-		begin, end = func() { world.Store.AwayAll = true }, func() { world.Store.AwayAll = false }
+		begin, end = func() { world.Store.Unavailable = true }, func() { world.Store.Unavailable = false }
 	case StoreUnresponsive:
-		begin, end = func() { r.platform.Silent = true }, func() { r.platform.Silent = false }
+		begin, end = func() { r.platform.StoreUnresponsive = true }, func() { r.platform.StoreUnresponsive = false }
 	case StoreSlow:
 		begin = func() { world.Store.Latency = slowStoreLatency }
 		end = func() { world.Store.Latency = storeLatency }
 	case StoreLossy:
-		begin, end = func() { world.Store.Lose = r.randomOutcomes(writeLoss) }, func() { world.Store.Lose = nil }
+		begin, end = func() { world.Store.WriteOutcome = r.randomOutcomes(writeLoss) }, func() { world.Store.WriteOutcome = nil }
 	case PartUnavailable:
-		parts := append(pool.ProgressParts(simulation.PoolName), pool.JobParts(simulation.PoolName, strconv.Itoa(fault.Target))...)
+		parts := append(pool.ProgressPartitions(simulation.PoolName), pool.JobPartitions(simulation.PoolName, strconv.Itoa(fault.Target))...)
 		part := parts[fault.Target%len(parts)]
-		begin, end = func() { world.Store.Away[part] = true }, func() { delete(world.Store.Away, part) }
+		begin, end = func() { world.Store.UnavailablePartitions[part] = true }, func() { delete(world.Store.UnavailablePartitions, part) }
 	default:
 		begin, end = r.workerFault(fault)
 	}
-	r.platform.Locked(begin)
-	return func() { r.platform.Locked(end) }
+	r.platform.WithLock(begin)
+	return func() { r.platform.WithLock(end) }
 }
 
 const (
@@ -111,30 +111,30 @@
 )
 
 // randomOutcomes returns a function that draws outcomes, of which a share are not answered.
-func (r *run) randomOutcomes(share float64) func() simulation.Fate {
+func (r *run) randomOutcomes(share float64) func() simulation.Outcome {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
-	return func() simulation.Fate {
+	return func() simulation.Outcome {
 		if random.Float64() < share {
-			return simulation.Fate(1 + random.IntN(3))
+			return simulation.Outcome(1 + random.IntN(3))
 		}
-		return simulation.Answered
+		return simulation.Acknowledged
 	}
 }
 
 // workerFault returns the functions that start and end the fault of one worker. Both must be
 // called with the platform locked.
 func (r *run) workerFault(fault Fault) (begin, end func()) {
-	world := r.platform.World
+	world := r.platform.Cluster
 	worker := world.Workers[fault.Target%len(world.Workers)]
 	switch fault.Kind {
 	case WorkerCrash:
 		return func() { r.replaceWorker(worker) }, func() {}
 	case WorkerPartitioned:
-		return func() { worker.Cut = true }, func() { worker.Cut = false }
+		return func() { worker.Partitioned = true }, func() { worker.Partitioned = false }
 	case WorkerFailing:
 		return func() { worker.Failing = true }, func() { worker.Failing = false }
 	case WorkerSlow:
-		return func() { worker.Slowness = 4 }, func() { worker.Slowness = 1 }
+		return func() { worker.SlowdownFactor = 4 }, func() { worker.SlowdownFactor = 1 }
 	case WorkerDrain:
 		return func() {
 				worker.Draining, worker.RemainingMillis = true, fault.Length.Milliseconds()
@@ -144,16 +144,16 @@
 				r.replaceWorker(worker)
 			}
 	default:
-		return func() { worker.LoseOrder = r.randomOutcomes(orderLoss) }, func() { worker.LoseOrder = nil }
+		return func() { worker.OrderOutcome = r.randomOutcomes(orderLoss) }, func() { worker.OrderOutcome = nil }
 	}
 }
 
 // replaceWorker crashes a worker and adds a new one on the same rack.
 func (r *run) replaceWorker(worker *simulation.Worker) {
-	if worker.Dead {
+	if worker.Crashed {
 		return
 	}
-	world := r.platform.World
+	world := r.platform.Cluster
 	worker.Crash()
 	world.RemoveWorkerRow(worker)
 	r.replaced++
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -37,11 +37,11 @@
 // repeat the transfer of a large configuration, so that daemons on slow links never apply it and
 // refuse every call.
 func TestGrownConfigurationReachesDaemonsOverSlowLinks(t *testing.T) {
-	platform, err := standin.Start(simulation.NewWorld(1, 1))
+	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
 	r := &run{
-		options:  Options{Program: buildDaemon(t), Daemons: 3, Folder: t.TempDir()},
+		options:  Options{DaemonPath: buildDaemon(t), Daemons: 3, Directory: t.TempDir()},
 		platform: platform, observations: observations{answers: map[string]int{}},
 	}
 	r.putInitialConfiguration()
@@ -59,16 +59,16 @@
 		status := d.statusUntil(keyName(2), http.StatusGone, deadline)
 		assert.Equal(t, http.StatusGone, status, "node-%d does not know the new key after %v", d.number, grownLimit)
 	}
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	for _, d := range r.daemons {
 		require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod, "node-%d is not ready", d.number)
 	}
 }
 
 // statusUntil polls the state of an unknown job until the daemon answers with the wanted status or
-// the deadline is over, and returns the last status; zero means no answer.
+// the deadline is over, and returns the last status; zero means no response.
 func (d *daemon) statusUntil(key string, wanted int, deadline time.Time) int {
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	for {
 		status := 0
 		if answer, err := caller.State(d.callers, key, unknownID); err == nil {
@@ -91,27 +91,27 @@
 // TestOwnerReadsManyRowsOverASlowLink guards against scan deadlines that abort and restart the
 // initial read of a large table, so that a new owner never starts a job.
 func TestOwnerReadsManyRowsOverASlowLink(t *testing.T) {
-	platform, err := standin.Start(simulation.NewWorld(1, 1))
+	platform, err := standin.Start(simulation.NewCluster(1, 1))
 	require.NoError(t, err)
 	t.Cleanup(platform.Close)
-	platform.Locked(func() { putEndedJobs(platform.World, oldJobs) })
+	platform.WithLock(func() { putEndedJobs(platform.Cluster, oldJobs) })
 	r := &run{
-		options:  Options{Program: buildDaemon(t), Daemons: 1, Folder: t.TempDir()},
+		options:  Options{DaemonPath: buildDaemon(t), Daemons: 1, Directory: t.TempDir()},
 		platform: platform, observations: observations{answers: map[string]int{}},
 	}
 	r.putInitialConfiguration()
 	t.Cleanup(r.closeDaemons)
-	d, err := newDaemon(0, r.options.Program, r.options.Folder, platform.Address())
+	d, err := newDaemon(0, r.options.DaemonPath, r.options.Directory, platform.Address())
 	require.NoError(t, err)
 	r.daemons = []*daemon{d}
 	d.proxy.SetRate(slowLink)
 	require.NoError(t, d.start())
 	deadline := time.Now().Add(grownLimit)
-	caller := standin.NewCaller(callTimeout)
+	caller := standin.NewClient(callTimeout)
 	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
 
-	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Amount: taskgraph.Amount{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
-	platform.Locked(func() { platform.World.Expect(*spec, catalog.Queue{MaxAttempts: 1}) })
+	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
+	platform.WithLock(func() { platform.Cluster.RegisterJob(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
 		answer, err := caller.Submit(d.callers, keyName(1), spec)
 		return err == nil && answer.Status == http.StatusOK
@@ -123,7 +123,7 @@
 }
 
 // putEndedJobs writes the rows of ended jobs.
-func putEndedJobs(world *simulation.World, count int) {
+func putEndedJobs(world *simulation.Cluster, count int) {
 	for number := range count {
 		id := fmt.Sprintf("%016x", number+1)
 		accepted := pool.Accepted{
@@ -131,9 +131,9 @@
 			Tenant: "tenant", Queue: catalog.Queue{Name: standin.QueueName, Pool: simulation.PoolName},
 			AcceptedMillis: time.Now().UnixMilli(),
 		}
-		part := pool.JobParts(simulation.PoolName, id)[0]
+		part := pool.JobPartitions(simulation.PoolName, id)[0]
 		world.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: pool.AcceptedKey(part, id), Value: pool.Encode(accepted)}}})
-		progressPart := pool.ProgressParts(simulation.PoolName)[0]
+		progressPart := pool.ProgressPartitions(simulation.PoolName)[0]
 		ended := pool.Progress{Token: 1, State: taskgraph.Completed, EndedMillis: time.Now().UnixMilli()}
 		world.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: pool.ProgressTable, Part: progressPart, Name: id}, Value: pool.Encode(ended)}}})
 	}
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -62,7 +62,7 @@
 	}
 	drawn := WorkerFaults{
 		PoisonEvery: leastPoison + random.IntN(mostPoison-leastPoison),
-		Crash:       simulation.Crash{From: simulation.CrashPoint(random.IntN(2)), After: 10 * time.Millisecond},
+		Crash:       simulation.Crash{From: simulation.CrashTrigger(random.IntN(2)), After: 10 * time.Millisecond},
 		Unguarded:   random.IntN(2) == 0,
 	}
 	if random.IntN(3) == 0 {
@@ -91,10 +91,10 @@
 // applyWorkerFaults schedules the faults and restores all capacities at the end of the run, so
 // that all jobs can complete.
 func (r *run) applyWorkerFaults(began time.Time, ends *sync.WaitGroup) {
-	world := r.platform.World
+	world := r.platform.Cluster
 	for _, crash := range r.workers.Crashes {
 		r.scheduleLocked(began.Add(crash.At), ends, func() {
-			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Dead {
+			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Crashed {
 				worker.CrashAndRestart()
 			}
 		})
@@ -107,7 +107,7 @@
 			worker.SetCapacity(capacity, change.RowAfter)
 		})
 	}
-	r.scheduleLocked(began.Add(r.options.Length), ends, func() {
+	r.scheduleLocked(began.Add(r.options.FaultDuration), ends, func() {
 		for _, worker := range world.Workers {
 			worker.SetCapacity(simulation.WorkerCapacity, 0)
 		}
@@ -118,6 +118,6 @@
 func (r *run) scheduleLocked(when time.Time, ends *sync.WaitGroup, fn func()) {
 	ends.Go(func() {
 		time.Sleep(time.Until(when))
-		r.platform.Locked(fn)
+		r.platform.WithLock(fn)
 	})
 }
