--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -107,18 +107,18 @@
 
 func (l *Log) apply(r logLine) {
 	switch r.Message {
-	case "store lost":
+	case "store unreachable":
 		l.storeLostAt[r.Node] = r.At
-	case "store answers again":
+	case "store reachable again":
 		if from, ok := l.storeLostAt[r.Node]; ok && r.Node == l.owner {
 			l.storeOutages = append(l.storeOutages, interval{from, r.At})
 		}
 		delete(l.storeLostAt, r.Node)
-	case "owner does not answer", "pool lost":
+	case "owner unresponsive", "pool lost":
 		if l.ownerLostAt.IsZero() {
 			l.ownerLostAt = r.At
 		}
-	case "owner answers again", "owner left in place":
+	case "owner responsive again", "owner reachable from others":
 		l.ownerLostAt = time.Time{}
 	case "pool acquired":
 		l.owner = r.Node
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -41,7 +41,7 @@
 	decoded, err := n.edges.Codec.DecodeCatalog(content)
 	if err != nil {
 		n.edges.Recorder.Count("refusals", "configuration_invalid")
-		n.edges.Recorder.LogEvent("configuration refused", "source", source, "reason", err.Error())
+		n.edges.Recorder.LogEvent("configuration rejected", "source", source, "reason", err.Error())
 		return
 	}
 	if current := n.catalog.Load(); current != nil && decoded.Version <= current.Version {
@@ -50,7 +50,7 @@
 	decoded.Index()
 	n.document.Store(&document{version: decoded.Version, content: content})
 	n.catalog.Store(decoded)
-	n.edges.Recorder.LogEvent("configuration in force", "version", decoded.Version, "source", source, "bytes", len(content))
+	n.edges.Recorder.LogEvent("configuration applied", "version", decoded.Version, "source", source, "bytes", len(content))
 	for _, name := range decoded.PoolNames() {
 		n.watchPool(name)
 	}
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -165,7 +165,7 @@
 		switch {
 		case errors.Is(err, rows.ErrHistoryExpired):
 			n.edges.Recorder.Count("feed_gaps", s.table)
-			n.edges.Recorder.LogEvent("feed read anew", "table", s.table, "after", after)
+			n.edges.Recorder.LogEvent("feed history expired", "table", s.table, "after", after)
 			s.onEnd()
 		case errors.Is(err, errReadCanceled):
 			n.follow(s, after)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -162,7 +162,7 @@
 	silentFor := age(n.storeAnswered.Swap(&now))
 	if n.storeUnavailable.CompareAndSwap(true, false) {
 		n.edges.Loop.Post(n.handleStoreRecovery)
-		n.edges.Recorder.LogEvent("store answers again", "silent_ms", silentFor.Milliseconds())
+		n.edges.Recorder.LogEvent("store reachable again", "silent_ms", silentFor.Milliseconds())
 	}
 }
 
@@ -187,7 +187,7 @@
 	if n.storeUnavailable.CompareAndSwap(false, true) {
 		n.edges.Loop.After(probePeriod, n.startRecoveryProbes)
 		n.feeds.cancelIdle(0)
-		n.edges.Recorder.LogEvent("store lost", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
+		n.edges.Recorder.LogEvent("store unreachable", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -122,7 +122,7 @@
 		w.lastReplyAt = n.now()
 		if w.unresponsive {
 			w.unresponsive = false
-			n.edges.Recorder.LogEvent("owner answers again", "pool", w.pool, "owner", owner)
+			n.edges.Recorder.LogEvent("owner responsive again", "pool", w.pool, "owner", owner)
 			n.refreshMembers()
 		}
 		n.waiting[w.pool] = waitingCounts{counts: reply.Waiting, at: uptime.Now()}
@@ -149,7 +149,7 @@
 	n.edges.Recorder.Count("retries", "ping")
 	if !w.unresponsive {
 		w.unresponsive = true
-		n.edges.Recorder.LogEvent("owner does not answer", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
+		n.edges.Recorder.LogEvent("owner unresponsive", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
 	}
 	n.refreshLease(w)
 	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
@@ -172,7 +172,7 @@
 			// The result is about a previous owner.
 		case seen:
 			n.edges.Recorder.Count("takeovers", "owner_seen_by_others")
-			n.edges.Recorder.LogEvent("owner left in place", "pool", w.pool, "owner", lease.Owner, "reason", reason)
+			n.edges.Recorder.LogEvent("owner reachable from others", "pool", w.pool, "owner", lease.Owner, "reason", reason)
 		default:
 			n.scheduleAcquire(w, reason, n.ownerSuspected)
 		}
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -16,7 +16,7 @@
 	n.edges.Loop.After(suspensionCheckInterval, func() {
 		uptime.Refresh()
 		if suspended := uptime.Suspended() - before; suspended >= minLoggedSuspension {
-			n.edges.Recorder.LogEvent("machine was suspended", "for_ms", suspended.Milliseconds())
+			n.edges.Recorder.LogEvent("machine resumed from suspension", "for_ms", suspended.Milliseconds())
 		}
 		n.watchSuspensions()
 	})
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -66,7 +66,7 @@
 		case p.closed:
 		case errors.Is(err, rows.ErrHistoryExpired):
 			p.record.Count("feed_gaps", table)
-			p.record.LogEvent("feed read anew", "table", table, "after", after)
+			p.record.LogEvent("feed history expired", "table", table, "after", after)
 			again()
 		case err != nil:
 			p.record.Count("retries", "feed")
