--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -37,7 +37,7 @@
 }
 
 // runEndMessages are the log messages that report the end of a run.
-var runEndMessages = map[string]bool{"run ended": true, "run lost": true, "run listed nowhere": true}
+var runEndMessages = map[string]bool{"run ended": true, "run lost": true, "run missing from reports": true}
 
 // format describes the end of the run and identifies the worker process.
 func (e *runEnd) format(decision string) string {
@@ -61,7 +61,7 @@
 }
 
 // failureReasonMessage precedes "job ended" and gives the reason for the failure.
-const failureReasonMessage = "job given up"
+const failureReasonMessage = "poison job failed"
 
 // outcomeMessages are the log messages that decide the response to the caller.
 var outcomeMessages = map[string]bool{
--- a/internal/cli/trace_test.go
+++ b/internal/cli/trace_test.go
@@ -38,7 +38,7 @@
 func TestTraceMarksReasonOfFailedJob(t *testing.T) {
 	input := strings.Join([]string{
 		`1.0 node-1 {"ts":"2026-01-01T00:00:01Z","msg":"run lost","job":"00000000000000aa","worker":"w-1"}`,
-		`2.0 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"job given up","job":"00000000000000aa","reason":"crash_odds"}`,
+		`2.0 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"poison job failed","job":"00000000000000aa","reason":"crash_odds"}`,
 		`2.0 node-1 {"ts":"2026-01-01T00:00:02Z","msg":"job ended","job":"00000000000000aa","state":"failed"}`,
 	}, "\n")
 	lines := traceOutput(t, input)
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -67,7 +67,7 @@
 		"store unavailable": {[]string{line("a", 0, "pool acquired", ""), accepted(10, "x"), line("a", 100, "store unreachable", `"reason":"reset"`), placed(120, "x", 1, 0, ""),
 			line("a", 3000, "store reachable again", ""), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
 			CauseStoreUnavailable},
-		"takeover": {[]string{accepted(0, "x"), line("b", 10, "owner unresponsive", ""), line("a", 2900, "pool acquired", ""), line("a", 3000, "rows read", ""),
+		"takeover": {[]string{accepted(0, "x"), line("b", 10, "owner unresponsive", ""), line("a", 2900, "pool acquired", ""), line("a", 3000, "pool state loaded", ""),
 			placed(3000, "x", 1, 3000, ""), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
 			CauseTakeover},
 		"slow workers": {[]string{accepted(0, "x"), placed(0, "x", 1, 0, ""), runEndedOn(2.5, 2000, "x", 2000), jobEnded(2000, "x", "completed")},
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -114,7 +114,7 @@
 			l.storeOutages = append(l.storeOutages, interval{from, r.At})
 		}
 		delete(l.storeLostAt, r.Node)
-	case "owner unresponsive", "pool lost":
+	case "owner unresponsive", "pool ownership ended":
 		if l.ownerLostAt.IsZero() {
 			l.ownerLostAt = r.At
 		}
@@ -125,7 +125,7 @@
 		if l.ownerLostAt.IsZero() {
 			l.ownerLostAt = r.At
 		}
-	case "rows read":
+	case "pool state loaded":
 		if !l.ownerLostAt.IsZero() {
 			l.takeovers = append(l.takeovers, interval{l.ownerLostAt, r.At})
 		}
--- a/internal/pool/cold_workers_test.go
+++ b/internal/pool/cold_workers_test.go
@@ -59,7 +59,7 @@
 			step.EstimateMillis = 4000
 			w.Submit(spec(1, step), urgent)
 			w.Run(6 * time.Second)
-			require.Equal(t, !cold, w.Checker.DecisionCounts["worker left alone"] > 0)
+			require.Equal(t, !cold, w.Checker.DecisionCounts["worker excluded"] > 0)
 		})
 	}
 }
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -344,7 +344,7 @@
 	w.Workers[1].Unhealthy = true
 	many := batch
 	many.MaxAttempts = 50
-	for n := 1; w.Checker.DecisionCounts["worker judged bad"] == 0; n++ {
+	for n := 1; w.Checker.DecisionCounts["failing worker excluded"] == 0; n++ {
 		w.Submit(spec(n, single(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
--- a/internal/pool/invalid_worker_rows.go
+++ b/internal/pool/invalid_worker_rows.go
@@ -55,7 +55,7 @@
 	p.invalidRows.loggedCount, p.invalidRows.loggedAt = count, now
 	p.record.Set("foreign_rows", int64(count))
 	name, fault := p.invalidRows.example()
-	p.record.LogEvent("rows of another writer", "rows", count, "example", name, "fault", string(fault))
+	p.record.LogEvent("invalid worker rows", "rows", count, "example", name, "fault", string(fault))
 }
 
 // example returns the invalid row with the lowest name.
--- a/internal/pool/invalid_worker_rows_test.go
+++ b/internal/pool/invalid_worker_rows_test.go
@@ -78,6 +78,6 @@
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.Equal(t, 1, w.Checker.DecisionCounts["rows of another writer"])
+	require.Equal(t, 1, w.Checker.DecisionCounts["invalid worker rows"])
 	require.Equal(t, 3000, w.Checker.Metrics["foreign_rows"])
 }
--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -44,7 +44,7 @@
 	for _, w := range p.sortedWorkers() {
 		silent := w.unansweredCalls > 0 || (!w.contacted && p.loaded)
 		if silent && len(w.members) > 0 && p.leasesExpired(w) {
-			p.record.LogEvent("lease ran out", "worker", w.ID, "runs", len(w.members))
+			p.record.LogEvent("worker lease expired", "worker", w.ID, "runs", len(w.members))
 			p.markRunsLost(w, lostLeaseExpired)
 			p.removeIfIdle(w)
 		} else if silent && !w.hasRow && p.leasesExpired(w) {
--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		p.record.Count("given_up", string(verdict))
-		p.record.LogEvent("job given up", "job", u.job.id, "task", m.name().String(), "reason", string(verdict),
+		p.record.LogEvent("poison job failed", "job", u.job.id, "task", m.name().String(), "reason", string(verdict),
 			"losses", m.losses.LossCount(), "odds", m.losses.Odds(), "workers", m.losses.Workers())
 		p.finishJob(u.job, taskgraph.Failed)
 		return true
--- a/internal/pool/poison_full_pool_test.go
+++ b/internal/pool/poison_full_pool_test.go
@@ -57,7 +57,7 @@
 		if state == taskgraph.Failed {
 			failed++
 			for _, line := range w.Checker.DecisionLog {
-				if strings.Contains(line, "job given up") && strings.Contains(line, jobID(n)) {
+				if strings.Contains(line, "poison job failed") && strings.Contains(line, jobID(n)) {
 					t.Log(line)
 				}
 			}
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -121,7 +121,7 @@
 		p.pollNow(w)
 	}
 	if w.unansweredCalls > 0 {
-		p.record.LogEvent("worker answers again", "worker", w.ID, "unanswered", w.unansweredCalls)
+		p.record.LogEvent("worker responsive again", "worker", w.ID, "unanswered", w.unansweredCalls)
 	}
 	w.unansweredCalls = 0
 	w.leftWithoutDrain = w.leftWithoutDrain || (!w.hasRow && !w.rowMissing)
@@ -133,7 +133,7 @@
 	p.noteReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
 	if p.lossTracker.WithdrawLoss(w.Incarnation.String()) {
-		p.record.LogEvent("worker lives after all", "worker", w.ID)
+		p.record.LogEvent("lost worker responded", "worker", w.ID)
 	}
 	p.applyReport(w, reply, sentAt)
 }
@@ -164,7 +164,7 @@
 	w.unansweredCalls++
 	if first {
 		w.unresponsiveSince = p.loop.Now()
-		p.record.LogEvent("worker does not answer", "worker", w.ID, "runs", len(w.members))
+		p.record.LogEvent("worker unresponsive", "worker", w.ID, "runs", len(w.members))
 		p.pollIdleWorkers()
 	}
 	w.lossyUntil = p.loop.Now().Add(lossyDuration)
--- a/internal/pool/poll_queue_test.go
+++ b/internal/pool/poll_queue_test.go
@@ -34,7 +34,7 @@
 	w.AcquirePool()
 	w.Run(100 * time.Millisecond)
 	require.LessOrEqual(t, w.Checker.Metrics["worker_orders/hold"]-before, maxContacts+2)
-	require.Contains(t, w.Checker.DecisionLog[len(w.Checker.DecisionLog)-1], "rows read", "no worker counts as unresponsive yet")
+	require.Contains(t, w.Checker.DecisionLog[len(w.Checker.DecisionLog)-1], "pool state loaded", "no worker counts as unresponsive yet")
 	for _, worker := range w.Workers {
 		worker.Partitioned = false
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -168,7 +168,7 @@
 	}
 	p.closed = true
 	p.record.Count("takeovers", "lost")
-	p.record.LogEvent("pool lost", "pool", p.options.Pool, "token", p.token, "reason", reason)
+	p.record.LogEvent("pool ownership ended", "pool", p.options.Pool, "token", p.token, "reason", reason)
 	p.options.OnOwnershipEnded(reason)
 }
 
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -67,7 +67,7 @@
 	w.reliability.failedAt = now
 	if w.reliability.failures >= failureLimit {
 		w.excludedUntil = now.Add(exclusionPeriod)
-		p.record.LogEvent("worker judged bad", "worker", w.ID, "strikes", w.reliability.failures)
+		p.record.LogEvent("failing worker excluded", "worker", w.ID, "strikes", w.reliability.failures)
 	}
 }
 
@@ -81,7 +81,7 @@
 		return
 	}
 	if !now.Before(w.excludedUntil) {
-		p.record.LogEvent("worker left alone", "worker", w.ID, "reason", reason, "for_ms", exclusionPeriod.Milliseconds(), "runs", len(w.members))
+		p.record.LogEvent("worker excluded", "worker", w.ID, "reason", reason, "for_ms", exclusionPeriod.Milliseconds(), "runs", len(w.members))
 	}
 	w.excludedUntil = now.Add(exclusionPeriod)
 }
--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -113,7 +113,7 @@
 func (p *Pool) recordUnlistedRun(m *member) {
 	u, w := m.unit, m.worker
 	p.record.Count("attempts", "unlisted")
-	p.record.LogEvent("run listed nowhere", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis,
+	p.record.LogEvent("run missing from reports", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis,
 		"ran_ms", u.runMillis(p.loop.Now()), "acknowledged_end", w.endAcks.acknowledged)
 }
 
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -178,7 +178,7 @@
 	}
 	p.loaded = true
 	p.record.Observe("takeover", p.loop.Now().Sub(p.acquiredAt))
-	p.record.LogEvent("rows read", "pool", p.options.Pool, "jobs", len(p.jobs), "version", jobs.Version)
+	p.record.LogEvent("pool state loaded", "pool", p.options.Pool, "jobs", len(p.jobs), "version", jobs.Version)
 	p.contactAll()
 	p.scheduleCycle()
 }
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -118,7 +118,7 @@
 				givenUp++
 				if testing.Verbose() {
 					for _, line := range f.Checker.DecisionLog {
-						if strings.Contains(line, "job given up") && strings.Contains(line, jobID(n)) {
+						if strings.Contains(line, "poison job failed") && strings.Contains(line, jobID(n)) {
 							t.Log(line)
 						}
 					}
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -173,7 +173,7 @@
 
 // handleWorkerReplaced marks all runs on a worker as lost after another instance has replaced it.
 func (p *Pool) handleWorkerReplaced(w *worker, reason string) {
-	p.record.LogEvent("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
+	p.record.LogEvent("worker instance replaced", "worker", w.ID, "reason", reason, "runs", len(w.members))
 	p.markRunsLost(w, lostInstanceReplaced)
 	w.hasRow = false
 	p.removeIfIdle(w)
