--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -224,7 +224,7 @@
 // validateSettings checks the settings file on SIGHUP. Changes take effect at the next start.
 func (d *service) validateSettings(path string) {
 	if _, err := settings.ReadNode(path); err != nil {
-		d.telemetry.LogEvent("settings refused", "reason", err.Error())
+		d.telemetry.LogEvent("settings rejected", "reason", err.Error())
 		return
 	}
 	d.telemetry.LogEvent("settings read", "effect", "at the next start")
