--- a/internal/telemetry/async_log.go
+++ b/internal/telemetry/async_log.go
@@ -77,7 +77,7 @@
 
 func droppedLine(count int64) []byte {
 	var text string
-	funcr.NewJSON(func(line string) { text = line }, funcr.Options{}).Info("lines left out", "count", count)
+	funcr.NewJSON(func(line string) { text = line }, funcr.Options{}).Info("log lines dropped", "count", count)
 	return append([]byte(text), '\n')
 }
 
--- a/internal/telemetry/async_log_test.go
+++ b/internal/telemetry/async_log_test.go
@@ -29,7 +29,7 @@
 	require.Positive(t, log.Dropped())
 	close(sink.open)
 	log.Close()
-	require.Contains(t, sink.content.String(), `"msg":"lines left out"`)
+	require.Contains(t, sink.content.String(), `"msg":"log lines dropped"`)
 	require.Contains(t, sink.content.String(), `"number":0}`)
 }
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -199,7 +199,7 @@
 func (t *Telemetry) LogEvent(message string, keysAndValues ...any) {
 	allowed, dropped := t.limiter.allow(message)
 	for droppedMessage, count := range dropped {
-		t.log.Info("lines left out", "decision", droppedMessage, "count", count)
+		t.log.Info("log lines dropped", "decision", droppedMessage, "count", count)
 	}
 	if allowed {
 		t.log.Info(message, keysAndValues...)
