--- a/internal/pool/incarnation_verification.go
+++ b/internal/pool/incarnation_verification.go
@@ -49,7 +49,7 @@
 	}
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
-		p.Abandon("fenced by worker " + w.ID)
+		p.Abandon("worker has a newer token: " + w.ID)
 	case fleet.OutcomeUnknown, fleet.Unreachable, fleet.Unhealthy:
 		p.loop.After(pollRetryDelay, func() {
 			if !p.closed && p.workers[w.ID] == w {
--- a/internal/pool/ownership_confirmation.go
+++ b/internal/pool/ownership_confirmation.go
@@ -50,7 +50,7 @@
 		p.recordStoreAnswer()
 		for i := range listing.Rows {
 			if listing.Rows[i].Key == LeaseKey(p.options.Pool) && listing.Rows[i].Version != p.token {
-				p.Abandon("lease taken")
+				p.Abandon("lease row replaced")
 				return
 			}
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -262,7 +262,7 @@
 			p.loop.After(retryDelay, p.releaseWhenIdle)
 			return
 		}
-		p.Abandon("handed back")
+		p.Abandon("pool released")
 	})
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -195,7 +195,7 @@
 	w.Run(1200 * time.Millisecond)
 	owner.Process.Post(owner.Release)
 	w.Run(100 * time.Millisecond)
-	require.Equal(t, "handed back", owner.Ended)
+	require.Equal(t, "pool released", owner.Ended)
 }
 
 // TestUnresponsivePartitionDelaysStartsBriefly: a store partition that does not respond must delay
--- a/internal/pool/progress_batch.go
+++ b/internal/pool/progress_batch.go
@@ -178,7 +178,7 @@
 		}
 		return
 	}
-	w.pool.Abandon("fenced by the store")
+	w.pool.Abandon("head row replaced")
 }
 
 func (w *writer) finish(b *batch) {
--- a/internal/pool/progress_fencing.go
+++ b/internal/pool/progress_fencing.go
@@ -18,7 +18,7 @@
 				continue
 			}
 			if current.Token > p.token {
-				p.Abandon("a newer owner has the progress")
+				p.Abandon("head row has a newer token")
 				return
 			}
 			version = listing.Rows[i].Version
--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -62,7 +62,7 @@
 func (p *Pool) checkProgress(m *member, now time.Time) {
 	stalled := p.stalledFor(m)
 	if stalled > 0 && p.adaptiveStallTimeout() && !m.unit.slowByItself() {
-		p.excludeWorker(m.worker, "a run stands still", now)
+		p.excludeWorker(m.worker, "run makes no progress", now)
 	}
 	if stalled > 0 && stalled >= p.stallTimeout(m) {
 		p.restartStalled(m.unit)
@@ -155,7 +155,7 @@
 		}
 		u.excludedWorkers[m.worker.ID] = true
 		if !u.spec().Gang || p.adaptiveStallTimeout() {
-			p.excludeWorker(m.worker, "a run stands still", now)
+			p.excludeWorker(m.worker, "run makes no progress", now)
 		}
 	}
 	p.stopUnit(u, "stands still")
--- a/internal/pool/stragglers.go
+++ b/internal/pool/stragglers.go
@@ -52,7 +52,7 @@
 		if !m.worker.cold(now) {
 			m.worker.gangsExcludedUntil = now.Add(slowExclusionPeriod)
 		}
-		p.excludeWorker(m.worker, "a run is much slower than its gang", now)
+		p.excludeWorker(m.worker, "straggler in its gang", now)
 		slowest = max(slowest, projected)
 	}
 	timeLeft := u.runningSince.Add(slowest).Sub(now)
--- a/internal/pool/unresponsive.go
+++ b/internal/pool/unresponsive.go
@@ -47,5 +47,5 @@
 			asked++
 		}
 	}
-	p.record.LogEvent("polling idle workers", "reason", "others fell silent", "count", asked)
+	p.record.LogEvent("polling idle workers", "reason", "workers unresponsive", "count", asked)
 }
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -158,10 +158,10 @@
 func (p *Pool) handleOrderError(w *worker, err error) bool {
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
-		p.Abandon("fenced by worker " + w.ID)
+		p.Abandon("worker has a newer token: " + w.ID)
 		return true
 	case fleet.OtherInstance:
-		p.handleWorkerReplaced(w, "another instance answers")
+		p.handleWorkerReplaced(w, "another instance responds")
 		return true
 	case fleet.OutcomeUnknown, fleet.Unreachable:
 		p.noteNoReply(w)
