--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -59,7 +59,7 @@
 	case lease.Owner == "":
 		n.scheduleAcquire(w, "no owner", n.hasNoOwner)
 	case lease.Owner == n.options.Name && lease.Incarnation != n.options.Incarnation:
-		n.acquire(w, "own earlier life")
+		n.acquire(w, "lease of an earlier process")
 	}
 }
 
@@ -184,7 +184,7 @@
 			// An earlier attempt of this process took effect. Acquire again, so that the head row
 			// is this process's too.
 			n.leases[w.pool] = versionedLease{Lease: lease, version: row.Version}
-			n.acquire(w, "own earlier try")
+			n.acquire(w, "earlier acquire took effect")
 			return
 		}
 		n.applyNodeRow(row)
@@ -247,7 +247,7 @@
 		return
 	}
 	if w.weakReplies++; w.weakReplies >= weakOwnerReplies {
-		n.ifStoreReachable(func() { n.scheduleAcquire(w, "owner "+n.leases[w.pool].Owner+" is weak", n.ownerIsWeak) })
+		n.ifStoreReachable(func() { n.scheduleAcquire(w, "owner "+n.leases[w.pool].Owner+" has too little weight", n.ownerIsWeak) })
 	}
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -110,7 +110,7 @@
 		// The process has restarted, or it lost the pool without this node reading the new lease.
 		w.failures++
 		n.refreshLease(w)
-		n.replaceSuspectedOwner(w, "owner "+owner+" does not own")
+		n.replaceSuspectedOwner(w, "owner "+owner+" no longer owns the pool")
 	case ownerLostStore(reply):
 		n.ifStoreReachable(func() {
 			w.failures = suspectAfterFailures
@@ -184,7 +184,7 @@
 // matching token confirms the owner, whose running tasks then continue.
 func (n *Node) confirmOwnership(p *pool.Pool, request *pingRequest) bool {
 	if request.Token > p.Token() {
-		p.Abandon("another node knows a newer owner")
+		p.Abandon("ping with a newer token")
 		return false
 	}
 	if request.Token == p.Token() && request.StoreLost {
