--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -111,14 +111,14 @@
 func (n *Node) serveChunk(request chunkRequest) (chunkReply, error) {
 	served := n.servedDocuments.find(request.Version, n.document.Load())
 	if served == nil {
-		return chunkReply{}, fault.New(fault.ConfigurationStale, "this node has no configuration yet")
+		return chunkReply{}, fault.New(fault.ConfigurationStale, "configuration not loaded yet")
 	}
 	offset := request.Offset
 	if served.version != request.Version {
 		offset = 0
 	}
 	if offset < 0 || offset > len(served.content) {
-		return chunkReply{}, fault.New(fault.InvalidRequest, "offset %d of a configuration of %d bytes", offset, len(served.content))
+		return chunkReply{}, fault.New(fault.InvalidRequest, "chunk offset %d is outside the configuration of %d bytes", offset, len(served.content))
 	}
 	end := min(offset+maxChunkBytes, len(served.content))
 	return chunkReply{Version: served.version, Size: len(served.content), Content: served.content[offset:end]}, nil
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -31,7 +31,7 @@
 )
 
 // errReadCanceled is the cause of reads that cancelIdle ends.
-var errReadCanceled = errors.New("feed called off")
+var errReadCanceled = errors.New("feed canceled")
 
 // cancelableReads are the pending feeds and other read-only calls, which can be canceled while they
 // wait for the store. Its methods may be called from any goroutine.
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -43,16 +43,16 @@
 	current := n.catalog.Load()
 	confirmedAge := age(n.confirmed.Load())
 	if current == nil || confirmedAge > n.options.MaxConfigurationAge {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration in force is not known"))
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration is missing or too old to authorize requests"))
 	}
 	queue := current.Match(host, path)
 	if queue == nil {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.NotFound, "no such queue"))
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.NotFound, "no queue matches this host and path"))
 	}
 	access := Access{Queue: *queue}
 	tenant, known := current.TenantOf(key)
 	if !known && !queue.Public {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the key is not known"))
+		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the API key is unknown and the queue is not public"))
 	}
 	access.Tenant = tenant
 	return access, path[len(queue.PathPrefix):], nil
@@ -201,7 +201,7 @@
 			return nil
 		}
 	}
-	return fault.NewField(fault.DuplicateID, "id", "another job has this identifier")
+	return fault.NewField(fault.DuplicateID, "id", "a different job with this identifier exists")
 }
 
 // Cancel cancels a job. When it succeeds, the cancellation is in the store.
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -174,7 +174,7 @@
 	n := g.node
 	p := n.snapshot.Load().owned[poolName]
 	if p == nil {
-		return 0, fault.New(fault.NoOwner, "the pool has no owner here")
+		return 0, fault.New(fault.NoOwner, "this node does not own the pool")
 	}
 	count, loaded := 0, false
 	err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
@@ -184,7 +184,7 @@
 		})
 	})
 	if err != nil || !loaded {
-		return 0, fault.New(fault.NoOwner, "the pool's owner is not ready")
+		return 0, fault.New(fault.NoOwner, "this node owns the pool but has not loaded its state, or its loop is busy")
 	}
 	return count, nil
 }
--- a/internal/node/peer_store.go
+++ b/internal/node/peer_store.go
@@ -104,7 +104,7 @@
 func (n *Node) serveStore(ctx context.Context, request storeRequest) (storeReply, error) {
 	var reply storeReply
 	if n.storeLost() {
-		return reply, fault.New(fault.StoreUnavailable, "this node has lost the store too")
+		return reply, fault.New(fault.StoreUnavailable, "store unreachable from the relaying node")
 	}
 	var err error
 	switch {
@@ -119,7 +119,7 @@
 		wait := time.Duration(request.Feed.WaitMillis) * time.Millisecond
 		reply.Listing, err = n.store.direct.Feed(ctx, request.Feed.Table, request.Feed.After, min(wait, feedWait))
 	default:
-		return reply, fault.New(fault.InvalidRequest, "a call to the store without content")
+		return reply, fault.New(fault.InvalidRequest, "store request names no operation")
 	}
 	if errors.Is(err, rows.ErrHistoryExpired) {
 		return storeReply{HistoryGone: true}, nil
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -68,7 +68,7 @@
 func (n *Node) ServePeer(ctx context.Context, request *peerpb.Request) ([]byte, error) {
 	call := request.GetPoolCall()
 	if call == nil {
-		return nil, fault.New(fault.InvalidRequest, "not a call about a pool")
+		return nil, fault.New(fault.InvalidRequest, "peer request has no pool call")
 	}
 	reply, err := n.servePeer(ctx, call.Method, call.Document)
 	if err != nil {
@@ -136,7 +136,7 @@
 		count, err := gateway.waitingLocal(ctx, request.Pool, request.Queue)
 		return waitingReply{Waiting: count}, err
 	}
-	return nil, fault.New(fault.InvalidRequest, "method %q is not known", method)
+	return nil, fault.New(fault.InvalidRequest, "unknown peer method %q", method)
 }
 
 // loopCallTimeout bounds the wait of a request handler for the loop.
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -88,7 +88,7 @@
 }
 
 // errStoreLost is returned for direct calls while this node has lost the store.
-var errStoreLost = errors.Mark(errors.New("the store does not answer this node"), rows.ErrNoEffect)
+var errStoreLost = errors.Mark(errors.New("store unreachable from this node"), rows.ErrNoEffect)
 
 // scanDirect reads a partition without relays.
 func (s *relayedStore) scanDirect(ctx context.Context, table, part string) (rows.Listing, error) {
@@ -210,7 +210,7 @@
 // relay makes a call through other nodes, one after another.
 func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	var zero T
-	failure := errors.Mark(errors.New("no other node has the store"), rows.ErrNoEffect)
+	failure := errors.Mark(errors.New("no other node reaches the store"), rows.ErrNoEffect)
 	if s.node.options.DisabledMechanisms[mechanism.StoreRelay] {
 		return zero, failure
 	}
