--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -48,7 +48,7 @@
 	f.Fuzz(func(t *testing.T, value []byte) {
 		var accepted pool.Accepted
 		if json.Unmarshal(value, &accepted) == nil && mostTasks(&accepted.Spec) > fuzzedTasks {
-			t.Skip("20,000 tasks that ask for nothing take 6 s on two workers")
+			t.Skip("too many tasks in one step for a fuzz iteration")
 		}
 		// The simulation does not know the job, so the workers must not start it.
 		takeOverWithRow(pool.AcceptedKey(pool.JobPartitions(simulation.PoolName, jobID(3))[0], jobID(3)), value)
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -18,8 +18,8 @@
 
 // Seeds of the random worker fault tests.
 var (
-	workerSeeds     = flag.Int("worker-seeds", 60, "seeds of workers' random faults")
-	firstWorkerSeed = flag.Int("first-worker-seed", 0, "the first of them")
+	workerSeeds     = flag.Int("worker-seeds", 60, "number of seeds of the random worker fault tests")
+	firstWorkerSeed = flag.Int("first-worker-seed", 0, "first seed of the random worker fault tests")
 )
 
 // workerFaults is a simulation in which workers crash, lose capacity, drain and are partitioned
@@ -67,7 +67,7 @@
 			})
 		}
 	})
-	t.Logf("%d sound jobs, %d of them given up (of all: %v); guilty tasks by the workers lost under them: %v", sound, givenUp, reasons, lost)
+	t.Logf("%d regular jobs, %d of them failed (reasons, all jobs: %v); crashing tasks by number of workers lost: %v", sound, givenUp, reasons, lost)
 	require.LessOrEqual(t, givenUp*500, sound, "regular jobs failed for crashing workers")
 	require.Zero(t, lost[6], "a task may crash at most five workers")
 }
