--- a/internal/fleet/order_error.go
+++ b/internal/fleet/order_error.go
@@ -54,9 +54,9 @@
 // Error implements error.
 func (f *OrderError) Error() string {
 	if f.cause == nil {
-		return "order: " + string(f.Reason)
+		return "order to worker failed: " + string(f.Reason)
 	}
-	return "order: " + string(f.Reason) + ": " + f.cause.Error()
+	return "order to worker failed: " + string(f.Reason) + ": " + f.cause.Error()
 }
 
 // Unwrap returns the underlying error.
