--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -107,25 +107,25 @@
 
 func (l *Log) apply(r logLine) {
 	switch r.Message {
-	case "store lost":
+	case "store unreachable":
 		l.storeLostAt[r.Node] = r.At
-	case "store answers again":
+	case "store reachable again":
 		if from, ok := l.storeLostAt[r.Node]; ok && r.Node == l.owner {
 			l.storeOutages = append(l.storeOutages, interval{from, r.At})
 		}
 		delete(l.storeLostAt, r.Node)
-	case "owner does not answer", "pool lost":
+	case "owner unresponsive", "pool ownership ended":
 		if l.ownerLostAt.IsZero() {
 			l.ownerLostAt = r.At
 		}
-	case "owner answers again", "owner left in place":
+	case "owner responsive again", "owner reachable from others":
 		l.ownerLostAt = time.Time{}
 	case "pool acquired":
 		l.owner = r.Node
 		if l.ownerLostAt.IsZero() {
 			l.ownerLostAt = r.At
 		}
-	case "rows read":
+	case "pool state loaded":
 		if !l.ownerLostAt.IsZero() {
 			l.takeovers = append(l.takeovers, interval{l.ownerLostAt, r.At})
 		}
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -31,7 +31,7 @@
 )
 
 // errReadCanceled is the cause of reads that cancelIdle ends.
-var errReadCanceled = errors.New("feed called off")
+var errReadCanceled = errors.New("feed canceled")
 
 // cancelableReads are the pending feeds and other read-only calls, which can be canceled while they
 // wait for the store. Its methods may be called from any goroutine.
@@ -165,7 +165,7 @@
 		switch {
 		case errors.Is(err, rows.ErrHistoryExpired):
 			n.edges.Recorder.Count("feed_gaps", s.table)
-			n.edges.Recorder.LogEvent("feed read anew", "table", s.table, "after", after)
+			n.edges.Recorder.LogEvent("feed history expired", "table", s.table, "after", after)
 			s.onEnd()
 		case errors.Is(err, errReadCanceled):
 			n.follow(s, after)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -168,7 +168,7 @@
 	}
 	p.closed = true
 	p.record.Count("takeovers", "lost")
-	p.record.LogEvent("pool lost", "pool", p.options.Pool, "token", p.token, "reason", reason)
+	p.record.LogEvent("pool ownership ended", "pool", p.options.Pool, "token", p.token, "reason", reason)
 	p.options.OnOwnershipEnded(reason)
 }
 
@@ -262,7 +262,7 @@
 			p.loop.After(retryDelay, p.releaseWhenIdle)
 			return
 		}
-		p.Abandon("handed back")
+		p.Abandon("pool released")
 	})
 }
 
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -158,10 +158,10 @@
 func (p *Pool) handleOrderError(w *worker, err error) bool {
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
-		p.Abandon("fenced by worker " + w.ID)
+		p.Abandon("worker has a newer token: " + w.ID)
 		return true
 	case fleet.OtherInstance:
-		p.handleWorkerReplaced(w, "another instance answers")
+		p.handleWorkerReplaced(w, "another instance responds")
 		return true
 	case fleet.OutcomeUnknown, fleet.Unreachable:
 		p.noteNoReply(w)
@@ -173,7 +173,7 @@
 
 // handleWorkerReplaced marks all runs on a worker as lost after another instance has replaced it.
 func (p *Pool) handleWorkerReplaced(w *worker, reason string) {
-	p.record.LogEvent("worker dead", "worker", w.ID, "reason", reason, "runs", len(w.members))
+	p.record.LogEvent("worker instance replaced", "worker", w.ID, "reason", reason, "runs", len(w.members))
 	p.markRunsLost(w, lostInstanceReplaced)
 	w.hasRow = false
 	p.removeIfIdle(w)
