--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -24,13 +24,13 @@
 
 // Causes. Those that end in a colon and a space are prefixes of a reason.
 const (
-	CauseRejectedFirst    Cause = "refused at first: "
-	CauseNotAccepted      Cause = "not taken: "
+	CauseRejectedFirst    Cause = "rejected before acceptance: "
+	CauseNotAccepted      Cause = "not accepted: "
 	CauseStoreUnavailable Cause = "accepted, store away"
 	CauseTakeover         Cause = "takeover"
 	CauseQueueWait        Cause = "waited: "
 	CausePlacementWrite   Cause = "placement written late"
-	CauseRerun            Cause = "run again after: "
+	CauseRerun            Cause = "rerun after: "
 	CauseSlowWorkers      Cause = "ran on slow workers"
 	CauseUnknown          Cause = "not told by the lines"
 )
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -60,10 +60,10 @@
 			"waited: no room"},
 		"preempted": {[]string{accepted(0, "x"), placed(0, "x", 1, 0, ""), runEnded(2000, "x", 1, 2000, "stopped", "preempted"),
 			placed(2000, "x", 2, 0, ""), runEnded(3000, "x", 2, 1000, "done", ""), jobEnded(3000, "x", "completed")},
-			"run again after: stopped: preempted"},
+			"rerun after: stopped: preempted"},
 		"rejected before acceptance": {[]string{requestRefused(0, "x", "configuration_old"), accepted(2500, "x"), placed(2500, "x", 1, 0, ""),
 			runEnded(3500, "x", 1, 1000, "done", ""), jobEnded(3500, "x", "completed")},
-			"refused at first: configuration_old"},
+			"rejected before acceptance: configuration_old"},
 		"store unavailable": {[]string{line("a", 0, "pool acquired", ""), accepted(10, "x"), line("a", 100, "store lost", `"reason":"reset"`), placed(120, "x", 1, 0, ""),
 			line("a", 3000, "store answers again", ""), runEnded(4000, "x", 1, 1000, "done", ""), jobEnded(4000, "x", "completed")},
 			CauseStoreUnavailable},
@@ -72,7 +72,7 @@
 			CauseTakeover},
 		"slow workers": {[]string{accepted(0, "x"), placed(0, "x", 1, 0, ""), runEndedOn(2.5, 2000, "x", 2000), jobEnded(2000, "x", "completed")},
 			CauseSlowWorkers},
-		"never accepted": {[]string{requestRefused(0, "x", "store_unavailable"), requestRefused(1000, "x", "store_unavailable")}, "not taken: store_unavailable"},
+		"never accepted": {[]string{requestRefused(0, "x", "store_unavailable"), requestRefused(1000, "x", "store_unavailable")}, "not accepted: store_unavailable"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -89,7 +89,7 @@
 // Print writes the tables. With jobs set, it also lists each late or rejected job.
 func (s *Summary) Print(output io.Writer, jobs bool) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "queue\tjobs\tin time\tlate\tnot taken\tfailed\tcancelled\topen")
+	fmt.Fprintln(table, "queue\tjobs\ton time\tlate\tnot accepted\tfailed\tcancelled\topen")
 	for _, name := range sortedKeys(s.queues) {
 		c := s.queues[name]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.jobs, c.inTime, c.late, c.notTaken, c.failed, c.cancelled, c.open)
@@ -98,12 +98,12 @@
 	for _, c := range s.causeCounts {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f\n", c.cause, c.queue, c.jobs, c.timeLost.Seconds())
 	}
-	fmt.Fprintln(table, "\nwork thrown away\tcore-seconds")
+	fmt.Fprintln(table, "\nwasted work\tcore-seconds")
 	for _, cause := range sortedKeys(s.wastedCoreSeconds) {
 		fmt.Fprintf(table, "%s\t%.0f\n", cause, s.wastedCoreSeconds[cause])
 	}
 	if jobs {
-		fmt.Fprintln(table, "\njob\tqueue\ttook\tobjective\tcause\tof which")
+		fmt.Fprintln(table, "\njob\tqueue\tduration\tobjective\tmain cause\ttime lost to it")
 		for _, line := range s.lateJobs {
 			fmt.Fprintln(table, line)
 		}
