--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -36,7 +36,7 @@
 	}
 	text += ": " + e.Answer.Detail + " (outcome: " + string(e.Answer.Outcome)
 	if e.Answer.RetryAfterSeconds > 0 {
-		text += fmt.Sprintf(", come back in %d s", e.Answer.RetryAfterSeconds)
+		text += fmt.Sprintf(", retry after %d s", e.Answer.RetryAfterSeconds)
 	}
 	return text + ")"
 }
@@ -86,7 +86,7 @@
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, fmt.Errorf("the answer was cut short: %w", err)
+		return nil, fmt.Errorf("reading the response body: %w", err)
 	}
 	if response.StatusCode < http.StatusBadRequest {
 		return content, nil
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -43,23 +43,23 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&spec.ID, "id", "", "identifier; the same one never runs twice, so a retry is safe")
+	flags.StringVar(&spec.ID, "id", "", "job identifier; makes retries of the submission idempotent")
 	flags.StringVar(&spec.Tenant, "tenant", "", "tenant, for operators; otherwise the key's")
 	flags.StringVar(&priority, "priority", "normal", "urgent, normal or low")
 	flags.IntVar(&spec.Members, "members", 1, "members of the gang")
-	flags.IntVar(&spec.Accelerators, "accelerators", 1, "accelerators a member")
-	flags.IntVar(&spec.CPUs, "cpus", 1, "cpus a member")
-	flags.IntVar(&spec.MemoryGB, "memory-gb", 1, "gigabytes of memory a member")
+	flags.IntVar(&spec.Accelerators, "accelerators", 1, "accelerators per member")
+	flags.IntVar(&spec.CPUs, "cpus", 1, "CPUs per member")
+	flags.IntVar(&spec.MemoryGB, "memory-gb", 1, "memory per member, in GB")
 	flags.StringVar(&spread, "spread", "zone", "keep all members within one rack, zone, region or any")
 	duration := flags.Duration("duration", time.Hour, "estimated run time")
-	flags.BoolVar(&spec.Checkpoint, "checkpoint", false, "the job can save its work and go on from there")
-	flags.Float64Var(&spec.CheckpointSeconds, "checkpoint-seconds", 0, "how long saving takes")
-	flags.BoolVar(&spec.Guaranteed, "guaranteed", false, "claim the tenant's guarantee")
+	flags.BoolVar(&spec.Checkpoint, "checkpoint", false, "the job supports checkpoints and resumes from the last one")
+	flags.Float64Var(&spec.CheckpointSeconds, "checkpoint-seconds", 0, "duration of a checkpoint, in seconds")
+	flags.BoolVar(&spec.Guaranteed, "guaranteed", false, "run under the tenant's capacity guarantee")
 	flags.StringVar(&spec.Zone, "zone", "", "zone (region/zone) to run in")
-	flags.StringVar(&spec.Payload, "payload", "", "handed to the workers unread")
+	flags.StringVar(&spec.Payload, "payload", "", "opaque payload passed to the workers")
 	flags.StringVar(&payloadFile, "payload-file", "", "file with the payload")
 	flags.BoolVar(&once, "once", false, "never run more than once")
-	flags.BoolVar(&wait, "wait", false, "follow the job to its end")
+	flags.BoolVar(&wait, "wait", false, "wait for the job to end and print its state changes")
 	command.PreRun = func(*cobra.Command, []string) { spec.Duration = duration.Seconds() }
 	return command
 }
@@ -120,7 +120,7 @@
 			return a.showRecord(command, record)
 		},
 	}
-	command.Flags().BoolVar(&wait, "wait", false, "follow the job to its end")
+	command.Flags().BoolVar(&wait, "wait", false, "wait for the job to end and print its state changes")
 	return command
 }
 
@@ -136,7 +136,7 @@
 func (a *app) listCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
-		Short:   "List queued, running and lately ended jobs",
+		Short:   "List queued, running and recently ended jobs",
 		Example: "  wheatroadctl list -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -184,7 +184,7 @@
 func (a *app) cancelCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "cancel TENANT JOB",
-		Short:   "End a job",
+		Short:   "Cancel a job",
 		Example: "  wheatroadctl cancel vibration gearbox-17",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -203,7 +203,7 @@
 func (a *app) explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "explain TENANT JOB",
-		Short:   "Say why a job waits, for what, and when it is expected to start",
+		Short:   "Show why a job is queued, what it waits for and its expected start",
 		Example: "  wheatroadctl explain vibration gearbox-17",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -13,14 +13,14 @@
 	var jobs bool
 	command := &cobra.Command{
 		Use:     "losses [LOGFILE...]",
-		Short:   "Tell from log lines which jobs ended late or were not taken, why, and what work was thrown away",
+		Short:   "Report late and rejected jobs, their main causes and wasted work from nodes' logs",
 		Long:    "Reads the log lines of all nodes from files or from standard input.",
 		Example: "  wheatroadctl losses --jobs node-1.log node-2.log",
 		RunE: func(command *cobra.Command, args []string) error {
 			log := losses.New()
 			if len(args) == 0 {
 				if err := log.Read(command.InOrStdin()); err != nil {
-					return errors.Wrap(err, "standard input")
+					return errors.Wrap(err, "reading log lines from standard input")
 				}
 			}
 			for _, name := range args {
@@ -31,7 +31,7 @@
 			return log.Summarize().Print(command.OutOrStdout(), jobs)
 		},
 	}
-	command.Flags().BoolVar(&jobs, "jobs", false, "list each job that ended late or was not taken")
+	command.Flags().BoolVar(&jobs, "jobs", false, "list each late or rejected job")
 	return command
 }
 
--- a/internal/cli/node_status.go
+++ b/internal/cli/node_status.go
@@ -22,7 +22,7 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:     "node-status METRICS-ADDRESS...",
-		Short:   "Show what nodes on the platform say of themselves: configuration, store, owners, pools",
+		Short:   "Show the status of platform nodes: configuration, store, owners and pools",
 		Example: "  wheatroadctl node-status 10.1.0.19:9464 10.2.0.35:9464",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -40,7 +40,7 @@
 			return combined
 		},
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "print JSON, a line a node")
+	command.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per node and line")
 	return command
 }
 
@@ -57,7 +57,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Newf("status %d", response.StatusCode)
+		return nil, errors.Newf("GET /status returned HTTP status %d", response.StatusCode)
 	}
 	status := &node.Status{}
 	return status, json.NewDecoder(response.Body).Decode(status)
@@ -68,20 +68,20 @@
 		return json.NewEncoder(out).Encode(status)
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s: ready %v, configuration %d (known newest %d ms ago), store answered %d ms ago, lost %v, %d members, evacuated zones %v\n",
+	fmt.Fprintf(&text, "%s: ready %v, configuration %d (last refreshed %d ms ago), last store response %d ms ago, store lost %v, %d members, evacuated zones %v\n",
 		status.Name, status.Ready, status.ConfigurationVersion, status.ConfigurationAgeMillis, status.StoreAgeMillis, status.StoreLost, len(status.Members),
 		status.EvacuatedZones)
 	for i := range status.Pools {
 		p := &status.Pools[i]
 		fmt.Fprintf(&text, "  pool %s: owner %s, token %d, unanswered pings %d\n", p.Pool, p.Owner, p.Token, p.OwnerFailures)
 		if o := p.Owned; o != nil {
-			fmt.Fprintf(&text, "    owned here: jobs %v, waiting units %d, runs %d, workers %d (unusable %d, slow %d, silent %d), suspects %d, known to stand %d ms ago\n",
+			fmt.Fprintf(&text, "    owned here: jobs %v, waiting units %d, runs %d, workers %d (unusable %d, slow %d, unresponsive %d), suspects %d, ownership confirmed %d ms ago\n",
 				o.Jobs, o.WaitingUnits, o.Runs, o.Workers, o.Unusable, o.Slow, o.Unresponsive, o.Suspects, o.SinceOwnershipConfirmedMillis)
-			fmt.Fprintf(&text, "    evacuated zones %v (known %d ms ago, new enough to start work %v): %d runs there, %d units wait for them\n",
+			fmt.Fprintf(&text, "    evacuated zones %v (read %d ms ago, recent enough to start work %v): %d runs in them, %d units wait for them\n",
 				o.EvacuatedZones, o.EvacuationsAgeMillis, o.EvacuationsFresh, o.RunsInEvacuatedZones, o.WaitingForZones)
-			fmt.Fprintf(&text, "    restarts of workers %d, rows of another writer %d\n", o.Restarts, o.InvalidWorkerRows)
+			fmt.Fprintf(&text, "    worker restarts %d, invalid worker rows %d\n", o.Restarts, o.InvalidWorkerRows)
 			for _, restarted := range o.Restarted {
-				fmt.Fprintf(&text, "      %s came back %d times, last born %s, %d runs\n",
+				fmt.Fprintf(&text, "      %s restarted %d times, last start %s, %d runs\n",
 					restarted.Worker, restarted.Restarts, time.UnixMilli(restarted.StartMillis).UTC().Format(time.RFC3339Nano), restarted.Runs)
 			}
 		}
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -83,7 +83,7 @@
 	var base int64
 	command := &cobra.Command{
 		Use:     "confirm DIGEST --base VERSION",
-		Short:   "Put a plan in force and wait until it is in force everywhere",
+		Short:   "Apply a plan and wait until all nodes use it",
 		Example: "  wheatroadctl confirm 5f3c... --base 12",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -93,7 +93,7 @@
 			return a.confirm(command, args[0], base)
 		},
 	}
-	command.Flags().Int64Var(&base, "base", 0, "version that the plan starts from")
+	command.Flags().Int64Var(&base, "base", 0, "base version of the plan")
 	return command
 }
 
@@ -149,7 +149,7 @@
 	var undo, confirm bool
 	command := &cobra.Command{
 		Use:     "drain REGION/ZONE/RACK",
-		Short:   "Plan that a rack gets no new work; --confirm puts it in force",
+		Short:   "Plan to drain a rack; --confirm applies the plan",
 		Example: "  wheatroadctl drain muscat/hall1/rack00 --confirm",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -175,7 +175,7 @@
 			return a.showPlan(command, plan)
 		},
 	}
-	command.Flags().BoolVar(&undo, "undo", false, "let the rack take work again")
+	command.Flags().BoolVar(&undo, "undo", false, "remove the drain")
 	command.Flags().BoolVar(&confirm, "confirm", false, "confirm the plan")
 	return command
 }
@@ -262,7 +262,7 @@
 func keyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "key",
-		Short:   "Make an access key and print it with the hash to declare",
+		Short:   "Generate an access key and print it with its hash for the declaration",
 		Example: "  wheatroadctl key",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -52,7 +52,7 @@
 func New(version string) *cobra.Command {
 	a := &app{}
 	root := &cobra.Command{
-		Use: "wheatroadctl", Short: "Submit jobs to wheatroad and declare what it guarantees",
+		Use: "wheatroadctl", Short: "Submit jobs to wheatroad and manage its declared configuration",
 		Version: version, SilenceUsage: true, SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error { return a.configureClient() },
 	}
@@ -126,7 +126,7 @@
 // requireAddress returns an error if no daemon address is configured.
 func (a *app) requireAddress() error {
 	if len(a.addresses) == 0 {
-		return fault.NewField(fault.InvalidRequest, "address", "give --address, WHEATROAD_ADDRESS or --profile")
+		return fault.NewField(fault.InvalidRequest, "address", "no daemon address: set --address, WHEATROAD_ADDRESS or --profile")
 	}
 	return nil
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -71,7 +71,7 @@
 func newTraceCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "trace ID [LOGFILE...]",
-		Short:   "Put the log lines of all nodes about one job in order and name the deciding one",
+		Short:   "Show all nodes' log lines about one job in order and mark the one that decided its result",
 		Example: "  wheatroadctl trace 5c0e7a21d94b36f8 node-1.log node-2.log",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -152,7 +152,7 @@
 
 func printTrace(output io.Writer, id string, lines []traceLine) error {
 	if len(lines) == 0 {
-		return errors.Newf("no line names job %s", id)
+		return errors.Newf("no log line mentions job %s", id)
 	}
 	outcome := outcomeLine(lines)
 	for i := range lines {
@@ -165,7 +165,7 @@
 		}
 	}
 	if outcome < 0 {
-		if _, err := fmt.Fprintln(output, "no deciding line yet"); err != nil {
+		if _, err := fmt.Fprintln(output, "no log line decides the job's result yet"); err != nil {
 			return err
 		}
 	}
