--- a/cmd/wheatroad-bench/faults_command.go
+++ b/cmd/wheatroad-bench/faults_command.go
@@ -32,10 +32,10 @@
 	flags := &faultsFlags{}
 	command := &cobra.Command{
 		Use:   "faults",
-		Short: "Soak real daemons under injected faults and check the promises",
-		Long: "Starts daemons as processes of their own against the stand-in for the platform, signals them, and cuts,\n" +
-			"delays and resets their links; the stand-in's store and workers misbehave. Ends only what it started.\n" +
-			"A failed seed keeps its logs and prints the command that plays it again.",
+		Short: "Run daemons under injected faults and check invariants",
+		Long: "Starts daemons as child processes against a fake platform, sends them signals, and cuts, delays and resets\n" +
+			"their connections; the fake store and workers inject faults. Stops only processes that it started.\n" +
+			"A failed seed keeps its logs and prints the command that reproduces it.",
 		Example: "  wheatroad-bench faults --seed 1 --seeds 50 --seconds 15\n  wheatroad-bench faults --seed 7 --processes 12 --json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -48,16 +48,16 @@
 			return runFaults(command.OutOrStdout(), flags)
 		},
 	}
-	command.Flags().StringVar(&flags.binaries, "bin", "bin", "folder with the programs")
-	command.Flags().StringVar(&flags.logs, "logs", filepath.Join(os.TempDir(), "wheatroad-faults"), "folder for settings and logs")
+	command.Flags().StringVar(&flags.binaries, "bin", "bin", "directory with the binaries")
+	command.Flags().StringVar(&flags.logs, "logs", filepath.Join(os.TempDir(), "wheatroad-faults"), "directory for settings and logs")
 	command.Flags().Uint64Var(&flags.seed, "seed", 1, "first seed")
-	command.Flags().IntVar(&flags.seeds, "seeds", 1, "how many seeds to play, one after another")
-	command.Flags().Float64Var(&flags.seconds, "seconds", 15, "how long faults come")
-	command.Flags().IntVar(&flags.processes, "processes", 3, "how many daemons, each a process of its own")
-	command.Flags().IntVar(&flags.callers, "callers", 4, "how many callers")
-	command.Flags().BoolVar(&flags.workerRestarts, "lives", false, "restart workers under their identifiers, and leave rows of another writer, also with seeds that draw none")
+	command.Flags().IntVar(&flags.seeds, "seeds", 1, "number of seeds to run in sequence")
+	command.Flags().Float64Var(&flags.seconds, "seconds", 15, "duration of fault injection, in seconds")
+	command.Flags().IntVar(&flags.processes, "processes", 3, "number of daemon processes")
+	command.Flags().IntVar(&flags.callers, "callers", 4, "number of concurrent callers")
+	command.Flags().BoolVar(&flags.workerRestarts, "lives", false, "restart workers under the same identifiers and write invalid worker rows, whatever the seed selects")
 	command.Flags().BoolVar(&flags.asJSON, "json", false, "print each report as JSON")
-	command.Flags().BoolVar(&flags.list, "list-kinds", false, "list the kinds of faults and end")
+	command.Flags().BoolVar(&flags.list, "list-kinds", false, "list the kinds of faults and exit")
 	return command
 }
 
@@ -107,12 +107,12 @@
 	for _, count := range report.Faults {
 		injected += count
 	}
-	_, err := fmt.Fprintf(out, "seed %d: %d faults, jobs %v, broken %d\n", report.Seed, injected, report.States, len(report.Violations))
+	_, err := fmt.Fprintf(out, "seed %d: %d faults, jobs %v, violations %d\n", report.Seed, injected, report.States, len(report.Violations))
 	for _, line := range report.Violations[:min(len(report.Violations), maxPrintedViolations)] {
 		_, err = fmt.Fprintln(out, "  broken:", line)
 	}
 	if len(report.Violations) > 0 {
-		_, err = fmt.Fprintf(out, "  logs in %s; again: wheatroad-bench faults --seed %d --seconds %g --processes %d --callers %d\n",
+		_, err = fmt.Fprintf(out, "  logs in %s; reproduce with: wheatroad-bench faults --seed %d --seconds %g --processes %d --callers %d\n",
 			report.Logs, report.Seed, flags.seconds, flags.processes, flags.callers)
 	}
 	return err
--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -25,20 +25,20 @@
 	flags := &loadFlags{}
 	command := &cobra.Command{
 		Use:   "load",
-		Short: "Play load at its worst against a pool's owner in virtual time, with ways of deciding side by side",
-		Long: `Plays arrivals in bursts against a pool's owner in virtual time, by the same seeds for each way, and
-prints what each way is worth: means over the seeds with 95% confidence intervals. The first way has all
-mechanisms, each --without is one more way with some of them switched off.`,
+		Short: "Simulate peak load on a pool's owner in virtual time and compare scheduler variants",
+		Long: `Simulates bursty arrivals at a pool's owner in virtual time, with the same seeds for each variant, and
+prints each variant's utility: means over the seeds with 95% confidence intervals. The first variant has
+all mechanisms; each --without adds a variant with some of them disabled.`,
 		Example: "  wheatroad-bench load --seeds 20 --without pressure --without pressure,headroom",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runLoad(command.OutOrStdout(), flags)
 		},
 	}
-	command.Flags().StringArrayVar(&flags.loads, "load", nil, "load to play, repeatable (default all)")
-	command.Flags().StringArrayVar(&flags.disabledSets, "without", nil, "a way without these mechanisms, joined by commas; repeatable")
+	command.Flags().StringArrayVar(&flags.loads, "load", nil, "load to simulate, repeatable (default all)")
+	command.Flags().StringArrayVar(&flags.disabledSets, "without", nil, "add a variant without these mechanisms (comma-separated); repeatable")
 	command.Flags().Uint64Var(&flags.firstSeed, "seed", 1, "first seed")
-	command.Flags().IntVar(&flags.seeds, "seeds", 10, "how many seeds")
+	command.Flags().IntVar(&flags.seeds, "seeds", 10, "number of seeds")
 	return command
 }
 
@@ -73,7 +73,7 @@
 	for _, name := range names {
 		i := slices.IndexFunc(all, func(load loadsim.Load) bool { return load.Name == name })
 		if i < 0 {
-			return nil, errors.Newf("--load: no load %q", name)
+			return nil, errors.Newf("--load: unknown load %q", name)
 		}
 		selected = append(selected, all[i])
 	}
@@ -86,7 +86,7 @@
 	for _, class := range comparisons[0].Results[0].Classes {
 		fmt.Fprintf(out, " %-8s", class.Name)
 	}
-	fmt.Fprintf(out, " %-12s %-10s %s\n", "stops/placed", "most stops", "thrown away, core-s")
+	fmt.Fprintf(out, " %-12s %-10s %s\n", "stops/placed", "max stops", "wasted, core-s")
 	for i := range comparisons {
 		c := &comparisons[i]
 		fmt.Fprintf(out, "  %-44s %.3f +- %.3f  %+.3f +- %.3f %.3f   ", c.Variant.Name, c.ValueShare.Mean, c.ValueShare.HalfWidth, c.ValueGain.Mean, c.ValueGain.HalfWidth, c.Served.Mean)
@@ -96,7 +96,7 @@
 		fmt.Fprintf(out, " %-12.3f %-10d %.0f\n", c.PreemptionRate.Mean, c.MaxPreemptions, c.LostCoreSeconds.Mean)
 		for _, result := range c.Results {
 			for _, broken := range result.Violations {
-				fmt.Fprintf(out, "    BROKEN %s\n", broken)
+				fmt.Fprintf(out, "    VIOLATION %s\n", broken)
 			}
 		}
 	}
--- a/cmd/wheatroad-bench/overload.go
+++ b/cmd/wheatroad-bench/overload.go
@@ -71,7 +71,7 @@
 	var seconds float64
 	command := &cobra.Command{
 		Use:     "storm",
-		Short:   "Load nine real daemons at once and twice the capacity, with slow workers and a daemon killed",
+		Short:   "Load nine daemons at one and two times their capacity, with slow workers, one daemon killed and one suspended",
 		Example: "  wheatroad-bench storm --bin bin --seconds 20",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -84,13 +84,13 @@
 			}
 			for _, phase := range report.Phases {
 				if phase.RanTwice+phase.NotRunRan > 0 {
-					return errors.Wrap(bench.ErrInvariantViolated, "see ran_twice and not_run_ran")
+					return errors.Wrap(bench.ErrInvariantViolated, "jobs ran twice or after the outcome not_run; see ran_twice and not_run_ran")
 				}
 			}
 			return nil
 		},
 	}
-	command.Flags().StringVar(&binaries, "bin", "bin", "folder with the programs")
+	command.Flags().StringVar(&binaries, "bin", "bin", "directory with the binaries")
 	command.Flags().Float64Var(&seconds, "seconds", 20, "length of each phase")
 	return command
 }
--- a/cmd/wheatroad-bench/overload_processes.go
+++ b/cmd/wheatroad-bench/overload_processes.go
@@ -36,7 +36,7 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	return "", errors.Newf("nothing wrote %s", path)
+	return "", errors.Newf("timed out waiting for %s to be written", path)
 }
 
 const zoneConfig = `[[pool]]
--- a/cmd/wheatroad-platform/main.go
+++ b/cmd/wheatroad-platform/main.go
@@ -32,7 +32,7 @@
 	var o options
 	root := &cobra.Command{
 		Use:          "wheatroad-platform --cluster C.toml",
-		Short:        "Stand-in for the platform, with faults that can be switched",
+		Short:        "Fake platform with configurable faults",
 		Example:      "  wheatroad-platform --cluster examples/replay/sahil.toml --listen 127.0.0.1:7000",
 		Version:      buildinfo.Version,
 		Args:         cobra.NoArgs,
@@ -43,7 +43,7 @@
 	flags.StringVar(&o.listen, "listen", "127.0.0.1:0", "loopback address")
 	flags.StringVar(&o.addressFile, "address-file", "", "file that receives the address listened on")
 	flags.StringVar(&o.cluster, "cluster", "", "cluster file")
-	flags.IntVar(&o.slots, "slots", 8, "gang members that a worker takes")
+	flags.IntVar(&o.slots, "slots", 8, "maximum number of gang members per worker")
 	flags.Uint64Var(&o.seed, "seed", 1, "seed of the faults")
 	flags.DurationVar(&o.listLag, "list-lag", time.Second, "lag of the machine list")
 	flags.DurationVar(&o.reportLag, "report-lag", 100*time.Millisecond, "lag of the report feed")
@@ -76,7 +76,7 @@
 		<-signals
 		server.Close()
 	}()
-	fmt.Fprintln(os.Stderr, "platform stand-in on", address)
+	fmt.Fprintln(os.Stderr, "fake platform listening on", address)
 	if err := server.Serve(listener); err != http.ErrServerClosed {
 		return err
 	}
--- a/cmd/wheatroadd/main.go
+++ b/cmd/wheatroadd/main.go
@@ -46,7 +46,7 @@
 			return run(args[0], platform)
 		},
 	}
-	command.Flags().StringVar(&platform, "platform-url", "", "replaces platform.url of the settings")
+	command.Flags().StringVar(&platform, "platform-url", "", "overrides platform.url in the settings")
 	return command
 }
 
@@ -79,7 +79,7 @@
 	var forServe bool
 	command := &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a settings file and name every fault by its key",
+		Short:   "Check a settings file and report every invalid key",
 		Example: "  wheatroadd check /etc/wheatroad/node.toml\n  wheatroadd check --serve node.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -179,7 +179,7 @@
 	defer cancel()
 	status, err := d.node.Status(ctx)
 	if err != nil {
-		http.Error(w, "the control loop does not answer", http.StatusServiceUnavailable)
+		http.Error(w, "timed out waiting for the control loop", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
