--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -173,7 +173,7 @@
 		return
 	}
 	if t.startsAfterCrashes++; t.startsAfterCrashes > startAllowance {
-		j.violated("%v run %d starts on %s though %d workers have crashed under it", r.name, r.number, r.worker.ID, t.crashes)
+		j.violated("%v run %d starts on %s although %d workers have crashed while running the task", r.name, r.number, r.worker.ID, t.crashes)
 	}
 }
 
@@ -189,22 +189,22 @@
 	t.starts++
 	switch {
 	case len(t.running) > 0:
-		j.violated("%v run %d starts on %s beside another run", r.name, r.number, r.worker.ID)
+		j.violated("%v run %d starts on %s while another run of the task is active", r.name, r.number, r.worker.ID)
 	case t.acknowledged && !j.cluster.step(r.name).LongRunning:
-		j.violated("%v run %d starts after an end that was taken note of", r.name, r.number)
+		j.violated("%v run %d starts after the owner acknowledged the task's completion", r.name, r.number)
 	case t.failures >= job.queue.MaxAttempts && !j.cluster.step(r.name).LongRunning:
-		j.violated("%v run %d starts after all its attempts", r.name, r.number)
+		j.violated("%v run %d starts although the task has no attempts left", r.name, r.number)
 	case !job.cancelledAt.IsZero() && j.cluster.Clock.Now().Sub(job.cancelledAt) > cancelBound && j.recentlyFaultFree(order.Token):
-		j.violated("%v run %d starts long after the cancellation", r.name, r.number)
+		j.violated("%v run %d starts after the cancellation bound", r.name, r.number)
 	}
 	if order.Payload != job.spec.Payload {
-		j.violated("%v run %d starts with another payload", r.name, r.number)
+		j.violated("%v run %d starts with a payload that differs from the job's", r.name, r.number)
 	}
 	j.checkZone(r)
 	j.checkDependencies(r, job)
 	j.checkCrashes(r, t)
 	if taken, allowed := r.worker.usage(), r.worker.allowedUsage(); !taken.FitsIn(allowed) {
-		j.violated("%v run %d brings %s to %+v, over %+v", r.name, r.number, r.worker.ID, taken, allowed)
+		j.violated("%v run %d raises usage of %s to %+v, over the allowed %+v", r.name, r.number, r.worker.ID, taken, allowed)
 	}
 	if t.done && !j.cluster.step(r.name).LongRunning {
 		t.repeatedRun = max(t.repeatedRun, r.number)
@@ -241,7 +241,7 @@
 		for index := range step.Count {
 			name := taskgraph.TaskName{Job: r.name.Job, Repetition: r.name.Repetition, Step: earlier, Index: index}
 			if !j.task(name).done {
-				j.violated("%v starts before %v has ended", r.name, name)
+				j.violated("%v starts before its dependency %v has completed", r.name, name)
 				return
 			}
 		}
@@ -282,7 +282,7 @@
 	t := j.task(entry.Task)
 	t.acknowledged = true
 	if t.repeatedRun > entry.Run {
-		j.violated("%v run %d was started after run %d had ended as done, which is taken note of only now", entry.Task, t.repeatedRun, entry.Run)
+		j.violated("%v run %d started after run %d had completed; the owner acknowledged that completion only now", entry.Task, t.repeatedRun, entry.Run)
 	}
 }
 
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -36,13 +36,13 @@
 		"two runs at once": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			_, _ = w.Workers[1].start(startOrder(0, 2))
-		}, "beside another run"},
+		}, "while another run of the task is active"},
 		"after an acknowledged end": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
 			w.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 			_, _ = w.Workers[1].start(startOrder(0, 2))
-		}, "taken note of"},
+		}, "after the owner acknowledged"},
 		"after an end that is acknowledged later": {func(w *Cluster) {
 			_, _ = w.Workers[0].start(startOrder(0, 1))
 			w.Run(2 * time.Second)
@@ -58,7 +58,7 @@
 				_, _ = w.Workers[0].start(startOrder(0, number+1))
 				w.Run(time.Second)
 			}
-		}, "all its attempts"},
+		}, "no attempts left"},
 		"long after a cancellation": {func(w *Cluster) {
 			w.Cancel(testJobID)
 			w.Run(4 * time.Second)
@@ -81,7 +81,7 @@
 				_, _ = worker.start(order)
 				w.Run(time.Second)
 			}
-		}, "have crashed under it"},
+		}, "have crashed while running the task"},
 		"in an evacuated zone": {func(w *Cluster) {
 			w.Evacuate(w.Workers[0].Zone)
 			w.Run(w.Bounds.EvacuationTimeout + time.Millisecond)
