--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -135,10 +135,10 @@
 	default:
 		r.observations.count(fmt.Sprintf("%s %d", what, answer.Status))
 		if answer.Status == http.StatusServiceUnavailable && took > maxRefusalTime && !around.faulty {
-			r.observations.addViolation("%s at node-%d was refused after %v", what, d.number, took)
+			r.observations.addViolation("%s at node-%d: 503 only after %v without an injected fault", what, d.number, took)
 		}
 		if answer.Status == http.StatusUnauthorized && !around.faulty {
-			r.observations.addViolation("%s at node-%d: a key in force was refused", what, d.number)
+			r.observations.addViolation("%s at node-%d: 401 for a valid key without an injected fault", what, d.number)
 		}
 	}
 	return answer, err
@@ -174,7 +174,7 @@
 		s.cancelled = true
 		r.platform.WithLock(func() { r.platform.Cluster.Checker.Cancelled(s.spec.ID) })
 	case http.StatusGone:
-		r.observations.addViolation("cancel of accepted job %s at node-%d: 410", s.spec.ID, d.number)
+		r.observations.addViolation("cancellation of accepted job %s: job is unknown at node-%d (410)", s.spec.ID, d.number)
 	}
 }
 
@@ -189,9 +189,9 @@
 	case answer.Status == http.StatusOK:
 		s.state = answer.State
 		if s.refused {
-			r.observations.addViolation("job %s was refused and is shown as %s", s.spec.ID, answer.State)
+			r.observations.addViolation("job %s was refused but is reported as %s", s.spec.ID, answer.State)
 		}
 	case answer.Status == http.StatusGone && s.accepted:
-		r.observations.addViolation("accepted job %s at node-%d: 410", s.spec.ID, d.number)
+		r.observations.addViolation("accepted job %s is unknown at node-%d (410)", s.spec.ID, d.number)
 	}
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -171,13 +171,13 @@
 		starts     bool
 		want       string
 	}{
-		"refused but started":             {submission{refused: true}, true, "was refused and ran"},
-		"no final state":                  {submission{accepted: true, state: taskgraph.Queued}, false, "at the end"},
-		"failed without a fault":          {submission{accepted: true, state: taskgraph.Failed}, false, "could be done"},
-		"cancelled without a request":     {submission{accepted: true, state: taskgraph.Cancelled}, false, "nobody asked"},
-		"completed with unfinished tasks": {submission{accepted: true, state: taskgraph.Completed}, false, "is not"},
-		"completed with a poison task":    {submission{accepted: true, poison: true, state: taskgraph.Completed}, false, "crashes workers"},
-		"poison without a final state":    {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "at the end"},
+		"refused but started":             {submission{refused: true}, true, "was refused but has started runs"},
+		"no final state":                  {submission{accepted: true, state: taskgraph.Queued}, false, "did not reach a final state"},
+		"failed without a fault":          {submission{accepted: true, state: taskgraph.Failed}, false, "although all its tasks can complete"},
+		"cancelled without a request":     {submission{accepted: true, state: taskgraph.Cancelled}, false, "without a cancellation request"},
+		"completed with unfinished tasks": {submission{accepted: true, state: taskgraph.Completed}, false, "although tasks are unfinished"},
+		"completed with a poison task":    {submission{accepted: true, poison: true, state: taskgraph.Completed}, false, "always crashes its worker"},
+		"poison without a final state":    {submission{accepted: true, poison: true, state: taskgraph.Running}, false, "did not reach a final state"},
 	}
 	for name, c := range cases {
 		r, s := newTestRun(t)
@@ -208,7 +208,7 @@
 	}{
 		"whole":                                {answer: standin.Response{Status: http.StatusOK, Valid: true}},
 		"truncated body":                       {answer: standin.Response{Status: http.StatusOK}, want: "without a whole body"},
-		"key refused":                          {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, want: "key in force"},
+		"key refused":                          {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, want: "401 for a valid key"},
 		"key refused during a fault":           {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, faulty: true},
 		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
 		"sent while an idle connection closes": {err: lost, planned: true},
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -119,7 +119,7 @@
 	defer d.mutex.Unlock()
 	signalled := command.ProcessState.Sys().(syscall.WaitStatus).Signaled()
 	if !signalled && !(d.stopping && err == nil) {
-		d.unexpectedExits = append(d.unexpectedExits, fmt.Sprintf("node-%d ended by itself: %v", d.number, err))
+		d.unexpectedExits = append(d.unexpectedExits, fmt.Sprintf("node-%d exited unexpectedly: %v", d.number, err))
 	}
 	d.command = nil
 	close(exited)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -126,7 +126,7 @@
 	for _, d := range r.daemons {
 		for !caller.Ready(d.ready) {
 			if time.Now().After(deadline) {
-				return errors.Newf("node-%d does not become ready, see %s", d.number, r.options.Directory)
+				return errors.Newf("node-%d did not become ready within the startup timeout; logs in %s", d.number, r.options.Directory)
 			}
 			time.Sleep(pollPeriod)
 		}
@@ -136,7 +136,7 @@
 
 func (r *run) startDaemon(d *daemon) {
 	if err := d.start(); err != nil {
-		r.observations.addViolation("node-%d does not start: %v", d.number, err)
+		r.observations.addViolation("cannot start the process of node-%d: %v", d.number, err)
 	}
 }
 
@@ -251,19 +251,19 @@
 	r.platform.WithLock(func() { starts = r.platform.Cluster.Checker.JobStarts(s.spec.ID) })
 	switch {
 	case s.refused && starts > 0:
-		r.observations.addViolation("job %s was refused and ran", s.spec.ID)
+		r.observations.addViolation("job %s was refused but has started runs", s.spec.ID)
 	case !s.accepted:
 	case !s.state.Final():
-		r.observations.addViolation("accepted job %s is %q at the end", s.spec.ID, s.state)
+		r.observations.addViolation("accepted job %s did not reach a final state; last state %q", s.spec.ID, s.state)
 	case s.poison && s.state == taskgraph.Failed:
 	case s.poison && s.state == taskgraph.Completed:
-		r.observations.addViolation("job %s is shown as completed and one of its tasks crashes workers", s.spec.ID)
+		r.observations.addViolation("job %s is reported as completed although one of its tasks always crashes its worker", s.spec.ID)
 	case s.state == taskgraph.Failed:
-		r.observations.addViolation("job %s is shown as failed and could be done", s.spec.ID)
+		r.observations.addViolation("job %s is reported as failed although all its tasks can complete", s.spec.ID)
 	case s.state == taskgraph.Cancelled && !s.cancelTried:
-		r.observations.addViolation("job %s is shown as cancelled and nobody asked for it", s.spec.ID)
+		r.observations.addViolation("job %s is reported as cancelled without a cancellation request", s.spec.ID)
 	case s.state == taskgraph.Completed && !r.allDone(s):
-		r.observations.addViolation("job %s is shown as completed and is not", s.spec.ID)
+		r.observations.addViolation("job %s is reported as completed although tasks are unfinished", s.spec.ID)
 	}
 }
 
