--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -183,7 +183,7 @@
 	good := submit(5, "j1", `"members":1,"accelerators":1,"duration":10`)
 	cases := map[string]struct{ line, reason string }{
 		"unknown worker":  {`{"at":6,"event":"worker_down","worker":"r/z/rack09/worker00"}`, `worker: "r/z/rack09/worker00" is unknown`},
-		"time goes back":  {submit(4, "j2", `"members":1,"duration":10`), "time goes back"},
+		"time goes back":  {submit(4, "j2", `"members":1,"duration":10`), "lines must be sorted by time"},
 		"duplicate job":   {good, "was submitted before"},
 		"negative size":   {submit(6, "j2", `"members":-1,"duration":10`), "members"},
 		"no duration":     {submit(6, "j2", `"members":1`), "duration"},
@@ -191,7 +191,7 @@
 		"unknown event":   {`{"at":6,"event":"dance"}`, "event"},
 		"unknown field":   {`{"at":6,"event":"cancel","job":"j1","colour":1}`, "colour"},
 		"not JSON":        {`{"at":`, "unexpected EOF"},
-		"two on one line": {`{"at":6,"event":"cancel","job":"j1"} {}`, "more than one value"},
+		"two on one line": {`{"at":6,"event":"cancel","job":"j1"} {}`, "more than one JSON value"},
 		"cancel unknown":  {`{"at":6,"event":"cancel","job":"j9"}`, "was not submitted"},
 	}
 	cluster, err := trace.ParseCluster(smallCluster)
--- a/internal/trace/cluster.go
+++ b/internal/trace/cluster.go
@@ -59,7 +59,7 @@
 		return nil, fault.NewField(fault.InvalidRequest, unknown[0].String(), "is not a known key")
 	}
 	if len(parsed.Pool) == 0 {
-		return nil, fault.NewField(fault.InvalidRequest, "pool", "at least one is needed")
+		return nil, fault.NewField(fault.InvalidRequest, "pool", "at least one pool is required")
 	}
 	for _, pool := range parsed.Pool {
 		if err := pool.validate(); err != nil {
@@ -76,7 +76,7 @@
 
 func (p *Pool) validate() error {
 	if p.Region == "" || p.Zone == "" {
-		return fault.NewField(fault.InvalidRequest, "pool", "region and zone must be named")
+		return fault.NewField(fault.InvalidRequest, "pool", "region and zone are required")
 	}
 	if p.Racks < 1 || p.WorkersPerRack < 1 || p.Racks > maxPoolWorkers || p.WorkersPerRack > maxPoolWorkers || p.Racks*p.WorkersPerRack > maxPoolWorkers {
 		return fault.NewField(fault.InvalidRequest, "pool.racks", "racks and workers_per_rack must give 1 to %d workers", maxPoolWorkers)
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -106,7 +106,7 @@
 		return line, err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return line, fmt.Errorf("more than one value on the line")
+		return line, fmt.Errorf("line contains more than one JSON value")
 	}
 	return line, nil
 }
@@ -132,10 +132,10 @@
 
 func (k *checker) check(line *Line) error {
 	if math.IsNaN(line.At) || line.At < 0 || line.At > job.MaxDuration*100 {
-		return fmt.Errorf("at: must not be negative or absurdly large")
+		return fmt.Errorf("at: must be a number of seconds from 0 to 100 times the longest job duration")
 	}
 	if line.At < k.lastAt {
-		return fmt.Errorf("at: time goes back from %g to %g", k.lastAt, line.At)
+		return fmt.Errorf("at: lines must be sorted by time; %g is followed by %g", k.lastAt, line.At)
 	}
 	k.lastAt = line.At
 	switch line.Event {
