--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -37,7 +37,7 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:     "capacity",
-		Short:   "Measure what control costs at several sizes, fit lines and extend them to the size to design for",
+		Short:   "Measure control-plane cost at several sizes and extrapolate it linearly to the design size",
 		Example: "  wheatroad-bench capacity --json --plots docs/plots",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -65,10 +65,10 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&nodes, "nodes", 9, "entry machines")
-	flags.Float64Var(&minutes, "minutes", 10, "virtual minutes measured at each size")
-	flags.StringVar(&plotDir, "plots", "", "folder for the plots")
-	flags.BoolVar(&asJSON, "json", false, "print only one JSON object a size")
+	flags.IntVar(&nodes, "nodes", 9, "number of scheduler nodes")
+	flags.Float64Var(&minutes, "minutes", 10, "measurement time at each size, in virtual minutes")
+	flags.StringVar(&plotDir, "plots", "", "directory for the plots; empty writes none")
+	flags.BoolVar(&asJSON, "json", false, "print only one JSON object per size")
 	return command
 }
 
@@ -127,7 +127,7 @@
 	}
 	for _, q := range quantities()[:3] {
 		p := plot.New()
-		p.Title.Text = fmt.Sprintf("%s a node, limit %g", q.name, q.limit)
+		p.Title.Text = fmt.Sprintf("%s per node, limit %g", q.name, q.limit)
 		p.X.Label.Text, p.Y.Label.Text = "workers", q.name
 		points := make(plotter.XYs, len(results))
 		for i, r := range results {
--- a/internal/bench/decide.go
+++ b/internal/bench/decide.go
@@ -31,7 +31,7 @@
 func newDecideCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "decide",
-		Short:   "Measure what decisions cost at a tenth, a third and the whole of the size to design for",
+		Short:   "Measure scheduling cost at 10%, 33% and 100% of the design size",
 		Example: "  wheatroad-bench decide",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
--- a/internal/bench/explore.go
+++ b/internal/bench/explore.go
@@ -13,7 +13,7 @@
 	var options emulator.ExploreOptions
 	command := &cobra.Command{
 		Use:     "explore",
-		Short:   "Search all combinations of lost, late and refused writes with a frozen owner",
+		Short:   "Explore all combinations of lost, delayed and rejected writes with a paused owner",
 		Example: "  wheatroad-bench explore --writes 4 --orders 8",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -31,8 +31,8 @@
 		},
 	}
 	flags := command.Flags()
-	flags.IntVar(&options.Writes, "writes", 4, "writes about jobs that get every combination of fates")
-	flags.IntVar(&options.Orders, "orders", 8, "orders to workers after which the owner is frozen, one at a time")
-	flags.StringVar(&options.Without, "without", "", "mechanism to turn off")
+	flags.IntVar(&options.Writes, "writes", 4, "number of job writes for which every combination of outcomes is explored")
+	flags.IntVar(&options.Orders, "orders", 8, "number of worker orders; the owner is paused after each of them in a separate run")
+	flags.StringVar(&options.Without, "without", "", "mechanism to disable")
 	return command
 }
--- a/internal/bench/generate.go
+++ b/internal/bench/generate.go
@@ -18,7 +18,7 @@
 	options := workload.Options{}
 	command := &cobra.Command{
 		Use:     "generate --cluster C.toml --out T.jsonl",
-		Short:   "Write a seeded trace",
+		Short:   "Generate a trace from a seed",
 		Example: "  wheatroad-bench generate --cluster site.toml --load 0.9 --hours 72 --seed 1 --out trace.jsonl",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -31,10 +31,10 @@
 	flags.StringVar(&outputPath, "out", "", "trace file to write; empty writes to standard output")
 	flags.StringVar(&bursts, "bursts", "mixed", "kind of bursts: small, large or mixed")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed")
-	flags.Float64Var(&options.Load, "load", 0.9, "accelerator-seconds asked for over those there are")
-	flags.Float64Var(&options.Hours, "hours", 72, "length of the trace")
-	flags.BoolVar(&options.Failures, "failures", true, "let machines, racks and zones fail")
-	flags.IntVar(&options.JobsPerDay, "jobs-per-day", 0, "fix the number of jobs and scale their run times to the load")
+	flags.Float64Var(&options.Load, "load", 0.9, "requested accelerator-seconds divided by available accelerator-seconds")
+	flags.Float64Var(&options.Hours, "hours", 72, "length of the trace in hours")
+	flags.BoolVar(&options.Failures, "failures", true, "include failures of machines, racks and zones")
+	flags.IntVar(&options.JobsPerDay, "jobs-per-day", 0, "number of jobs per day; run times are scaled to reach the load; 0 derives it from the load")
 	return command
 }
 
@@ -45,14 +45,14 @@
 		return fault.NewField(fault.InvalidRequest, "bursts", "must be small, large or mixed")
 	}
 	if options.Load <= 0 || options.Hours <= 0 || options.JobsPerDay < 0 {
-		return fault.NewField(fault.InvalidRequest, "load", "load and hours must be positive")
+		return fault.NewField(fault.InvalidRequest, "load", "load and hours must be positive and jobs-per-day must not be negative")
 	}
 	c, err := trace.ReadCluster(clusterPath)
 	if err != nil {
 		return err
 	}
 	if len(c.Tenant) == 0 {
-		return fault.NewField(fault.InvalidRequest, "tenant", "the cluster file declares none")
+		return fault.NewField(fault.InvalidRequest, "tenant", "the cluster file declares no tenant; a trace needs at least one")
 	}
 	lines := workload.Generate(c, options)
 	return writeLines(outputPath, func(encoder *json.Encoder) error {
--- a/internal/bench/replay.go
+++ b/internal/bench/replay.go
@@ -28,7 +28,7 @@
 	var options replayOptions
 	command := &cobra.Command{
 		Use:     "replay --cluster C.toml --trace T.jsonl",
-		Short:   "Run a trace in virtual time and print its figures",
+		Short:   "Replay a trace in virtual time and print its metrics",
 		Example: "  wheatroad-bench replay --cluster site.toml --trace trace.jsonl --policy wheatroad --events out.jsonl",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -43,10 +43,10 @@
 	flags.StringVar(&options.clusterPath, "cluster", "", "cluster file")
 	flags.StringVar(&options.tracePath, "trace", "", "trace file")
 	flags.StringVar(&options.policy, "policy", "wheatroad", "first-fit, best-fit or wheatroad")
-	flags.StringVar(&options.eventsPath, "events", "", "file for the events; empty writes none")
-	flags.Float64Var(&options.fragmentationWeight, "fragmentation-weight", -1, "0 to 1; replaces the policy's")
-	flags.Float64Var(&options.stretchFactor, "stretch", -1, "replaces the policy's stretch factor")
-	flags.Float64Var(&options.preemptRatio, "preempt-ratio", -1, "replaces the policy's preemption ratio")
+	flags.StringVar(&options.eventsPath, "events", "", "event output file; empty writes no events")
+	flags.Float64Var(&options.fragmentationWeight, "fragmentation-weight", -1, "fragmentation weight, 0 to 1; a negative value keeps the policy's")
+	flags.Float64Var(&options.stretchFactor, "stretch", -1, "stretch factor; a negative value keeps the policy's")
+	flags.Float64Var(&options.preemptRatio, "preempt-ratio", -1, "preemption ratio; a negative value keeps the policy's")
 	return command
 }
 
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -33,8 +33,8 @@
 	flags := command.Flags()
 	flags.StringVar(&clusterPath, "cluster", "", "cluster file")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed")
-	flags.Float64Var(&options.Load, "load", 0.9, "accelerator-seconds asked for over those there are")
-	flags.Float64Var(&options.Hours, "hours", 168, "length of the trace")
+	flags.Float64Var(&options.Load, "load", 0.9, "requested accelerator-seconds divided by available accelerator-seconds")
+	flags.Float64Var(&options.Hours, "hours", 168, "length of the trace in hours")
 	return command
 }
 
@@ -105,10 +105,10 @@
 		{"fragmentation.png", "Fragmentation over time", "hours", "fragmentation", func(s series) plotter.XYs {
 			return hourlyMeans(s, func(sample figures.Sample) float64 { return sample.Fragmentation })
 		}, false},
-		{"utilization.png", "Utilization over time", "hours", "share of accelerators taken", func(s series) plotter.XYs {
+		{"utilization.png", "Utilization over time", "hours", "fraction of accelerators in use", func(s series) plotter.XYs {
 			return hourlyMeans(s, func(sample figures.Sample) float64 { return sample.Utilization })
 		}, false},
-		{"waits.png", "Mean wait by size", "accelerators asked for", "seconds", waitPoints, true},
+		{"waits.png", "Mean wait by size", "requested accelerators", "seconds", waitPoints, true},
 	}
 	for _, p := range plots {
 		if err := drawLines(filepath.Join(dir, p.file), p.title, p.x, p.y, byPolicy, p.points, p.logX); err != nil {
@@ -199,7 +199,7 @@
 
 func drawTradeoff(path string, byWeight []series) error {
 	p := plot.New()
-	p.Title.Text = "What the weight trades"
+	p.Title.Text = "Mean completion time against fragmentation, by weight"
 	p.X.Label.Text, p.Y.Label.Text = "mean completion, seconds", "fragmentation"
 	points := make(plotter.XYs, len(byWeight))
 	names := make([]string, len(byWeight))
--- a/internal/bench/root.go
+++ b/internal/bench/root.go
@@ -8,7 +8,7 @@
 func NewCommand(version string) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "wheatroad-bench",
-		Short:         "Load, replay and experiments for wheatroad",
+		Short:         "Trace generation, replay and benchmarks for wheatroad",
 		Version:       version,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -13,7 +13,7 @@
 )
 
 // ErrInvariantViolated is returned when a run violates an invariant.
-var ErrInvariantViolated = errors.New("a promise was broken")
+var ErrInvariantViolated = errors.New("invariant violated")
 
 func newSoakCommand() *cobra.Command {
 	var seed uint64
@@ -23,7 +23,7 @@
 	var followedJob string
 	command := &cobra.Command{
 		Use:   "soak --seed N --hours H",
-		Short: "Run a whole system under faults in virtual time and judge the promises",
+		Short: "Simulate a system with fault injection and check its invariants",
 		Example: "  wheatroad-bench soak --seed 7 --hours 2\n" +
 			"  wheatroad-bench soak --seed 7 --hours 2 --without operation_markers",
 		Args: cobra.NoArgs,
@@ -67,10 +67,10 @@
 	flags.Float64Var(&hours, "hours", 2, "virtual hours")
 	flags.StringVar(&rates, "rates", "heavy", "fault rates: heavy, plan for those of the size to design for, stops for planned stops and a slow store, or none")
 	flags.Float64Var(&jobsPerHour, "jobs-per-hour", 400, "submissions")
-	flags.StringVar(&disabledMechanism, "without", "", "mechanism to turn off")
-	flags.BoolVar(&listMechanisms, "list-mechanisms", false, "print the mechanisms that can be turned off")
-	flags.StringVar(&followedJob, "follow", "", "print what happened to this job and every change of state of the nodes")
-	flags.BoolVar(&verbose, "verbose", false, "print every broken promise")
+	flags.StringVar(&disabledMechanism, "without", "", "mechanism to disable")
+	flags.BoolVar(&listMechanisms, "list-mechanisms", false, "list the mechanisms that --without accepts")
+	flags.StringVar(&followedJob, "follow", "", "print the events of this job and every state change of the nodes")
+	flags.BoolVar(&verbose, "verbose", false, "print every invariant violation")
 	return command
 }
 
