--- a/internal/poison/ages.go
+++ b/internal/poison/ages.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// A poison task fails at about the same age of each run, whereas chance losses occur at any age.
-// Two losses at very different ages are therefore insufficient evidence.
+// The age of a run is the time since the run started. A poison task crashes its workers at about
+// the same age of each run. Losses that no task caused (chance losses) occur at any age. Two losses
+// at very different ages are therefore insufficient evidence.
 
-// maxAgeRatio is the largest ratio of ages that one cause explains. Workers differ in speed, and
-// the loss of a worker is detected with a delay.
+// maxAgeRatio is the largest ratio between the ages of losses that one task caused. The ages
+// differ because workers differ in speed and because losses are detected with a delay.
 const maxAgeRatio = 3
 
-// unknownAge is the age of losses without a known run age.
+// unknownAge marks a loss for which the age of the task's run is unknown.
 const unknownAge time.Duration = -1
 
-// agesAgree reports whether one cause explains the ages of all losses that are evidence. Losses of
-// unknown age always agree.
+// agesAgree reports whether the task may have caused all losses that are evidence, judging by their
+// ages. Losses of unknown age are ignored.
 func (h *History) agesAgree() bool {
 	minAge, maxAge := ageHorizon, time.Duration(0)
 	for i := range h.losses {
@@ -26,7 +27,7 @@
 	return maxAge+ageOffset <= maxAgeRatio*(minAge+ageOffset)
 }
 
-// ageMillis returns an age as a record holds it.
+// ageMillis converts an age into the value of Record.AgeMillis.
 func ageMillis(age time.Duration) int64 {
 	if age == unknownAge {
 		return 0
@@ -34,7 +35,7 @@
 	return age.Milliseconds() + 1
 }
 
-// age returns the age of the run that a record holds.
+// age converts AgeMillis back into an age.
 func (r *Record) age() time.Duration {
 	if r.AgeMillis <= 0 {
 		return unknownAge
--- a/internal/poison/doc.go
+++ b/internal/poison/doc.go
@@ -1,9 +1,10 @@
-// Package poison distinguishes tasks that crash their workers (poison tasks) from sound tasks
-// whose workers were lost by chance. It reads no clock and does no I/O.
+// Package poison distinguishes tasks that crash their workers (poison tasks) from healthy tasks
+// (verdict Sound). The package reads no clock and does no I/O.
 //
-// Each lost worker is evidence about every task that ran on it, expressed as a likelihood ratio:
-// how much more likely a loss at that age of the task's run is if the task is poison than if it is
-// sound. In the latter case the worker was lost by chance, at the rate observed around that time,
-// or because of another task. The odds that a task is poison are the prior odds times the ratios
-// of all workers lost under it.
+// A loss is a worker that failed or stopped responding. A chance loss is a loss that no task on the
+// worker caused. Each loss is evidence about every task that ran on the lost worker. The evidence
+// is a likelihood ratio: the likelihood of the loss if the task is poison, divided by its
+// likelihood if the task is healthy. If the task is healthy, either the loss is a chance loss or
+// another task caused it. The odds that a task is poison are the prior odds times the likelihood
+// ratios of all losses in the task's history.
 package poison
--- a/internal/poison/history.go
+++ b/internal/poison/history.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// History is the evidence from lost workers about one task.
+// History holds the losses of workers that ran one task, as evidence about the task.
 type History struct {
 	group  *Group
 	losses []taskLoss
 }
 
-// Group holds the histories of tasks that run only together. Losses under several of them have the
-// same cause.
+// Group represents tasks that run only together, such as the members of a gang. Losses of workers
+// that ran tasks of one group are attributed to one cause.
 type Group struct {
 	losses []*workerLoss
 }
@@ -22,9 +22,10 @@
 	worker string
 	// age is the age of the task's run when the worker was lost, or unknownAge.
 	age time.Duration
-	// ratio is the likelihood ratio of the loss: poison against sound.
+	// ratio is the likelihood of the loss if the task is poison, divided by its likelihood if the
+	// task is healthy.
 	ratio float64
-	// unexplained losses count toward the limit but are not evidence.
+	// unexplained losses count toward maxLosses but are not evidence.
 	unexplained bool
 	// loss is nil once the ratio is final.
 	loss *workerLoss
@@ -36,14 +37,14 @@
 	Ratio  float64 `json:"r"`
 	// AgeMillis is the age of the run in whole milliseconds plus 1; 0 if unknown.
 	AgeMillis int64 `json:"a,omitempty"`
-	// Unexplained losses count toward the limit but are not evidence.
+	// Unexplained losses count toward maxLosses but are not evidence.
 	Unexplained bool `json:"u,omitempty"`
 }
 
 // NewGroup returns an empty group.
 func NewGroup() *Group { return &Group{} }
 
-// NewHistory returns the history of a task in the group from its stored records.
+// NewHistory returns the history of a task of the group, restored from the task's stored records.
 func (g *Group) NewHistory(records []Record) *History {
 	h := &History{group: g}
 	for _, record := range records {
@@ -52,8 +53,8 @@
 	return h
 }
 
-// AddUnexplained counts a lost worker that is not evidence, because it may have been lost for
-// another reason or before the task began there.
+// AddUnexplained adds the loss of a worker that counts toward maxLosses but is not evidence. The
+// worker may have been lost for a known other reason, or before the task started on the worker.
 func (h *History) AddUnexplained(worker string) {
 	if !h.has(worker) {
 		h.losses = append(h.losses, taskLoss{worker: worker, age: unknownAge, ratio: 1, unexplained: true})
@@ -71,7 +72,7 @@
 	return count
 }
 
-// Records returns the history as stored; a nil history has none.
+// Records returns the stored form of the history. It returns nil for a nil history.
 func (h *History) Records() []Record {
 	if h == nil {
 		return nil
@@ -84,7 +85,7 @@
 	return records
 }
 
-// Workers returns the names of the workers that were lost under the task.
+// Workers returns the names of the lost workers that ran the task, separated by spaces.
 func (h *History) Workers() string {
 	names := make([]string, 0, len(h.losses))
 	for i := range h.losses {
@@ -93,7 +94,7 @@
 	return strings.Join(names, " ")
 }
 
-// LossCount returns the number of workers that were lost under the task.
+// LossCount returns the number of lost workers that ran the task.
 func (h *History) LossCount() int {
 	if h == nil {
 		return 0
@@ -114,14 +115,15 @@
 
 // The verdicts.
 const (
-	// Sound tasks run like any other.
+	// Sound tasks are considered healthy and run without restrictions.
 	Sound Verdict = "sound"
-	// Doubtful tasks are kept apart from each other where that causes no wait, so that the next
-	// loss distinguishes them.
+	// Doubtful tasks run on different workers unless a task would have to wait. The next loss then
+	// shows which of the tasks is poison.
 	Doubtful Verdict = "doubtful"
-	// Suspected tasks are kept apart from all newly placed tasks, preferably on an empty worker.
+	// Suspected tasks do not share a worker with newly placed tasks. Empty workers are preferred.
 	Suspected Verdict = "suspected"
-	// PoisonByOdds and PoisonByLimit tasks must not run again.
+	// PoisonByOdds tasks were rejected by the odds, PoisonByLimit tasks by the number of losses.
+	// Neither may run again.
 	PoisonByOdds  Verdict = "crash_odds"
 	PoisonByLimit Verdict = "crash_limit"
 )
@@ -129,8 +131,8 @@
 // Poison reports whether the task must not run again.
 func (v Verdict) Poison() bool { return v == PoisonByOdds || v == PoisonByLimit }
 
-// hasSufficientEvidence reports whether the evidence proves the task poison. Two losses must agree
-// in age; with three or more the odds decide.
+// hasSufficientEvidence reports whether the evidence proves that the task is poison. If there are
+// only two losses, their ages must agree. If there are more, only the odds decide.
 func (h *History) hasSufficientEvidence() bool {
 	evidence := h.evidenceCount()
 	if evidence == minEvidence && !h.agesAgree() {
@@ -162,7 +164,8 @@
 // SuspectedByOdds reports whether the odds alone make the task suspected.
 func (h *History) SuspectedByOdds() bool { return h.Odds() >= suspectedOdds }
 
-// oddsWithout returns the odds without the evidence of one loss.
+// oddsWithout returns the odds that the task is poison, ignoring the evidence of one loss. If loss
+// is nil, no evidence is ignored.
 func (h *History) oddsWithout(loss *workerLoss) float64 {
 	odds := priorOdds
 	for i := range h.losses {
@@ -190,8 +193,8 @@
 	}
 }
 
-// removeWorker removes a worker that was not lost. It returns false if the worker is not in the
-// history.
+// removeWorker removes the loss of a worker that turned out to be alive. It returns false if the
+// history does not contain the worker.
 func (h *History) removeWorker(worker string) bool {
 	for i := range h.losses {
 		if h.losses[i].worker == worker {
