--- a/internal/poison/loss_tracker.go
+++ b/internal/poison/loss_tracker.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// recentWindow is how long the evidence of a loss is updated by other losses.
+	// recentWindow is how long later losses can still change the evidence of a loss.
 	recentWindow = 30 * time.Second
-	// maxRecentLosses limits the losses whose evidence is updated.
+	// maxRecentLosses limits the number of losses whose evidence can still change.
 	maxRecentLosses = 256
-	// estimateIterations is the number of fixed-point iterations over odds and chance rates.
+	// estimateIterations is the number of fixed-point iterations that estimate the odds of the tasks
+	// and the rates of chance losses, which depend on each other. A chance loss is a loss that no
+	// task on the worker caused.
 	estimateIterations = 4
 )
 
 // LossTracker correlates recent losses of workers to find the tasks that caused them.
 type LossTracker struct {
-	// losses is sorted by time.
+	// losses holds the losses whose evidence can still change, sorted by time.
 	losses []*workerLoss
-	// settled holds losses with final evidence, oldest first, so that they can still be withdrawn.
+	// settled holds losses with final evidence, oldest first. WithdrawLoss can still withdraw them.
 	settled []settledLoss
 	// tracked holds the workers in losses and settled.
 	tracked map[string]bool
@@ -26,13 +28,13 @@
 	workers int
 }
 
-// settledLoss is a loss with final evidence in one history.
+// settledLoss is the loss of a worker whose evidence in one task's history is final.
 type settledLoss struct {
 	worker  string
 	history *History
 }
 
-// maxSettledLosses limits the losses that can still be withdrawn.
+// maxSettledLosses limits the number of settled losses that WithdrawLoss can still withdraw.
 const maxSettledLosses = 2048
 
 // workerLoss is one lost worker and the tasks that ran on it.
@@ -44,10 +46,10 @@
 	suspects        []Suspect
 	// chanceProbability is the probability that none of the tasks caused the loss.
 	chanceProbability float64
-	// chanceRate is the rate of chance losses at the time, and suspectRate that of losses caused by
-	// one of the suspects.
+	// chanceRate is the rate of chance losses at the time of this loss. suspectRate is the rate of
+	// losses that the suspects would cause. Both are per worker and second.
 	chanceRate, suspectRate float64
-	// nearbyChance sums the chance probabilities of the losses around this one.
+	// nearbyChance holds the sums of chanceProbability over the losses around this one.
 	nearbyChance chanceSums
 }
 
@@ -56,7 +58,7 @@
 	History *History
 	// Age is the age of the run when the worker was last known to be alive.
 	Age time.Duration
-	// AgeEstimated is true if an earlier owner started the run, so that Age is an estimate.
+	// AgeEstimated is true if Age is an estimate because an earlier owner started the run.
 	AgeEstimated bool
 }
 
@@ -76,7 +78,7 @@
 	At      time.Time
 	// Unobserved is true if the worker was lost before its owner heard from it.
 	Unobserved bool
-	// Replaced is true if another instance runs at the worker's address, so that the lost one
+	// Replaced is true if another instance runs at the worker's address. The lost worker then
 	// certainly runs nothing.
 	Replaced bool
 	Suspects []Suspect
@@ -88,7 +90,7 @@
 // SetWorkers sets the number of workers in the pool.
 func (l *LossTracker) SetWorkers(count int) { l.workers = max(1, count) }
 
-// RecordLoss records a lost worker and updates the evidence.
+// RecordLoss records the loss of a worker and updates the evidence of all recent losses.
 func (l *LossTracker) RecordLoss(lost Loss) {
 	loss := &workerLoss{worker: lost.Worker, address: lost.Address, at: lost.At, replaced: lost.Replaced, unobserved: lost.Unobserved, chanceProbability: 1}
 	for _, suspect := range lost.Suspects {
@@ -115,7 +117,7 @@
 	}
 }
 
-// Restore registers a history that was read from the store.
+// Restore registers a history that was read from the store, so that WithdrawLoss finds its losses.
 func (l *LossTracker) Restore(h *History) {
 	for i := range h.losses {
 		l.settle(h, h.losses[i].worker)
@@ -131,8 +133,8 @@
 	}
 }
 
-// prune finalizes the evidence of losses older than recentWindow, and of the oldest beyond
-// maxRecentLosses.
+// prune settles losses that are older than recentWindow. If there are still too many losses, it
+// settles the oldest until one more loss fits within maxRecentLosses.
 func (l *LossTracker) prune(now time.Time) {
 	for len(l.losses) > 0 && (now.Sub(l.losses[0].at) > recentWindow || len(l.losses) >= maxRecentLosses) {
 		l.removeLoss(l.losses[0], func(h *History, loss *workerLoss) {
@@ -161,8 +163,8 @@
 	}
 }
 
-// WithdrawLoss withdraws the loss of a worker that is alive. It returns true if the worker was
-// recorded as lost.
+// WithdrawLoss removes the loss of a worker that turned out to be alive from all histories. It
+// returns false if the tracker holds no loss of the worker.
 func (l *LossTracker) WithdrawLoss(worker string) bool {
 	if !l.tracked[worker] {
 		return false
@@ -191,8 +193,9 @@
 	return found
 }
 
-// updateEvidence recomputes the evidence of all recent losses. It starts from the assumption that
-// all are chance losses, which favours sound tasks: only losses above that rate change the odds.
+// updateEvidence recomputes the evidence of all recent losses. It first assumes that all of them
+// are chance losses. This assumption favours healthy tasks: the odds of a task rise only if its
+// workers are lost more often than the rate of chance losses explains.
 func (l *LossTracker) updateEvidence() {
 	for _, loss := range l.losses {
 		loss.chanceProbability = 1
@@ -211,8 +214,8 @@
 	}
 }
 
-// updateRatios recomputes the likelihood ratio of each suspect, by the suspects' odds without this
-// loss.
+// updateRatios recomputes the likelihood ratio of this loss for each suspect. The computation uses
+// the odds that the suspects have without this loss.
 func (loss *workerLoss) updateRatios(workers int) {
 	suspectRate := 0.0
 	weights := make([]float64, len(loss.suspects))
@@ -222,13 +225,13 @@
 	}
 	for i, suspect := range loss.suspects {
 		group := suspect.History.group
-		otherRate := loss.baseRate() + loss.nearbyChance.rate(group.groupChance(loss), workers) + suspectRate
+		otherRate := loss.baseChanceRate() + loss.nearbyChance.rate(group.groupChance(loss), workers) + suspectRate
 		for k, other := range loss.suspects {
 			if k == i || other.History.group == group {
 				otherRate -= weights[k]
 			}
 		}
-		suspect.History.setRatio(loss, crashDensity(suspect.Age)/max(otherRate, loss.baseRate()))
+		suspect.History.setRatio(loss, crashDensity(suspect.Age)/max(otherRate, loss.baseChanceRate()))
 	}
 	loss.suspectRate = suspectRate
 }
--- a/internal/poison/model.go
+++ b/internal/poison/model.go
@@ -8,47 +8,50 @@
 const (
 	// priorOdds are the odds that a task without losses is poison.
 	priorOdds = 1e-3
-	// replacedRate is the minimum rate of chance losses per worker and second, for workers that
-	// were replaced.
-	replacedRate = 1e-4
-	// unreachableRate applies to workers that only stopped responding; network partitions and
-	// stalls look the same.
-	unreachableRate = 1e-3
-	// unobservedRate applies to workers that were lost before the owner heard from them. The owner
-	// has not seen the losses around them, and a failure that takes an owner down often takes
-	// workers with it.
-	unobservedRate = 3e-3
-	// poisonOdds are the odds from which a task is poison, given at least minEvidence losses as
-	// evidence. At maxLosses losses it is rejected whatever its odds, and at one less if its odds
-	// reach nearLimitOdds, so that one undetected loss does not exceed the limit.
+	// The next three constants are the minimum rates of chance losses per worker and second. A
+	// chance loss is a loss that no task on the worker caused.
+
+	// replacedLossRate applies to lost workers that another instance has replaced.
+	replacedLossRate = 1e-4
+	// unreachableLossRate applies to workers that only stopped responding. Network partitions and
+	// stalls have the same symptom.
+	unreachableLossRate = 1e-3
+	// unobservedLossRate applies to workers that were lost before the owner heard from them. The
+	// owner has not seen the losses around them. A failure of the previous owner's machine often
+	// affects workers too.
+	unobservedLossRate = 3e-3
+	// A task is poison if its odds reach poisonOdds and at least minEvidence losses are evidence.
+	// A task with maxLosses losses is rejected whatever its odds. A task with one loss less is
+	// rejected if its odds reach nearLimitOdds, in case one loss was not detected.
 	poisonOdds    = 10
 	minEvidence   = 2
 	nearLimitOdds = 10 * priorOdds
 	maxLosses     = 5
-	// doubtfulOdds and suspectedOdds are the odds from which a task is kept apart from other
-	// doubtful tasks, or from all newly placed ones.
-	doubtfulOdds  = 0.05
+	// A task is Doubtful if its odds reach doubtfulOdds.
+	doubtfulOdds = 0.05
+	// A task is Suspected if its odds reach suspectedOdds.
 	suspectedOdds = 0.3
-	// rateWindow is the time around a loss within which others count toward the chance rate.
+	// rateWindow is the time before and after a loss within which other losses count toward the
+	// rate of chance losses.
 	rateWindow = 10 * time.Second
-	// burstWindow is the same for simultaneous losses. It covers the delay within which workers
-	// behind one network partition are found lost.
+	// burstWindow is the time before and after a loss within which other losses count as one burst.
+	// Workers behind one network partition are detected as lost within this time.
 	burstWindow = 1500 * time.Millisecond
-	// minBurstLosses is the number of other losses that are discounted before losses count as a
-	// burst.
+	// minBurstLosses is subtracted from the number of other losses within burstWindow, so that few
+	// losses do not count as a burst.
 	minBurstLosses = 4
-	// ageOffset and ageHorizon define the density of the age at which poison tasks crash their
-	// workers, which is proportional to 1/(age + ageOffset) up to ageHorizon. A run older than
-	// ageHorizon is not a suspect.
+	// ageOffset and ageHorizon define the probability density of the age at which poison tasks crash
+	// their workers. The density is proportional to 1/(age + ageOffset) up to ageHorizon. A task
+	// whose run is older than ageHorizon is not a suspect.
 	ageOffset  = 100 * time.Millisecond
 	ageHorizon = 60 * time.Second
 )
 
-// densityNorm normalizes the density to an integral of 1.
+// densityNorm normalizes the density of crash ages to an integral of 1.
 var densityNorm = math.Log(1 + ageHorizon.Seconds()/ageOffset.Seconds())
 
-// crashDensity returns the probability per second that a poison task crashes its worker at an age
-// of its run.
+// crashDensity returns the probability density, per second, of a poison task crashing its worker
+// at the given age of the run.
 func crashDensity(age time.Duration) float64 {
 	if age >= ageHorizon {
 		return 0
--- a/internal/poison/rates.go
+++ b/internal/poison/rates.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Chance losses are either isolated or simultaneous, as when a rack, a zone or a link fails. The
-// chance rate at a loss is the higher of the rates within rateWindow and within burstWindow, so
-// that repeated bursts do not make sound tasks look like poison.
+// A chance loss is a loss that no task on the worker caused. Chance losses are isolated, or they
+// occur in bursts when a rack, a zone or a link fails. The rate of chance losses is the higher of
+// the rates within rateWindow and within burstWindow. Repeated bursts therefore do not make healthy
+// tasks look like poison.
 
 // rateWindows are the windows over which chance losses are counted.
 var rateWindows = [...]time.Duration{rateWindow, burstWindow}
 
-// chanceSums holds, for each of rateWindows, the sum of the probabilities that losses were chance
-// losses.
+// chanceSums holds one sum for each of rateWindows. A sum adds up the probabilities of losses being
+// chance losses, which gives the expected number of chance losses.
 type chanceSums [len(rateWindows)]float64
 
-// rate returns the rate per worker and second that the sums represent, less the excluded ones.
+// rate returns the rate of chance losses per worker and second, after subtracting the excluded
+// sums.
 func (s chanceSums) rate(excluded chanceSums, workers int) float64 {
 	highest := 0.0
 	for i, window := range rateWindows {
@@ -43,23 +45,24 @@
 		}
 	}
 	for _, loss := range l.losses {
-		loss.chanceRate = loss.baseRate() + loss.nearbyChance.rate(chanceSums{}, l.workers)
+		loss.chanceRate = loss.baseChanceRate() + loss.nearbyChance.rate(chanceSums{}, l.workers)
 	}
 }
 
-// baseRate returns the chance rate that applies without any other loss.
-func (loss *workerLoss) baseRate() float64 {
+// baseChanceRate returns the rate of chance losses that applies if no other worker was lost.
+func (loss *workerLoss) baseChanceRate() float64 {
 	switch {
 	case loss.unobserved:
-		return unobservedRate
+		return unobservedLossRate
 	case loss.replaced:
-		return replacedRate
+		return replacedLossRate
 	}
-	return unreachableRate
+	return unreachableLossRate
 }
 
-// groupChance returns what the group's other losses contribute at the time of one: if the group is
-// the cause of one, it is the cause of all, and they are not chance losses.
+// groupChance returns the contribution of the group's other losses to the rate of chance losses at
+// the time of the given loss. If the group caused this loss, the group caused the other losses too,
+// and none of them is a chance loss.
 func (g *Group) groupChance(loss *workerLoss) chanceSums {
 	var sums chanceSums
 	for _, other := range g.losses {
