--- a/internal/poison/loss_tracker_test.go
+++ b/internal/poison/loss_tracker_test.go
@@ -17,54 +17,54 @@
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func newTestLedger(workers int) *LossTracker {
-	l := NewLossTracker()
-	l.SetWorkers(workers)
-	return l
+func newTestTracker(workers int) *LossTracker {
+	tracker := NewLossTracker()
+	tracker.SetWorkers(workers)
+	return tracker
 }
 
 func newHistory() *History { return NewGroup().NewHistory(nil) }
 
 var lossCount int
 
-// loseWorker records the loss of a worker under tasks whose runs have the same age.
-func loseWorker(l *LossTracker, when float64, age time.Duration, tasks ...*History) string {
+// loseWorker records the loss of a worker that ran the given tasks. All runs have the same age.
+func loseWorker(tracker *LossTracker, when float64, age time.Duration, tasks ...*History) string {
 	suspects := make([]Suspect, 0, len(tasks))
 	for _, task := range tasks {
 		suspects = append(suspects, Suspect{History: task, Age: age})
 	}
-	return loseWorkerRunning(l, when, suspects)
+	return loseWorkerWithSuspects(tracker, when, suspects)
 }
 
-func loseWorkerRunning(l *LossTracker, when float64, suspects []Suspect) string {
+func loseWorkerWithSuspects(tracker *LossTracker, when float64, suspects []Suspect) string {
 	lossCount++
 	worker := fmt.Sprintf("w-%d", lossCount)
-	l.RecordLoss(Loss{Worker: worker, Address: worker, At: at(when), Replaced: true, Suspects: suspects})
+	tracker.RecordLoss(Loss{Worker: worker, Address: worker, At: at(when), Replaced: true, Suspects: suspects})
 	return worker
 }
 
 func TestTwoIsolatedLossesProvePoison(t *testing.T) {
 	for _, age := range []time.Duration{0, earlyAge, time.Second, 3 * time.Second, 8 * time.Second} {
-		l, task := newTestLedger(48), newHistory()
-		loseWorker(l, 0, age, task)
+		tracker, task := newTestTracker(48), newHistory()
+		loseWorker(tracker, 0, age, task)
 		require.NotEqual(t, Sound, task.Verdict(), age)
-		loseWorker(l, 4, age, task)
+		loseWorker(tracker, 4, age, task)
 		require.Equal(t, PoisonByOdds, task.Verdict(), age)
 	}
 }
 
-// TestColocatedTasksAreNotPoison guards against rejecting sound tasks that are rescheduled
-// together with a poison one onto the same workers.
+// TestColocatedTasksAreNotPoison guards against rejecting healthy tasks that run on the same
+// workers as a poison task, also after rescheduling.
 func TestColocatedTasksAreNotPoison(t *testing.T) {
-	l, poisonTask := newTestLedger(48), newHistory()
+	tracker, poisonTask := newTestTracker(48), newHistory()
 	colocated := []*History{newHistory(), newHistory(), newHistory()}
 	suspects := []Suspect{{History: poisonTask, Age: earlyAge}}
 	for _, task := range colocated {
 		suspects = append(suspects, Suspect{History: task, Age: 5 * time.Second})
 	}
-	loseWorkerRunning(l, 0, suspects)
+	loseWorkerWithSuspects(tracker, 0, suspects)
 	require.Equal(t, Suspected, poisonTask.Verdict())
-	loseWorker(l, 4, earlyAge, append(colocated, poisonTask)...)
+	loseWorker(tracker, 4, earlyAge, append(colocated, poisonTask)...)
 	require.Equal(t, PoisonByOdds, poisonTask.Verdict())
 	for _, task := range colocated {
 		require.False(t, task.Verdict().Poison(), task.Odds())
@@ -72,14 +72,14 @@
 }
 
 func TestRackLossLeavesTasksSound(t *testing.T) {
-	l := newTestLedger(48)
+	tracker := newTestTracker(48)
 	var tasks []*History
 	for worker := range 8 {
 		var onWorker []*History
 		for range 6 {
 			onWorker = append(onWorker, newHistory())
 		}
-		loseWorker(l, float64(worker)/10, 3*time.Second, onWorker...)
+		loseWorker(tracker, float64(worker)/10, 3*time.Second, onWorker...)
 		tasks = append(tasks, onWorker...)
 	}
 	for _, task := range tasks {
@@ -87,14 +87,14 @@
 	}
 }
 
-// TestSeveralPoisonTasksAtOnce guards against counting the losses under one poison task as chance
-// losses for another.
+// TestSeveralPoisonTasksAtOnce guards against counting losses that one poison task caused as chance
+// losses (losses that no task caused) in the evidence about another poison task.
 func TestSeveralPoisonTasksAtOnce(t *testing.T) {
-	l := newTestLedger(48)
+	tracker := newTestTracker(48)
 	tasks := []*History{newHistory(), newHistory(), newHistory()}
 	for round := range 2 {
 		for i, task := range tasks {
-			loseWorker(l, 4*float64(round)+float64(i), earlyAge, task)
+			loseWorker(tracker, 4*float64(round)+float64(i), earlyAge, task)
 		}
 	}
 	for _, task := range tasks {
@@ -102,66 +102,66 @@
 	}
 }
 
-// TestGangCrashingAllWorkersIsPoison covers a gang whose members all lose their workers at once,
-// which resembles a rack failure.
+// TestGangCrashingAllWorkersIsPoison guards against mistaking a poison gang, whose members crash
+// all their workers at once, for a rack failure.
 func TestGangCrashingAllWorkersIsPoison(t *testing.T) {
-	l, gang := newTestLedger(48), NewGroup()
+	tracker, gang := newTestTracker(48), NewGroup()
 	members := make([]*History, 8)
 	for i := range members {
 		members[i] = gang.NewHistory(nil)
 	}
 	for round := range 2 {
 		for _, member := range members {
-			loseWorker(l, 5*float64(round), time.Second, member)
+			loseWorker(tracker, 5*float64(round), time.Second, member)
 		}
 	}
 	require.Equal(t, PoisonByOdds, members[0].Verdict(), members[0].Odds())
 }
 
 func TestLiveWorkerIsWithdrawnFromEvidence(t *testing.T) {
-	l, task := newTestLedger(48), newHistory()
-	first := loseWorker(l, 0, earlyAge, task)
-	require.True(t, l.WithdrawLoss(first))
-	require.False(t, l.WithdrawLoss(first))
+	tracker, task := newTestTracker(48), newHistory()
+	first := loseWorker(tracker, 0, earlyAge, task)
+	require.True(t, tracker.WithdrawLoss(first))
+	require.False(t, tracker.WithdrawLoss(first))
 	require.Zero(t, task.LossCount())
-	loseWorker(l, 4, earlyAge, task)
+	loseWorker(tracker, 4, earlyAge, task)
 	require.Equal(t, Suspected, task.Verdict())
 }
 
 func TestHistoryRoundTrip(t *testing.T) {
-	l, task := newTestLedger(48), newHistory()
-	worker := loseWorker(l, 0, earlyAge, task)
-	next := newTestLedger(48)
+	tracker, task := newTestTracker(48), newHistory()
+	worker := loseWorker(tracker, 0, earlyAge, task)
+	restoredTracker := newTestTracker(48)
 	restored := NewGroup().NewHistory(task.Records())
-	next.Restore(restored)
+	restoredTracker.Restore(restored)
 	require.InDelta(t, task.Odds(), restored.Odds(), 1e-9)
-	loseWorker(next, 4, earlyAge, restored)
+	loseWorker(restoredTracker, 4, earlyAge, restored)
 	require.Equal(t, PoisonByOdds, restored.Verdict())
-	require.True(t, next.WithdrawLoss(worker))
+	require.True(t, restoredTracker.WithdrawLoss(worker))
 	require.Equal(t, 1, restored.LossCount())
 }
 
 func TestLossLimitIgnoresOdds(t *testing.T) {
-	l, task := newTestLedger(48), newHistory()
+	tracker, task := newTestTracker(48), newHistory()
 	for round := range maxLosses {
 		for range 60 {
-			loseWorker(l, float64(4*round), 5*time.Second, newHistory())
+			loseWorker(tracker, float64(4*round), 5*time.Second, newHistory())
 		}
 		require.False(t, task.Verdict().Poison())
 		if round == 2 {
-			// A worker that left as planned counts but is not evidence.
+			// A worker that left as planned counts toward maxLosses but is not evidence.
 			odds := task.Odds()
 			task.AddUnexplained("left")
 			require.InDelta(t, odds, task.Odds(), 1e-9)
 			continue
 		}
-		loseWorker(l, float64(4*round), 5*time.Second, task)
+		loseWorker(tracker, float64(4*round), 5*time.Second, task)
 	}
 	require.Equal(t, PoisonByLimit, task.Verdict())
 }
 
 func TestUnexplainedLossesCountTowardLimit(t *testing.T) {
-	l, task := newTestLedger(48), newHistory()
+	tracker, task := newTestTracker(48), newHistory()
 	for number := range maxLosses - 1 {
 		task.AddUnexplained(fmt.Sprint("unexplained ", number))
 		task.AddUnexplained(fmt.Sprint("unexplained ", number))
@@ -169,18 +169,18 @@
 		require.Equal(t, Sound, task.Verdict())
 	}
 	restored := NewGroup().NewHistory(task.Records())
-	loseWorker(l, 0, earlyAge, restored)
+	loseWorker(tracker, 0, earlyAge, restored)
 	require.Equal(t, PoisonByLimit, restored.Verdict())
 
 	single := newHistory()
 	single.AddUnexplained("unexplained")
-	loseWorker(l, 100, earlyAge, single)
+	loseWorker(tracker, 100, earlyAge, single)
 	require.Greater(t, single.Odds(), float64(poisonOdds))
 	require.Equal(t, Suspected, single.Verdict(), "a single loss as evidence must not prove poison")
 }
 
-// TestErrorsOverSeeds bounds both error rates at several rates of chance losses per worker and
-// second: sound tasks classified as poison, and workers lost to a poison task.
+// TestErrorsOverSeeds runs simulations with several random seeds and rates of worker failures. It
+// limits the healthy tasks that are classified as poison and the workers that a poison task crashes.
 func TestErrorsOverSeeds(t *testing.T) {
 	const seeds = 40
 	for _, rate := range []float64{0.001, 0.005, 0.02} {
@@ -206,7 +206,7 @@
 	c.mostLost = max(c.mostLost, other.mostLost)
 }
 
-// Parameters of simulateLosses: 60 s in steps of 0.1 s, with tasks of 5 s on average.
+// These parameters of simulateLosses give 60 s in steps of 0.1 s, with tasks of 5 s on average.
 const (
 	simulatedWorkers      = 48
 	tasksPerWorker        = 6
@@ -216,34 +216,35 @@
 	secondsToRetry        = 3.5
 )
 
-// simulatedPool is a pool whose tasks stay on their workers, which are replaced immediately.
+// simulatedPool is a pool in which each lost worker is replaced immediately. The tasks of a lost
+// worker restart on the replacement.
 type simulatedPool struct {
 	random     *rand.Rand
-	ledger     *LossTracker
+	tracker    *LossTracker
 	tasks      []*History
 	startTimes []float64
 	counts     errorCounts
 }
 
-// simulateLosses loses workers by chance, and one more under a poison task each time it runs,
-// until the task is rejected.
+// simulateLosses simulates workers that fail at random, at the given rate per worker and second.
+// One poison task crashes a worker in each of its runs, until the task is rejected.
 func simulateLosses(random *rand.Rand, rate float64) errorCounts {
-	p := &simulatedPool{random: random, ledger: newTestLedger(simulatedWorkers), startTimes: make([]float64, simulatedWorkers*tasksPerWorker)}
+	p := &simulatedPool{random: random, tracker: newTestTracker(simulatedWorkers), startTimes: make([]float64, simulatedWorkers*tasksPerWorker)}
 	for range p.startTimes {
 		p.tasks = append(p.tasks, newHistory())
 	}
-	poison, lost, next := newHistory(), 0, 5.0
+	poison, lost, nextRun := newHistory(), 0, 5.0
 	for step := range simulatedSteps {
 		now := float64(step) * stepSeconds
 		for worker := range simulatedWorkers {
 			if random.Float64() < rate*stepSeconds {
-				loseWorkerRunning(p.ledger, now, p.suspects(worker, now))
+				loseWorkerWithSuspects(p.tracker, now, p.suspects(worker, now))
 			}
 		}
-		if now >= next && !poison.Verdict().Poison() {
+		if now >= nextRun && !poison.Verdict().Poison() {
 			suspects := p.suspects(random.IntN(simulatedWorkers), now)
-			loseWorkerRunning(p.ledger, now, append(suspects, Suspect{History: poison, Age: earlyAge}))
-			next, lost = now+secondsToRetry, lost+1
+			loseWorkerWithSuspects(p.tracker, now, append(suspects, Suspect{History: poison, Age: earlyAge}))
+			nextRun, lost = now+secondsToRetry, lost+1
 		}
 		p.completeTasks(now)
 	}
@@ -252,7 +253,7 @@
 	return p.counts
 }
 
-// suspects returns the tasks of a worker and restarts them.
+// suspects returns the tasks of a lost worker as suspects and restarts the tasks.
 func (p *simulatedPool) suspects(worker int, now float64) []Suspect {
 	var suspects []Suspect
 	for i := worker * tasksPerWorker; i < (worker+1)*tasksPerWorker; i++ {
@@ -263,7 +264,7 @@
 	return suspects
 }
 
-// completeTasks completes a random part of the tasks and replaces them.
+// completeTasks completes randomly chosen tasks and replaces them by new tasks.
 func (p *simulatedPool) completeTasks(now float64) {
 	for i, task := range p.tasks {
 		if p.random.Float64() >= completionProbability {
@@ -280,10 +281,10 @@
 	}
 }
 
-// TestLossBurstsDoNotProvePoison guards against rejecting a sound task that ran on a lost worker
-// in each of four bursts, in which a third of the workers restart within a second.
+// TestLossBurstsDoNotProvePoison guards against rejecting a healthy task after four bursts. In each
+// burst a third of the workers restart within a second, among them the worker that runs the task.
 func TestLossBurstsDoNotProvePoison(t *testing.T) {
-	l, repeated := newTestLedger(48), newHistory()
+	tracker, repeated := newTestTracker(48), newHistory()
 	for burst := range 4 {
 		for worker := range 16 {
 			when := 5*float64(burst) + float64(worker)/16
@@ -291,39 +292,40 @@
 			if worker == 8 {
 				tasks = []*History{repeated}
 			}
-			loseWorker(l, when, 550*time.Millisecond, tasks...)
+			loseWorker(tracker, when, 550*time.Millisecond, tasks...)
 		}
 	}
 	require.False(t, repeated.Verdict().Poison(), "odds %g", repeated.Odds())
 }
 
-// TestTwoLossesAtDifferentAgesAreInsufficient guards against rejecting a sound task after two
-// chance losses; a third loss decides.
+// TestTwoLossesAtDifferentAgesAreInsufficient guards against rejecting a healthy task after two
+// unrelated losses at different ages. A third loss is sufficient.
 func TestTwoLossesAtDifferentAgesAreInsufficient(t *testing.T) {
-	l, task := newTestLedger(12), newHistory()
-	loseWorker(l, 0, 2200*time.Millisecond, task)
-	loseWorker(l, 3, 370*time.Millisecond, task)
+	tracker, task := newTestTracker(12), newHistory()
+	loseWorker(tracker, 0, 2200*time.Millisecond, task)
+	loseWorker(tracker, 3, 370*time.Millisecond, task)
 	require.Greater(t, task.Odds(), float64(poisonOdds))
 	require.Equal(t, Suspected, task.Verdict())
-	loseWorker(l, 6, 370*time.Millisecond, task)
+	loseWorker(tracker, 6, 370*time.Millisecond, task)
 	require.Equal(t, PoisonByOdds, task.Verdict())
 }
 
-// TestRecordsPreserveAges checks that the next owner compares the ages of stored losses.
+// TestRecordsPreserveAges checks that stored records keep the ages of losses. After a change of
+// owner, two losses at different ages must still not prove poison.
 func TestRecordsPreserveAges(t *testing.T) {
-	l, task := newTestLedger(12), newHistory()
-	loseWorker(l, 0, 2200*time.Millisecond, task)
-	next, restored := newTestLedger(12), NewGroup().NewHistory(task.Records())
-	next.Restore(restored)
-	loseWorker(next, 3, 370*time.Millisecond, restored)
+	tracker, task := newTestTracker(12), newHistory()
+	loseWorker(tracker, 0, 2200*time.Millisecond, task)
+	restoredTracker, restored := newTestTracker(12), NewGroup().NewHistory(task.Records())
+	restoredTracker.Restore(restored)
+	loseWorker(restoredTracker, 3, 370*time.Millisecond, restored)
 	require.Equal(t, Suspected, restored.Verdict())
 }
 
-// TestAssumedAgesAgreeWithAny checks that estimated ages, of runs that an earlier owner started,
-// do not contradict others.
+// TestAssumedAgesAgreeWithAny checks that an estimated age never contradicts the age of another
+// loss. Ages are estimated for runs that an earlier owner started.
 func TestAssumedAgesAgreeWithAny(t *testing.T) {
-	l, task := newTestLedger(12), newHistory()
-	loseWorkerRunning(l, 0, []Suspect{{History: task, Age: 2 * time.Second, AgeEstimated: true}})
-	loseWorker(l, 4, earlyAge, task)
+	tracker, task := newTestTracker(12), newHistory()
+	loseWorkerWithSuspects(tracker, 0, []Suspect{{History: task, Age: 2 * time.Second, AgeEstimated: true}})
+	loseWorker(tracker, 4, earlyAge, task)
 	require.Equal(t, PoisonByOdds, task.Verdict())
 }
