--- a/internal/speeds/cohort.go
+++ b/internal/speeds/cohort.go
@@ -1,26 +1,27 @@
 package speeds
 
-// Cohort compares independent tasks of one step, whose work is similar but not equal and which
-// begin and end at different times. The cost of each operation does not depend on the number of
-// tasks.
+// Cohort compares independent tasks of one step. The work of the tasks is similar but not equal,
+// and the tasks begin and end at different times. The cost of each operation does not depend on the
+// number of tasks.
 type Cohort struct {
-	// sum is the sum of the members' work: the logarithms of their times less the estimates of
-	// their workers.
+	// sum is the sum of Member.work over the members.
 	sum   float64
 	count int
 }
 
 // Member is the contribution of one task to a cohort.
 type Member struct {
+	// work is the logarithm of the task's work: the logarithm of the task's time, less the
+	// estimated logarithm of the worker's time per work.
 	work  float64
 	added bool
 }
 
-// minCohortPeers is the minimum number of other tasks for a comparison.
+// minCohortPeers is the minimum number of other tasks that a task is compared with.
 const minCohortPeers = 4
 
-// Record records the total duration of a task, extrapolated from its progress or measured at its
-// end.
+// Record records the logarithm of a task's total duration, replacing any earlier value. The
+// duration is extrapolated from the task's progress, or measured at the end of the task.
 func (c *Cohort) Record(m *Member, worker *Estimate, logTime float64) {
 	c.Remove(m)
 	m.work, m.added = logTime-worker.mean, true
@@ -37,8 +38,8 @@
 	}
 }
 
-// UpdateEstimate compares a task with the others of its cohort and updates the worker's estimate
-// and the spread. It returns false if there are too few other tasks.
+// UpdateEstimate compares a task with the other tasks of the cohort. It updates the estimate of the
+// task's worker and the variance of work. It returns false if the cohort has too few other tasks.
 func (c *Cohort) UpdateEstimate(m *Member, worker *Estimate, spread *WorkVariance) bool {
 	peers := c.count - 1
 	if !m.added || peers < minCohortPeers {
@@ -52,19 +53,19 @@
 	return true
 }
 
-// WorkVariance estimates the variance of the logarithm of work among tasks of one step. The zero
-// value is the prior.
+// WorkVariance estimates how much the work of tasks of one step varies, as the variance of the
+// logarithm. The zero value is the prior.
 type WorkVariance struct {
 	sum, weight float64
 }
 
 const (
-	// spreadPrior is the prior variance, with a weight in tasks; maxSpreadWeight limits the weight
-	// of past tasks.
+	// spreadPrior is the prior variance. It weighs as much as spreadPriorWeight tasks.
 	spreadPrior       = 0.16
 	spreadPriorWeight = 20
-	maxSpreadWeight   = 500
-	// maxSquaredDeviation limits the contribution of one task, so that a long tail does not
+	// maxSpreadWeight is the maximum weight of past tasks, in tasks.
+	maxSpreadWeight = 500
+	// maxSquaredDeviation limits the contribution of one task, so that a few very long tasks do not
 	// dominate.
 	maxSquaredDeviation = 1.0
 )
@@ -73,7 +74,8 @@
 	return (s.sum + spreadPrior*spreadPriorWeight) / (s.weight + spreadPriorWeight)
 }
 
-// update adds a deviation, less the variance that the worker explains.
+// update adds the deviation of one task's work from the expected work. The part that the
+// uncertainty of the worker's estimate explains is subtracted.
 func (s *WorkVariance) update(deviation, workerVariance float64) {
 	if s.weight >= maxSpreadWeight {
 		s.sum *= (maxSpreadWeight - 1) / s.weight
--- a/internal/speeds/estimate.go
+++ b/internal/speeds/estimate.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	// priorVariance is the variance for an unknown worker: two in three are within a factor of
-	// 1.65 of the average.
+	// priorVariance is the variance of an unknown worker's estimate. It means that two in three
+	// workers are within a factor of 1.65 of the average.
 	priorVariance = 0.25
 	// minVariance limits the confidence of an estimate, so that it follows changes of the worker.
 	minVariance = 0.003
 	// maxKnownVariance is the largest variance at which a worker counts as known.
 	maxKnownVariance = 0.05
-	// exceedsSigmas is by how many standard deviations a worker must be slower than another to
-	// count as slower.
+	// exceedsSigmas is the minimum difference, in standard deviations, at which a worker counts as
+	// slower than another worker.
 	exceedsSigmas = 0.5
-	// outlierSigmas is the deviation, in standard deviations, beyond which a sample is weighted
-	// down.
+	// outlierSigmas is the deviation, in standard deviations, beyond which a sample counts as an
+	// outlier and gets a lower weight.
 	outlierSigmas = 2.0
 	// outlierVarianceGrowth is the factor by which an outlier increases the variance, so that
 	// repeated outliers take effect.
@@ -23,8 +23,9 @@
 
 // Estimate is the estimated time per work of one worker. The zero value is the prior.
 type Estimate struct {
+	// mean is the expected logarithm of the time per work, relative to other workers.
 	mean float64
-	// precision is the inverse of the variance, less that of the prior.
+	// precision is the inverse of the variance, less the inverse of priorVariance.
 	precision float64
 }
 
@@ -34,15 +35,16 @@
 // Known reports whether the estimate is precise enough to compare workers.
 func (e *Estimate) Known() bool { return e.variance() <= maxKnownVariance }
 
-// Exceeds reports whether the worker is slower, by at least the given ratio of times, than one
-// with the given logarithm of time.
+// Exceeds reports whether the worker's time per work exceeds a reference by more than the given
+// ratio. logTime is the logarithm of the reference.
 func (e *Estimate) Exceeds(logTime, ratio float64) bool {
 	return e.mean-logTime > max(math.Log(ratio), exceedsSigmas*math.Sqrt(e.variance()))
 }
 
 func (e *Estimate) variance() float64 { return 1 / (1/priorVariance + e.precision) }
 
-// update applies a sample of the worker's logarithm of time per work, with its variance.
+// update applies a sample of the logarithm of the worker's time per work. variance is the variance
+// of the sample's error.
 func (e *Estimate) update(sample, variance float64) {
 	before := e.variance()
 	deviation := sample - e.mean
@@ -60,27 +62,27 @@
 // Sample is the time that one of several workers took for equal work.
 type Sample struct {
 	Worker *Estimate
-	// LogTime is the logarithm of the time, and Variance that of its error.
+	// LogTime is the logarithm of the time. Variance is the variance of the error of LogTime.
 	LogTime, Variance float64
 }
 
-// RoundingVariance returns the variance of the logarithm of a time derived from progress in whole
-// percent.
+// RoundingVariance returns the variance of the logarithm of a time that was extrapolated from
+// progress. The variance results from rounding the progress to whole percent.
 func RoundingVariance(percent int) float64 {
-	// Standard deviation of a uniform rounding error.
+	// roundingError is the standard deviation of a uniform rounding error.
 	const roundingError = 0.29
 	return math.Pow(roundingError/float64(max(1, percent)), 2)
 }
 
-// ExpectedWork is the expected amount of work before it began: the logarithm of its time on a
-// worker whose estimate is 0. A zero Variance means that there is no expectation.
+// ExpectedWork is the amount of work that was expected before the work began. LogTime is the
+// logarithm of the time on a worker whose estimate is 0. A zero Variance means no expectation.
 type ExpectedWork struct {
 	LogTime, Variance float64
 }
 
 // UpdateEstimates updates the workers' estimates from samples of equal work that began together.
-// The amount of work is estimated from the expectation and from the other samples; without an
-// expectation, a gang whose workers are all slow is indistinguishable from one with more work.
+// The function compares each sample with the expected work and the other samples. Without an
+// expectation, a gang whose workers are all slow looks the same as a gang with more work.
 func UpdateEstimates(samples []Sample, work ExpectedWork) {
 	sum, weight := 0.0, 0.0
 	if work.Variance > 0 {
@@ -112,6 +114,7 @@
 // minWeight is smaller than the weight of any sample.
 const minWeight = 1e-6
 
-// work returns the amount of work by the sample, and weight the inverse of its variance.
+// work returns the logarithm of the amount of work that the sample indicates. weight returns the
+// inverse of the variance of work.
 func (s *Sample) work() float64   { return s.LogTime - s.Worker.mean }
 func (s *Sample) weight() float64 { return 1 / (s.Variance + s.Worker.variance()) }
--- a/internal/speeds/speeds_test.go
+++ b/internal/speeds/speeds_test.go
@@ -8,9 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testPool is a pool of workers with known speeds, and the estimates of them.
+// testPool is a pool of workers with known speeds and the estimates of these speeds.
 type testPool struct {
-	random    *rand.Rand
+	random *rand.Rand
+	// actual holds the logarithm of the time per work of each worker.
 	actual    []float64
 	estimates []Estimate
 }
@@ -34,7 +35,7 @@
 	UpdateEstimates(samples, ExpectedWork{})
 }
 
-// runStep runs unequal tasks on random workers; one in thirty takes seven times as long.
+// runStep runs unequal tasks on random workers. One task in thirty takes seven times as long.
 func (p *testPool) runStep(tasks int, spread *WorkVariance) {
 	cohort, members, on := &Cohort{}, make([]Member, tasks), make([]int, tasks)
 	for k := range members {
@@ -50,8 +51,8 @@
 	}
 }
 
-// misclassified returns how many of the known workers have an estimate that is wrong by more than
-// a third, and the number of known workers.
+// misclassified returns the number of known workers and how many of their estimates are wrong by
+// more than a third.
 func (p *testPool) misclassified() (wrong, known int) {
 	offset := 0.0
 	for i := range p.estimates {
@@ -70,8 +71,8 @@
 	return wrong, known
 }
 
-// TestGangsRevealWorkerSpeeds checks that, with speeds that differ by a factor of 2.7, most
-// workers are known after about two gangs each, and at most a tenth of them wrongly.
+// TestGangsRevealWorkerSpeeds checks that most workers are known after about two gangs each, if
+// speeds differ by a factor of 2.7. At most a tenth of the known workers may be misclassified.
 func TestGangsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
 		p := newTestPool(seed, 60, 1/0.6, 1, 1/1.6)
@@ -84,7 +85,8 @@
 	}
 }
 
-// TestCohortsRevealWorkerSpeeds does the same with tasks of unequal work.
+// TestCohortsRevealWorkerSpeeds checks that independent tasks of unequal work reveal the speeds of
+// most workers.
 func TestCohortsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
 		p, spread := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &WorkVariance{}
@@ -98,7 +100,7 @@
 	}
 }
 
-// TestLongTasksDoNotMarkWorkersSlow guards against taking a long tail of work for slow workers.
+// TestLongTasksDoNotMarkWorkersSlow guards against classifying workers as slow that ran long tasks.
 func TestLongTasksDoNotMarkWorkersSlow(t *testing.T) {
 	for seed := range uint64(20) {
 		p, spread := newTestPool(seed, 60, 1), &WorkVariance{}
@@ -110,8 +112,8 @@
 	}
 }
 
-// TestTransientSlowdownIsNotLearned checks that a slowdown during one gang has little effect, and
-// a lasting one has.
+// TestTransientSlowdownIsNotLearned checks that a slowdown during one gang changes the estimate
+// little. A lasting slowdown must change the estimate.
 func TestTransientSlowdownIsNotLearned(t *testing.T) {
 	p := newTestPool(1, 12, 1)
 	for range 12 {
@@ -131,7 +133,8 @@
 	require.Greater(t, disturbed.LogTime()-before, math.Log(2), "a lasting slowdown must be learned")
 }
 
-// TestCohortRemoveRemovesSample checks that the sums match the members.
+// TestCohortRemoveRemovesSample checks that the cohort counts each member once, also after repeated
+// calls of Record and Remove.
 func TestCohortRemoveRemovesSample(t *testing.T) {
 	cohort, worker, members := &Cohort{}, &Estimate{}, make([]Member, 3)
 	for k := range members {
@@ -146,8 +149,8 @@
 	require.InDelta(t, 1, cohort.sum, 1e-9)
 }
 
-// TestExpectedWorkRevealsUniformlySlowGang checks that a gang whose workers are all slow is
-// recognized only by the expected work.
+// TestExpectedWorkRevealsUniformlySlowGang checks that UpdateEstimates recognizes a gang whose
+// workers are all slow, but only if the expected work is known precisely.
 func TestExpectedWorkRevealsUniformlySlowGang(t *testing.T) {
 	for name, c := range map[string]struct {
 		work ExpectedWork
