--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation tracks the zones that operators have evacuated, with the store revision and
-// the time up to which the set is known. It reads no clock and does no I/O.
+// Package evacuation tracks the zones that operators have evacuated. Each set of zones has the
+// store revision and the time up to which it is known. The package reads no clock and does no I/O.
 package evacuation
 
 import (
@@ -10,16 +10,17 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Change is a row that evacuates a zone, or the removal of one.
+// Change is a change to the stored row that evacuates a zone.
 type Change struct {
-	Zone     string
+	Zone string
+	// Revision is the store revision of the change.
 	Revision int64
-	// Removed is true if the row was removed.
+	// Removed is true if the row was removed, which ends the evacuation of the zone.
 	Removed bool
 }
 
-// ParseChanges extracts the changes from rows. zoneOf returns the zone that a row evacuates, or
-// false for any other row.
+// ParseChanges extracts the changes of evacuated zones from rows. zoneOf returns the zone that a
+// row evacuates. It returns false for a row that does not evacuate a zone.
 func ParseChanges(listed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
 	var changes []Change
 	for i := range listed {
@@ -32,20 +33,22 @@
 
 // Set is an immutable set of evacuated zones. The zero value is empty, at revision 0.
 type Set struct {
+	// zones maps each evacuated zone to the revision of the zone's row.
 	zones map[string]int64
 	// Revision is the store revision up to which the zones are known.
 	Revision int64
-	// AsOf is a time no later than the last store request that the set reflects: the set is at
-	// least that recent.
+	// AsOf is a time up to which the set is known. It is no later than the last store request whose
+	// response the set contains.
 	AsOf time.Time
 }
 
-// NewSet returns the set for a complete listing of the rows.
+// NewSet returns the set for the changes from a complete listing of the rows at a revision.
 func NewSet(changes []Change, revision int64, asOf time.Time) Set {
 	return Set{}.Apply(changes, revision, asOf)
 }
 
-// Apply returns the set after applying changes up to a revision.
+// Apply returns a copy of the set with the changes up to a revision. A change is ignored if the
+// set contains a newer revision of the same zone's row.
 func (s Set) Apply(changes []Change, revision int64, asOf time.Time) Set {
 	next := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: latest(s.AsOf, asOf)}
 	if len(changes) == 0 {
@@ -68,8 +71,8 @@
 	return next
 }
 
-// Newest returns the set with the higher revision; at equal revisions, the one with the later
-// AsOf.
+// Newest returns the set with the higher revision. If the revisions are equal, Newest returns the
+// set with the later AsOf.
 func (s Set) Newest(other Set) Set {
 	if other.Revision > s.Revision || other.Revision == s.Revision && other.AsOf.After(s.AsOf) {
 		return other
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -25,7 +25,7 @@
 	require.EqualValues(t, 12, removed.Revision)
 }
 
-// TestApplyIgnoresStaleChanges covers responses of the store that arrive out of order.
+// TestApplyIgnoresStaleChanges guards against responses of the store that arrive out of order.
 func TestApplyIgnoresStaleChanges(t *testing.T) {
 	known := NewSet([]Change{{Zone: "a", Revision: 10}}, 10, at(5))
 	stale := known.Apply([]Change{{Zone: "a", Revision: 4, Removed: true}}, 6, at(1))
