--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -1,5 +1,6 @@
-// Package taskgraph defines the job model. A job is a directed acyclic graph of steps; a step is a
-// number of identical tasks, possibly a gang, that run on workers of one pool.
+// Package taskgraph defines the job model. A job is a directed acyclic graph of steps. A step is a
+// number of identical tasks that run on the workers of one pool. The tasks of a step are a gang if
+// they run only together.
 package taskgraph
 
 import (
@@ -24,7 +25,7 @@
 
 // Resources is an amount of worker resources.
 type Resources struct {
-	// CPU is in millicores, MemoryMB in megabytes.
+	// CPU is in millicores.
 	CPU      int `json:"cpu,omitempty"`
 	MemoryMB int `json:"memory_mb,omitempty"`
 	GPUs     int `json:"gpus,omitempty"`
@@ -35,7 +36,7 @@
 	return Resources{CPU: a.CPU + b.CPU, MemoryMB: a.MemoryMB + b.MemoryMB, GPUs: a.GPUs + b.GPUs}
 }
 
-// Minus returns the difference of two amounts; it may be negative.
+// Minus returns the difference of two amounts. Its components may be negative.
 func (a Resources) Minus(b Resources) Resources {
 	return Resources{CPU: a.CPU - b.CPU, MemoryMB: a.MemoryMB - b.MemoryMB, GPUs: a.GPUs - b.GPUs}
 }
@@ -55,15 +56,15 @@
 	return Resources{CPU: max(a.CPU, b.CPU), MemoryMB: max(a.MemoryMB, b.MemoryMB), GPUs: max(a.GPUs, b.GPUs)}
 }
 
-// FitsIn reports whether the amount fits into what is available.
+// FitsIn reports whether no component of the amount exceeds the available resources.
 func (a Resources) FitsIn(available Resources) bool {
 	return a.CPU <= available.CPU && a.MemoryMB <= available.MemoryMB && a.GPUs <= available.GPUs
 }
 
-// CoresPerGPU is the weight of a GPU, in cores, when amounts are compared.
+// CoresPerGPU is the number of cores that a GPU counts as when amounts are compared.
 const CoresPerGPU = 8
 
-// Cores returns the amount in cores, with a GPU counted as CoresPerGPU.
+// Cores returns the amount in cores. A GPU counts as CoresPerGPU cores; memory is ignored.
 func (a Resources) Cores() float64 {
 	return float64(a.CPU)/1000 + CoresPerGPU*float64(a.GPUs)
 }
@@ -78,31 +79,32 @@
 	After       []int `json:"after,omitempty"`
 	Checkpoints bool  `json:"checkpoints,omitempty"`
 	Gang        bool  `json:"gang,omitempty"`
-	// SameRack prefers a single rack; across racks the step is slower.
+	// SameRack is true if all tasks should run in one rack. Across racks the step is slower.
 	SameRack bool `json:"same_rack,omitempty"`
 	// RequiredLabel is a label that the worker must have; empty means none.
 	RequiredLabel string `json:"required_label,omitempty"`
-	// PreferredRack is the rack that holds the data; elsewhere the step is slower.
+	// PreferredRack is the rack that holds the step's data. In other racks the step is slower.
 	PreferredRack string `json:"preferred_rack,omitempty"`
 	// MaxPerWorker limits the step's tasks on one worker; 0 means no limit.
 	MaxPerWorker int  `json:"max_per_worker,omitempty"`
 	Speculative  bool `json:"speculative,omitempty"`
 	LongRunning  bool `json:"long_running,omitempty"`
-	// Image is the name of what the tasks run. Tasks of one image are assumed to behave alike.
+	// Image names the program that the tasks run. The scheduler assumes that tasks of one image
+	// behave alike.
 	Image string `json:"image,omitempty"`
 	// TargetMillis is the target for the tail latency of a task that serves users.
 	TargetMillis int64 `json:"target_ms,omitempty"`
-	// FillsIdleCPU is set for steps that use only CPU time that other tasks leave idle.
+	// FillsIdleCPU is true if the step uses only CPU time that other tasks leave idle.
 	FillsIdleCPU bool `json:"fills_idle_cpu,omitempty"`
-	// AllowedMisses limits how many long-running tasks the scheduler itself may have down at the
-	// same time.
+	// AllowedMisses applies to long-running steps. To drain a worker, the scheduler stops a task
+	// only while fewer than AllowedMisses tasks of the step are not ready.
 	AllowedMisses int `json:"allowed_misses,omitempty"`
 }
 
 // Estimate returns the estimated duration of one task.
 func (s *Step) Estimate() time.Duration { return time.Duration(s.EstimateMillis) * time.Millisecond }
 
-// Requirements returns the resources that one task occupies on a worker.
+// Requirements returns the resources that one task reserves on a worker.
 func (s *Step) Requirements() Resources {
 	required := s.Resources
 	if s.FillsIdleCPU {
@@ -117,8 +119,8 @@
 	// Payload is passed to the workers unchanged.
 	Payload string `json:"payload,omitempty"`
 	Steps   []Step `json:"steps"`
-	// If Repetitions is positive, the steps run that many times; run K is due at FirstRunMillis +
-	// K * IntervalMillis in Unix time.
+	// If Repetitions is positive, the steps run Repetitions times. Repetition K starts no earlier
+	// than FirstRunMillis + K * IntervalMillis, in milliseconds of Unix time.
 	Repetitions    int   `json:"repetitions,omitempty"`
 	FirstRunMillis int64 `json:"first_run_ms,omitempty"`
 	IntervalMillis int64 `json:"interval_ms,omitempty"`
@@ -127,7 +129,7 @@
 // RepetitionCount returns how many times the steps run.
 func (s *Spec) RepetitionCount() int { return max(1, s.Repetitions) }
 
-// DueTime returns the earliest start of run k; the zero time means immediately.
+// DueTime returns the earliest start of repetition k. The zero time means immediately.
 func (s *Spec) DueTime(k int) time.Time {
 	if s.Repetitions == 0 {
 		return time.Time{}
@@ -135,8 +137,8 @@
 	return time.UnixMilli(s.FirstRunMillis + int64(k)*s.IntervalMillis)
 }
 
-// CriticalPaths returns, for each step, the duration of the longest chain of steps that starts with
-// it, given the durations of the steps.
+// CriticalPaths returns one duration for each step. The duration is that of the longest chain of
+// dependent steps that starts with this step. The argument holds the durations of the steps.
 func (s *Spec) CriticalPaths(durations []time.Duration) []time.Duration {
 	longest := make([]time.Duration, len(s.Steps))
 	for i := len(s.Steps) - 1; i >= 0; i-- {
@@ -163,8 +165,8 @@
 // ValidID reports whether id is 16 lower-case hexadecimal digits.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Validate checks every field. The error is an InvalidRequest fault with the name of the first
-// invalid field.
+// Validate checks every field. If a field is invalid, Validate returns an InvalidRequest fault with
+// the name of the first invalid field.
 func (s *Spec) Validate() error {
 	if !ValidID(s.ID) {
 		return invalid("id", "must be 16 hexadecimal digits")
@@ -219,7 +221,7 @@
 	return fault.NewField(fault.InvalidRequest, field, format, args...)
 }
 
-// TaskName identifies a task by job, run of the job, step and index.
+// TaskName identifies a task by its job, the repetition, the step, and its index within the step.
 type TaskName struct {
 	Job        string
 	Repetition int
@@ -234,7 +236,7 @@
 
 const taskNameParts = 4
 
-// ParseTaskName parses the format of String.
+// ParseTaskName parses a name in the format that TaskName.String returns.
 func ParseTaskName(text string) (TaskName, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != taskNameParts || !ValidID(parts[0]) {
--- a/internal/taskgraph/state.go
+++ b/internal/taskgraph/state.go
@@ -12,5 +12,5 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state is terminal.
+// Final reports whether a job in this state never changes its state again.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
