--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,5 +1,5 @@
-// Package progress reports the bytes of a response to the caller as they arrive, and extends
-// timeouts by them.
+// Package progress reports the number of received bytes while a response arrives, and extends the
+// timeout of the call when bytes arrive.
 package progress
 
 import (
@@ -9,8 +9,8 @@
 
 type observerKey struct{}
 
-// WithObserver returns a context for a call whose received bytes are reported to observe, on the
-// goroutine that reads them. Observers of the parent context are called too.
+// WithObserver returns a context for a call. The reader of the response calls observe with the
+// number of bytes of each read, and also calls the observers of the parent context.
 func WithObserver(ctx context.Context, observe func(bytes int)) context.Context {
 	outer, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
@@ -22,8 +22,8 @@
 	})
 }
 
-// NewReader returns a reader that reports the bytes read from source to the context's observer, or
-// source itself if there is none.
+// NewReader returns a reader that reads from source and reports the number of bytes to the
+// context's observer. If the context has no observer, NewReader returns source itself.
 func NewReader(ctx context.Context, source io.Reader) io.Reader {
 	observe, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
@@ -32,10 +32,11 @@
 	return &observedReader{source: source, observe: observe}
 }
 
-// maxReadBytes limits a single read. A chunked reader returns only once the buffer is full, so a
-// large buffer would delay the reports by seconds on a slow link.
+// maxReadBytes limits a single read. The reader of a chunked response returns only once the buffer
+// is full. On a slow link a large buffer would delay the reports by seconds.
 const maxReadBytes = 8 << 10
 
+// observedReader calls observe after each read from source.
 type observedReader struct {
 	source  io.Reader
 	observe func(bytes int)
--- a/internal/progress/timeouts.go
+++ b/internal/progress/timeouts.go
@@ -6,28 +6,31 @@
 	"time"
 )
 
-// Timeouts holds the timeouts of a call. A response that keeps arriving is not aborted, because a
-// retry would have to transfer it from the start over the same slow link.
+// Timeouts holds the timeouts of a call. A response that keeps arriving is aborted only after
+// Total, because a retry would transfer the response from the start over the same slow link.
 type Timeouts struct {
 	// FirstByte is the timeout for the first byte of the response.
 	FirstByte time.Duration
-	// Idle is the timeout for each further minProgressBytes of it.
+	// Idle is the timeout for each further minProgressBytes of the response.
 	Idle time.Duration
 	// Total is the timeout for the entire response.
 	Total time.Duration
 }
 
-// minProgressBytes is how many bytes count as progress, so that a response that only trickles in
-// times out; a link of 10 Mbit/s transfers them in 3 ms.
+// minProgressBytes is the minimum number of bytes that extends the deadline. A response that
+// arrives too slowly therefore times out.
 const minProgressBytes = 4 << 10
 
+// firstByteDeadlineKey is the context key of the deadline for the first byte of the response.
 type firstByteDeadlineKey struct{}
 
-// deadlineKey holds the current deadline of a call, which moves as bytes arrive.
+// deadlineKey is the context key of the current deadline of a call, which is extended as bytes
+// arrive.
 type deadlineKey struct{}
 
-// WithTimeouts returns a context that is cancelled when one of the timeouts expires, and a
-// function that releases it. Bytes received by calls with derived contexts count as progress too.
+// WithTimeouts returns a context that is cancelled when one of the timeouts expires. The returned
+// function cancels the context and stops its timer. Bytes that a call with a derived context
+// receives extend the deadline too.
 func WithTimeouts(parent context.Context, limits Timeouts) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	start := time.Now()
@@ -57,8 +60,9 @@
 	}
 }
 
-// Overdue returns the time since a call's deadline, negative before it, and false if the call has
-// none. A long overdue call indicates that this process itself was stalled.
+// Overdue returns the time since the deadline of a call. The time is negative before the deadline.
+// The second result is false if the call has no deadline. A call that is long overdue indicates
+// that this process itself was stalled.
 func Overdue(ctx context.Context) (time.Duration, bool) {
 	if moving, ok := ctx.Value(deadlineKey{}).(*atomic.Pointer[time.Time]); ok {
 		return time.Since(*moving.Load()), true
@@ -67,7 +71,8 @@
 	return time.Since(deadline), bounded
 }
 
-// FirstByteDeadline returns the deadline for the first byte of the response, if there is one.
+// FirstByteDeadline returns the deadline for the first byte of the response. The second result is
+// false if the context has no deadline.
 func FirstByteDeadline(ctx context.Context) (time.Time, bool) {
 	firstByte, ok := ctx.Value(firstByteDeadlineKey{}).(time.Time)
 	if !ok {
--- a/internal/progress/timeouts_test.go
+++ b/internal/progress/timeouts_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestIdleTimeoutReplacesFirstByteTimeout covers a feed, whose first byte may take seconds but not
-// the rest of a response.
+// TestIdleTimeoutReplacesFirstByteTimeout guards against waiting for the rest of a response as long
+// as for its first byte. The first byte of a feed may take seconds.
 func TestIdleTimeoutReplacesFirstByteTimeout(t *testing.T) {
 	ctx, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: time.Hour, Idle: time.Millisecond, Total: time.Hour})
 	defer cancel()
