--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -19,7 +19,7 @@
 
 // Plan is the effect of confirming a declaration.
 type Plan struct {
-	// Digest is a hash of the fields below except Impact.
+	// Digest is a hash of the other fields except Impact.
 	Digest string `json:"digest"`
 	// BaseVersion is the configuration version on which the plan is based.
 	BaseVersion int64                   `json:"base"`
@@ -27,25 +27,25 @@
 	Declaration declaration.Declaration `json:"declaration"`
 	// Effects lists the domains to which guarantees would be assigned.
 	Effects []Effect `json:"effects,omitempty"`
-	// Impact lists the effects on jobs at the time of planning. The digest excludes it, since jobs
+	// Impact lists the effects on jobs at the time of planning. Digest excludes Impact because jobs
 	// change continuously.
 	Impact []Effect `json:"impact,omitempty"`
 }
 
 // Effect is one consequence of a plan.
 type Effect struct {
-	// Kind is "guarantee_placed"; for jobs "job_preempted", "job_leaves_rack", "job_ends",
-	// "job_waits" or "job_starts"; or "domain_unknown".
+	// Kind is "guarantee_placed" in Plan.Effects. In Plan.Impact it is "job_preempted",
+	// "job_leaves_rack", "job_ends", "job_waits", "job_starts" or "domain_unknown".
 	Kind    string `json:"kind"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// DomainMachines maps each domain to the machines on which a plan is evaluated.
+// DomainMachines maps the name of each domain to the machines of the domain.
 type DomainMachines map[string][]machines.Machine
 
 // New returns the plan that changes the current configuration into the declared one. If the
-// guarantees do not all fit at the same time, the error names the nearest shape that would.
+// guarantees do not all fit at the same time, the error names the nearest shape that would fit.
 func New(current declaration.Configuration, declared declaration.Declaration, site DomainMachines, now time.Time) (*Plan, error) {
 	declared.Normalize()
 	if err := declared.Validate(); err != nil {
@@ -76,8 +76,9 @@
 // DigestMatches reports whether the digest of a plan from an untrusted source matches its content.
 func (p *Plan) DigestMatches() bool { return p.Digest == p.digest() }
 
-// assign distributes each guarantee over domains with sufficient capacity: the zone that it names,
-// else preferably the domains that hold it now.
+// assign distributes the copies of each guarantee over domains with sufficient capacity. A
+// guarantee that names a domain is assigned only to this domain. For any other guarantee, the
+// domains that hold it now are preferred.
 func assign(current, declared declaration.Declaration, site DomainMachines, now time.Time) (declaration.Declaration, []Effect, error) {
 	placer := newPlacer(site, declared.DrainedRacks, now)
 	assigned := declaration.Declaration{DrainedRacks: declared.DrainedRacks}
@@ -106,15 +107,16 @@
 
 // request is a guarantee to be assigned.
 type request struct {
+	// tenant is the index of the tenant in the declaration, and name is the tenant's name.
 	tenant    int
 	name      string
 	guarantee declaration.Guarantee
-	// preferred lists the domains that currently hold a guarantee of this shape.
+	// preferred lists the domains that now hold a guarantee of the tenant with the same shape.
 	preferred []string
 }
 
-// requestsOf returns the guarantees, ordered by ascending width of their spread, then by
-// descending size.
+// requestsOf returns a request for each declared guarantee. Guarantees with a narrower spread come
+// first. Among guarantees with the same spread, larger ones come first.
 func requestsOf(declared, current *declaration.Declaration) []request {
 	var requests []request
 	for i := range declared.Tenants {
@@ -174,12 +176,14 @@
 	return p
 }
 
-// fits reports whether the domain can hold the guarantee in addition to those assigned so far.
+// fits reports whether the domain can hold a guarantee in addition to the guarantees that were
+// assigned to the domain so far.
 func (p *domainPlacements) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
 	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantees: []declaration.Guarantee{guarantee}})
 	return p.scheduler.Configure(now, tenants) == 0
 }
 
+// place assigns all copies of a guarantee. It returns one guarantee for each domain used.
 func (p *placer) place(r request) ([]declaration.Guarantee, error) {
 	var placed []declaration.Guarantee
 	remaining := r.guarantee.Count
@@ -206,8 +210,8 @@
 	return placed, nil
 }
 
-// candidates returns the domains that may hold a guarantee: first those that hold it now, then by
-// ascending number of assigned copies.
+// candidates returns the domains that may hold a guarantee. The domains that hold the guarantee now
+// come first. Otherwise domains with fewer assigned copies come first.
 func (p *placer) candidates(r request) []string {
 	if r.guarantee.Domain != "" {
 		if _, ok := p.domains[r.guarantee.Domain]; !ok {
@@ -229,7 +233,7 @@
 	return names
 }
 
-// maxCopies returns how many additional copies, up to limit, a domain can hold.
+// maxCopies returns how many additional copies of a guarantee, up to limit, a domain can hold.
 func (p *placer) maxCopies(name string, r request, limit int) int {
 	low, high := 0, limit
 	for low < high {
@@ -245,8 +249,8 @@
 	return low
 }
 
-// infeasibleError returns an error that names the nearest shape that would fit: fewer copies, else
-// fewer members.
+// infeasibleError returns an error that names the nearest alternative that would fit. count is the
+// number of copies that fit. If count is 0, the alternative is a gang with fewer members.
 func (p *placer) infeasibleError(r request, count int) error {
 	field := "tenant." + r.name + ".guarantee"
 	shape := describeShape(r.guarantee.Shape)
