--- a/internal/worker/httpfleet/httpfleet.go
+++ b/internal/worker/httpfleet/httpfleet.go
@@ -11,15 +11,15 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// Fleet implements worker.Fleet.
+// Fleet sends orders to the workers' addresses and reads reports from one base URL.
 type Fleet struct {
 	base     string
 	services *http.Client
 	workers  *http.Client
 }
 
-// New returns a fleet that reads reports from base with the client services and sends orders with
-// the client workers, which limits the connections per worker.
+// New returns a fleet. The fleet reads reports from the base URL with the first client. It sends
+// orders with the second client, which limits the connections per worker.
 func New(base string, services, workers *http.Client) *Fleet {
 	return &Fleet{base: base, services: services, workers: workers}
 }
--- a/internal/worker/order.go
+++ b/internal/worker/order.go
@@ -12,11 +12,12 @@
 
 // The actions.
 const (
-	// Reserve reserves capacity for an attempt for ReserveSeconds.
+	// Reserve reserves capacity for the members of an attempt. The reservation expires after
+	// ReserveSeconds.
 	Reserve Action = "reserve"
 	// Start starts the members of a reservation.
 	Start Action = "start"
-	// Release cancels a reservation; running members are not stopped.
+	// Release cancels a reservation. It does not stop running members.
 	Release Action = "release"
 	// Checkpoint saves the members' work and stops them.
 	Checkpoint Action = "checkpoint"
@@ -24,14 +25,15 @@
 	Throttle Action = "throttle"
 	// Stop stops the members immediately.
 	Stop Action = "stop"
-	// Renew extends the lease of everything that the domain runs on the worker and returns its
+	// Renew extends the lease of all tasks of the domain on the worker. The reply contains these
 	// tasks.
 	Renew Action = "renew"
 	// DeleteEnded deletes the records of ended members.
 	DeleteEnded Action = "forget"
 )
 
-// Refusal is the reason why a worker rejected an order; empty if it did not.
+// Refusal is the reason why a worker rejected an order. It is empty if the worker accepted the
+// order.
 type Refusal string
 
 // The refusals.
@@ -44,7 +46,8 @@
 	RefusedUnknownTask   Refusal = "unknown_task"
 )
 
-// Order is sent to one worker and applies to all members of one attempt there.
+// Order is an order to one worker. Except for Renew, an order applies to the members of one attempt
+// on the worker.
 type Order struct {
 	Action Action `json:"action"`
 	Domain string `json:"domain"`
@@ -58,17 +61,17 @@
 	Accelerators int   `json:"accelerators,omitempty"`
 	CPUs         int   `json:"cpus,omitempty"`
 	MemoryGB     int   `json:"memory_gb,omitempty"`
-	// ReserveSeconds is the lifetime of a reservation.
+	// ReserveSeconds is how long the worker keeps a reservation that was not started.
 	ReserveSeconds float64 `json:"reserve_seconds,omitempty"`
-	// LeaseSeconds is how long members run without a renewal.
+	// LeaseSeconds is how long the worker runs members without a renewal.
 	LeaseSeconds float64 `json:"lease_seconds,omitempty"`
 	// CheckpointSeconds is the duration of a checkpoint.
 	CheckpointSeconds float64 `json:"checkpoint_seconds,omitempty"`
 	// ProgressSeconds is the work saved by earlier attempts.
 	ProgressSeconds float64 `json:"progress_seconds,omitempty"`
 	Payload         string  `json:"payload,omitempty"`
-	// Digest, in a renewal, is the digest of the tasks that the owner expects. A worker whose
-	// tasks have the same digest omits them from its reply.
+	// Digest is set in Renew orders. It is the digest of the tasks that the owner expects on the
+	// worker. If the worker's tasks have the same digest, the worker omits the tasks in the reply.
 	Digest uint64 `json:"digest,omitempty"`
 }
 
@@ -91,7 +94,8 @@
 	Attempt int       `json:"attempt"`
 	Members []int     `json:"members"`
 	State   TaskState `json:"state"`
-	// Results are the members' outputs, in the order of Members, once finished.
+	// Results are the members' outputs, in the order of Members. They are set once State is
+	// TaskFinished.
 	Results []Result `json:"results,omitempty"`
 	// ProgressSeconds is the work saved so far.
 	ProgressSeconds float64 `json:"progress_seconds,omitempty"`
@@ -110,13 +114,14 @@
 	Epoch int64 `json:"epoch"`
 	// Draining is true if the worker is draining and accepts no new tasks.
 	Draining bool `json:"leaving,omitempty"`
-	// Tasks lists the domain's tasks on the worker in reply to Renew. If Same is true, they match
-	// the digest in the order and are omitted.
+	// Tasks lists the domain's tasks on the worker, in reply to Renew. If TasksUnchanged is true,
+	// the tasks match the digest in the order and Tasks is empty.
 	Tasks          []Task `json:"tasks,omitempty"`
 	TasksUnchanged bool   `json:"same,omitempty"`
 }
 
-// Digest returns a digest of the job, attempt and state of the tasks, independent of their order.
+// Digest returns a digest of the tenant, job, attempt and state of each task. The digest does not
+// depend on the order of the tasks.
 func Digest(tasks []Task) uint64 {
 	var sum uint64
 	for i := range tasks {
@@ -125,7 +130,8 @@
 	return sum
 }
 
-// Report is a change on a worker. Reports arrive with a delay.
+// Report is a change of a task's state on a worker, or the start of draining. The owner receives
+// reports with a delay.
 type Report struct {
 	Worker string `json:"worker"`
 	Task   Task   `json:"task"`
@@ -133,7 +139,7 @@
 	Draining bool `json:"leaving,omitempty"`
 }
 
-// Reports is the result of one read of the report feed.
+// Reports is the result of one read of the report feed. Cursor is the position for the next read.
 type Reports struct {
 	Reports []Report `json:"reports"`
 	Cursor  int64    `json:"cursor"`
@@ -141,10 +147,11 @@
 
 // Fleet sends orders to workers and reads their reports.
 type Fleet interface {
-	// Send sends one order. After an error it is unknown whether the worker executed it.
+	// Send sends one order. After an error the caller does not know whether the worker executed the
+	// order.
 	Send(ctx context.Context, name, address string, order Order) (Reply, error)
-	// Reports returns the reports of the domain's workers after cursor. It blocks for a while if
-	// there are none.
+	// Reports returns the reports of the domain's workers after cursor. If there are no new reports,
+	// Reports waits for a limited time.
 	Reports(ctx context.Context, domain string, cursor int64) (Reports, error)
 }
 
