--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -16,19 +16,19 @@
 	Host       string `json:"host"`
 	PathPrefix string `json:"path_prefix"`
 	Pool       string `json:"pool"`
-	// Priority 0 is the highest and may preempt others.
+	// Priority 0 is the highest. Jobs of priority 0 may always preempt jobs of lower priority.
 	Priority    int     `json:"priority"`
 	MaxAttempts int     `json:"max_attempts"`
 	Stretch     float64 `json:"stretch"`
-	// TargetMillis is added to Stretch times the critical path of a job to get its target
-	// duration.
+	// TargetMillis and Stretch determine the target duration of a job: Stretch times the duration
+	// of the job's critical path, plus TargetMillis.
 	TargetMillis int64 `json:"target_ms"`
 	// Public queues accept requests without a key.
 	Public bool `json:"public"`
 }
 
-// Objective returns the target duration of a job, counted from its submission, by the duration of
-// its critical path.
+// Objective returns the target duration of a job, counted from the submission of the job. The
+// argument is the duration of the job's critical path.
 func (q *Queue) Objective(criticalPath time.Duration) time.Duration {
 	return time.Duration(q.Stretch*float64(criticalPath)) + time.Duration(q.TargetMillis)*time.Millisecond
 }
@@ -36,7 +36,7 @@
 // Pool is a group of workers.
 type Pool struct {
 	Name string `json:"name"`
-	// EnforcesCapacity is true if the workers reject tasks that do not fit.
+	// EnforcesCapacity is true if the workers reject tasks that exceed their free resources.
 	EnforcesCapacity bool `json:"enforces_capacity"`
 	// Standby pools hold machines that are powered off.
 	Standby bool `json:"spare"`
@@ -82,7 +82,8 @@
 	}
 }
 
-// Match returns the queue of host with the longest prefix of path, or nil.
+// Match returns the queue of the host whose PathPrefix is the longest prefix of path. It returns
+// nil if no queue matches.
 func (c *Catalog) Match(host, path string) *Queue {
 	var best *Queue
 	for _, queue := range c.queuesByHost[host] {
@@ -93,13 +94,13 @@
 	return best
 }
 
-// TenantOf returns the tenant that owns a key.
+// TenantOf returns the name of the tenant that owns a key. It returns false for an unknown key.
 func (c *Catalog) TenantOf(key string) (string, bool) {
 	tenant, ok := c.tenantByKey[key]
 	return tenant, ok
 }
 
-// Queue returns a queue by name, or nil.
+// Queue returns the queue with the given name. It returns nil if there is none.
 func (c *Catalog) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// Guarantee returns the guaranteed resources of a tenant.
+// Guarantee returns the guaranteed resources of the tenant with the given name.
 func (c *Catalog) Guarantee(tenant string) taskgraph.Resources {
 	for i := range c.Tenants {
 		if c.Tenants[i].Name == tenant {
@@ -119,7 +120,7 @@
 	return taskgraph.Resources{}
 }
 
-// PoolNames returns the pools that run queues, in order of declaration.
+// PoolNames returns the names of the pools that are not Standby, in the order of Pools.
 func (c *Catalog) PoolNames() []string {
 	names := make([]string, 0, len(c.Pools))
 	for i := range c.Pools {
