--- a/internal/placement/candidate_heap.go
+++ b/internal/placement/candidate_heap.go
@@ -6,36 +6,38 @@
 	"slices"
 )
 
-// candidateHeap keeps the best candidates that together can run count tasks. Most requests need a
-// few of many workers, which makes this cheaper than a full sort.
+// candidateHeap keeps the best candidates that together can run requestedTasks tasks. Most requests
+// need only a few of many workers, so that a heap is cheaper than a full sort.
 type candidateHeap struct {
-	count int
-	// tasks is the total number of tasks that the candidates can run.
-	tasks int
+	requestedTasks int
+	// totalCapacity is the sum of maxTasks over the candidates.
+	totalCapacity int
 	// candidates is a heap with the worst candidate at the root.
 	candidates []candidate
 }
 
-// compare orders candidates from best to worst.
+// compare orders candidates from best to worst: the candidate in the fullest rack first, then the
+// candidate with the fewest remaining cores.
 func (c *candidate) compare(other *candidate) int {
 	if order := cmp.Compare(c.rackFree, other.rackFree); order != 0 {
 		return order
 	}
-	if order := cmp.Compare(c.remaining, other.remaining); order != 0 {
+	if order := cmp.Compare(c.remainingCores, other.remainingCores); order != 0 {
 		return order
 	}
 	return cmp.Compare(c.position, other.position)
 }
 
-// add inserts a candidate and removes those that are no longer needed.
+// add inserts a candidate, and removes the worst candidates while the others can run all requested
+// tasks.
 func (h *candidateHeap) add(c candidate) {
-	if h.tasks >= h.count && c.compare(&h.candidates[0]) > 0 {
+	if h.totalCapacity >= h.requestedTasks && c.compare(&h.candidates[0]) > 0 {
 		return
 	}
 	heap.Push(h, c)
-	h.tasks += c.fits
-	for h.tasks-h.candidates[0].fits >= h.count {
-		h.tasks -= h.candidates[0].fits
+	h.totalCapacity += c.maxTasks
+	for h.totalCapacity-h.candidates[0].maxTasks >= h.requestedTasks {
+		h.totalCapacity -= h.candidates[0].maxTasks
 		heap.Pop(h)
 	}
 }
--- a/internal/placement/candidate_heap_test.go
+++ b/internal/placement/candidate_heap_test.go
@@ -8,25 +8,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCandidateHeapMatchesFullSort compares the heap's selection with that of a full sort.
+// TestCandidateHeapMatchesFullSort checks that the heap selects the same workers as a full sort.
 func TestCandidateHeapMatchesFullSort(t *testing.T) {
 	for seed := range uint64(500) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		count := 1 + random.IntN(12)
-		heap := candidateHeap{count: count}
+		heap := candidateHeap{requestedTasks: count}
 		var all []candidate
-		total := 0
+		offeredCapacity := 0
 		for position := range 1 + random.IntN(40) {
 			c := candidate{
-				worker: 100 + position, position: position, fits: 1 + random.IntN(4),
-				rackFree: float64(random.IntN(4)), remaining: float64(random.IntN(4)),
+				worker: 100 + position, position: position, maxTasks: 1 + random.IntN(4),
+				rackFree: float64(random.IntN(4)), remainingCores: float64(random.IntN(4)),
 			}
 			all = append(all, c)
-			total += c.fits
+			offeredCapacity += c.maxTasks
 			heap.add(c)
 		}
 		slices.SortFunc(all, func(a, b candidate) int { return a.compare(&b) })
 		require.Equal(t, assignTasks(all, count), assignTasks(heap.sorted(), count), "seed %d", seed)
-		require.GreaterOrEqual(t, heap.tasks, min(count, total), "seed %d", seed)
+		require.GreaterOrEqual(t, heap.totalCapacity, min(count, offeredCapacity), "seed %d", seed)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement assigns tasks to workers. Its functions are deterministic and do no I/O; they
-// work on a snapshot of the workers.
+// Package placement assigns tasks to workers. The caller passes a snapshot of the workers, in which
+// a worker is identified by its index. The functions are deterministic and do no I/O.
 package placement
 
 import (
@@ -14,15 +14,15 @@
 	Rack string
 	// Capacity is the total resources of the worker.
 	Capacity taskgraph.Resources
-	// Free is what is unallocated, less the reservations made in this cycle.
+	// Free is the unallocated part of Capacity, less the reservations made in this scheduling cycle.
 	Free taskgraph.Resources
-	// RackFree is the unallocated capacity of the worker's rack, in cores.
+	// RackFree is the sum of Free, in cores, over the usable workers of the rack.
 	RackFree float64
-	// Slow marks workers that take longer than most.
+	// Slow is true if the worker is slower than most workers.
 	Slow bool
-	// Usable is false for workers that accept no new tasks.
+	// Usable is false if the worker accepts no new tasks.
 	Usable bool
-	// Cordoned workers are cordoned by an operator.
+	// Cordoned is true if an operator has excluded the worker from new placements.
 	Cordoned bool
 	// Allocations are the runs that occupy the worker.
 	Allocations []Allocation
@@ -30,12 +30,12 @@
 
 // Allocation is a run that occupies part of a worker.
 type Allocation struct {
-	// Unit is the index of the run's unit in the snapshot.
+	// Unit is the index of the run's unit in the caller's list of units.
 	Unit      int
 	Resources taskgraph.Resources
 }
 
-// Request asks for Count identical tasks to be placed, all or none.
+// Request is a request to place Count identical tasks. Either all of the tasks are placed or none.
 type Request struct {
 	Resources taskgraph.Resources
 	Count     int
@@ -43,16 +43,18 @@
 	Priority int
 	// Allowed filters workers; nil allows all.
 	Allowed func(worker int) bool
-	// MaxPerWorker limits the tasks on one worker, including the Present(worker) tasks already
-	// there; 0 means no limit.
+	// MaxPerWorker limits the tasks on one worker, including tasks that were placed earlier. 0 means
+	// no limit.
 	MaxPerWorker int
-	Present      func(worker int) int
-	// Limit restricts the free resources of a worker that the request may use; nil means no
-	// restriction.
+	// Present returns the number of earlier placed tasks on a worker that count toward MaxPerWorker.
+	// Nil means none.
+	Present func(worker int) int
+	// Limit returns the part of a worker's free resources that the request may use. Nil means that
+	// the request may use all of them.
 	Limit func(worker int, free taskgraph.Resources) taskgraph.Resources
 }
 
-// visibleFree returns the free resources of a worker that the request may use.
+// visibleFree returns the part of worker i's free resources that the request may use.
 func (r *Request) visibleFree(workers []Worker, i int) taskgraph.Resources {
 	if r.Limit == nil {
 		return workers[i].Free
@@ -64,8 +66,8 @@
 	return workers[i].Usable && (r.Allowed == nil || r.Allowed(i))
 }
 
-// taskCapacity returns how many of the request's tasks fit into the available resources of worker
-// i.
+// taskCapacity returns how many of the request's tasks worker i can run, given the available
+// resources of the worker.
 func (r *Request) taskCapacity(i int, available taskgraph.Resources) int {
 	count := r.Count
 	if r.Resources.CPU > 0 {
@@ -89,41 +91,42 @@
 
 // candidate is a worker that can run at least one of the tasks.
 type candidate struct {
-	worker   int
-	fits     int
+	worker int
+	// maxTasks is the number of tasks that the worker can run.
+	maxTasks int
 	rackFree float64
-	// remaining is what stays free, in cores, if the worker takes as many tasks as fit.
-	remaining float64
-	// position is the worker's index in the caller's list; it breaks ties.
+	// remainingCores is the capacity, in cores, that stays free if the worker runs maxTasks tasks.
+	remainingCores float64
+	// position is the worker's position in the caller's list. It breaks ties.
 	position int
 }
 
-// Fit places the request on the workers at indexes. It packs best-fit: the rack with the least
-// free capacity first, and within it the worker with the least capacity remaining, so that whole
-// workers and racks stay free for large tasks and gangs. It returns one worker index per task, or
-// nil if not all tasks fit.
+// Fit places the request on the workers with the given indexes. It fills the rack with the least
+// free capacity first. Within a rack it prefers the worker that would have the least capacity left.
+// This keeps whole workers and racks free for large tasks and gangs. Fit returns one worker index
+// per task. It returns nil if not all tasks fit.
 func Fit(workers []Worker, indexes []int, request *Request) []int {
 	if !fitsAll(workers, indexes, request) {
 		return nil
 	}
-	selected := candidateHeap{count: request.Count}
+	selected := candidateHeap{requestedTasks: request.Count}
 	for position, i := range indexes {
 		if !request.allowed(workers, i) {
 			continue
 		}
 		available := request.visibleFree(workers, i)
-		fits := request.taskCapacity(i, available)
-		if fits == 0 {
+		maxTasks := request.taskCapacity(i, available)
+		if maxTasks == 0 {
 			continue
 		}
-		remaining := available.Minus(request.Resources.Multiply(fits)).Cores()
-		selected.add(candidate{worker: i, position: position, fits: fits, remaining: remaining, rackFree: workers[i].RackFree})
+		remainingCores := available.Minus(request.Resources.Multiply(maxTasks)).Cores()
+		selected.add(candidate{worker: i, position: position, maxTasks: maxTasks, remainingCores: remainingCores, rackFree: workers[i].RackFree})
 	}
 	return assignTasks(selected.sorted(), request.Count)
 }
 
-// fitsAll reports whether all tasks of the request fit. It allocates no memory, so that the
-// common rejection in a full pool is cheap.
+// fitsAll reports whether all tasks of the request fit. It allocates no memory, because most
+// requests are rejected when the pool is full.
 func fitsAll(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
@@ -139,8 +142,8 @@
 	return total >= request.Count
 }
 
-// FitsWhenEmpty reports whether the request would fit if nothing ran on the workers and all that
-// are not cordoned were usable.
+// FitsWhenEmpty reports whether the request would fit if no task ran on the workers. It assumes
+// that all workers are usable except cordoned ones.
 func FitsWhenEmpty(workers []Worker, indexes []int, request *Request) bool {
 	total := 0
 	for _, i := range indexes {
@@ -154,21 +157,25 @@
 	return false
 }
 
+// assignTasks fills the candidates in order and returns one worker index for each of count tasks.
 func assignTasks(candidates []candidate, count int) []int {
 	places := make([]int, 0, count)
 	for _, c := range candidates {
-		for range min(c.fits, count-len(places)) {
+		for range min(c.maxTasks, count-len(places)) {
 			places = append(places, c.worker)
 		}
 	}
 	return places
 }
 
-// Racks groups workers by rack, in order of first appearance.
+// Racks groups the indexes of workers by rack.
 type Racks struct {
-	Names   []string
+	// Names lists the racks in the order in which they appear in the list of workers.
+	Names []string
+	// Members maps the name of each rack to the workers of the rack.
 	Members map[string][]int
-	All     []int
+	// All lists all workers.
+	All []int
 }
 
 // NewRacks groups workers by rack.
@@ -185,7 +192,7 @@
 	return racks
 }
 
-// ByFreeCapacity returns the rack names by descending free capacity.
+// ByFreeCapacity returns the rack names, sorted by descending free capacity.
 func (r *Racks) ByFreeCapacity(workers []Worker) []string {
 	names := slices.Clone(r.Names)
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -194,23 +201,23 @@
 	return names
 }
 
-// FitOneRack places the request within one rack: of those where it fits, the one with the least
-// free capacity.
+// FitOneRack places the request within one rack. Among the racks in which the request fits, it
+// chooses the rack with the least free capacity. It returns nil if the request fits in no rack.
 func FitOneRack(workers []Worker, racks *Racks, request *Request) []int {
 	var best []int
-	bestRemaining := 0.0
+	leastFree := 0.0
 	for _, name := range racks.Names {
 		members := racks.Members[name]
 		places := Fit(workers, members, request)
 		if places == nil {
 			continue
 		}
-		remaining := 0.0
+		freeCores := 0.0
 		for _, i := range members {
-			remaining += workers[i].Free.Cores()
+			freeCores += workers[i].Free.Cores()
 		}
-		if best == nil || remaining < bestRemaining {
-			best, bestRemaining = places, remaining
+		if best == nil || freeCores < leastFree {
+			best, leastFree = places, freeCores
 		}
 	}
 	return best
@@ -219,19 +226,19 @@
 // UpdateRackFree updates RackFree of every worker.
 func UpdateRackFree(workers []Worker, racks *Racks) {
 	for _, name := range racks.Names {
-		free := 0.0
+		freeCores := 0.0
 		for _, i := range racks.Members[name] {
 			if workers[i].Usable {
-				free += workers[i].Free.Cores()
+				freeCores += workers[i].Free.Cores()
 			}
 		}
 		for _, i := range racks.Members[name] {
-			workers[i].RackFree = free
+			workers[i].RackFree = freeCores
 		}
 	}
 }
 
-// Reserve deducts perTask from the free resources of each placed task's worker.
+// Reserve deducts perTask from the free resources of a worker for each task placed on the worker.
 func Reserve(workers []Worker, places []int, perTask taskgraph.Resources) {
 	for _, i := range places {
 		workers[i].Free = workers[i].Free.Minus(perTask)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -46,10 +46,10 @@
 	}
 	workers[0].Allocations = []Allocation{{Unit: 0, Resources: gpus(8)}}
 	workers[1].Allocations = []Allocation{{Unit: 1, Resources: gpus(8)}}
-	promise := EarliestFit(workers, racks.All, units, &Request{Resources: gpus(4), Count: 1}, time.Hour)
-	require.Equal(t, []int{1}, promise.Workers)
-	require.Equal(t, time.Second, promise.Wait)
-	require.Equal(t, gpus(4), promise.Unreserved[1])
+	future := EarliestFit(workers, racks.All, units, &Request{Resources: gpus(4), Count: 1}, time.Hour)
+	require.Equal(t, []int{1}, future.Workers)
+	require.Equal(t, time.Second, future.Wait)
+	require.Equal(t, gpus(4), future.Unreserved[1])
 	require.Nil(t, EarliestFit(workers, racks.All, units, &Request{Resources: gpus(9), Count: 1}, time.Hour))
 }
 
@@ -61,10 +61,10 @@
 	}
 	workers[0].Allocations = []Allocation{{Unit: 0, Resources: gpus(8)}}
 	workers[1].Allocations = []Allocation{{Unit: 1, Resources: gpus(8)}}
-	places, victims, loss := Preempt(workers, racks.All, units, &Request{Resources: gpus(8), Count: 1, Priority: 1})
+	places, victims, cost := Preempt(workers, racks.All, units, &Request{Resources: gpus(8), Count: 1, Priority: 1})
 	require.Equal(t, []int{1}, places)
 	require.Equal(t, []int{1}, victims)
-	require.InDelta(t, 10, loss, 0)
+	require.InDelta(t, 10, cost, 0)
 	places, _, _ = Preempt(workers, racks.All, units, &Request{Resources: gpus(8), Count: 1, Priority: 2})
 	require.Nil(t, places, "units of equal priority must not preempt each other")
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -6,30 +6,32 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Unit is a running unit, which may be preempted or will end.
+// Unit is a running gang or a running single task.
 type Unit struct {
 	// Workers lists the workers of the unit's runs.
 	Workers   []int
 	Resources taskgraph.Resources
 	// Remaining is the expected time until the unit releases its resources.
 	Remaining time.Duration
-	// PreemptionCost is the cost of preempting the unit now; negative if it must not be preempted.
+	// PreemptionCost is the cost of preempting the unit now. It is 0 if the unit is already
+	// stopping, and negative if the unit must not be preempted.
 	PreemptionCost float64
-	// Priority 0 is the highest; only requests of a higher priority preempt the unit.
+	// Priority 0 is the highest. Only requests of a higher priority may preempt the unit.
 	Priority int
 }
 
 // FuturePlacement is a placement that becomes possible once running units have ended.
 type FuturePlacement struct {
 	Workers []int
-	// Wait is the expected wait.
+	// Wait is the expected time until the placement becomes possible.
 	Wait time.Duration
-	// Unreserved maps each worker to the resources that other tasks may occupy beyond that time.
+	// Unreserved maps each worker of the placement to the resources that the placement leaves free.
+	// Other tasks may occupy these resources beyond the time Wait.
 	Unreserved map[int]taskgraph.Resources
 }
 
-// EarliestFit returns when and where the request fits if running units end as expected and nothing
-// new starts. It returns nil if the wait would reach limit.
+// EarliestFit returns the earliest placement of the request. It assumes that running units end as
+// expected and that no unit starts. It returns nil if the wait would reach limit.
 func EarliestFit(workers []Worker, indexes []int, units []Unit, request *Request, limit time.Duration) *FuturePlacement {
 	if !FitsWhenEmpty(workers, indexes, request) {
 		return nil
@@ -39,22 +41,23 @@
 	if s.satisfied() {
 		return s.placementAfter(0)
 	}
-	for _, ranked := range s.rankUnits(func(number int) float64 { return max(0, float64(units[number].Remaining)) }) {
-		after := units[ranked.unit].Remaining
-		if after >= limit {
+	for _, ranked := range s.rankUnits(func(index int) float64 { return max(0, float64(units[index].Remaining)) }) {
+		wait := units[ranked.unit].Remaining
+		if wait >= limit {
 			return nil
 		}
 		s.evict(ranked.unit)
 		if s.satisfied() {
-			return s.placementAfter(after)
+			return s.placementAfter(wait)
 		}
 	}
 	return nil
 }
 
-// Preempt returns a placement of the request that preempting victims makes possible, the victims,
-// and the sum of their losses. It returns nil if no set of victims is sufficient.
-func Preempt(workers []Worker, indexes []int, units []Unit, request *Request) (places, victims []int, loss float64) {
+// Preempt chooses units to preempt (victims) so that the request fits. It returns the resulting
+// placement, the victims, and the sum of their preemption costs. The placement is nil if the
+// request does not fit even after preempting all units that it may preempt.
+func Preempt(workers []Worker, indexes []int, units []Unit, request *Request) (places, victims []int, cost float64) {
 	s := newSimulation(workers, indexes, units, request)
 	defer s.close()
 	for _, ranked := range s.preemptible() {
@@ -68,14 +71,14 @@
 		return nil, nil, 0
 	}
 	victims = s.dropUnneeded(victims)
-	for _, number := range victims {
-		loss += units[number].PreemptionCost
+	for _, index := range victims {
+		cost += units[index].PreemptionCost
 	}
-	return Fit(workers, indexes, request), victims, loss
+	return Fit(workers, indexes, request), victims, cost
 }
 
-// preemptibleBy reports whether the request may preempt the unit. Units with zero loss are already
-// stopping.
+// preemptibleBy reports whether the request may preempt the unit. A unit that is already stopping
+// has a cost of 0, and requests of any priority may wait for its resources.
 func (u *Unit) preemptibleBy(request *Request) bool {
 	return u.PreemptionCost == 0 || u.PreemptionCost > 0 && u.Priority > request.Priority
 }
--- a/internal/placement/simulation.go
+++ b/internal/placement/simulation.go
@@ -9,30 +9,31 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// simulation evaluates evictions on a group of workers. It updates the number of tasks that fit
-// incrementally, so that a step costs only as much as the workers it touches. It modifies Free of
-// the caller's workers; close restores it.
+// simulation evaluates which tasks of a request would fit on a group of workers if some units were
+// evicted. An eviction updates only the workers of the evicted unit. The simulation modifies Free
+// of the caller's workers, and close restores Free.
 type simulation struct {
 	workers []Worker
 	indexes []int
 	units   []Unit
 	request *Request
-	// total is the number of the request's tasks that fit.
-	total int
+	// totalCapacity is the sum of taskCapacities over the simulated workers.
+	totalCapacity int
 	*simulationBuffers
 }
 
-// simulationBuffers holds the per-worker and per-unit state of a simulation; it is pooled because
-// a scheduling cycle runs many simulations.
+// simulationBuffers holds the per-worker and per-unit state of a simulation. The buffers are reused
+// because a scheduling cycle runs many simulations.
 type simulationBuffers struct {
-	// fits is the number of tasks that fit on each worker.
-	fits []int
-	// inGroup marks the simulated workers.
-	inGroup []bool
+	// taskCapacities holds the number of tasks of the request that fit on each worker.
+	taskCapacities []int
+	// simulated marks the workers in the simulated group.
+	simulated []bool
 	// evicted marks the units whose resources are released.
 	evicted []bool
-	// seen marks the units already added by rankUnits.
-	seen  []bool
+	// seen marks the units that rankUnits has already added to order.
+	seen []bool
+	// order is the result of rankUnits.
 	order []rankedUnit
 }
 
@@ -48,14 +49,14 @@
 func newSimulation(workers []Worker, indexes []int, units []Unit, request *Request) *simulation {
 	buffers, _ := bufferPool.Get().(*simulationBuffers)
 	s := &simulation{workers: workers, indexes: indexes, units: units, request: request, simulationBuffers: buffers}
-	s.fits = resized(s.fits, len(workers))
-	s.inGroup = resized(s.inGroup, len(workers))
+	s.taskCapacities = resized(s.taskCapacities, len(workers))
+	s.simulated = resized(s.simulated, len(workers))
 	s.evicted = resized(s.evicted, len(units))
 	s.seen = resized(s.seen, len(units))
 	for _, i := range indexes {
-		s.inGroup[i] = true
-		s.fits[i] = 0
-		s.updateFit(i)
+		s.simulated[i] = true
+		s.taskCapacities[i] = 0
+		s.updateTaskCapacity(i)
 	}
 	return s
 }
@@ -69,7 +70,7 @@
 	return buffer[:length]
 }
 
-// close restores the evicted units and returns the buffers to the pool.
+// close restores the evicted units and returns the buffers to bufferPool.
 func (s *simulation) close() {
 	for _, ranked := range s.order {
 		if s.evicted[ranked.unit] {
@@ -77,32 +78,32 @@
 		}
 	}
 	for _, i := range s.indexes {
-		s.inGroup[i] = false
+		s.simulated[i] = false
 	}
 	s.order = s.order[:0]
 	bufferPool.Put(s.simulationBuffers)
 }
 
-// updateFit recomputes how many tasks fit on worker i.
-func (s *simulation) updateFit(i int) {
-	fits := 0
+// updateTaskCapacity recomputes how many tasks of the request fit on worker i.
+func (s *simulation) updateTaskCapacity(i int) {
+	capacity := 0
 	if s.request.allowed(s.workers, i) {
-		fits = s.request.taskCapacity(i, s.request.visibleFree(s.workers, i))
+		capacity = s.request.taskCapacity(i, s.request.visibleFree(s.workers, i))
 	}
-	s.total += fits - s.fits[i]
-	s.fits[i] = fits
+	s.totalCapacity += capacity - s.taskCapacities[i]
+	s.taskCapacities[i] = capacity
 }
 
 // satisfied reports whether all tasks of the request fit.
-func (s *simulation) satisfied() bool { return s.total >= s.request.Count }
+func (s *simulation) satisfied() bool { return s.totalCapacity >= s.request.Count }
 
-// evict releases the resources that a unit occupies in the group.
+// evict releases the resources that a unit occupies on the simulated workers.
 func (s *simulation) evict(unit int) {
 	s.evicted[unit] = true
 	for _, i := range s.units[unit].Workers {
-		if s.inGroup[i] {
+		if s.simulated[i] {
 			s.workers[i].Free = s.workers[i].Free.Plus(s.units[unit].Resources)
-			s.updateFit(i)
+			s.updateTaskCapacity(i)
 		}
 	}
 }
@@ -111,38 +112,38 @@
 func (s *simulation) restore(unit int) {
 	s.evicted[unit] = false
 	for _, i := range s.units[unit].Workers {
-		if s.inGroup[i] {
+		if s.simulated[i] {
 			s.workers[i].Free = s.workers[i].Free.Minus(s.units[unit].Resources)
-			s.updateFit(i)
+			s.updateTaskCapacity(i)
 		}
 	}
 }
 
-// placementAfter returns the current placement of the request, to become possible after the given
-// wait.
-func (s *simulation) placementAfter(after time.Duration) *FuturePlacement {
+// placementAfter returns the placement of the request in the current state of the simulation. The
+// placement becomes possible after the given wait.
+func (s *simulation) placementAfter(wait time.Duration) *FuturePlacement {
 	places := Fit(s.workers, s.indexes, s.request)
-	spare := make(map[int]taskgraph.Resources, len(places))
+	unreserved := make(map[int]taskgraph.Resources, len(places))
 	for _, i := range places {
-		free, known := spare[i]
+		free, known := unreserved[i]
 		if !known {
 			free = s.workers[i].Free
 		}
-		spare[i] = free.Minus(s.request.Resources)
+		unreserved[i] = free.Minus(s.request.Resources)
 	}
-	return &FuturePlacement{Workers: places, Wait: after, Unreserved: spare}
+	return &FuturePlacement{Workers: places, Wait: wait, Unreserved: unreserved}
 }
 
-// rankUnits returns the units that occupy workers of the group by ascending rank, then by index.
-// Units of negative rank are excluded.
+// rankUnits returns the units that occupy simulated workers. The units are sorted by ascending
+// rank, then by index. Units with a negative rank are excluded.
 func (s *simulation) rankUnits(rank func(unit int) float64) []rankedUnit {
 	for _, i := range s.indexes {
-		for _, holder := range s.workers[i].Allocations {
-			if s.seen[holder.Unit] || len(s.units[holder.Unit].Workers) == 0 {
+		for _, allocation := range s.workers[i].Allocations {
+			if s.seen[allocation.Unit] || len(s.units[allocation.Unit].Workers) == 0 {
 				continue
 			}
-			s.seen[holder.Unit] = true
-			s.order = append(s.order, rankedUnit{unit: holder.Unit, rank: rank(holder.Unit)})
+			s.seen[allocation.Unit] = true
+			s.order = append(s.order, rankedUnit{unit: allocation.Unit, rank: rank(allocation.Unit)})
 		}
 	}
 	for _, ranked := range s.order {
@@ -161,35 +162,36 @@
 // excludedRank makes rankUnits leave a unit out.
 const excludedRank = -1
 
-// preemptible returns the units that may be preempted, by ascending loss per freed core.
+// preemptible returns the units that the request may preempt, by ascending cost per freed core.
 func (s *simulation) preemptible() []rankedUnit {
-	return s.rankUnits(func(number int) float64 {
-		unit := &s.units[number]
+	return s.rankUnits(func(index int) float64 {
+		unit := &s.units[index]
 		if !unit.preemptibleBy(s.request) {
 			return excludedRank
 		}
-		useful := 0
+		usableWorkers := 0
 		for _, i := range unit.Workers {
-			if s.inGroup[i] && s.request.allowed(s.workers, i) {
-				useful++
+			if s.simulated[i] && s.request.allowed(s.workers, i) {
+				usableWorkers++
 			}
 		}
-		if useful == 0 {
+		if usableWorkers == 0 {
 			return excludedRank
 		}
-		return unit.PreemptionCost / (float64(useful)*unit.Resources.Cores() + 1)
+		return unit.PreemptionCost / (float64(usableWorkers)*unit.Resources.Cores() + 1)
 	})
 }
 
-// dropUnneeded restores victims that are not needed for the request to fit, the most costly first.
+// dropUnneeded restores victims, the most costly first, if the request fits without them. It
+// returns the remaining victims.
 func (s *simulation) dropUnneeded(victims []int) []int {
-	byLoss := slices.Clone(victims)
-	slices.SortStableFunc(byLoss, func(a, b int) int { return cmp.Compare(s.units[b].PreemptionCost, s.units[a].PreemptionCost) })
-	for _, number := range byLoss {
-		s.restore(number)
+	byDescendingCost := slices.Clone(victims)
+	slices.SortStableFunc(byDescendingCost, func(a, b int) int { return cmp.Compare(s.units[b].PreemptionCost, s.units[a].PreemptionCost) })
+	for _, unit := range byDescendingCost {
+		s.restore(unit)
 		if !s.satisfied() {
-			s.evict(number)
+			s.evict(unit)
 		}
 	}
-	return slices.DeleteFunc(victims, func(number int) bool { return !s.evicted[number] })
+	return slices.DeleteFunc(victims, func(unit int) bool { return !s.evicted[unit] })
 }
