--- a/internal/speeds/cohort.go
+++ b/internal/speeds/cohort.go
@@ -40,15 +40,15 @@
 
 // UpdateEstimate compares a task with the other tasks of the cohort. It updates the estimate of the
 // task's worker and the variance of work. It returns false if the cohort has too few other tasks.
-func (c *Cohort) UpdateEstimate(m *Member, worker *Estimate, spread *WorkVariance) bool {
+func (c *Cohort) UpdateEstimate(m *Member, worker *Estimate, workVariance *WorkVariance) bool {
 	peers := c.count - 1
 	if !m.added || peers < minCohortPeers {
 		return false
 	}
 	expected := (c.sum - m.work) / float64(peers)
 	deviation := m.work - expected
-	variance := spread.variance() * (1 + 1/float64(peers))
-	spread.update(deviation, worker.variance())
+	variance := workVariance.variance() * (1 + 1/float64(peers))
+	workVariance.update(deviation, worker.variance())
 	worker.update(worker.mean+deviation, variance)
 	return true
 }
@@ -60,27 +60,27 @@
 }
 
 const (
-	// spreadPrior is the prior variance. It weighs as much as spreadPriorWeight tasks.
-	spreadPrior       = 0.16
-	spreadPriorWeight = 20
-	// maxSpreadWeight is the maximum weight of past tasks, in tasks.
-	maxSpreadWeight = 500
+	// priorWorkVariance is the prior variance. It weighs as much as priorWorkWeight tasks.
+	priorWorkVariance = 0.16
+	priorWorkWeight   = 20
+	// maxWorkWeight is the maximum weight of past tasks, in tasks.
+	maxWorkWeight = 500
 	// maxSquaredDeviation limits the contribution of one task, so that a few very long tasks do not
 	// dominate.
 	maxSquaredDeviation = 1.0
 )
 
-func (s *WorkVariance) variance() float64 {
-	return (s.sum + spreadPrior*spreadPriorWeight) / (s.weight + spreadPriorWeight)
+func (v *WorkVariance) variance() float64 {
+	return (v.sum + priorWorkVariance*priorWorkWeight) / (v.weight + priorWorkWeight)
 }
 
 // update adds the deviation of one task's work from the expected work. The part that the
 // uncertainty of the worker's estimate explains is subtracted.
-func (s *WorkVariance) update(deviation, workerVariance float64) {
-	if s.weight >= maxSpreadWeight {
-		s.sum *= (maxSpreadWeight - 1) / s.weight
-		s.weight = maxSpreadWeight - 1
+func (v *WorkVariance) update(deviation, workerVariance float64) {
+	if v.weight >= maxWorkWeight {
+		v.sum *= (maxWorkWeight - 1) / v.weight
+		v.weight = maxWorkWeight - 1
 	}
-	s.sum += min(maxSquaredDeviation, max(0, deviation*deviation-workerVariance))
-	s.weight++
+	v.sum += min(maxSquaredDeviation, max(0, deviation*deviation-workerVariance))
+	v.weight++
 }
--- a/internal/speeds/estimate.go
+++ b/internal/speeds/estimate.go
@@ -10,9 +10,9 @@
 	minVariance = 0.003
 	// maxKnownVariance is the largest variance at which a worker counts as known.
 	maxKnownVariance = 0.05
-	// exceedsSigmas is the minimum difference, in standard deviations, at which a worker counts as
-	// slower than another worker.
-	exceedsSigmas = 0.5
+	// minDifferenceSigmas is the minimum difference, in standard deviations, at which a worker
+	// counts as slower than another worker.
+	minDifferenceSigmas = 0.5
 	// outlierSigmas is the deviation, in standard deviations, beyond which a sample counts as an
 	// outlier and gets a lower weight.
 	outlierSigmas = 2.0
@@ -38,7 +38,7 @@
 // Exceeds reports whether the worker's time per work exceeds a reference by more than the given
 // ratio. logTime is the logarithm of the reference.
 func (e *Estimate) Exceeds(logTime, ratio float64) bool {
-	return e.mean-logTime > max(math.Log(ratio), exceedsSigmas*math.Sqrt(e.variance()))
+	return e.mean-logTime > max(math.Log(ratio), minDifferenceSigmas*math.Sqrt(e.variance()))
 }
 
 func (e *Estimate) variance() float64 { return 1 / (1/priorVariance + e.precision) }
@@ -46,17 +46,17 @@
 // update applies a sample of the logarithm of the worker's time per work. variance is the variance
 // of the sample's error.
 func (e *Estimate) update(sample, variance float64) {
-	before := e.variance()
+	oldVariance := e.variance()
 	deviation := sample - e.mean
-	expected := before + variance
-	outlierRatio := deviation * deviation / (outlierSigmas * outlierSigmas * expected)
-	gain := before / (expected * max(1, outlierRatio))
+	deviationVariance := oldVariance + variance
+	outlierRatio := deviation * deviation / (outlierSigmas * outlierSigmas * deviationVariance)
+	gain := oldVariance / (deviationVariance * max(1, outlierRatio))
 	e.mean += gain * deviation
-	after := (1 - gain) * before
+	newVariance := (1 - gain) * oldVariance
 	if outlierRatio > 1 {
-		after = min(priorVariance, outlierVarianceGrowth*before)
+		newVariance = min(priorVariance, outlierVarianceGrowth*oldVariance)
 	}
-	e.precision = 1/max(minVariance, after) - 1/priorVariance
+	e.precision = 1/max(minVariance, newVariance) - 1/priorVariance
 }
 
 // Sample is the time that one of several workers took for equal work.
@@ -99,12 +99,12 @@
 	for i := range samples {
 		// Compare with the other workers only: exclude the sample's own contribution.
 		sampleWeight := samples[i].weight()
-		rest := weight - sampleWeight
-		if rest < minWeight {
+		otherWeight := weight - sampleWeight
+		if otherWeight < minWeight {
 			return
 		}
-		deviations[i] = samples[i].LogTime - (sum-sampleWeight*samples[i].work())/rest
-		variances[i] = samples[i].Variance + 1/rest
+		deviations[i] = samples[i].LogTime - (sum-sampleWeight*samples[i].work())/otherWeight
+		variances[i] = samples[i].Variance + 1/otherWeight
 	}
 	for i := range samples {
 		samples[i].Worker.update(deviations[i], variances[i])
--- a/internal/speeds/speeds_test.go
+++ b/internal/speeds/speeds_test.go
@@ -11,15 +11,15 @@
 // testPool is a pool of workers with known speeds and the estimates of these speeds.
 type testPool struct {
 	random *rand.Rand
-	// actual holds the logarithm of the time per work of each worker.
-	actual    []float64
+	// logTimes holds the logarithm of the time per work of each worker.
+	logTimes  []float64
 	estimates []Estimate
 }
 
 func newTestPool(seed uint64, workers int, times ...float64) *testPool {
 	p := &testPool{random: rand.New(rand.NewPCG(seed, 5)), estimates: make([]Estimate, workers)}
 	for i := range workers {
-		p.actual = append(p.actual, math.Log(times[i%len(times)]))
+		p.logTimes = append(p.logTimes, math.Log(times[i%len(times)]))
 	}
 	return p
 }
@@ -29,25 +29,25 @@
 	var samples []Sample
 	work := p.random.NormFloat64()
 	for _, i := range p.random.Perm(len(p.estimates))[:size] {
-		percent := max(1, int(25/math.Exp(p.actual[i])))
-		samples = append(samples, Sample{Worker: &p.estimates[i], LogTime: work + p.actual[i], Variance: RoundingVariance(percent)})
+		percent := max(1, int(25/math.Exp(p.logTimes[i])))
+		samples = append(samples, Sample{Worker: &p.estimates[i], LogTime: work + p.logTimes[i], Variance: RoundingVariance(percent)})
 	}
 	UpdateEstimates(samples, ExpectedWork{})
 }
 
 // runStep runs unequal tasks on random workers. One task in thirty takes seven times as long.
-func (p *testPool) runStep(tasks int, spread *WorkVariance) {
-	cohort, members, on := &Cohort{}, make([]Member, tasks), make([]int, tasks)
+func (p *testPool) runStep(tasks int, workVariance *WorkVariance) {
+	cohort, members, workerOf := &Cohort{}, make([]Member, tasks), make([]int, tasks)
 	for k := range members {
-		on[k] = p.random.IntN(len(p.estimates))
+		workerOf[k] = p.random.IntN(len(p.estimates))
 		work := 0.3 * p.random.NormFloat64()
 		if p.random.IntN(30) == 0 {
 			work += math.Log(7)
 		}
-		cohort.Record(&members[k], &p.estimates[on[k]], work+p.actual[on[k]])
+		cohort.Record(&members[k], &p.estimates[workerOf[k]], work+p.logTimes[workerOf[k]])
 	}
 	for k := range members {
-		cohort.UpdateEstimate(&members[k], &p.estimates[on[k]], spread)
+		cohort.UpdateEstimate(&members[k], &p.estimates[workerOf[k]], workVariance)
 	}
 }
 
@@ -56,7 +56,7 @@
 func (p *testPool) misclassified() (wrong, known int) {
 	offset := 0.0
 	for i := range p.estimates {
-		offset += p.estimates[i].LogTime() - p.actual[i]
+		offset += p.estimates[i].LogTime() - p.logTimes[i]
 	}
 	offset /= float64(len(p.estimates))
 	for i := range p.estimates {
@@ -64,7 +64,7 @@
 			continue
 		}
 		known++
-		if math.Abs(p.estimates[i].LogTime()-offset-p.actual[i]) > math.Log(4.0/3) {
+		if math.Abs(p.estimates[i].LogTime()-offset-p.logTimes[i]) > math.Log(4.0/3) {
 			wrong++
 		}
 	}
@@ -89,23 +89,23 @@
 // most workers.
 func TestCohortsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
-		p, spread := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &WorkVariance{}
+		p, workVariance := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &WorkVariance{}
 		for range 30 {
-			p.runStep(40, spread)
+			p.runStep(40, workVariance)
 		}
 		wrong, known := p.misclassified()
 		require.Greater(t, known, 54, "seed %d", seed)
 		require.LessOrEqual(t, 10*wrong, known, "seed %d", seed)
-		require.InDelta(t, 0.12, spread.variance(), 0.08, "seed %d", seed)
+		require.InDelta(t, 0.12, workVariance.variance(), 0.08, "seed %d", seed)
 	}
 }
 
 // TestLongTasksDoNotMarkWorkersSlow guards against classifying workers as slow that ran long tasks.
 func TestLongTasksDoNotMarkWorkersSlow(t *testing.T) {
 	for seed := range uint64(20) {
-		p, spread := newTestPool(seed, 60, 1), &WorkVariance{}
+		p, workVariance := newTestPool(seed, 60, 1), &WorkVariance{}
 		for range 20 {
-			p.runStep(40, spread)
+			p.runStep(40, workVariance)
 		}
 		wrong, _ := p.misclassified()
 		require.LessOrEqual(t, wrong, 3, "seed %d", seed)
