--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -21,11 +21,11 @@
 
 // ParseChanges extracts the changes of evacuated zones from rows. zoneOf returns the zone that a
 // row evacuates. It returns false for a row that does not evacuate a zone.
-func ParseChanges(listed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
+func ParseChanges(changed []rows.Row, zoneOf func(rows.Key) (string, bool)) []Change {
 	var changes []Change
-	for i := range listed {
-		if zone, ok := zoneOf(listed[i].Key); ok {
-			changes = append(changes, Change{Zone: zone, Revision: listed[i].Version, Removed: listed[i].Gone})
+	for i := range changed {
+		if zone, ok := zoneOf(changed[i].Key); ok {
+			changes = append(changes, Change{Zone: zone, Revision: changed[i].Version, Removed: changed[i].Gone})
 		}
 	}
 	return changes
@@ -50,25 +50,25 @@
 // Apply returns a copy of the set with the changes up to a revision. A change is ignored if the
 // set contains a newer revision of the same zone's row.
 func (s Set) Apply(changes []Change, revision int64, asOf time.Time) Set {
-	next := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: latest(s.AsOf, asOf)}
+	result := Set{zones: s.zones, Revision: max(s.Revision, revision), AsOf: latest(s.AsOf, asOf)}
 	if len(changes) == 0 {
-		return next
+		return result
 	}
-	next.zones = maps.Clone(s.zones)
-	if next.zones == nil {
-		next.zones = map[string]int64{}
+	result.zones = maps.Clone(s.zones)
+	if result.zones == nil {
+		result.zones = map[string]int64{}
 	}
 	for _, change := range changes {
-		if change.Revision < next.zones[change.Zone] {
+		if change.Revision < result.zones[change.Zone] {
 			continue
 		}
 		if change.Removed {
-			delete(next.zones, change.Zone)
+			delete(result.zones, change.Zone)
 			continue
 		}
-		next.zones[change.Zone] = change.Revision
+		result.zones[change.Zone] = change.Revision
 	}
-	return next
+	return result
 }
 
 // Newest returns the set with the higher revision. If the revisions are equal, Newest returns the
