--- a/internal/taskgraph/spec_test.go
+++ b/internal/taskgraph/spec_test.go
@@ -62,9 +62,9 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		name, err := ParseTaskName(text)
 		if err == nil {
-			again, err := ParseTaskName(name.String())
+			reparsed, err := ParseTaskName(name.String())
 			require.NoError(t, err)
-			require.Equal(t, name, again)
+			require.Equal(t, name, reparsed)
 		}
 	})
 }
