--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -12,13 +12,13 @@
 // WithObserver returns a context for a call. The reader of the response calls observe with the
 // number of bytes of each read, and also calls the observers of the parent context.
 func WithObserver(ctx context.Context, observe func(bytes int)) context.Context {
-	outer, ok := ctx.Value(observerKey{}).(func(bytes int))
+	observeParent, ok := ctx.Value(observerKey{}).(func(bytes int))
 	if !ok {
 		return context.WithValue(ctx, observerKey{}, observe)
 	}
 	return context.WithValue(ctx, observerKey{}, func(bytes int) {
 		observe(bytes)
-		outer(bytes)
+		observeParent(bytes)
 	})
 }
 
--- a/internal/progress/timeouts.go
+++ b/internal/progress/timeouts.go
@@ -31,17 +31,17 @@
 // WithTimeouts returns a context that is cancelled when one of the timeouts expires. The returned
 // function cancels the context and stops its timer. Bytes that a call with a derived context
 // receives extend the deadline too.
-func WithTimeouts(parent context.Context, limits Timeouts) (context.Context, context.CancelFunc) {
+func WithTimeouts(parent context.Context, timeouts Timeouts) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	start := time.Now()
-	timer := time.AfterFunc(limits.FirstByte, func() { cancel(context.DeadlineExceeded) })
-	ctx = context.WithValue(ctx, firstByteDeadlineKey{}, start.Add(limits.FirstByte))
+	timer := time.AfterFunc(timeouts.FirstByte, func() { cancel(context.DeadlineExceeded) })
+	ctx = context.WithValue(ctx, firstByteDeadlineKey{}, start.Add(timeouts.FirstByte))
 	var deadline atomic.Pointer[time.Time]
 	extendDeadline := func(timeout time.Duration) {
 		at := time.Now().Add(timeout)
 		deadline.Store(&at)
 	}
-	extendDeadline(limits.FirstByte)
+	extendDeadline(timeouts.FirstByte)
 	ctx = context.WithValue(ctx, deadlineKey{}, &deadline)
 	var received, lastProgress atomic.Int64
 	ctx = WithObserver(ctx, func(bytes int) {
@@ -50,7 +50,7 @@
 			return
 		}
 		lastProgress.Store(total)
-		timeout := min(limits.Idle, limits.Total-time.Since(start))
+		timeout := min(timeouts.Idle, timeouts.Total-time.Since(start))
 		extendDeadline(timeout)
 		timer.Reset(timeout)
 	})
@@ -64,11 +64,11 @@
 // The second result is false if the call has no deadline. A call that is long overdue indicates
 // that this process itself was stalled.
 func Overdue(ctx context.Context) (time.Duration, bool) {
-	if moving, ok := ctx.Value(deadlineKey{}).(*atomic.Pointer[time.Time]); ok {
-		return time.Since(*moving.Load()), true
+	if extended, ok := ctx.Value(deadlineKey{}).(*atomic.Pointer[time.Time]); ok {
+		return time.Since(*extended.Load()), true
 	}
-	deadline, bounded := ctx.Deadline()
-	return time.Since(deadline), bounded
+	deadline, hasDeadline := ctx.Deadline()
+	return time.Since(deadline), hasDeadline
 }
 
 // FirstByteDeadline returns the deadline for the first byte of the response. The second result is
@@ -78,7 +78,7 @@
 	if !ok {
 		return ctx.Deadline()
 	}
-	if deadline, bounded := ctx.Deadline(); bounded && deadline.Before(firstByte) {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline && deadline.Before(firstByte) {
 		return deadline, true
 	}
 	return firstByte, true
--- a/internal/progress/timeouts_test.go
+++ b/internal/progress/timeouts_test.go
@@ -33,8 +33,8 @@
 		"no further bytes":    {FirstByte: time.Millisecond, Idle: 2 * time.Millisecond, Total: time.Hour},
 		"total time exceeded": {FirstByte: time.Millisecond, Idle: time.Hour, Total: 2 * time.Millisecond},
 	}
-	for name, limits := range cases {
-		ctx, cancel := WithTimeouts(context.Background(), limits)
+	for name, timeouts := range cases {
+		ctx, cancel := WithTimeouts(context.Background(), timeouts)
 		receiveByte(ctx)
 		<-ctx.Done()
 		require.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded, name)
@@ -74,35 +74,35 @@
 }
 
 func TestFirstByteDeadline(t *testing.T) {
-	_, bounded := FirstByteDeadline(context.Background())
-	require.False(t, bounded)
+	_, hasDeadline := FirstByteDeadline(context.Background())
+	require.False(t, hasDeadline)
 	before := time.Now()
 	limited, cancel := WithTimeouts(context.Background(), Timeouts{FirstByte: time.Minute, Idle: time.Hour, Total: time.Hour})
 	defer cancel()
-	by, bounded := FirstByteDeadline(limited)
-	require.True(t, bounded)
-	require.WithinRange(t, by, before.Add(time.Minute), time.Now().Add(time.Minute))
+	deadline, hasDeadline := FirstByteDeadline(limited)
+	require.True(t, hasDeadline)
+	require.WithinRange(t, deadline, before.Add(time.Minute), time.Now().Add(time.Minute))
 	shorter, cancelShorter := context.WithTimeout(limited, time.Second)
 	defer cancelShorter()
-	by, bounded = FirstByteDeadline(shorter)
-	require.True(t, bounded)
-	require.WithinRange(t, by, before, time.Now().Add(time.Second))
+	deadline, hasDeadline = FirstByteDeadline(shorter)
+	require.True(t, hasDeadline)
+	require.WithinRange(t, deadline, before, time.Now().Add(time.Second))
 }
 
 // TestOverdueUsesExtendedDeadline checks that received bytes extend the deadline that Overdue
 // uses.
 func TestOverdueUsesExtendedDeadline(t *testing.T) {
-	_, bounded := Overdue(t.Context())
-	require.False(t, bounded)
+	_, hasDeadline := Overdue(t.Context())
+	require.False(t, hasDeadline)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Minute))
 	defer cancel()
-	overdue, bounded := Overdue(ctx)
-	require.True(t, bounded)
+	overdue, hasDeadline := Overdue(ctx)
+	require.True(t, hasDeadline)
 	require.GreaterOrEqual(t, overdue, time.Minute)
 	ctx, cancel = WithTimeouts(t.Context(), Timeouts{FirstByte: time.Minute, Idle: time.Hour, Total: 2 * time.Hour})
 	defer cancel()
-	overdue, bounded = Overdue(ctx)
-	require.True(t, bounded)
+	overdue, hasDeadline = Overdue(ctx)
+	require.True(t, hasDeadline)
 	require.InDelta(t, -time.Minute, overdue, float64(10*time.Second))
 	receiveByte(ctx)
 	overdue, _ = Overdue(ctx)
