--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -46,13 +46,13 @@
 
 // New returns the plan that changes the current configuration into the declared one. If the
 // guarantees do not all fit at the same time, the error names the nearest shape that would fit.
-func New(current declaration.Configuration, declared declaration.Declaration, site DomainMachines, now time.Time) (*Plan, error) {
+func New(current declaration.Configuration, declared declaration.Declaration, machinesOf DomainMachines, now time.Time) (*Plan, error) {
 	declared.Normalize()
 	if err := declared.Validate(); err != nil {
 		return nil, err
 	}
 	plan := &Plan{BaseVersion: current.Version}
-	assigned, effects, err := assign(current.Declaration, declared, site, now)
+	assigned, effects, err := assign(current.Declaration, declared, machinesOf, now)
 	if err != nil {
 		return nil, err
 	}
@@ -64,11 +64,11 @@
 }
 
 func (p *Plan) digest() string {
-	content := *p
-	content.Digest = ""
-	content.Impact = nil
+	hashed := *p
+	hashed.Digest = ""
+	hashed.Impact = nil
 	// Marshalling a struct of plain fields cannot fail.
-	document, _ := json.Marshal(content)
+	document, _ := json.Marshal(hashed)
 	sum := sha256.Sum256(document)
 	return hex.EncodeToString(sum[:])
 }
@@ -79,8 +79,8 @@
 // assign distributes the copies of each guarantee over domains with sufficient capacity. A
 // guarantee that names a domain is assigned only to this domain. For any other guarantee, the
 // domains that hold it now are preferred.
-func assign(current, declared declaration.Declaration, site DomainMachines, now time.Time) (declaration.Declaration, []Effect, error) {
-	placer := newPlacer(site, declared.DrainedRacks, now)
+func assign(current, declared declaration.Declaration, machinesOf DomainMachines, now time.Time) (declaration.Declaration, []Effect, error) {
+	placer := newPlacer(machinesOf, declared.DrainedRacks, now)
 	assigned := declaration.Declaration{DrainedRacks: declared.DrainedRacks}
 	var effects []Effect
 	for i := range declared.Tenants {
@@ -143,9 +143,9 @@
 
 // placer assigns copies of guarantees to domains.
 type placer struct {
-	now     time.Time
-	names   []string
-	domains map[string]*domainPlacements
+	now         time.Time
+	domainNames []string
+	domains     map[string]*domainPlacements
 }
 
 // domainPlacements holds the guarantees assigned to one domain so far.
@@ -155,13 +155,13 @@
 	copies    int
 }
 
-func newPlacer(site DomainMachines, drained []string, now time.Time) *placer {
+func newPlacer(machinesOf DomainMachines, drained []string, now time.Time) *placer {
 	p := &placer{now: now, domains: map[string]*domainPlacements{}}
-	for name, list := range site {
-		p.names = append(p.names, name)
+	for name, domainMachines := range machinesOf {
+		p.domainNames = append(p.domainNames, name)
 		scheduler := schedule.New(schedule.Default(), cluster.NewState())
-		for i := range list {
-			machine := &list[i]
+		for i := range domainMachines {
+			machine := &domainMachines[i]
 			rack := machine.Region + "/" + machine.Zone + "/" + machine.Rack
 			if machine.Status != machines.Live || slices.Contains(drained, rack) {
 				continue
@@ -172,7 +172,7 @@
 		}
 		p.domains[name] = &domainPlacements{scheduler: scheduler}
 	}
-	slices.Sort(p.names)
+	slices.Sort(p.domainNames)
 	return p
 }
 
@@ -219,13 +219,13 @@
 		}
 		return []string{r.guarantee.Domain}
 	}
-	names := slices.Clone(p.names)
+	names := slices.Clone(p.domainNames)
 	slices.SortStableFunc(names, func(a, b string) int {
-		preferA, preferB := slices.Contains(r.preferred, a), slices.Contains(r.preferred, b)
+		holdsA, holdsB := slices.Contains(r.preferred, a), slices.Contains(r.preferred, b)
 		switch {
-		case preferA && !preferB:
+		case holdsA && !holdsB:
 			return -1
-		case preferB && !preferA:
+		case holdsB && !holdsA:
 			return 1
 		}
 		return p.domains[a].copies - p.domains[b].copies
@@ -257,13 +257,13 @@
 	if count > 0 {
 		return fault.NewField(fault.PlanInfeasible, field, "%d copies of %s do not fit beside the other guarantees; %d would fit", r.guarantee.Count, shape, count)
 	}
-	candidate := r
-	candidate.guarantee.Count = 1
-	for candidate.guarantee.Members > 1 {
-		candidate.guarantee.Members--
-		for _, name := range p.candidates(candidate) {
-			if p.maxCopies(name, candidate, 1) == 1 {
-				return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees; the largest gang that fits is %s", shape, describeShape(candidate.guarantee.Shape))
+	smaller := r
+	smaller.guarantee.Count = 1
+	for smaller.guarantee.Members > 1 {
+		smaller.guarantee.Members--
+		for _, name := range p.candidates(smaller) {
+			if p.maxCopies(name, smaller, 1) == 1 {
+				return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees; the largest gang that fits is %s", shape, describeShape(smaller.guarantee.Shape))
 			}
 		}
 	}
