--- a/internal/worker/httpfleet/httpfleet.go
+++ b/internal/worker/httpfleet/httpfleet.go
@@ -13,22 +13,22 @@
 
 // Fleet sends orders to the workers' addresses and reads reports from one base URL.
 type Fleet struct {
-	base     string
-	services *http.Client
-	workers  *http.Client
+	baseURL      string
+	reportClient *http.Client
+	orderClient  *http.Client
 }
 
 // New returns a fleet. The fleet reads reports from the base URL with the first client. It sends
 // orders with the second client, which limits the connections per worker.
-func New(base string, services, workers *http.Client) *Fleet {
-	return &Fleet{base: base, services: services, workers: workers}
+func New(baseURL string, reportClient, orderClient *http.Client) *Fleet {
+	return &Fleet{baseURL: baseURL, reportClient: reportClient, orderClient: orderClient}
 }
 
 // Send posts one order to the worker's address.
 func (f *Fleet) Send(ctx context.Context, name, address string, order worker.Order) (worker.Reply, error) {
 	var reply worker.Reply
-	target := address + "/order?" + url.Values{"worker": {name}}.Encode()
-	err := httpjson.Do(ctx, f.workers, http.MethodPost, target, order, &reply)
+	orderURL := address + "/order?" + url.Values{"worker": {name}}.Encode()
+	err := httpjson.Do(ctx, f.orderClient, http.MethodPost, orderURL, order, &reply)
 	return reply, err
 }
 
@@ -36,6 +36,6 @@
 func (f *Fleet) Reports(ctx context.Context, domain string, cursor int64) (worker.Reports, error) {
 	var reports worker.Reports
 	query := url.Values{"domain": {domain}, "cursor": {strconv.FormatInt(cursor, 10)}}
-	err := httpjson.Do(ctx, f.services, http.MethodGet, f.base+"/reports?"+query.Encode(), nil, &reports)
+	err := httpjson.Do(ctx, f.reportClient, http.MethodGet, f.baseURL+"/reports?"+query.Encode(), nil, &reports)
 	return reports, err
 }
