--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -72,12 +72,12 @@
 // ParseDisabled returns the set of the mechanisms with the given names. It returns an error with
 // the first unknown name.
 func ParseDisabled(names []string) (Disabled, error) {
-	off := Disabled{}
+	disabled := Disabled{}
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
 			return nil, errors.Newf("mechanism %q is not known", name)
 		}
-		off[Name(name)] = true
+		disabled[Name(name)] = true
 	}
-	return off, nil
+	return disabled, nil
 }
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestParseDisabled(t *testing.T) {
-	off, err := ParseDisabled([]string{"headroom", "store-relay"})
+	disabled, err := ParseDisabled([]string{"headroom", "store-relay"})
 	require.NoError(t, err)
-	require.True(t, off[Headroom])
-	require.True(t, off[StoreRelay])
-	require.False(t, off[Standbys])
+	require.True(t, disabled[Headroom])
+	require.True(t, disabled[StoreRelay])
+	require.False(t, disabled[Standbys])
 	_, err = ParseDisabled([]string{"headrom"})
 	require.ErrorContains(t, err, "headrom")
 	require.False(t, Disabled(nil)[Headroom])
