--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -229,7 +229,7 @@
 	Index      int
 }
 
-// String returns the name as JOB.TIME.STEP.INDEX.
+// String returns the name in the form JOB.REPETITION.STEP.INDEX.
 func (n TaskName) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Repetition, n.Step, n.Index)
 }
@@ -240,13 +240,13 @@
 func ParseTaskName(text string) (TaskName, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != taskNameParts || !ValidID(parts[0]) {
-		return TaskName{}, invalid("task", "%q is not a task name", text)
+		return TaskName{}, invalid("task", "%q is not a task name of the form JOB.REPETITION.STEP.INDEX", text)
 	}
 	var numbers [taskNameParts]int
 	for i := 1; i < taskNameParts; i++ {
 		number, err := strconv.Atoi(parts[i])
 		if err != nil || number < 0 {
-			return TaskName{}, invalid("task", "%q is not a task name", text)
+			return TaskName{}, invalid("task", "%q is not a task name of the form JOB.REPETITION.STEP.INDEX", text)
 		}
 		numbers[i] = number
 	}
