--- a/internal/poison/model.go
+++ b/internal/poison/model.go
@@ -21,15 +21,15 @@
 	// affects workers too.
 	unobservedLossRate = 3e-3
 	// A task is poison if its odds reach poisonOdds and at least minEvidence losses are evidence.
-	// A task with maxLosses losses is rejected whatever its odds. A task with one loss less is
-	// rejected if its odds reach nearLimitOdds, in case one loss was not detected.
+	// A task with maxLosses losses is rejected whatever its odds. For a task with one loss less the
+	// odds nearLimitOdds are sufficient instead of poisonOdds, in case one loss was not detected.
 	poisonOdds    = 10
 	minEvidence   = 2
 	nearLimitOdds = 10 * priorOdds
 	maxLosses     = 5
 	// A task is Doubtful if its odds reach doubtfulOdds.
 	doubtfulOdds = 0.05
-	// A task is Suspected if its odds reach suspectedOdds.
+	// A task is Suspected if its odds reach suspectedOdds or minEvidence losses are evidence.
 	suspectedOdds = 0.3
 	// rateWindow is the time before and after a loss within which other losses count toward the
 	// rate of chance losses.
