--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,4 +1,4 @@
-// Package ratelimit limits the bandwidth that a process uses, so that its bursts do not delay
+// Package ratelimit limits the bandwidth that a process uses. Without a limit, bursts would delay
 // urgent messages, such as health checks, on a slow link.
 package ratelimit
 
@@ -16,12 +16,12 @@
 	now            func() time.Time
 
 	mutex sync.Mutex
-	// availableAt is when all reserved bytes have passed at the configured rate.
+	// availableAt is the time at which all reserved bytes will have passed at bytesPerSecond.
 	availableAt time.Time
 }
 
-// New returns a Limiter that permits bursts of as many bytes as the rate transfers in burst. It
-// returns nil if the rate is not positive.
+// New returns a Limiter with the rate bytesPerSecond. A burst may contain as many bytes as that rate
+// transfers in the duration burst. New returns nil if the rate is not positive.
 func New(bytesPerSecond float64, burst time.Duration, now func() time.Time) *Limiter {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -29,14 +29,14 @@
 	return &Limiter{bytesPerSecond: bytesPerSecond, burst: burst, now: now}
 }
 
-// Wait reserves bytes and blocks until they may pass. If ctx ends first, it returns the context's
-// error.
-func (p *Limiter) Wait(ctx context.Context, bytes int) error {
-	pause := p.reserve(bytes)
-	if pause <= 0 {
+// Wait reserves bytes and blocks until they may pass. If ctx ends first, Wait returns the error of
+// ctx.
+func (l *Limiter) Wait(ctx context.Context, bytes int) error {
+	delay := l.reserve(bytes)
+	if delay <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -48,20 +48,20 @@
 
 // Charge reserves bytes without waiting, for data already transferred. Later calls of Wait are
 // delayed accordingly.
-func (p *Limiter) Charge(bytes int) { p.reserve(bytes) }
+func (l *Limiter) Charge(bytes int) { l.reserve(bytes) }
 
 // reserve reserves bytes and returns the delay until they may pass.
-func (p *Limiter) reserve(bytes int) time.Duration {
-	if p == nil {
+func (l *Limiter) reserve(bytes int) time.Duration {
+	if l == nil {
 		return 0
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	now := p.now()
-	if p.availableAt.Before(now) {
-		p.availableAt = now
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.now()
+	if l.availableAt.Before(now) {
+		l.availableAt = now
 	}
-	pause := p.availableAt.Sub(now) - p.burst
-	p.availableAt = p.availableAt.Add(time.Duration(float64(bytes) / p.bytesPerSecond * float64(time.Second)))
-	return pause
+	delay := l.availableAt.Sub(now) - l.burst
+	l.availableAt = l.availableAt.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
+	return delay
 }
