--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet defines the interface to workers: their registration rows and the orders sent to
-// them. Orders carry the owner's fencing token; a worker rejects orders whose token is lower than
-// the highest it has seen.
+// Package fleet defines the interface to workers. Workers register in rows, and the owner of a pool
+// sends orders to the pool's workers. Each order carries the owner's fencing token. A worker rejects
+// an order whose token is lower than the highest token that the worker has seen.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Worker is one incarnation of a worker as described by its row.
+// Worker describes one incarnation of a worker, as decoded from the worker's row.
 type Worker struct {
 	Incarnation
 	Pool     string
@@ -28,7 +28,7 @@
 // rackLabelIndex is the position of the rack in Worker.Labels.
 const rackLabelIndex = 1
 
-// Rack returns the worker's rack, or "" if unknown.
+// Rack returns the worker's rack, or "" if the rack is unknown.
 func (w *Worker) Rack() string {
 	if len(w.Labels) <= rackLabelIndex {
 		return ""
@@ -36,7 +36,7 @@
 	return w.Labels[rackLabelIndex]
 }
 
-// HasLabel reports whether the worker has a label. It is true for the empty label.
+// HasLabel reports whether the worker has a label. Every worker has the empty label.
 func (w *Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
@@ -59,35 +59,38 @@
 	Checkpoint     string
 }
 
-// Stop orders a worker to stop a run, and to reject its start if that arrives later.
+// Stop orders a worker to stop a run. If the order to start the run arrives later, the worker rejects
+// the start.
 type Stop struct {
 	Task  taskgraph.TaskName
 	Run   int
 	Token int64
 }
 
-// Poll extends the lease of all runs on a worker and requests a list of them.
+// Poll extends the leases of all runs on a worker and requests a list of the runs.
 type Poll struct {
 	Token int64
-	// AcknowledgedEnd acknowledges ended runs up to that number.
+	// AcknowledgedEnd is the highest number of an ended run that the owner acknowledges. Ended runs
+	// with lower numbers are acknowledged too.
 	AcknowledgedEnd int64
-	// DeadlineMillis is the new expiry on the worker's clock; 0 extends nothing.
+	// DeadlineMillis is the new expiry of the leases on the worker's clock. 0 leaves the leases
+	// unchanged.
 	DeadlineMillis int64
-	// Wait is how long the worker may delay its reply until a run ends.
+	// Wait is the longest time for which the worker may delay the reply while no run ends.
 	Wait time.Duration
 }
 
-// ActiveRun is a run in progress as listed by a worker.
+// ActiveRun is a run in progress that a worker lists in a reply.
 type ActiveRun struct {
 	Task       taskgraph.TaskName
 	Run        int
 	Checkpoint string
 	Percent    int
-	// Load is the optional fifth column of the entry.
+	// Load is optional. It is the fifth column of the entry in the reply.
 	Load int
 }
 
-// EndReason is the way in which a run ended.
+// EndReason says how a run ended.
 type EndReason string
 
 // Values of EndReason.
@@ -100,7 +103,7 @@
 	EndGangIncomplete EndReason = "alone"
 )
 
-// EndedRun is an ended run. A worker lists it until it is acknowledged.
+// EndedRun is an ended run. A worker lists an ended run until the owner acknowledges the run.
 type EndedRun struct {
 	Number     int64
 	Task       taskgraph.TaskName
@@ -111,14 +114,14 @@
 
 // Reply is a worker's response to an order.
 type Reply struct {
-	// StartMillis is the start time of the incarnation that replied, 0 if unknown. Replies that
-	// list runs contain it.
+	// StartMillis is the start time of the incarnation that replied. It is 0 if unknown. Replies
+	// that list runs contain the start time.
 	StartMillis int64
 	ClockMillis int64
 	Running     []ActiveRun
 	Ended       []EndedRun
-	// MoreEnded is true if the worker may have more ended runs than it listed. A run that is not
-	// listed may then have ended.
+	// MoreEnded is true if the worker may have more ended runs than Ended lists. A run that is in
+	// neither list may then have ended.
 	MoreEnded bool
 }
 
