--- a/internal/fleet/row.go
+++ b/internal/fleet/row.go
@@ -22,7 +22,7 @@
 // RowError is the error of an invalid worker row.
 type RowError struct {
 	Fault RowFault
-	// Field is the invalid field; empty if the whole row is invalid.
+	// Field is the name of the invalid field. It is empty if the whole row is invalid.
 	Field string
 }
 
