--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Incarnation identifies one incarnation of a worker, from the start of its process to its end. The
-// next incarnation under the same ID has no runs, numbers its ended runs from 1, has seen no
-// fencing token, and has another clock.
+// Incarnation identifies one incarnation of a worker, which lasts as long as the worker's process. The
+// next incarnation with the same ID has no runs and another clock. It numbers its ended runs from 1
+// and has seen no fencing token.
 type Incarnation struct {
 	ID string
 	// StartMillis is the start time in milliseconds since 1970 on the worker's clock. It is 0 on
@@ -12,13 +12,13 @@
 	StartMillis int64
 }
 
-// startTimeSeparator separates the ID from the start time.
+// startTimeSeparator separates the ID from the start time in the result of String.
 const startTimeSeparator = "@"
 
-// String returns the ID, followed by the start time if known.
-func (l Incarnation) String() string {
-	if l.StartMillis == 0 {
-		return l.ID
+// String returns the ID. If the start time is known, it follows the ID.
+func (i Incarnation) String() string {
+	if i.StartMillis == 0 {
+		return i.ID
 	}
-	return l.ID + startTimeSeparator + strconv.FormatInt(l.StartMillis, 10)
+	return i.ID + startTimeSeparator + strconv.FormatInt(i.StartMillis, 10)
 }
