--- a/internal/fleet/order_error.go
+++ b/internal/fleet/order_error.go
@@ -22,7 +22,7 @@
 	Invalid Reason = "invalid"
 	// Unreachable: the order did not reach the worker and had no effect.
 	Unreachable Reason = "unreachable"
-	// OutcomeUnknown: the order may have been executed, or may be later.
+	// OutcomeUnknown: the worker may have executed the order, or may execute it later.
 	OutcomeUnknown Reason = "no_answer"
 )
 
@@ -33,7 +33,7 @@
 	cause error
 }
 
-// Failures without a cause.
+// These errors without a cause are targets for errors.Is.
 var (
 	ErrFenced               = &OrderError{Reason: Fenced}
 	ErrSuperseded           = &OrderError{Reason: Superseded}
@@ -52,23 +52,24 @@
 }
 
 // Error implements error.
-func (f *OrderError) Error() string {
-	if f.cause == nil {
-		return "order to worker failed: " + string(f.Reason)
+func (e *OrderError) Error() string {
+	if e.cause == nil {
+		return "order to worker failed: " + string(e.Reason)
 	}
-	return "order to worker failed: " + string(f.Reason) + ": " + f.cause.Error()
+	return "order to worker failed: " + string(e.Reason) + ": " + e.cause.Error()
 }
 
 // Unwrap returns the underlying error.
-func (f *OrderError) Unwrap() error { return f.cause }
+func (e *OrderError) Unwrap() error { return e.cause }
 
 // Is reports whether target is an OrderError with the same reason.
-func (f *OrderError) Is(target error) bool {
+func (e *OrderError) Is(target error) bool {
 	other, ok := target.(*OrderError)
-	return ok && other.Reason == f.Reason
+	return ok && other.Reason == e.Reason
 }
 
-// ReasonOf returns the reason of a failed order. Errors of other types count as OutcomeUnknown.
+// ReasonOf returns the reason for which an order failed. The reason of an error that is not an
+// OrderError is OutcomeUnknown.
 func ReasonOf(err error) Reason {
 	var failure *OrderError
 	if errors.As(err, &failure) {
