--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOutcomeUnknown means that a transaction's response was lost: it may have taken effect, or may
-// do so later. Reading the rows back does not settle it; see Settle in the operation marker design
-// note.
+// ErrOutcomeUnknown means that the response to a transaction was lost. The transaction may have taken
+// effect, or may take effect later. Reading the rows back therefore does not show whether the
+// transaction will have an effect.
 var ErrOutcomeUnknown = errors.New("store: outcome unknown")
 
 // ErrUnavailable means that a read failed, or that a write was rejected and had no effect.
@@ -17,7 +17,7 @@
 // ErrNotFound means that an object does not exist.
 var ErrNotFound = errors.New("store: object not found")
 
-// Absent as a condition's revision requires that the row does not exist.
+// Absent is the revision in a condition that requires that the row does not exist.
 const Absent int64 = 0
 
 // Condition requires that the current revision of the row at Key is Revision.
@@ -41,15 +41,15 @@
 
 // CommitResult is the outcome of a transaction.
 type CommitResult struct {
-	// Committed is false when a condition did not hold.
+	// Committed is false if a condition did not hold.
 	Committed bool `json:"committed"`
-	// Revision is the revision of the written rows when Committed.
+	// Revision is the revision of the written rows if Committed is true.
 	Revision int64 `json:"revision"`
 	// Failed lists the keys whose condition did not hold.
 	Failed []string `json:"failed,omitempty"`
 }
 
-// Row is a row as read. Deleted rows are returned only by scans since a revision.
+// Row is a row that was read from the table service. Only a scan since a revision returns deleted rows.
 type Row struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -67,8 +67,8 @@
 type Table interface {
 	// Commit applies a transaction. The error wraps ErrOutcomeUnknown or ErrUnavailable.
 	Commit(ctx context.Context, transaction Transaction) (CommitResult, error)
-	// Scan returns the rows under prefix written after revision since, including deleted ones
-	// unless since is 0. The error wraps ErrUnavailable.
+	// Scan returns the rows whose keys start with prefix and that were written after the revision
+	// since. The result includes deleted rows unless since is 0. The error wraps ErrUnavailable.
 	Scan(ctx context.Context, prefix string, since int64) (ScanResult, error)
 	// Get returns a row. A missing row has revision Absent.
 	Get(ctx context.Context, key string) (Row, error)
