--- a/internal/store/httpstore/httpstore.go
+++ b/internal/store/httpstore/httpstore.go
@@ -20,7 +20,7 @@
 	client *http.Client
 }
 
-// New returns a client of the platform at base, such as "http://127.0.0.1:7000".
+// New returns a client of the table service at the URL base, such as "http://127.0.0.1:7000".
 func New(base string, client *http.Client) *Client {
 	return &Client{base: base, client: client}
 }
@@ -61,7 +61,7 @@
 	return errors.Mark(err, store.ErrUnavailable)
 }
 
-// Objects returns a client of the object store at the same address.
+// Objects returns a client of the object store at the same URL.
 func (c *Client) Objects() *Objects { return &Objects{base: c.base, client: c.client} }
 
 // Objects implements store.Objects.
