--- a/internal/store/httpstore/httpstore_test.go
+++ b/internal/store/httpstore/httpstore_test.go
@@ -18,9 +18,9 @@
 func newTestClient(t *testing.T) (*standin.Server, *Client) {
 	site := standin.NewSite(nil, "", time.Now())
 	server := standin.NewServer(site, 1, time.Now)
-	listener := httptest.NewServer(server)
-	t.Cleanup(listener.Close)
-	return server, New(listener.URL, listener.Client())
+	httpServer := httptest.NewServer(server)
+	t.Cleanup(httpServer.Close)
+	return server, New(httpServer.URL, httpServer.Client())
 }
 
 func putIfRevision(key, value string, revision int64) store.Transaction {
@@ -37,14 +37,14 @@
 	require.NoError(t, err)
 	require.True(t, first.Committed)
 
-	again, err := client.Commit(ctx, putIfRevision("a/1", "y", store.Absent))
+	second, err := client.Commit(ctx, putIfRevision("a/1", "y", store.Absent))
 	require.NoError(t, err)
-	require.False(t, again.Committed)
-	require.Equal(t, []string{"a/1"}, again.Failed)
+	require.False(t, second.Committed)
+	require.Equal(t, []string{"a/1"}, second.Failed)
 
-	mixed := putIfRevision("a/2", "z", store.Absent)
-	mixed.Conditions = append(mixed.Conditions, store.Condition{Key: "a/1", Revision: first.Revision + 1})
-	result, err := client.Commit(ctx, mixed)
+	partlyFailing := putIfRevision("a/2", "z", store.Absent)
+	partlyFailing.Conditions = append(partlyFailing.Conditions, store.Condition{Key: "a/1", Revision: first.Revision + 1})
+	result, err := client.Commit(ctx, partlyFailing)
 	require.NoError(t, err)
 	require.False(t, result.Committed, "a failed condition must prevent all writes")
 
@@ -92,9 +92,9 @@
 }
 
 func TestRefusedConnectionIsUnavailable(t *testing.T) {
-	listener := httptest.NewServer(http.NotFoundHandler())
-	client := New(listener.URL, listener.Client())
-	listener.Close()
+	httpServer := httptest.NewServer(http.NotFoundHandler())
+	client := New(httpServer.URL, httpServer.Client())
+	httpServer.Close()
 	_, err := client.Commit(t.Context(), putIfRevision("k", "v", store.Absent))
 	require.True(t, errors.Is(err, store.ErrUnavailable), "a refused connection had no effect")
 }
