--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -7,8 +7,8 @@
 )
 
 // ErrOutcomeUnknown means that the response to a transaction was lost. The transaction may have taken
-// effect, or may take effect later. Reading the rows back therefore does not show whether the
-// transaction will have an effect.
+// effect, or may take effect later. Reading the rows back does not settle the outcome, because the
+// transaction may take effect after the read.
 var ErrOutcomeUnknown = errors.New("store: outcome unknown")
 
 // ErrUnavailable means that a read failed, or that a write was rejected and had no effect.
