--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,8 +14,7 @@
 // Dialer opens a connection to another node.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Client calls other nodes. It keeps one connection per node and replaces it when it becomes
-// unresponsive.
+// Client calls other nodes. It keeps one connection per node and replaces an unresponsive connection.
 type Client struct {
 	dial        Dialer
 	mutex       sync.Mutex
@@ -38,20 +37,21 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Call sends a request and returns the response document. The error is a *fault.Error: NoOwner
-// means that the request was not sent, OutcomeUnknown that it may have been executed.
+// Call sends a request to the node at address and returns the response document. The error is a
+// *fault.Error. The kind NoOwner means that the request was not executed. The kind OutcomeUnknown
+// means that the node may have executed the request.
 func (c *Client) Call(ctx context.Context, address string, request *peerpb.Request) ([]byte, error) {
-	if by, bounded := progress.FirstByteDeadline(ctx); bounded {
-		request.BudgetMillis = time.Until(by).Milliseconds()
+	if deadline, bounded := progress.FirstByteDeadline(ctx); bounded {
+		request.BudgetMillis = time.Until(deadline).Milliseconds()
 	}
-	current, err := c.acquireConnection(ctx, address)
+	conn, err := c.acquireConnection(ctx, address)
 	if err != nil {
 		return nil, fault.New(fault.NoOwner, "cannot connect to node %s; request not sent", address)
 	}
 	sentAt := time.Now()
-	result := current.call(ctx, request)
+	result := conn.call(ctx, request)
 	if result.err != nil {
-		return nil, c.handleCallFailure(address, current, sentAt, result.sent)
+		return nil, c.handleCallFailure(address, conn, sentAt, result.sent)
 	}
 	response := result.response
 	if response.Id != request.Id {
@@ -63,8 +63,9 @@
 	return response.Document, nil
 }
 
-// handleCallFailure retires the connection of a failed call if it is unresponsive. Otherwise every
-// call would fail until the keep-alive closes the connection after 10 s.
+// handleCallFailure returns the error of a failed call. It removes the call's connection if the
+// connection is unresponsive. Without the removal, every call would fail until the keep-alive closes
+// the connection after 10 s.
 func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
 		c.removeConnection(address, failed)
@@ -76,27 +77,28 @@
 	return fault.New(fault.OutcomeUnknown, "no response from node %s; outcome unknown", address)
 }
 
-// acquireConnection returns a connection to address on which a call has been acquired.
+// acquireConnection returns a connection to address. The new call is registered on the connection.
 func (c *Client) acquireConnection(ctx context.Context, address string) (*connection, error) {
 	c.mutex.Lock()
-	known := c.connections[address]
+	existing := c.connections[address]
 	c.mutex.Unlock()
-	if known != nil && known.acquire() {
-		return known, nil
+	if existing != nil && existing.acquire() {
+		return existing, nil
 	}
-	raw, err := c.dial(ctx, address)
+	netConn, err := c.dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	created, err := newConnection(raw)
+	created, err := newConnection(netConn)
 	if err != nil {
-		raw.Close()
+		netConn.Close()
 		return nil, err
 	}
 	return c.addConnection(address, created), nil
 }
 
-// addConnection stores a new connection, unless another call stored one in the meantime.
+// addConnection stores a new connection and registers the new call on it. If another call has stored a
+// connection in the meantime, addConnection uses that connection and retires the new one.
 func (c *Client) addConnection(address string, created *connection) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -109,7 +111,8 @@
 	return created
 }
 
-// removeConnection makes new calls open another connection. Pending calls continue.
+// removeConnection removes a failed connection, so that new calls open another one. Pending calls on
+// the failed connection continue.
 func (c *Client) removeConnection(address string, failed *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
