--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -13,8 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/progress"
 )
 
-// firstReadTimeout is how long a connection on which nothing was received yet is kept after a
-// failed call. It limits reconnects to a hung process to one every two seconds.
+// firstReadTimeout is the age up to which a connection that has received nothing is kept after a failed
+// call. It limits reconnects to a hung process to one every two seconds.
 const firstReadTimeout = 2 * time.Second
 
 // connection is a yamux session with another node, shared by concurrent calls.
@@ -29,8 +29,8 @@
 	retired bool
 }
 
-func newConnection(raw net.Conn) (*connection, error) {
-	incoming := &readTracker{Conn: raw}
+func newConnection(netConn net.Conn) (*connection, error) {
+	incoming := &readTracker{Conn: netConn}
 	session, err := yamux.Client(incoming, sessionConfig())
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	return &connection{session: session, incoming: incoming, openedAt: time.Now()}, nil
 }
 
-// acquire registers a call. It returns false if the connection is retired or closed.
+// acquire registers a call on the connection. It returns false if the connection is retired or closed.
 func (c *connection) acquire() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,9 +72,9 @@
 	}
 }
 
-// unresponsiveSince reports whether a connection must be replaced after a call sent at sentAt got
-// no response by now: nothing was received in the second half of that time. Data in the first half
-// may belong to an earlier response.
+// unresponsiveSince reports whether a connection must be replaced after a call that was sent at sentAt
+// and had no response by now. The connection must be replaced if it received nothing in the second
+// half of that time. Data received in the first half may belong to an earlier response.
 func (c *connection) unresponsiveSince(sentAt, now time.Time) bool {
 	lastReadAt := c.incoming.lastReadAt()
 	if lastReadAt.IsZero() {
@@ -91,8 +91,8 @@
 	err  error
 }
 
-// call sends a request and waits for the response, no longer than ctx. The exchange runs on its
-// own goroutine because a write to a session with full buffers blocks for up to writeTimeout.
+// call sends a request and waits for the response until ctx ends. The request is sent on a separate
+// goroutine, because a write to a session with full buffers blocks for up to writeTimeout.
 func (c *connection) call(ctx context.Context, request *peerpb.Request) callResult {
 	results := make(chan callResult, 1)
 	go func() {
@@ -123,17 +123,17 @@
 	return callResult{response: response, sent: true, err: err}
 }
 
-// readTracker records when data was last received on a connection.
+// readTracker is a net.Conn that records when it last received data.
 type readTracker struct {
 	net.Conn
 	lastReadNanos atomic.Int64
 }
 
 // Read implements io.Reader.
-func (w *readTracker) Read(buffer []byte) (int, error) {
-	count, err := w.Conn.Read(buffer)
+func (r *readTracker) Read(buffer []byte) (int, error) {
+	count, err := r.Conn.Read(buffer)
 	if count > 0 {
-		w.lastReadNanos.Store(int64(time.Since(readTrackerEpoch)))
+		r.lastReadNanos.Store(int64(time.Since(readTrackerEpoch)))
 	}
 	return count, err
 }
@@ -141,9 +141,9 @@
 // readTrackerEpoch is the base of readTracker.lastReadNanos, on the monotonic clock.
 var readTrackerEpoch = time.Now()
 
-// lastReadAt returns when data was last received, or the zero time if never.
-func (w *readTracker) lastReadAt() time.Time {
-	nanos := w.lastReadNanos.Load()
+// lastReadAt returns the time at which data was last received, or the zero time if none was received.
+func (r *readTracker) lastReadAt() time.Time {
+	nanos := r.lastReadNanos.Load()
 	if nanos == 0 {
 		return time.Time{}
 	}
