--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer implements calls between wheatroad processes: protobuf messages over yamux, one
-// stream per request and one connection per node.
+// Package peer implements calls between wheatroad processes. A call exchanges protobuf messages over
+// yamux. Each client opens one connection per node and one yamux stream per request.
 package peer
