--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,7 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// Handler executes a request and returns a JSON document or an error of a listed kind.
+// Handler executes a request and returns a JSON document. The server converts an error with fault.From
+// for the response.
 type Handler func(ctx context.Context, request *peerpb.Request) ([]byte, error)
 
 // Server serves requests of other nodes.
@@ -21,7 +22,7 @@
 	handler  Handler
 	mutex    sync.Mutex
 	sessions map[*yamux.Session]bool
-	// closing is set, under the mutex, before Shutdown waits for requests.
+	// closing is true once Shutdown has been called. The mutex guards it.
 	closing  bool
 	requests sync.WaitGroup
 }
@@ -65,8 +66,8 @@
 	}
 }
 
-// beginRequest registers a request for which Shutdown waits. It returns false if Shutdown has been
-// called.
+// beginRequest registers a request, so that Shutdown waits for the request. It returns false if
+// Shutdown has been called.
 func (s *Server) beginRequest() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -82,11 +83,12 @@
 	serveStream(stream, s.handler)
 }
 
-// rejectRequest answers requests received during shutdown. They are not executed.
+// rejectRequest is the handler of requests that arrive during shutdown. It does not execute them.
 func rejectRequest(context.Context, *peerpb.Request) ([]byte, error) {
 	return nil, fault.New(fault.NoOwner, "node is shutting down; request not executed")
 }
 
+// trackSession adds an open session to the sessions that Shutdown closes, or removes a closed one.
 func (s *Server) trackSession(session *yamux.Session, open bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -104,7 +106,7 @@
 func serveStream(stream net.Conn, handler Handler) {
 	defer stream.Close()
 	request := &peerpb.Request{}
-	// SetReadDeadline fails only on a closed stream, and then so does the read.
+	// SetReadDeadline fails only on a closed stream. The read fails then too.
 	_ = stream.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	if err := readMessage(stream, request); err != nil {
 		return
@@ -144,7 +146,8 @@
 	}
 }
 
-// Session limits: detection time of dead connections, and receive window per stream.
+// Limits of a session. keepAlive and writeTimeout determine how soon a dead connection is detected.
+// streamWindow is the size of the receive window of each stream.
 const (
 	keepAlive    = 5 * time.Second
 	writeTimeout = 5 * time.Second
