--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,21 +22,21 @@
 func connect(handler Handler) (*Client, *Server) {
 	server := NewServer(handler)
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		go server.ServeConnection(far)
-		return near, nil
+		clientConn, serverConn := net.Pipe()
+		go server.ServeConnection(serverConn)
+		return clientConn, nil
 	})
 	return client, server
 }
 
-func lookup(id string) *peerpb.Request {
+func lookupRequest(id string) *peerpb.Request {
 	return &peerpb.Request{Id: id, Body: &peerpb.Request_Lookup{Lookup: &peerpb.Lookup{Key: &peerpb.JobKey{Tenant: "t", Id: id}}}}
 }
 
 func TestLargeResponsesArriveOutOfOrder(t *testing.T) {
 	const calls, size = 8, 5 << 20
-	// answered[n] is closed once request n has its response. Request n-1 waits for it, so that
-	// responses arrive in reverse order.
+	// answered[n] is closed once call n has returned. The handler of request n-1 waits for
+	// answered[n], so that responses arrive in reverse order.
 	answered := make([]chan struct{}, calls+1)
 	for number := range answered {
 		answered[number] = make(chan struct{})
@@ -55,10 +55,10 @@
 	var group sync.WaitGroup
 	for number := range uint32(calls) {
 		group.Go(func() {
-			answer, err := client.Call(ctx, "peer", lookup(fmt.Sprintf("call%d", number)))
+			document, err := client.Call(ctx, "peer", lookupRequest(fmt.Sprintf("call%d", number)))
 			close(answered[number])
 			assert.NoError(t, err)
-			assert.True(t, bytes.Equal(bytes.Repeat(binary.BigEndian.AppendUint32(nil, number), size/4), answer), "request %d", number)
+			assert.True(t, bytes.Equal(bytes.Repeat(binary.BigEndian.AppendUint32(nil, number), size/4), document), "request %d", number)
 		})
 	}
 	group.Wait()
@@ -70,25 +70,25 @@
 	cases := map[string]struct {
 		dial    Dialer
 		handler Handler
-		budget  time.Duration
+		timeout time.Duration
 		want    fault.Kind
 	}{
 		"unreachable": {
 			dial: func(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed },
-			want: fault.NoOwner, budget: time.Second,
+			want: fault.NoOwner, timeout: time.Second,
 		},
 		"refused": {
 			handler: func(context.Context, *peerpb.Request) ([]byte, error) {
 				return nil, fault.NewField(fault.Unsatisfiable, "members", "too many")
 			},
-			want: fault.Unsatisfiable, budget: time.Second,
+			want: fault.Unsatisfiable, timeout: time.Second,
 		},
 		"no response before the deadline": {
 			handler: func(context.Context, *peerpb.Request) ([]byte, error) {
 				<-release
 				return nil, nil
 			},
-			want: fault.OutcomeUnknown, budget: 50 * time.Millisecond,
+			want: fault.OutcomeUnknown, timeout: 50 * time.Millisecond,
 		},
 	}
 	for name, c := range cases {
@@ -98,9 +98,9 @@
 				client = NewClient(c.dial)
 			}
 			defer client.Close()
-			ctx, cancel := context.WithTimeout(t.Context(), c.budget)
+			ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
 			defer cancel()
-			_, err := client.Call(ctx, "peer", lookup("one"))
+			_, err := client.Call(ctx, "peer", lookupRequest("one"))
 			require.True(t, fault.IsKind(err, c.want), "%v", err)
 		})
 	}
@@ -109,14 +109,14 @@
 // TestResponseWithWrongIDIsRejected guards against accepting the response to another request.
 func TestResponseWithWrongIDIsRejected(t *testing.T) {
 	client := NewClient(func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		go answerWithWrongID(far)
-		return near, nil
+		clientConn, serverConn := net.Pipe()
+		go answerWithWrongID(serverConn)
+		return clientConn, nil
 	})
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	_, err := client.Call(ctx, "peer", lookup("one"))
+	_, err := client.Call(ctx, "peer", lookupRequest("one"))
 	require.True(t, fault.IsKind(err, fault.OutcomeUnknown), "%v", err)
 }
 
@@ -148,8 +148,8 @@
 	return r.Buffer.Write(content)
 }
 
-// TestLargeMessagesAreWrittenInChunks guards against large frames delaying the keep-alive pings of
-// a connection beyond their timeout.
+// TestLargeMessagesAreWrittenInChunks guards against large frames that delay keep-alive pings beyond
+// the timeout.
 func TestLargeMessagesAreWrittenInChunks(t *testing.T) {
 	sent := &peerpb.Response{Id: "7", Document: bytes.Repeat([]byte("x"), 1<<20)}
 	var recorder chunkRecorder
--- a/internal/peer/unresponsive_connection_test.go
+++ b/internal/peer/unresponsive_connection_test.go
@@ -107,7 +107,7 @@
 func (n *testNetwork) call(t *testing.T, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
-	_, err := n.client.Call(ctx, "peer", lookup("one"))
+	_, err := n.client.Call(ctx, "peer", lookupRequest("one"))
 	return err
 }
 
@@ -115,7 +115,7 @@
 func (n *testNetwork) startCall(t *testing.T, id string) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
-		_, err := n.client.Call(t.Context(), "peer", lookup(id))
+		_, err := n.client.Call(t.Context(), "peer", lookupRequest(id))
 		ended <- err
 	}()
 	return ended
@@ -197,7 +197,7 @@
 	slow := network.startCall(t, "slow")
 	ctx, cancel := context.WithTimeout(t.Context(), unresponsiveCallLimit)
 	defer cancel()
-	_, err := network.client.Call(ctx, "peer", lookup("slower"))
+	_, err := network.client.Call(ctx, "peer", lookupRequest("slower"))
 	require.Error(t, err)
 	require.NoError(t, network.call(t, time.Minute))
 	close(release)
