--- a/internal/httppool/httppool.go
+++ b/internal/httppool/httppool.go
@@ -1,5 +1,5 @@
-// Package httppool provides an HTTP transport with a separate connection pool per server, so that
-// a timeout can close the idle connections to that server only.
+// Package httppool provides an HTTP transport with a separate connection pool for each server. A
+// timeout therefore closes only the idle connections to the server that did not respond.
 package httppool
 
 import (
@@ -16,7 +16,7 @@
 
 // Pool is an http.RoundTripper that reuses connections. All open connections to a server may
 // become unresponsive without a reset while new ones work. A request that times out therefore
-// closes the server's idle connections, each of which would make another request time out.
+// closes the server's idle connections, because each of them would make another request time out.
 type Pool struct {
 	newTransport func() *http.Transport
 	mutex        sync.Mutex
@@ -30,8 +30,8 @@
 }
 
 const (
-	// minServersToEvict is the number of servers from which unused ones are evicted. A server is
-	// unused after idleServerTimeout.
+	// minServersToEvict is the smallest number of servers at which unused servers are evicted. A
+	// server is unused if it has received no request for idleServerTimeout.
 	minServersToEvict = 256
 	idleServerTimeout = 2 * time.Minute
 )
@@ -53,12 +53,13 @@
 	return response, nil
 }
 
-// maxTimerDelay is the longest delay with which a timeout may be noticed and still count against
-// the server. It exceeds the timer delay of a process that is throttled for up to 0.1 s.
+// maxTimerDelay is the longest time between a deadline and the detection of the timeout for which the
+// timeout closes connections. It exceeds the timer delay of a process that is throttled for up to
+// 0.1 s.
 const maxTimerDelay = 150 * time.Millisecond
 
-// closeIdleAfterTimeout closes idle connections if a request timed out. Canceled requests do not
-// count, nor do timeouts noticed late, because the response may have arrived in time.
+// closeIdleAfterTimeout closes idle connections if a request timed out. It ignores canceled requests.
+// It also ignores timeouts that were detected late, because the response may have arrived in time.
 func closeIdleAfterTimeout(ctx context.Context, transport *http.Transport) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
@@ -69,18 +70,19 @@
 	transport.CloseIdleConnections()
 }
 
+// transport returns the transport of a server and creates it on first use.
 func (p *Pool) transport(host string) *http.Transport {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	known := p.servers[host]
-	if known == nil {
+	entry := p.servers[host]
+	if entry == nil {
 		p.evictUnused(now)
-		known = &server{transport: p.newTransport()}
-		p.servers[host] = known
+		entry = &server{transport: p.newTransport()}
+		p.servers[host] = entry
 	}
-	known.lastUsedAt = now
-	return known.transport
+	entry.lastUsedAt = now
+	return entry.transport
 }
 
 // evictUnused removes servers that were not used recently. It runs when the number of servers is a
@@ -90,15 +92,16 @@
 	if count < minServersToEvict || count&(count-1) != 0 {
 		return
 	}
-	for host, known := range p.servers {
-		if now.Sub(known.lastUsedAt) > idleServerTimeout {
-			known.transport.CloseIdleConnections()
+	for host, entry := range p.servers {
+		if now.Sub(entry.lastUsedAt) > idleServerTimeout {
+			entry.transport.CloseIdleConnections()
 			delete(p.servers, host)
 		}
 	}
 }
 
-// trackedBody is a response body whose connection may become unresponsive while it is read.
+// trackedBody is a response body that closes the server's idle connections if reading the body times
+// out.
 type trackedBody struct {
 	io.ReadCloser
 	ctx       context.Context
