--- a/internal/httppool/httppool_test.go
+++ b/internal/httppool/httppool_test.go
@@ -21,7 +21,7 @@
 	errCanceledByCaller := errors.New("canceled by caller")
 	cases := map[string]struct {
 		cause error
-		// opened is the number of connections opened after the next request.
+		// opened is the total number of connections after the last request.
 		opened int
 	}{
 		"timed out":          {context.DeadlineExceeded, 2},
@@ -68,14 +68,15 @@
 	require.NoError(t, response.Body.Close())
 }
 
-// TestUnusedServersAreEvicted guards against unbounded growth as workers appear at new addresses.
+// TestUnusedServersAreEvicted guards against a pool that grows without bound as workers appear at new
+// addresses.
 func TestUnusedServersAreEvicted(t *testing.T) {
 	pool := New(func() *http.Transport { return &http.Transport{} })
 	for number := range minServersToEvict {
 		pool.transport(fmt.Sprintf("worker-%d", number))
 	}
-	for _, known := range pool.servers {
-		known.lastUsedAt = time.Now().Add(-2 * idleServerTimeout)
+	for _, entry := range pool.servers {
+		entry.lastUsedAt = time.Now().Add(-2 * idleServerTimeout)
 	}
 	kept := pool.transport("worker-0")
 	require.Len(t, pool.servers, minServersToEvict)
@@ -84,8 +85,8 @@
 	require.Len(t, pool.servers, 2)
 }
 
-// TestLateTimeoutKeepsIdleConnections guards against an overloaded process closing usable
-// connections, since reconnecting adds load.
+// TestLateTimeoutKeepsIdleConnections guards against an overloaded process that closes usable
+// connections. Reconnecting would add load.
 func TestLateTimeoutKeepsIdleConnections(t *testing.T) {
 	cases := map[string]struct {
 		overdue time.Duration
