--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson sends JSON requests and decodes JSON responses. Its errors distinguish requests
-// without effect from requests with unknown outcome.
+// Package httpjson sends JSON requests and decodes JSON responses. The errors tell requests without
+// effect from requests whose outcome is unknown.
 package httpjson
 
 import (
@@ -23,7 +23,8 @@
 // maxBodyBytes limits the size of a response body.
 const maxBodyBytes = 256 << 20
 
-// Do sends in as JSON and decodes the response into out. Either may be nil.
+// Do sends in as JSON and decodes the response into out. It sends no body if in is nil, and ignores
+// the response body if out is nil.
 func Do(ctx context.Context, client *http.Client, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -74,10 +75,11 @@
 	return content, nil
 }
 
-// markSendError marks connection failures as ErrNotSent and all other errors as ErrOutcomeUnknown.
+// markSendError marks a failed connection attempt as ErrNotSent and any other error as
+// ErrOutcomeUnknown.
 func markSendError(err error) error {
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return errors.Mark(err, ErrNotSent)
 	}
 	return errors.Mark(err, ErrOutcomeUnknown)
