--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -10,8 +10,8 @@
 
 // Loop runs functions one at a time, in the order in which they were posted.
 type Loop interface {
-	// Now returns the time of a clock that is never set and includes suspensions, for measuring
-	// durations.
+	// Now returns the time of a clock for measuring durations. The clock is never set and includes
+	// the time during which the machine is suspended.
 	Now() time.Time
 	// TimeOfDay returns the wall-clock time, for timestamps exchanged with other machines.
 	TimeOfDay() time.Time
@@ -21,7 +21,7 @@
 	After(d time.Duration, fn func()) (cancel func())
 }
 
-// Goroutine is a Loop that runs on the goroutine that calls Run.
+// Goroutine is a Loop that runs functions on the goroutine that calls Run.
 type Goroutine struct {
 	mutex  sync.Mutex
 	queue  []func()
