--- a/internal/loop/retries.go
+++ b/internal/loop/retries.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Retries holds pending retries, each of which runs after a delay or when Now is called. Its
+// Retries holds pending retries. Each retry runs after a delay or when RunPending is called. All
 // methods must be called on the loop.
 type Retries struct {
 	loop    Loop
@@ -22,12 +22,12 @@
 // NewRetries returns Retries without pending entries.
 func NewRetries(l Loop) *Retries { return &Retries{loop: l, pending: map[int]*pendingRetry{}} }
 
-// After runs fn once, after pause or at the next call of Now.
-func (r *Retries) After(pause time.Duration, fn func()) {
+// After runs fn once, either after delay or at an earlier call of RunPending.
+func (r *Retries) After(delay time.Duration, fn func()) {
 	r.lastID++
 	id := r.lastID
 	retry := &pendingRetry{run: fn}
-	retry.cancel = r.loop.After(pause, func() {
+	retry.cancel = r.loop.After(delay, func() {
 		delete(r.pending, id)
 		fn()
 	})
