--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,8 +1,9 @@
 // Package uptime provides a clock that includes the time during which the machine is suspended.
 //
-// Go's monotonic clock stops during a suspension, so the age of a lease or an acknowledgment would
-// be underestimated. Now adds the time spent suspended to time.Now, so that differences between
-// its results include it. Its wall-clock reading is meaningless; use time.Now for the time of day.
+// Go's monotonic clock stops during a suspension. A process that uses it would underestimate the age
+// of a lease or an acknowledgment. The function Now adds the time spent suspended to time.Now, so that
+// differences between results of Now include suspensions. The wall-clock reading of these results is
+// meaningless. Use time.Now for the time of day.
 package uptime
 
 import (
@@ -17,7 +18,8 @@
 // clock and the monotonic clock from one check to the next, unless the wall clock is set.
 const minSuspension = 20 * time.Millisecond
 
-// clockReading is a reading of both clocks without a system call for suspensions.
+// clockReading is a reading of the monotonic clock and the wall clock. It takes no system call for
+// suspensions.
 type clockReading struct {
 	at time.Time
 	// monotonic and timeOfDay are the time elapsed on each clock since the start.
@@ -31,8 +33,8 @@
 	suspended func() time.Duration
 	// suspendedAtStart is the time spent suspended before the clock was created.
 	suspendedAtStart time.Duration
-	// offset is the time spent suspended since then. drift is the lead of the wall clock over the
-	// monotonic clock at the last check.
+	// offset is the time spent suspended since the clock was created. drift is the lead of the wall
+	// clock over the monotonic clock at the last check.
 	offset, drift atomic.Int64
 	mutex         sync.Mutex
 }
@@ -45,26 +47,27 @@
 func (c *Clock) Now() time.Time {
 	now := c.read()
 	if drift := now.timeOfDay - now.monotonic; (drift - time.Duration(c.drift.Load())).Abs() > minSuspension {
-		// Both a suspension and a wall clock that was set cause drift; the system call tells
-		// which.
+		// Either a suspension or a change of the wall clock caused the drift. updateSuspended asks
+		// the system which.
 		c.updateSuspended(drift)
 	}
 	return now.at.Add(time.Duration(c.offset.Load()))
 }
 
+// updateSuspended asks the system for the time spent suspended and records the drift.
 func (c *Clock) updateSuspended(drift time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.drift.Store(int64(drift))
-	// The clock never goes back, and small differences are reading errors: an earlier timestamp
-	// must not appear later.
+	// Small differences are reading errors. The clock never goes back, because the timestamp of an
+	// earlier event must not be later than the timestamp of a later event.
 	if offset := c.suspended() - c.suspendedAtStart; offset-time.Duration(c.offset.Load()) > minSuspension {
 		c.offset.Store(int64(offset))
 	}
 }
 
-// Refresh asks the system how long it was suspended. Now does so only when the wall clock
-// drifts; periodic calls also detect a suspension that coincides with a change of the wall clock.
+// Refresh asks the system how long it was suspended. Now asks only when the wall clock drifts. Periodic
+// calls of Refresh also detect a suspension that coincides with a change of the wall clock.
 func (c *Clock) Refresh() {
 	now := c.read()
 	c.updateSuspended(now.timeOfDay - now.monotonic)
@@ -112,28 +115,29 @@
 }
 
 const (
-	// maxReadSpread is the longest acceptable time between readings of the two clocks. It is
-	// exceeded only when the process is preempted.
+	// maxReadSpread is the longest acceptable time between the two readings of the monotonic clock
+	// in an attempt. Only preemption of the process exceeds it.
 	maxReadSpread = time.Millisecond
 	// maxReadAttempts limits how often the clocks are read.
 	maxReadAttempts = 5
 )
 
-// clockDifference returns the lead of boottime over monotonic, taken from the attempt with the
-// smallest spread, or 0 if a clock is not available.
+// clockDifference returns the lead of boottime over monotonic, or 0 if a clock is not available. In
+// each attempt it reads monotonic before and after boottime, and the spread is the time between these
+// two readings. The result comes from the attempt with the smallest spread.
 func clockDifference(boottime, monotonic func() (time.Duration, bool)) time.Duration {
-	best, closest := time.Duration(0), time.Duration(-1)
+	best, smallestSpread := time.Duration(0), time.Duration(-1)
 	for range maxReadAttempts {
-		before, known := monotonic()
-		now, counted := boottime()
+		before, monotonicKnown := monotonic()
+		boottimeNow, boottimeKnown := boottime()
 		after, _ := monotonic()
-		if !known || !counted {
+		if !monotonicKnown || !boottimeKnown {
 			return 0
 		}
-		if spread := after - before; closest < 0 || spread < closest {
-			best, closest = now-before-spread/2, spread
+		if spread := after - before; smallestSpread < 0 || spread < smallestSpread {
+			best, smallestSpread = boottimeNow-before-spread/2, spread
 		}
-		if closest <= maxReadSpread {
+		if smallestSpread <= maxReadSpread {
 			break
 		}
 	}
