--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestRefreshFindsSuspensionHiddenByClockAdjustment: the wall clock is set back by the duration of
-// a suspension.
+// TestRefreshFindsSuspensionHiddenByClockAdjustment sets the wall clock back by the duration of a
+// suspension. Now alone does not detect such a suspension.
 func TestRefreshFindsSuspensionHiddenByClockAdjustment(t *testing.T) {
 	m := newFakeMachine()
 	c := m.clock()
@@ -90,8 +90,8 @@
 	require.Less(t, Suspended(), time.Second)
 }
 
-// TestClockNeverGoesBack guards against preemption between two clock readings, which can yield a
-// negative suspension and reorder events.
+// TestClockNeverGoesBack guards against events in the wrong order. Preemption between two clock
+// readings can yield a negative suspension.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newFakeMachine()
 	c := m.clock()
