--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -26,11 +26,12 @@
 	State       MemberState `json:"state"`
 	// Configuration is the version of the node's active configuration.
 	Configuration int64 `json:"configuration"`
-	// HeartbeatCount is a heartbeat counter, so that every heartbeat changes the row.
+	// HeartbeatCount counts heartbeats, so that every heartbeat changes the row.
 	HeartbeatCount int64 `json:"beat"`
 }
 
-// Summary is the load of a domain as published by its owner, for routing.
+// Summary is the load of a scheduling domain. The owner of the domain publishes the summary for
+// routing.
 type Summary struct {
 	// FreeAccelerators is the number of unoccupied accelerators.
 	FreeAccelerators int64 `json:"free_accelerators"`
@@ -55,15 +56,15 @@
 	// Active is false until the owner has recovered the domain's state.
 	Active  bool    `json:"active"`
 	Summary Summary `json:"summary"`
-	// RenewalCount is a renewal counter, so that every renewal changes the row.
+	// RenewalCount counts renewals, so that every renewal changes the row.
 	RenewalCount int64 `json:"beat"`
 }
 
-// Observed is a row's value and when this node saw it change.
+// Observed holds a row's value and the time at which this node saw the value change.
 type Observed[T any] struct {
 	Value    T
 	Revision int64
-	// ChangedAt is the local time before the read that first returned the revision.
+	// ChangedAt is the local time just before the read that first returned the revision.
 	ChangedAt time.Time
 }
 
@@ -73,13 +74,13 @@
 	Leases  map[string]*Observed[Lease]
 	// EpochRevisions maps each domain to the revision of its epoch row.
 	EpochRevisions map[string]int64
-	// EpochValues maps each domain to the epoch in that row.
+	// EpochValues maps each domain to the epoch in the domain's epoch row.
 	EpochValues   map[string]int64
 	Configuration declaration.Configuration
 	// HeadRevision is the revision of the configuration's head row.
 	HeadRevision int64
 	Machines     map[string]machines.Machine
-	// UpdatedAt is the local time before the last read that made the board current.
+	// UpdatedAt is the local time just before the last read that made the board current.
 	UpdatedAt time.Time
 	Draining  bool
 }
@@ -105,7 +106,7 @@
 	Domains   map[string][]machines.Machine
 	UpdatedAt time.Time
 	Draining  bool
-	// Synced is false until the table was read completely once.
+	// Synced is false until this node has read the whole table once.
 	Synced bool
 	// Owned is the set of domains that this node owns and serves.
 	Owned map[string]bool
