--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -63,9 +63,9 @@
 	return response.Document, nil
 }
 
-// handleCallFailure returns the error of a failed call. It removes the call's connection if the
-// connection is unresponsive. Without the removal, every call would fail until the keep-alive closes
-// the connection after 10 s.
+// handleCallFailure returns the error of a failed call. It removes the call's connection if the request
+// was not sent or the connection is unresponsive. Without the removal, every call would fail until
+// the keep-alive closes the connection after 10 s.
 func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
 		c.removeConnection(address, failed)
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -91,7 +91,7 @@
 	err  error
 }
 
-// call sends a request and waits for the response until ctx ends. The request is sent on a separate
+// call sends a request and waits for the response until ctx ends. The exchange runs on a separate
 // goroutine, because a write to a session with full buffers blocks for up to writeTimeout.
 func (c *connection) call(ctx context.Context, request *peerpb.Request) callResult {
 	results := make(chan callResult, 1)
