--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet defines the interface to workers. Workers register in rows, and the owner of a pool
-// sends orders to the pool's workers. Each order carries the owner's fencing token. A worker rejects
-// an order whose token is lower than the highest token that the worker has seen.
+// sends orders to the pool's workers. Each order carries the owner's fencing token. A worker
+// rejects an order whose token is lower than the highest token that the worker has seen.
 package fleet
 
 import (
@@ -59,8 +59,8 @@
 	Checkpoint     string
 }
 
-// Stop orders a worker to stop a run. If the order to start the run arrives later, the worker rejects
-// the start.
+// Stop orders a worker to stop a run. If the order to start the run arrives later, the worker
+// rejects the start.
 type Stop struct {
 	Task  taskgraph.TaskName
 	Run   int
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// Incarnation identifies one incarnation of a worker, which lasts as long as the worker's process. The
-// next incarnation with the same ID has no runs and another clock. It numbers its ended runs from 1
-// and has seen no fencing token.
+// Incarnation identifies one incarnation of a worker, which lasts as long as the worker's process.
+// The next incarnation with the same ID has no runs and another clock. It numbers its ended runs
+// from 1 and has seen no fencing token.
 type Incarnation struct {
 	ID string
 	// StartMillis is the start time in milliseconds since 1970 on the worker's clock. It is 0 on
--- a/internal/httppool/httppool.go
+++ b/internal/httppool/httppool.go
@@ -53,13 +53,14 @@
 	return response, nil
 }
 
-// maxTimerDelay is the longest time between a deadline and the detection of the timeout for which the
-// timeout closes connections. It exceeds the timer delay of a process that is throttled for up to
-// 0.1 s.
+// maxTimerDelay is the longest time between a deadline and the detection of the timeout for which
+// the timeout closes connections. It exceeds the timer delay of a process that is throttled for up
+// to 0.1 s.
 const maxTimerDelay = 150 * time.Millisecond
 
-// closeIdleAfterTimeout closes idle connections if a request timed out. It ignores canceled requests.
-// It also ignores timeouts that were detected late, because the response may have arrived in time.
+// closeIdleAfterTimeout closes idle connections if a request timed out. It ignores canceled
+// requests. It also ignores timeouts that were detected late, because the response may have arrived
+// in time.
 func closeIdleAfterTimeout(ctx context.Context, transport *http.Transport) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
@@ -100,8 +101,8 @@
 	}
 }
 
-// trackedBody is a response body that closes the server's idle connections if reading the body times
-// out.
+// trackedBody is a response body that closes the server's idle connections if reading the body
+// times out.
 type trackedBody struct {
 	io.ReadCloser
 	ctx       context.Context
--- a/internal/httppool/httppool_test.go
+++ b/internal/httppool/httppool_test.go
@@ -68,8 +68,8 @@
 	require.NoError(t, response.Body.Close())
 }
 
-// TestUnusedServersAreEvicted guards against a pool that grows without bound as workers appear at new
-// addresses.
+// TestUnusedServersAreEvicted guards against a pool that grows without bound as workers appear at
+// new addresses.
 func TestUnusedServersAreEvicted(t *testing.T) {
 	pool := New(func() *http.Transport { return &http.Transport{} })
 	for number := range minServersToEvict {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,7 +14,8 @@
 // Dialer opens a connection to another node.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Client calls other nodes. It keeps one connection per node and replaces an unresponsive connection.
+// Client calls other nodes. It keeps one connection per node and replaces an unresponsive
+// connection.
 type Client struct {
 	dial        Dialer
 	mutex       sync.Mutex
@@ -63,9 +64,9 @@
 	return response.Document, nil
 }
 
-// handleCallFailure returns the error of a failed call. It removes the call's connection if the request
-// was not sent or the connection is unresponsive. Without the removal, every call would fail until
-// the keep-alive closes the connection after 10 s.
+// handleCallFailure returns the error of a failed call. It removes the call's connection if the
+// request was not sent or the connection is unresponsive. Without the removal, every call would
+// fail until the keep-alive closes the connection after 10 s.
 func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
 		c.removeConnection(address, failed)
@@ -97,8 +98,8 @@
 	return c.addConnection(address, created), nil
 }
 
-// addConnection stores a new connection and registers the new call on it. If another call has stored a
-// connection in the meantime, addConnection uses that connection and retires the new one.
+// addConnection stores a new connection and registers the new call on it. If another call has
+// stored a connection in the meantime, addConnection uses that connection and retires the new one.
 func (c *Client) addConnection(address string, created *connection) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -111,8 +112,8 @@
 	return created
 }
 
-// removeConnection removes a failed connection, so that new calls open another one. Pending calls on
-// the failed connection continue.
+// removeConnection removes a failed connection, so that new calls open another one. Pending calls
+// on the failed connection continue.
 func (c *Client) removeConnection(address string, failed *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -13,8 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/progress"
 )
 
-// firstReadTimeout is the age up to which a connection that has received nothing is kept after a failed
-// call. It limits reconnects to a hung process to one every two seconds.
+// firstReadTimeout is the age up to which a connection that has received nothing is kept after a
+// failed call. It limits reconnects to a hung process to one every two seconds.
 const firstReadTimeout = 2 * time.Second
 
 // connection is a yamux session with another node, shared by concurrent calls.
@@ -38,7 +38,8 @@
 	return &connection{session: session, incoming: incoming, openedAt: time.Now()}, nil
 }
 
-// acquire registers a call on the connection. It returns false if the connection is retired or closed.
+// acquire registers a call on the connection. It returns false if the connection is retired or
+// closed.
 func (c *connection) acquire() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,9 +73,9 @@
 	}
 }
 
-// unresponsiveSince reports whether a connection must be replaced after a call that was sent at sentAt
-// and had no response by now. The connection must be replaced if it received nothing in the second
-// half of that time. Data received in the first half may belong to an earlier response.
+// unresponsiveSince reports whether a connection must be replaced after a call that was sent at
+// sentAt and had no response by now. The connection must be replaced if it received nothing in the
+// second half of that time. Data received in the first half may belong to an earlier response.
 func (c *connection) unresponsiveSince(sentAt, now time.Time) bool {
 	lastReadAt := c.incoming.lastReadAt()
 	if lastReadAt.IsZero() {
@@ -141,7 +142,8 @@
 // readTrackerEpoch is the base of readTracker.lastReadNanos, on the monotonic clock.
 var readTrackerEpoch = time.Now()
 
-// lastReadAt returns the time at which data was last received, or the zero time if none was received.
+// lastReadAt returns the time at which data was last received, or the zero time if none was
+// received.
 func (r *readTracker) lastReadAt() time.Time {
 	nanos := r.lastReadNanos.Load()
 	if nanos == 0 {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -19,8 +19,8 @@
 	return options.UnmarshalFrom(bufio.NewReader(r), message)
 }
 
-// chunkBytes limits the size of a write. yamux sends each write as one frame, and large frames delay
-// other calls on the connection. At 10 Mbit/s, 16 KiB take 13 ms and 1 MiB takes 0.8 s.
+// chunkBytes limits the size of a write. yamux sends each write as one frame, and large frames
+// delay other calls on the connection. At 10 Mbit/s, 16 KiB take 13 ms and 1 MiB takes 0.8 s.
 const chunkBytes = 16 << 10
 
 func writeMessage(w io.Writer, message proto.Message) error {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -148,8 +148,8 @@
 	return r.Buffer.Write(content)
 }
 
-// TestLargeMessagesAreWrittenInChunks guards against large frames that delay keep-alive pings beyond
-// the timeout.
+// TestLargeMessagesAreWrittenInChunks guards against large frames that delay keep-alive pings
+// beyond the timeout.
 func TestLargeMessagesAreWrittenInChunks(t *testing.T) {
 	sent := &peerpb.Response{Id: "7", Document: bytes.Repeat([]byte("x"), 1<<20)}
 	var recorder chunkRecorder
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,8 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// Handler executes a request and returns a JSON document. The server converts an error with fault.From
-// for the response.
+// Handler executes a request and returns a JSON document. The server converts an error with
+// fault.From for the response.
 type Handler func(ctx context.Context, request *peerpb.Request) ([]byte, error)
 
 // Server serves requests of other nodes.
--- a/internal/peer/unresponsive_connection_test.go
+++ b/internal/peer/unresponsive_connection_test.go
@@ -14,8 +14,8 @@
 	"github.com/wheatroad/wheatroad/internal/peer/peerpb"
 )
 
-// The tests in this file make an open connection unresponsive without a reset. Only one call may fail
-// before the client replaces the connection.
+// The tests in this file make an open connection unresponsive without a reset. Only one call may
+// fail before the client replaces the connection.
 
 // unresponsiveConn is a connection that can drop all traffic or block writes.
 type unresponsiveConn struct {
@@ -38,8 +38,8 @@
 	return c.Conn.Write(content)
 }
 
-// Read implements net.Conn. It discards data while traffic is dropped. Otherwise, a frame in transit
-// would make the connection look responsive.
+// Read implements net.Conn. It discards data while traffic is dropped. Otherwise, a frame in
+// transit would make the connection look responsive.
 func (c *unresponsiveConn) Read(buffer []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(buffer)
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestBlockedWriteHonorsDeadline guards against a call that waits for buffer space beyond the call's
-// deadline.
+// TestBlockedWriteHonorsDeadline guards against a call that waits for buffer space beyond the
+// call's deadline.
 func TestBlockedWriteHonorsDeadline(t *testing.T) {
 	network := newTestNetwork(t, echo)
 	require.NoError(t, network.call(t, time.Minute))
@@ -151,8 +151,8 @@
 	require.NoError(t, network.call(t, time.Minute))
 }
 
-// TestSlowResponseKeepsConnection checks that a slow call keeps its connection while responses to other
-// calls arrive on the connection.
+// TestSlowResponseKeepsConnection checks that a slow call keeps its connection while responses to
+// other calls arrive on the connection.
 func TestSlowResponseKeepsConnection(t *testing.T) {
 	release := make(chan struct{})
 	network := newTestNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
@@ -182,8 +182,8 @@
 	require.LessOrEqual(t, network.dialed.Load(), int32(2))
 }
 
-// TestReplacedConnectionFinishesPendingCalls checks that pending calls continue on a connection that
-// the client replaces for new calls.
+// TestReplacedConnectionFinishesPendingCalls checks that pending calls continue on a connection
+// that the client replaces for new calls.
 func TestReplacedConnectionFinishesPendingCalls(t *testing.T) {
 	release := make(chan struct{})
 	network := newTestNetwork(t, func(_ context.Context, request *peerpb.Request) ([]byte, error) {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -20,8 +20,8 @@
 	availableAt time.Time
 }
 
-// New returns a Limiter with the rate bytesPerSecond. A burst may contain as many bytes as that rate
-// transfers in the duration burst. New returns nil if the rate is not positive.
+// New returns a Limiter with the rate bytesPerSecond. A burst may contain as many bytes as that
+// rate transfers in the duration burst. New returns nil if the rate is not positive.
 func New(bytesPerSecond float64, burst time.Duration, now func() time.Time) *Limiter {
 	if bytesPerSecond <= 0 {
 		return nil
--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -30,8 +30,8 @@
 	Name  string
 }
 
-// Row is a row that was read from the store. Gone is true for a deleted row. Only feeds return deleted
-// rows.
+// Row is a row that was read from the store. Gone is true for a deleted row. Only feeds return
+// deleted rows.
 type Row struct {
 	Key
 	Value   []byte
--- a/internal/rows/send_time.go
+++ b/internal/rows/send_time.go
@@ -8,8 +8,8 @@
 // sendBytesPerSecond is the assumed bandwidth to the store, 2 Mbit/s.
 const sendBytesPerSecond = 250_000
 
-// SendTime returns how long it takes to send a transaction over a slow link. Callers add the result to
-// the time limit of a call. A call that times out while sending has to start from the beginning.
+// SendTime returns how long it takes to send a transaction over a slow link. Callers add the result
+// to the time limit of a call. A call that times out while sending has to start from the beginning.
 func SendTime(transaction Transaction) time.Duration {
 	return time.Duration(transaction.Bytes()) * time.Second / sendBytesPerSecond
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOutcomeUnknown means that the response to a transaction was lost. The transaction may have taken
-// effect, or may take effect later. Reading the rows back does not settle the outcome, because the
-// transaction may take effect after the read.
+// ErrOutcomeUnknown means that the response to a transaction was lost. The transaction may have
+// taken effect, or may take effect later. Reading the rows back does not settle the outcome,
+// because the transaction may take effect after the read.
 var ErrOutcomeUnknown = errors.New("store: outcome unknown")
 
 // ErrUnavailable means that a read failed, or that a write was rejected and had no effect.
@@ -49,7 +49,8 @@
 	Failed []string `json:"failed,omitempty"`
 }
 
-// Row is a row that was read from the table service. Only a scan since a revision returns deleted rows.
+// Row is a row that was read from the table service. Only a scan since a revision returns deleted
+// rows.
 type Row struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,9 +1,9 @@
 // Package uptime provides a clock that includes the time during which the machine is suspended.
 //
-// Go's monotonic clock stops during a suspension. A process that uses it would underestimate the age
-// of a lease or an acknowledgment. The function Now adds the time spent suspended to time.Now, so that
-// differences between results of Now include suspensions. The wall-clock reading of these results is
-// meaningless. Use time.Now for the time of day.
+// Go's monotonic clock stops during a suspension. A process that uses it would underestimate the
+// age of a lease or an acknowledgment. The function Now adds the time spent suspended to time.Now,
+// so that differences between results of Now include suspensions. The wall-clock reading of these
+// results is meaningless. Use time.Now for the time of day.
 package uptime
 
 import (
@@ -66,8 +66,9 @@
 	}
 }
 
-// Refresh asks the system how long it was suspended. Now asks only when the wall clock drifts. Periodic
-// calls of Refresh also detect a suspension that coincides with a change of the wall clock.
+// Refresh asks the system how long it was suspended. Now asks only when the wall clock drifts.
+// Periodic calls of Refresh also detect a suspension that coincides with a change of the wall
+// clock.
 func (c *Clock) Refresh() {
 	now := c.read()
 	c.updateSuspended(now.timeOfDay - now.monotonic)
@@ -123,8 +124,8 @@
 )
 
 // clockDifference returns the lead of boottime over monotonic, or 0 if a clock is not available. In
-// each attempt it reads monotonic before and after boottime, and the spread is the time between these
-// two readings. The result comes from the attempt with the smallest spread.
+// each attempt it reads monotonic before and after boottime, and the spread is the time between
+// these two readings. The result comes from the attempt with the smallest spread.
 func clockDifference(boottime, monotonic func() (time.Duration, bool)) time.Duration {
 	best, smallestSpread := time.Duration(0), time.Duration(-1)
 	for range maxReadAttempts {
