--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -70,7 +70,7 @@
 func (c *Client) handleCallFailure(address string, failed *connection, sentAt time.Time, sent bool) error {
 	if !sent {
 		c.removeConnection(address, failed)
-		return fault.New(fault.NoOwner, "node %s cannot be reached", address)
+		return fault.New(fault.NoOwner, "connection to node %s failed; request not sent", address)
 	}
 	if failed.unresponsiveSince(sentAt, time.Now()) {
 		c.removeConnection(address, failed)
