--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -18,7 +18,7 @@
 var ErrNotSent = errors.New("httpjson: request had no effect")
 
 // ErrOutcomeUnknown means that the request may have had an effect.
-var ErrOutcomeUnknown = errors.New("httpjson: no answer")
+var ErrOutcomeUnknown = errors.New("httpjson: outcome unknown")
 
 // maxBodyBytes limits the size of a response body.
 const maxBodyBytes = 256 << 20
