--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -19,7 +19,7 @@
 
 // Plan is the effect of confirming a declaration.
 type Plan struct {
-	// Digest is a hash of the fields below except Impact.
+	// Digest is a hash of the other fields except Impact.
 	Digest string `json:"digest"`
 	// BaseVersion is the configuration version on which the plan is based.
 	BaseVersion int64                   `json:"base"`
@@ -27,32 +27,32 @@
 	Declaration declaration.Declaration `json:"declaration"`
 	// Effects lists the domains to which guarantees would be assigned.
 	Effects []Effect `json:"effects,omitempty"`
-	// Impact lists the effects on jobs at the time of planning. The digest excludes it, since jobs
+	// Impact lists the effects on jobs at the time of planning. Digest excludes Impact because jobs
 	// change continuously.
 	Impact []Effect `json:"impact,omitempty"`
 }
 
 // Effect is one consequence of a plan.
 type Effect struct {
-	// Kind is "guarantee_placed"; for jobs "job_preempted", "job_leaves_rack", "job_ends",
-	// "job_waits" or "job_starts"; or "domain_unknown".
+	// Kind is "guarantee_placed" in Plan.Effects. In Plan.Impact it is "job_preempted",
+	// "job_leaves_rack", "job_ends", "job_waits", "job_starts" or "domain_unknown".
 	Kind    string `json:"kind"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// DomainMachines maps each domain to the machines on which a plan is evaluated.
+// DomainMachines maps the name of each domain to the machines of the domain.
 type DomainMachines map[string][]machines.Machine
 
 // New returns the plan that changes the current configuration into the declared one. If the
-// guarantees do not all fit at the same time, the error names the nearest shape that would.
-func New(current declaration.Configuration, declared declaration.Declaration, site DomainMachines, now time.Time) (*Plan, error) {
+// guarantees do not all fit at the same time, the error names the nearest shape that would fit.
+func New(current declaration.Configuration, declared declaration.Declaration, machinesOf DomainMachines, now time.Time) (*Plan, error) {
 	declared.Normalize()
 	if err := declared.Validate(); err != nil {
 		return nil, err
 	}
 	plan := &Plan{BaseVersion: current.Version}
-	assigned, effects, err := assign(current.Declaration, declared, site, now)
+	assigned, effects, err := assign(current.Declaration, declared, machinesOf, now)
 	if err != nil {
 		return nil, err
 	}
@@ -64,11 +64,11 @@
 }
 
 func (p *Plan) digest() string {
-	content := *p
-	content.Digest = ""
-	content.Impact = nil
+	hashed := *p
+	hashed.Digest = ""
+	hashed.Impact = nil
 	// Marshalling a struct of plain fields cannot fail.
-	document, _ := json.Marshal(content)
+	document, _ := json.Marshal(hashed)
 	sum := sha256.Sum256(document)
 	return hex.EncodeToString(sum[:])
 }
@@ -76,10 +76,11 @@
 // DigestMatches reports whether the digest of a plan from an untrusted source matches its content.
 func (p *Plan) DigestMatches() bool { return p.Digest == p.digest() }
 
-// assign distributes each guarantee over domains with sufficient capacity: the zone that it names,
-// else preferably the domains that hold it now.
-func assign(current, declared declaration.Declaration, site DomainMachines, now time.Time) (declaration.Declaration, []Effect, error) {
-	placer := newPlacer(site, declared.DrainedRacks, now)
+// assign distributes the copies of each guarantee over domains with sufficient capacity. A
+// guarantee that names a domain is assigned only to this domain. For any other guarantee, the
+// domains that hold it now are preferred.
+func assign(current, declared declaration.Declaration, machinesOf DomainMachines, now time.Time) (declaration.Declaration, []Effect, error) {
+	placer := newPlacer(machinesOf, declared.DrainedRacks, now)
 	assigned := declaration.Declaration{DrainedRacks: declared.DrainedRacks}
 	var effects []Effect
 	for i := range declared.Tenants {
@@ -106,15 +107,16 @@
 
 // request is a guarantee to be assigned.
 type request struct {
+	// tenant is the index of the tenant in the declaration, and name is the tenant's name.
 	tenant    int
 	name      string
 	guarantee declaration.Guarantee
-	// preferred lists the domains that currently hold a guarantee of this shape.
+	// preferred lists the domains that now hold a guarantee of the tenant with the same shape.
 	preferred []string
 }
 
-// requestsOf returns the guarantees, ordered by ascending width of their spread, then by
-// descending size.
+// requestsOf returns a request for each declared guarantee. Guarantees with a narrower spread come
+// first. Among guarantees with the same spread, larger ones come first.
 func requestsOf(declared, current *declaration.Declaration) []request {
 	var requests []request
 	for i := range declared.Tenants {
@@ -141,9 +143,9 @@
 
 // placer assigns copies of guarantees to domains.
 type placer struct {
-	now     time.Time
-	names   []string
-	domains map[string]*domainPlacements
+	now         time.Time
+	domainNames []string
+	domains     map[string]*domainPlacements
 }
 
 // domainPlacements holds the guarantees assigned to one domain so far.
@@ -153,13 +155,13 @@
 	copies    int
 }
 
-func newPlacer(site DomainMachines, drained []string, now time.Time) *placer {
+func newPlacer(machinesOf DomainMachines, drained []string, now time.Time) *placer {
 	p := &placer{now: now, domains: map[string]*domainPlacements{}}
-	for name, list := range site {
-		p.names = append(p.names, name)
+	for name, domainMachines := range machinesOf {
+		p.domainNames = append(p.domainNames, name)
 		scheduler := schedule.New(schedule.Default(), cluster.NewState())
-		for i := range list {
-			machine := &list[i]
+		for i := range domainMachines {
+			machine := &domainMachines[i]
 			rack := machine.Region + "/" + machine.Zone + "/" + machine.Rack
 			if machine.Status != machines.Live || slices.Contains(drained, rack) {
 				continue
@@ -170,16 +172,18 @@
 		}
 		p.domains[name] = &domainPlacements{scheduler: scheduler}
 	}
-	slices.Sort(p.names)
+	slices.Sort(p.domainNames)
 	return p
 }
 
-// fits reports whether the domain can hold the guarantee in addition to those assigned so far.
+// fits reports whether the domain can hold a guarantee in addition to the guarantees that were
+// assigned to the domain so far.
 func (p *domainPlacements) fits(now time.Time, tenant string, guarantee declaration.Guarantee) bool {
 	tenants := append(slices.Clone(p.tenants), declaration.Tenant{Name: tenant, Guarantees: []declaration.Guarantee{guarantee}})
 	return p.scheduler.Configure(now, tenants) == 0
 }
 
+// place assigns all copies of a guarantee. It returns one guarantee for each domain used.
 func (p *placer) place(r request) ([]declaration.Guarantee, error) {
 	var placed []declaration.Guarantee
 	remaining := r.guarantee.Count
@@ -206,8 +210,8 @@
 	return placed, nil
 }
 
-// candidates returns the domains that may hold a guarantee: first those that hold it now, then by
-// ascending number of assigned copies.
+// candidates returns the domains that may hold a guarantee. The domains that hold the guarantee now
+// come first. Otherwise domains with fewer assigned copies come first.
 func (p *placer) candidates(r request) []string {
 	if r.guarantee.Domain != "" {
 		if _, ok := p.domains[r.guarantee.Domain]; !ok {
@@ -215,13 +219,13 @@
 		}
 		return []string{r.guarantee.Domain}
 	}
-	names := slices.Clone(p.names)
+	names := slices.Clone(p.domainNames)
 	slices.SortStableFunc(names, func(a, b string) int {
-		preferA, preferB := slices.Contains(r.preferred, a), slices.Contains(r.preferred, b)
+		holdsA, holdsB := slices.Contains(r.preferred, a), slices.Contains(r.preferred, b)
 		switch {
-		case preferA && !preferB:
+		case holdsA && !holdsB:
 			return -1
-		case preferB && !preferA:
+		case holdsB && !holdsA:
 			return 1
 		}
 		return p.domains[a].copies - p.domains[b].copies
@@ -229,7 +233,7 @@
 	return names
 }
 
-// maxCopies returns how many additional copies, up to limit, a domain can hold.
+// maxCopies returns how many additional copies of a guarantee, up to limit, a domain can hold.
 func (p *placer) maxCopies(name string, r request, limit int) int {
 	low, high := 0, limit
 	for low < high {
@@ -245,21 +249,21 @@
 	return low
 }
 
-// infeasibleError returns an error that names the nearest shape that would fit: fewer copies, else
-// fewer members.
+// infeasibleError returns an error that names the nearest alternative that would fit. count is the
+// number of copies that fit. If count is 0, the alternative is a gang with fewer members.
 func (p *placer) infeasibleError(r request, count int) error {
 	field := "tenant." + r.name + ".guarantee"
 	shape := describeShape(r.guarantee.Shape)
 	if count > 0 {
 		return fault.NewField(fault.PlanInfeasible, field, "%d copies of %s do not fit beside the other guarantees; %d would fit", r.guarantee.Count, shape, count)
 	}
-	candidate := r
-	candidate.guarantee.Count = 1
-	for candidate.guarantee.Members > 1 {
-		candidate.guarantee.Members--
-		for _, name := range p.candidates(candidate) {
-			if p.maxCopies(name, candidate, 1) == 1 {
-				return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees; the largest gang that fits is %s", shape, describeShape(candidate.guarantee.Shape))
+	smaller := r
+	smaller.guarantee.Count = 1
+	for smaller.guarantee.Members > 1 {
+		smaller.guarantee.Members--
+		for _, name := range p.candidates(smaller) {
+			if p.maxCopies(name, smaller, 1) == 1 {
+				return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees; the largest gang that fits is %s", shape, describeShape(smaller.guarantee.Shape))
 			}
 		}
 	}
--- a/internal/speeds/speeds_test.go
+++ b/internal/speeds/speeds_test.go
@@ -8,17 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testPool is a pool of workers with known speeds, and the estimates of them.
+// testPool is a pool of workers with known speeds and the estimates of these speeds.
 type testPool struct {
-	random    *rand.Rand
-	actual    []float64
+	random *rand.Rand
+	// logTimes holds the logarithm of the time per work of each worker.
+	logTimes  []float64
 	estimates []Estimate
 }
 
 func newTestPool(seed uint64, workers int, times ...float64) *testPool {
 	p := &testPool{random: rand.New(rand.NewPCG(seed, 5)), estimates: make([]Estimate, workers)}
 	for i := range workers {
-		p.actual = append(p.actual, math.Log(times[i%len(times)]))
+		p.logTimes = append(p.logTimes, math.Log(times[i%len(times)]))
 	}
 	return p
 }
@@ -28,34 +29,34 @@
 	var samples []Sample
 	work := p.random.NormFloat64()
 	for _, i := range p.random.Perm(len(p.estimates))[:size] {
-		percent := max(1, int(25/math.Exp(p.actual[i])))
-		samples = append(samples, Sample{Worker: &p.estimates[i], LogTime: work + p.actual[i], Variance: RoundingVariance(percent)})
+		percent := max(1, int(25/math.Exp(p.logTimes[i])))
+		samples = append(samples, Sample{Worker: &p.estimates[i], LogTime: work + p.logTimes[i], Variance: RoundingVariance(percent)})
 	}
 	UpdateEstimates(samples, ExpectedWork{})
 }
 
-// runStep runs unequal tasks on random workers; one in thirty takes seven times as long.
-func (p *testPool) runStep(tasks int, spread *WorkVariance) {
-	cohort, members, on := &Cohort{}, make([]Member, tasks), make([]int, tasks)
+// runStep runs unequal tasks on random workers. One task in thirty takes seven times as long.
+func (p *testPool) runStep(tasks int, workVariance *WorkVariance) {
+	cohort, members, workerOf := &Cohort{}, make([]Member, tasks), make([]int, tasks)
 	for k := range members {
-		on[k] = p.random.IntN(len(p.estimates))
+		workerOf[k] = p.random.IntN(len(p.estimates))
 		work := 0.3 * p.random.NormFloat64()
 		if p.random.IntN(30) == 0 {
 			work += math.Log(7)
 		}
-		cohort.Record(&members[k], &p.estimates[on[k]], work+p.actual[on[k]])
+		cohort.Record(&members[k], &p.estimates[workerOf[k]], work+p.logTimes[workerOf[k]])
 	}
 	for k := range members {
-		cohort.UpdateEstimate(&members[k], &p.estimates[on[k]], spread)
+		cohort.UpdateEstimate(&members[k], &p.estimates[workerOf[k]], workVariance)
 	}
 }
 
-// misclassified returns how many of the known workers have an estimate that is wrong by more than
-// a third, and the number of known workers.
+// misclassified returns the number of known workers and how many of their estimates are wrong by
+// more than a third.
 func (p *testPool) misclassified() (wrong, known int) {
 	offset := 0.0
 	for i := range p.estimates {
-		offset += p.estimates[i].LogTime() - p.actual[i]
+		offset += p.estimates[i].LogTime() - p.logTimes[i]
 	}
 	offset /= float64(len(p.estimates))
 	for i := range p.estimates {
@@ -63,15 +64,15 @@
 			continue
 		}
 		known++
-		if math.Abs(p.estimates[i].LogTime()-offset-p.actual[i]) > math.Log(4.0/3) {
+		if math.Abs(p.estimates[i].LogTime()-offset-p.logTimes[i]) > math.Log(4.0/3) {
 			wrong++
 		}
 	}
 	return wrong, known
 }
 
-// TestGangsRevealWorkerSpeeds checks that, with speeds that differ by a factor of 2.7, most
-// workers are known after about two gangs each, and at most a tenth of them wrongly.
+// TestGangsRevealWorkerSpeeds checks that most workers are known after about two gangs each, if
+// speeds differ by a factor of 2.7. At most a tenth of the known workers may be misclassified.
 func TestGangsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
 		p := newTestPool(seed, 60, 1/0.6, 1, 1/1.6)
@@ -84,34 +85,35 @@
 	}
 }
 
-// TestCohortsRevealWorkerSpeeds does the same with tasks of unequal work.
+// TestCohortsRevealWorkerSpeeds checks that independent tasks of unequal work reveal the speeds of
+// most workers.
 func TestCohortsRevealWorkerSpeeds(t *testing.T) {
 	for seed := range uint64(20) {
-		p, spread := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &WorkVariance{}
+		p, workVariance := newTestPool(seed, 60, 1/0.6, 1, 1/1.6), &WorkVariance{}
 		for range 30 {
-			p.runStep(40, spread)
+			p.runStep(40, workVariance)
 		}
 		wrong, known := p.misclassified()
 		require.Greater(t, known, 54, "seed %d", seed)
 		require.LessOrEqual(t, 10*wrong, known, "seed %d", seed)
-		require.InDelta(t, 0.12, spread.variance(), 0.08, "seed %d", seed)
+		require.InDelta(t, 0.12, workVariance.variance(), 0.08, "seed %d", seed)
 	}
 }
 
-// TestLongTasksDoNotMarkWorkersSlow guards against taking a long tail of work for slow workers.
+// TestLongTasksDoNotMarkWorkersSlow guards against classifying workers as slow that ran long tasks.
 func TestLongTasksDoNotMarkWorkersSlow(t *testing.T) {
 	for seed := range uint64(20) {
-		p, spread := newTestPool(seed, 60, 1), &WorkVariance{}
+		p, workVariance := newTestPool(seed, 60, 1), &WorkVariance{}
 		for range 20 {
-			p.runStep(40, spread)
+			p.runStep(40, workVariance)
 		}
 		wrong, _ := p.misclassified()
 		require.LessOrEqual(t, wrong, 3, "seed %d", seed)
 	}
 }
 
-// TestTransientSlowdownIsNotLearned checks that a slowdown during one gang has little effect, and
-// a lasting one has.
+// TestTransientSlowdownIsNotLearned checks that a slowdown during one gang changes the estimate
+// little. A lasting slowdown must change the estimate.
 func TestTransientSlowdownIsNotLearned(t *testing.T) {
 	p := newTestPool(1, 12, 1)
 	for range 12 {
@@ -131,7 +133,8 @@
 	require.Greater(t, disturbed.LogTime()-before, math.Log(2), "a lasting slowdown must be learned")
 }
 
-// TestCohortRemoveRemovesSample checks that the sums match the members.
+// TestCohortRemoveRemovesSample checks that the cohort counts each member once, also after repeated
+// calls of Record and Remove.
 func TestCohortRemoveRemovesSample(t *testing.T) {
 	cohort, worker, members := &Cohort{}, &Estimate{}, make([]Member, 3)
 	for k := range members {
@@ -146,8 +149,8 @@
 	require.InDelta(t, 1, cohort.sum, 1e-9)
 }
 
-// TestExpectedWorkRevealsUniformlySlowGang checks that a gang whose workers are all slow is
-// recognized only by the expected work.
+// TestExpectedWorkRevealsUniformlySlowGang checks that UpdateEstimates recognizes a gang whose
+// workers are all slow, but only if the expected work is known precisely.
 func TestExpectedWorkRevealsUniformlySlowGang(t *testing.T) {
 	for name, c := range map[string]struct {
 		work ExpectedWork
