--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -21,7 +21,7 @@
 	}
 	v := n.snapshot.Load()
 	if v.owned[poolName] != nil {
-		n.edges.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
+		n.dependencies.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
 		return
 	}
 	lease := v.leases[poolName]
@@ -35,7 +35,7 @@
 		if _, err := n.call(ctx, lease.Address, methodAccepted, acceptedNotice{Pool: poolName, Row: row}); err != nil {
 			result = "lost"
 		}
-		n.edges.Recorder.Count("announcements", result)
+		n.dependencies.Recorder.Count("announcements", result)
 	}()
 }
 
@@ -48,6 +48,6 @@
 
 // serveAccepted handles another node's notice.
 func (n *Node) serveAccepted(notice acceptedNotice) (struct{}, error) {
-	n.edges.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
+	n.dependencies.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
 	return struct{}{}, nil
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -10,7 +10,7 @@
 
 // readConfiguration reads the configuration and the evacuations, then follows their changes.
 func (n *Node) readConfiguration() {
-	codec := n.edges.Codec
+	codec := n.dependencies.Codec
 	key := codec.ConfigurationKey()
 	requestedAt := n.now()
 	n.ports.scanDirect(key.Table, key.Part, func(listing rows.Listing, err error) {
@@ -31,17 +31,17 @@
 }
 
 func (n *Node) applyConfiguration(row rows.Row) {
-	if row.Key == n.edges.Codec.ConfigurationKey() && !row.Gone {
+	if row.Key == n.dependencies.Codec.ConfigurationKey() && !row.Gone {
 		n.applyDocument(row.Value, "feed")
 	}
 }
 
 // applyDocument makes a configuration current unless a newer one already is.
 func (n *Node) applyDocument(content []byte, source string) {
-	decoded, err := n.edges.Codec.DecodeCatalog(content)
+	decoded, err := n.dependencies.Codec.DecodeCatalog(content)
 	if err != nil {
-		n.edges.Recorder.Count("refusals", "configuration_invalid")
-		n.edges.Recorder.LogEvent("configuration rejected", "source", source, "reason", err.Error())
+		n.dependencies.Recorder.Count("refusals", "configuration_invalid")
+		n.dependencies.Recorder.LogEvent("configuration rejected", "source", source, "reason", err.Error())
 		return
 	}
 	if current := n.catalog.Load(); current != nil && decoded.Version <= current.Version {
@@ -50,7 +50,7 @@
 	decoded.Index()
 	n.document.Store(&document{version: decoded.Version, content: content})
 	n.catalog.Store(decoded)
-	n.edges.Recorder.LogEvent("configuration applied", "version", decoded.Version, "source", source, "bytes", len(content))
+	n.dependencies.Recorder.LogEvent("configuration applied", "version", decoded.Version, "source", source, "bytes", len(content))
 	for _, name := range decoded.PoolNames() {
 		n.watchPool(name)
 	}
--- a/internal/node/configuration_status.go
+++ b/internal/node/configuration_status.go
@@ -65,5 +65,5 @@
 			})
 		}
 	}
-	n.edges.Loop.After(max(configurationPollInterval, staleConfirmationAge-confirmedAge), n.pollConfiguration)
+	n.dependencies.Loop.After(max(configurationPollInterval, staleConfirmationAge-confirmedAge), n.pollConfiguration)
 }
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -79,7 +79,7 @@
 			err = json.Unmarshal(answer, &reply)
 		}
 		if err != nil {
-			n.edges.Recorder.Count("retries", "configuration_chunk")
+			n.dependencies.Recorder.Count("retries", "configuration_chunk")
 			n.download.active = false
 			return
 		}
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -105,7 +105,7 @@
 // their configuration is too old.
 func TestLargeConfigurationComesFromAnotherNodeOverASmallLink(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
 
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -21,12 +21,12 @@
 	if n.evacuated.SameZones(previous) {
 		return
 	}
-	n.edges.Recorder.LogEvent("evacuated zones read", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
+	n.dependencies.Recorder.LogEvent("evacuated zones read", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].EvacuationsChanged()
 	}
 }
 
 func (n *Node) evacuationChanges(listed []rows.Row) []evacuation.Change {
-	return evacuation.ParseChanges(listed, n.edges.Codec.ParseEvacuationKey)
+	return evacuation.ParseChanges(listed, n.dependencies.Codec.ParseEvacuationKey)
 }
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -133,7 +133,7 @@
 	}
 	// A recent confirmation is next checked when it can become stale, which saves wakeups of idle
 	// nodes.
-	n.edges.Loop.After(max(confirmationCheckInterval, staleConfirmationAge-confirmedAge), n.checkConfirmation)
+	n.dependencies.Loop.After(max(confirmationCheckInterval, staleConfirmationAge-confirmedAge), n.checkConfirmation)
 }
 
 // feedCall reads the changes of a table after a version, or waits for one.
@@ -164,13 +164,13 @@
 	s.feed(s.table, after, s.wait(), func(listing rows.Listing, err error) {
 		switch {
 		case errors.Is(err, rows.ErrHistoryExpired):
-			n.edges.Recorder.Count("feed_gaps", s.table)
-			n.edges.Recorder.LogEvent("feed history expired", "table", s.table, "after", after)
+			n.dependencies.Recorder.Count("feed_gaps", s.table)
+			n.dependencies.Recorder.LogEvent("feed history expired", "table", s.table, "after", after)
 			s.onEnd()
 		case errors.Is(err, errReadCanceled):
 			n.follow(s, after)
 		case err != nil:
-			n.edges.Recorder.Count("retries", "feed")
+			n.dependencies.Recorder.Count("retries", "feed")
 			n.storeRetries.After(retryPause, func() { n.follow(s, after) })
 		default:
 			for i := range listing.Rows {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -68,7 +68,7 @@
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
 	}
-	g.node.edges.Recorder.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
+	g.node.dependencies.Recorder.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
 		"job", jobInPath(path), "reason", string(err.Kind), "configuration", version, "configuration_age_ms", confirmedAge.Milliseconds())
 	return g.countRefusal(err)
 }
@@ -84,7 +84,7 @@
 
 // countRefusal counts a refusal and returns its error.
 func (g *Gateway) countRefusal(err error) error {
-	g.node.edges.Recorder.Count("refusals", string(fault.From(err).Kind))
+	g.node.dependencies.Recorder.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
 
@@ -99,13 +99,13 @@
 		return g.commitJob(ctx, access.Queue.Pool, job)
 	})
 	if err != nil {
-		g.node.edges.Recorder.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
+		g.node.dependencies.Recorder.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
 			"detail", fault.From(err).Detail, "store_answered_ms_ago", g.node.storeAge().Milliseconds())
 		return g.countRefusal(err)
 	}
-	g.node.edges.Recorder.Count("job_transitions", "accepted")
-	g.node.edges.Recorder.Observe("acceptance", time.Since(receivedAt))
-	g.node.edges.Recorder.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
+	g.node.dependencies.Recorder.Count("job_transitions", "accepted")
+	g.node.dependencies.Recorder.Observe("acceptance", time.Since(receivedAt))
+	g.node.dependencies.Recorder.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
 	return nil
 }
 
@@ -213,10 +213,10 @@
 		return g.commitCancel(ctx, access.Queue.Pool, id)
 	})
 	if err != nil {
-		g.node.edges.Recorder.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
+		g.node.dependencies.Recorder.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
 		return g.countRefusal(err)
 	}
-	g.node.edges.Recorder.LogEvent("cancellation accepted", "job", id)
+	g.node.dependencies.Recorder.LogEvent("cancellation accepted", "job", id)
 	return nil
 }
 
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -103,8 +103,8 @@
 func newGateway(t *testing.T, store rows.Store) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	edges := Dependencies{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{}}
-	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, edges)
+	dependencies := Dependencies{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{}}
+	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, dependencies)
 	current := &catalog.Catalog{
 		Version: 1,
 		Queues: []catalog.Queue{
@@ -281,7 +281,7 @@
 func TestEarlyRefusalsAreLogged(t *testing.T) {
 	g := newGateway(t, newFakeStore())
 	recorder := fieldsRecorder{fields: map[string][]any{}}
-	g.node.edges.Recorder = recorder
+	g.node.dependencies.Recorder = recorder
 	_, _, err := g.Resolve("h", "/q/"+jobID, "unknown key")
 	require.True(t, fault.IsKind(err, fault.Unauthenticated))
 	require.Contains(t, recorder.fields["request refused"], jobID)
--- a/internal/node/indirect_check.go
+++ b/internal/node/indirect_check.go
@@ -63,7 +63,7 @@
 // serveSeen answers an indirect check of a pool's owner.
 func (n *Node) serveSeen(ctx context.Context, request pingRequest) (seenReply, error) {
 	var reply seenReply
-	err := loop.Call(ctx, n.edges.Loop, func() {
+	err := loop.Call(ctx, n.dependencies.Loop, func() {
 		w := n.watchers[request.Pool]
 		reply.Seen = n.owned[request.Pool] != nil ||
 			w != nil && w.failures == 0 && n.now().Sub(w.lastReplyAt) < seenMaxAge
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -20,7 +20,7 @@
 	}
 	state, err := g.lookupFromOwner(ctx, access.Queue.Pool, id)
 	if err != nil {
-		g.node.edges.Recorder.LogEvent("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
+		g.node.dependencies.Recorder.LogEvent("lookup refused", "job", id, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind), "detail", fault.From(err).Detail)
 		return "", g.countRefusal(err)
 	}
 	return state, nil
@@ -53,7 +53,7 @@
 		var state taskgraph.State
 		known := false
 		err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
-			return loop.Call(ctx, n.edges.Loop, func() { state, known = p.State(id) })
+			return loop.Call(ctx, n.dependencies.Loop, func() { state, known = p.State(id) })
 		})
 		if err == nil && known {
 			return state, nil
@@ -178,7 +178,7 @@
 	}
 	count, loaded := 0, false
 	err := withTimeout(ctx, loopCallTimeout, func(ctx context.Context) error {
-		return loop.Call(ctx, n.edges.Loop, func() {
+		return loop.Call(ctx, n.dependencies.Loop, func() {
 			loaded = p.Loaded()
 			count = p.WaitingJobs()[queue]
 		})
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -113,7 +113,7 @@
 			return
 		}
 		n.joining = false
-		n.edges.Recorder.LogEvent("joined", "node", self.Name, "address", self.Address)
+		n.dependencies.Recorder.LogEvent("joined", "node", self.Name, "address", self.Address)
 	})
 }
 
@@ -125,7 +125,7 @@
 
 // refreshMembersPeriodically refreshes the sample each sampleRefreshInterval.
 func (n *Node) refreshMembersPeriodically() {
-	n.edges.Loop.After(jitter(sampleRefreshInterval), func() {
+	n.dependencies.Loop.After(jitter(sampleRefreshInterval), func() {
 		n.refreshMembers()
 		n.refreshMembersPeriodically()
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 // otherwise.
 type Node struct {
 	options Options
-	edges   Dependencies
+	dependencies   Dependencies
 	ports   *ports
 	feeds   cancelableReads
 	// feedFailures counts consecutive direct feeds that were not answered in time.
@@ -103,16 +103,16 @@
 }
 
 // New returns a node that is idle until Start.
-func New(ctx context.Context, options Options, edges Dependencies) *Node {
+func New(ctx context.Context, options Options, dependencies Dependencies) *Node {
 	n := &Node{
-		options: options, edges: edges,
+		options: options, dependencies: dependencies,
 		sample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
 	n.ports = &ports{ctx: ctx, node: n, pacer: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
-	n.storeRetries = loop.NewRetries(edges.Loop)
-	n.store = &relayedStore{node: n, direct: &observedStore{Store: edges.Store, node: n}}
+	n.storeRetries = loop.NewRetries(dependencies.Loop)
+	n.store = &relayedStore{node: n, direct: &observedStore{Store: dependencies.Store, node: n}}
 	n.snapshot.Store(&snapshot{})
 	return n
 }
@@ -123,14 +123,14 @@
 	n.readConfiguration()
 	n.readMembers()
 	n.refreshMembersPeriodically()
-	n.edges.Loop.After(jitter(startupRefreshDelay), n.refreshMembers)
+	n.dependencies.Loop.After(jitter(startupRefreshDelay), n.refreshMembers)
 	n.pingOwners()
 	n.pollConfiguration()
 	n.checkConfirmation()
 	n.watchSuspensions()
 }
 
-func (n *Node) now() time.Time { return n.edges.Loop.Now() }
+func (n *Node) now() time.Time { return n.dependencies.Loop.Now() }
 
 func (n *Node) publishSnapshot() {
 	v := &snapshot{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
@@ -161,8 +161,8 @@
 	n.storeReached.Store(&now)
 	silentFor := age(n.storeAnswered.Swap(&now))
 	if n.storeUnavailable.CompareAndSwap(true, false) {
-		n.edges.Loop.Post(n.handleStoreRecovery)
-		n.edges.Recorder.LogEvent("store reachable again", "silent_ms", silentFor.Milliseconds())
+		n.dependencies.Loop.Post(n.handleStoreRecovery)
+		n.dependencies.Recorder.LogEvent("store reachable again", "silent_ms", silentFor.Milliseconds())
 	}
 }
 
@@ -185,9 +185,9 @@
 	now := uptime.Now()
 	n.storeFailed.Store(&now)
 	if n.storeUnavailable.CompareAndSwap(false, true) {
-		n.edges.Loop.After(probePeriod, n.startRecoveryProbes)
+		n.dependencies.Loop.After(probePeriod, n.startRecoveryProbes)
 		n.feeds.cancelIdle(0)
-		n.edges.Recorder.LogEvent("store unreachable", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
+		n.dependencies.Recorder.LogEvent("store unreachable", "reason", err.Error(), "answered_ms_ago", n.storeAge().Milliseconds())
 	}
 }
 
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -89,8 +89,8 @@
 		listing.AsOf = *firstByteAt
 	}
 	if err != nil && firstByteAt != nil {
-		a.node.edges.Recorder.Count("answers_given_up", a.table)
-		a.node.edges.Recorder.LogEvent("store response abandoned", "table", a.table, "bytes", a.bytes.Load(),
+		a.node.dependencies.Recorder.Count("answers_given_up", a.table)
+		a.node.dependencies.Recorder.LogEvent("store response abandoned", "table", a.table, "bytes", a.bytes.Load(),
 			"after_ms", uptime.Since(a.requestedAt).Milliseconds(), "reason", err.Error())
 	}
 	return listing, err
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -130,7 +130,7 @@
 			n.acquire(w, reason)
 		}
 	}
-	n.edges.Loop.After(n.takeoverDelay(w.pool), func() {
+	n.dependencies.Loop.After(n.takeoverDelay(w.pool), func() {
 		if n.followingLeases {
 			acquire()
 			return
@@ -149,16 +149,16 @@
 	w.acquiring = true
 	w.acquireAttempts++
 	nonce := n.options.Incarnation + "/" + strconv.Itoa(w.acquireAttempts)
-	n.edges.Recorder.LogEvent("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
+	n.dependencies.Recorder.LogEvent("acquiring", "pool", w.pool, "reason", reason, "version", n.leases[w.pool].version)
 	options := n.poolOptions(w.pool)
 	n.ports.Commit(pool.Acquire(options, n.leases[w.pool].version, nonce), func(result rows.Result, err error) {
 		w.acquiring = false
 		switch {
 		case err != nil:
 			// If the write took effect after all, the feed delivers it.
-			n.edges.Recorder.Count("retries", "acquire")
+			n.dependencies.Recorder.Count("retries", "acquire")
 			w.failures = 0
-			n.edges.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
+			n.dependencies.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
 		case result.Committed:
 			n.addOwnedPool(w.pool, result.Version, nonce)
 		default:
@@ -208,7 +208,7 @@
 	if n.leases[name].version < token {
 		n.leases[name] = versionedLease{Lease: lease, version: token}
 	}
-	p := pool.New(options, n.edges.Loop, n.ports, n.edges.Recorder, token)
+	p := pool.New(options, n.dependencies.Loop, n.ports, n.dependencies.Recorder, token)
 	n.owned[name] = p
 	n.publishSnapshot()
 	n.startDelaySampling()
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -76,7 +76,7 @@
 
 // onLoop runs fn on a node's loop and waits for it.
 func onLoop(t *testing.T, n *Node, fn func()) {
-	require.NoError(t, loop.Call(context.Background(), n.edges.Loop, fn))
+	require.NoError(t, loop.Call(context.Background(), n.dependencies.Loop, fn))
 }
 
 // TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its response when idle
@@ -128,7 +128,7 @@
 func TestListingIsDatedByItsFirstByte(t *testing.T) {
 	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
-	n.edges.Loop.Post(n.readConfiguration)
+	n.dependencies.Loop.Post(n.readConfiguration)
 	<-store.started
 	begun := time.Now()
 	time.Sleep(50 * time.Millisecond)
@@ -289,7 +289,7 @@
 // storeTransferGrace.
 func TestOtherNodesAreQueriedWhenStoreIsSlow(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
 	address := servePeers(t, source)
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
@@ -349,7 +349,7 @@
 	}, transferTimeout, time.Millisecond, "the transfer must end when a call fails")
 
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(content, "feed")
 	address := servePeers(t, source)
 	onLoop(t, n, func() {
@@ -371,7 +371,7 @@
 // downloads it.
 func TestChangesInQuickSuccessionDoNotStopATransfer(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	var first, fetched []byte
 	for version := int64(2); len(fetched) == 0 || len(fetched) < len(first); version++ {
 		content := largeDocument(t, version)
@@ -410,7 +410,7 @@
 	source := newGateway(t, refusingStore{}).node
 	_, err := source.serveChunk(chunkRequest{Version: 1})
 	require.Error(t, err, "a node without a configuration must refuse chunks")
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
 	for _, offset := range []int{-1, largeConfigurationBytes + 1} {
 		_, err := source.serveChunk(chunkRequest{Version: 2, Offset: offset})
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -46,7 +46,7 @@
 		return nil, fault.New(fault.Internal, "%s: %v", method, err)
 	}
 	request := &peerpb.Request{Body: &peerpb.Request_PoolCall{PoolCall: &peerpb.PoolCall{Method: method, Document: document}}}
-	return n.edges.Peers.Call(ctx, address, request)
+	return n.dependencies.Peers.Call(ctx, address, request)
 }
 
 // callPeer sends a request without blocking the loop, on which it then runs done.
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithTimeout(n.ports.ctx, timeout)
 		defer cancel()
 		document, err := n.call(ctx, address, method, body)
-		n.edges.Loop.Post(func() { done(document, err) })
+		n.dependencies.Loop.Post(func() { done(document, err) })
 	}()
 }
 
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -62,7 +62,7 @@
 			pause = standbyPingPeriod
 		}
 	}
-	n.edges.Loop.After(pause, n.pingOwners)
+	n.dependencies.Loop.After(pause, n.pingOwners)
 }
 
 // pingSchedule selects the rounds in which nodes that are not standbys ping too. Rounds run each
@@ -122,7 +122,7 @@
 		w.lastReplyAt = n.now()
 		if w.unresponsive {
 			w.unresponsive = false
-			n.edges.Recorder.LogEvent("owner responsive again", "pool", w.pool, "owner", owner)
+			n.dependencies.Recorder.LogEvent("owner responsive again", "pool", w.pool, "owner", owner)
 			n.refreshMembers()
 		}
 		n.waiting[w.pool] = waitingCounts{counts: reply.Waiting, at: uptime.Now()}
@@ -146,10 +146,10 @@
 	if fault.IsKind(err, fault.NoOwner) {
 		w.failures++
 	}
-	n.edges.Recorder.Count("retries", "ping")
+	n.dependencies.Recorder.Count("retries", "ping")
 	if !w.unresponsive {
 		w.unresponsive = true
-		n.edges.Recorder.LogEvent("owner unresponsive", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
+		n.dependencies.Recorder.LogEvent("owner unresponsive", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
 	}
 	n.refreshLease(w)
 	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
@@ -171,8 +171,8 @@
 		case n.leases[w.pool].version != lease.version:
 			// The result is about a previous owner.
 		case seen:
-			n.edges.Recorder.Count("takeovers", "owner_seen_by_others")
-			n.edges.Recorder.LogEvent("owner reachable from others", "pool", w.pool, "owner", lease.Owner, "reason", reason)
+			n.dependencies.Recorder.Count("takeovers", "owner_seen_by_others")
+			n.dependencies.Recorder.LogEvent("owner reachable from others", "pool", w.pool, "owner", lease.Owner, "reason", reason)
 		default:
 			n.scheduleAcquire(w, reason, n.ownerSuspected)
 		}
@@ -210,7 +210,7 @@
 		StoreAgeMillis: n.storeReachedAge().Milliseconds(), StoreLost: n.storeLost(),
 		StoreLatencyMillis: n.storeLatencyMillis(), configurationStatus: n.currentConfigurationStatus(),
 	}
-	err := loop.Call(ctx, n.edges.Loop, func() {
+	err := loop.Call(ctx, n.dependencies.Loop, func() {
 		p := n.owned[request.Pool]
 		if p == nil || !n.confirmOwnership(p, &request) {
 			return
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -48,7 +48,7 @@
 	ctx, cancel := progress.WithTimeouts(p.ctx, bounds)
 	defer cancel()
 	result, err := work(ctx)
-	p.node.edges.Loop.Post(func() { done(result, err) })
+	p.node.dependencies.Loop.Post(func() { done(result, err) })
 }
 
 // progressTimeout lets a response whose first byte arrives within limit continue while it makes
@@ -134,7 +134,7 @@
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Workers.Start(ctx, &target, order)
+		return p.node.dependencies.Workers.Start(ctx, &target, order)
 	}, done)
 }
 
@@ -142,7 +142,7 @@
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Workers.Stop(ctx, &target, order)
+		return p.node.dependencies.Workers.Stop(ctx, &target, order)
 	}, done)
 }
 
@@ -150,22 +150,22 @@
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	target := *to
 	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+pollSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Workers.Poll(ctx, &target, order)
+		return p.node.dependencies.Workers.Poll(ctx, &target, order)
 	}, done)
 }
 
 // DecodeWorker implements pool.Ports.
 func (p *ports) DecodeWorker(id string, value []byte) (*fleet.Worker, error) {
-	return p.node.edges.Codec.DecodeWorker(id, value)
+	return p.node.dependencies.Codec.DecodeWorker(id, value)
 }
 
 // EvacuationRows implements pool.Ports.
-func (p *ports) EvacuationRows() (table, prefix string) { return p.node.edges.Codec.EvacuationRows() }
+func (p *ports) EvacuationRows() (table, prefix string) { return p.node.dependencies.Codec.EvacuationRows() }
 
 // ParseEvacuationKey implements pool.Ports.
 func (p *ports) ParseEvacuationKey(key rows.Key) (string, bool) {
-	return p.node.edges.Codec.ParseEvacuationKey(key)
+	return p.node.dependencies.Codec.ParseEvacuationKey(key)
 }
 
 // WorkerTable implements pool.Ports.
-func (p *ports) WorkerTable() string { return p.node.edges.Codec.WorkerTable() }
+func (p *ports) WorkerTable() string { return p.node.dependencies.Codec.WorkerTable() }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -44,7 +44,7 @@
 
 // probe reads this node's own row directly from the store.
 func (n *Node) probe(ctx context.Context) (struct{}, error) {
-	_, err := n.edges.Store.Scan(ctx, pool.NodeTable, "", n.options.Name)
+	_, err := n.dependencies.Store.Scan(ctx, pool.NodeTable, "", n.options.Name)
 	n.recordStoreResult(err)
 	return struct{}{}, err
 }
@@ -99,6 +99,6 @@
 		defer cancel()
 		// recordStoreResult records a success; a failure is followed by the next probe.
 		_, _ = n.probe(ctx)
-		n.edges.Loop.After(probePeriod, n.probeUntilAnswered)
+		n.dependencies.Loop.After(probePeriod, n.probeUntilAnswered)
 	}()
 }
--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -66,7 +66,7 @@
 		if len(listing.Rows) == prunePageSize {
 			pause, next = prunePageInterval, listing.Rows[prunePageSize-1].Name+"\x00"
 		}
-		n.edges.Loop.After(pause, func() { n.pruneMembers(next) })
+		n.dependencies.Loop.After(pause, func() { n.pruneMembers(next) })
 	})
 }
 
@@ -86,7 +86,7 @@
 	if len(transaction.Removes) == 0 {
 		return
 	}
-	n.edges.Recorder.LogEvent("rows of gone nodes removed", "count", len(transaction.Removes), "first", transaction.Removes[0].Name)
+	n.dependencies.Recorder.LogEvent("rows of gone nodes removed", "count", len(transaction.Removes), "first", transaction.Removes[0].Name)
 	// The next pass retries after an error.
 	n.ports.Commit(transaction, func(rows.Result, error) {})
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -230,10 +230,10 @@
 		if outcome.answered() {
 			s.preferred.Store(&address)
 			s.node.recordStoreReached()
-			s.node.edges.Recorder.Count("store_relays", "answered")
+			s.node.dependencies.Recorder.Count("store_relays", "answered")
 			return result, err
 		}
-		s.node.edges.Recorder.Count("store_relays", "failed")
+		s.node.dependencies.Recorder.Count("store_relays", "failed")
 		failure = lessCertain(failure, err)
 		if ctx.Err() != nil || readCanceled(attemptContext) {
 			return zero, failure
--- a/internal/node/scheduling_delay.go
+++ b/internal/node/scheduling_delay.go
@@ -76,7 +76,7 @@
 		return
 	}
 	due := n.now().Add(delaySampleInterval)
-	n.edges.Loop.After(delaySampleInterval, func() {
+	n.dependencies.Loop.After(delaySampleInterval, func() {
 		n.schedulingDelay.record(n.now().Sub(due))
 		n.sampleDelay()
 	})
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -50,7 +50,7 @@
 	if current := n.catalog.Load(); current != nil {
 		status.ConfigurationVersion = current.Version
 	}
-	err := loop.Call(ctx, n.edges.Loop, func() {
+	err := loop.Call(ctx, n.dependencies.Loop, func() {
 		status.Members = sortedKeys(n.sample.members)
 		status.EvacuatedZones = n.evacuated.Zones()
 		for _, name := range sortedKeys(n.watchers) {
--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -13,10 +13,10 @@
 // watchSuspensions logs each suspension of the machine after it ends.
 func (n *Node) watchSuspensions() {
 	before := uptime.Suspended()
-	n.edges.Loop.After(suspensionCheckInterval, func() {
+	n.dependencies.Loop.After(suspensionCheckInterval, func() {
 		uptime.Refresh()
 		if suspended := uptime.Suspended() - before; suspended >= minLoggedSuspension {
-			n.edges.Recorder.LogEvent("machine resumed from suspension", "for_ms", suspended.Milliseconds())
+			n.dependencies.Recorder.LogEvent("machine resumed from suspension", "for_ms", suspended.Milliseconds())
 		}
 		n.watchSuspensions()
 	})
