--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -25,7 +25,7 @@
 		n.applyEvacuations(evacuation.NewSet(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 		n.follow(subscription{
 			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
-			onAnswer: n.handleOperatorFeed, onEnd: n.readConfiguration,
+			onResponse: n.handleOperatorFeed, onEnd: n.readConfiguration,
 		}, listing.Version)
 	})
 }
--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -73,10 +73,10 @@
 
 func (n *Node) downloadChunk(address string) {
 	request := chunkRequest{Version: n.download.version, Offset: len(n.download.content)}
-	n.callPeerWithTimeout(chunkTimeout, address, methodChunk, request, func(answer []byte, err error) {
+	n.callPeerWithTimeout(chunkTimeout, address, methodChunk, request, func(response []byte, err error) {
 		var reply chunkReply
 		if err == nil {
-			err = json.Unmarshal(answer, &reply)
+			err = json.Unmarshal(response, &reply)
 		}
 		if err != nil {
 			n.dependencies.Recorder.Count("retries", "configuration_chunk")
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -146,8 +146,8 @@
 	// wait returns how long the next feed waits for a change.
 	wait  func() time.Duration
 	apply func(rows.Row)
-	// onAnswer is called after each response with the time of the request; it may be nil.
-	onAnswer func(listing rows.Listing, requestedAt time.Time)
+	// onResponse is called after each response with the time of the request; it may be nil.
+	onResponse func(listing rows.Listing, requestedAt time.Time)
 	// needed reports whether to continue; nil means always.
 	needed func() bool
 	// onEnd is called when the subscription ends or the table must be read in full again.
@@ -176,8 +176,8 @@
 			for i := range listing.Rows {
 				s.apply(listing.Rows[i])
 			}
-			if s.onAnswer != nil {
-				s.onAnswer(listing, requestedAt)
+			if s.onResponse != nil {
+				s.onResponse(listing, requestedAt)
 			}
 			n.follow(s, listing.Version)
 		}
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -28,19 +28,19 @@
 type fakeStore struct {
 	rows       map[rows.Key]rows.Row
 	refuse     map[string]bool
-	unanswered map[string]bool
+	unresponsive map[string]bool
 	version    int64
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, unanswered: map[string]bool{}}
+	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, unresponsive: map[string]bool{}}
 }
 
 func (f *fakeStore) failure(part string) error {
 	switch {
 	case f.refuse[part]:
 		return rows.ErrNoEffect
-	case f.unanswered[part]:
+	case f.unresponsive[part]:
 		return rows.ErrOutcomeUnknown
 	}
 	return nil
@@ -135,10 +135,10 @@
 	}{
 		"no failure":               {func(*fakeStore) {}, ""},
 		"one part refuses":         {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part does not answer": {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
+		"one part does not answer": {func(f *fakeStore) { f.unresponsive[parts[0]] = true }, ""},
 		"all parts refuse":         {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"no part answers":          {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
-		"no answer, then refusals": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
+		"no part answers":          {func(f *fakeStore) { f.unresponsive = allOf(parts) }, fault.OutcomeUnknown},
+		"no answer, then refusals": {func(f *fakeStore) { f.unresponsive[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		store := newFakeStore()
@@ -219,7 +219,7 @@
 	state, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.NoError(t, err)
 	require.Equal(t, taskgraph.Completed, state)
-	store.unanswered[parts[1]] = true
+	store.unresponsive[parts[1]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.Error(t, err, "an older progress row must not be returned while a part is unread")
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -91,10 +91,10 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	answer := func(context.Context, *peerpb.Request) ([]byte, error) {
+	servePing := func(context.Context, *peerpb.Request) ([]byte, error) {
 		return json.Marshal(pingReply{Owner: true, configurationStatus: configurationStatus{Version: 1}})
 	}
-	go func() { _ = peer.NewServer(answer).Serve(listener) }()
+	go func() { _ = peer.NewServer(servePing).Serve(listener) }()
 	return listener.Addr().String()
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,12 +63,12 @@
 	// confirmedByPeer is the time as of which another node last confirmed the catalog.
 	confirmedByPeer atomic.Pointer[time.Time]
 	snapshot        atomic.Pointer[snapshot]
-	// storeAnswered is when the store last answered this node directly, storeFailed when a feed or
+	// storeRespondedAt is when the store last answered this node directly, storeFailed when a feed or
 	// a probe last failed, and storeReached when the store last answered directly or through
 	// another node.
-	storeAnswered atomic.Pointer[time.Time]
-	storeFailed   atomic.Pointer[time.Time]
-	storeReached  atomic.Pointer[time.Time]
+	storeRespondedAt atomic.Pointer[time.Time]
+	storeFailedAt   atomic.Pointer[time.Time]
+	storeReachedAt  atomic.Pointer[time.Time]
 	// storeLatency is measured on this node's own calls, reportedLatency is what a pool's owner
 	// last reported.
 	storeLatency    latencyWindow
@@ -158,8 +158,8 @@
 		return
 	}
 	now := uptime.Now()
-	n.storeReached.Store(&now)
-	silentFor := age(n.storeAnswered.Swap(&now))
+	n.storeReachedAt.Store(&now)
+	silentFor := age(n.storeRespondedAt.Swap(&now))
 	if n.storeUnavailable.CompareAndSwap(true, false) {
 		n.dependencies.Loop.Post(n.handleStoreRecovery)
 		n.dependencies.Recorder.LogEvent("store reachable again", "silent_ms", silentFor.Milliseconds())
@@ -183,7 +183,7 @@
 		return
 	}
 	now := uptime.Now()
-	n.storeFailed.Store(&now)
+	n.storeFailedAt.Store(&now)
 	if n.storeUnavailable.CompareAndSwap(false, true) {
 		n.dependencies.Loop.After(probePeriod, n.startRecoveryProbes)
 		n.feeds.cancelIdle(0)
@@ -194,27 +194,27 @@
 // recordStoreReached records a response of the store through another node.
 func (n *Node) recordStoreReached() {
 	now := uptime.Now()
-	n.storeReached.Store(&now)
+	n.storeReachedAt.Store(&now)
 }
 
 // storeAge returns how long ago the store last answered this node directly.
-func (n *Node) storeAge() time.Duration { return age(n.storeAnswered.Load()) }
+func (n *Node) storeAge() time.Duration { return age(n.storeRespondedAt.Load()) }
 
-// storeAnsweredSince reports whether the store has answered this node directly since a time.
-func (n *Node) storeAnsweredSince(at time.Time) bool {
-	answered := n.storeAnswered.Load()
-	return answered != nil && answered.After(at)
+// storeRespondedSince reports whether the store has answered this node directly since a time.
+func (n *Node) storeRespondedSince(at time.Time) bool {
+	respondedAt := n.storeRespondedAt.Load()
+	return respondedAt != nil && respondedAt.After(at)
 }
 
 // storeReachedAge returns how long ago the store last answered this node, directly or through
 // another node.
-func (n *Node) storeReachedAge() time.Duration { return age(n.storeReached.Load()) }
+func (n *Node) storeReachedAge() time.Duration { return age(n.storeReachedAt.Load()) }
 
 // storeLost reports whether the last failure of the store is more recent than its last direct
 // response.
 func (n *Node) storeLost() bool {
-	answered, failed := n.storeAnswered.Load(), n.storeFailed.Load()
-	return failed != nil && (answered == nil || failed.After(*answered))
+	respondedAt, failedAt := n.storeRespondedAt.Load(), n.storeFailedAt.Load()
+	return failedAt != nil && (respondedAt == nil || failedAt.After(*respondedAt))
 }
 
 const unknownAge = time.Hour
--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -36,35 +36,35 @@
 
 // Scan implements rows.Store.
 func (s *observedStore) Scan(ctx context.Context, table, part, prefix string) (rows.Listing, error) {
-	ctx, answer := s.observe(ctx, table)
+	ctx, response := s.observe(ctx, table)
 	listing, err := s.Store.Scan(ctx, table, part, prefix)
-	s.recordLatency(answer.requestedAt, err)
-	return answer.finish(listing, err)
+	s.recordLatency(response.requestedAt, err)
+	return response.finish(listing, err)
 }
 
 // Page implements rows.Store.
 func (s *observedStore) Page(ctx context.Context, table, part, from string, limit int) (rows.Listing, error) {
-	ctx, answer := s.observe(ctx, table)
+	ctx, response := s.observe(ctx, table)
 	listing, err := s.Store.Page(ctx, table, part, from, limit)
-	s.recordLatency(answer.requestedAt, err)
-	return answer.finish(listing, err)
+	s.recordLatency(response.requestedAt, err)
+	return response.finish(listing, err)
 }
 
 // Feed implements rows.Store.
 func (s *observedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
-	ctx, answer := s.observe(ctx, table)
+	ctx, response := s.observe(ctx, table)
 	listing, err := s.Store.Feed(ctx, table, after, wait)
-	return answer.finish(listing, err)
+	return response.finish(listing, err)
 }
 
 // observe returns a context that tracks the response to a call about a table.
-func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedAnswer) {
-	answer := &observedAnswer{node: s.node, table: table, requestedAt: uptime.Now()}
-	return progress.WithObserver(ctx, answer.recordBytes), answer
+func (s *observedStore) observe(ctx context.Context, table string) (context.Context, *observedResponse) {
+	response := &observedResponse{node: s.node, table: table, requestedAt: uptime.Now()}
+	return progress.WithObserver(ctx, response.recordBytes), response
 }
 
-// observedAnswer tracks the receipt of one response.
-type observedAnswer struct {
+// observedResponse tracks the receipt of one response.
+type observedResponse struct {
 	node        *Node
 	table       string
 	requestedAt time.Time
@@ -73,25 +73,25 @@
 	firstByteAt atomic.Pointer[time.Time]
 }
 
-func (a *observedAnswer) recordBytes(bytes int) {
-	a.bytes.Add(int64(bytes))
+func (r *observedResponse) recordBytes(bytes int) {
+	r.bytes.Add(int64(bytes))
 	now := uptime.Now()
-	a.firstByteAt.CompareAndSwap(nil, &now)
-	a.node.recordStoreResult(nil)
+	r.firstByteAt.CompareAndSwap(nil, &now)
+	r.node.recordStoreResult(nil)
 }
 
 // finish sets AsOf of a listing to the arrival of its first byte. The store had composed it by
 // then, however long the rest took to arrive.
-func (a *observedAnswer) finish(listing rows.Listing, err error) (rows.Listing, error) {
-	firstByteAt := a.firstByteAt.Load()
+func (r *observedResponse) finish(listing rows.Listing, err error) (rows.Listing, error) {
+	firstByteAt := r.firstByteAt.Load()
 	listing.AsOf = uptime.Now()
 	if firstByteAt != nil {
 		listing.AsOf = *firstByteAt
 	}
 	if err != nil && firstByteAt != nil {
-		a.node.dependencies.Recorder.Count("answers_given_up", a.table)
-		a.node.dependencies.Recorder.LogEvent("store response abandoned", "table", a.table, "bytes", a.bytes.Load(),
-			"after_ms", uptime.Since(a.requestedAt).Milliseconds(), "reason", err.Error())
+		r.node.dependencies.Recorder.Count("answers_given_up", r.table)
+		r.node.dependencies.Recorder.LogEvent("store response abandoned", "table", r.table, "bytes", r.bytes.Load(),
+			"after_ms", uptime.Since(r.requestedAt).Milliseconds(), "reason", err.Error())
 	}
 	return listing, err
 }
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -90,12 +90,12 @@
 	storeLossTimeout = 2200 * time.Millisecond
 	// failingStoreLossTimeout replaces storeLossTimeout for nodes whose feeds fail.
 	failingStoreLossTimeout = 700 * time.Millisecond
-	// answerStallTimeout bounds the time without progress in a response that has begun. It is
+	// responseStallTimeout bounds the time without progress in a response that has begun. It is
 	// longer than a retransmission or throttling by a processor quota.
-	answerStallTimeout = 1500 * time.Millisecond
-	// answerTimeout bounds a response as a whole. The largest one, 16 MiB, takes 14 s on a link of
+	responseStallTimeout = 1500 * time.Millisecond
+	// responseTimeout bounds a response as a whole. The largest one, 16 MiB, takes 14 s on a link of
 	// 10 Mbit/s, which may be shared.
-	answerTimeout = 60 * time.Second
+	responseTimeout = 60 * time.Second
 	// takeoverRankDelay is the delay between nodes of consecutive takeover ranks.
 	takeoverRankDelay = 200 * time.Millisecond
 	retryPause        = 200 * time.Millisecond
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -98,9 +98,9 @@
 	n := newWatchingNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
-	answer := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
+	handleResult := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
 	n.applyLeaseOf("node-3", 6)
-	answer(false)
+	handleResult(false)
 	n.watcher.failures = suspectAfterFailures
 	n.loop.advance(time.Minute)
 	require.False(t, n.watcher.acquiring)
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -19,10 +19,10 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// partialAnswerStore sends the first byte of each response about a table at once, and the rest when
+// partialResponseStore sends the first byte of each response about a table at once, and the rest when
 // the test closes complete. It gives up when the caller does. Calls about other tables get no
 // response.
-type partialAnswerStore struct {
+type partialResponseStore struct {
 	rows.Store
 	table    string
 	listing  rows.Listing
@@ -30,11 +30,11 @@
 	complete chan struct{}
 }
 
-func newPartialAnswerStore(table string, listing rows.Listing) *partialAnswerStore {
-	return &partialAnswerStore{table: table, listing: listing, started: make(chan struct{}, 16), complete: make(chan struct{})}
+func newPartialResponseStore(table string, listing rows.Listing) *partialResponseStore {
+	return &partialResponseStore{table: table, listing: listing, started: make(chan struct{}, 16), complete: make(chan struct{})}
 }
 
-func (s *partialAnswerStore) answer(ctx context.Context, table string) (rows.Listing, error) {
+func (s *partialResponseStore) respond(ctx context.Context, table string) (rows.Listing, error) {
 	if table != s.table {
 		<-ctx.Done()
 		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrOutcomeUnknown)
@@ -49,12 +49,12 @@
 	}
 }
 
-func (s *partialAnswerStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
-	return s.answer(ctx, table)
+func (s *partialResponseStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
+	return s.respond(ctx, table)
 }
 
-func (s *partialAnswerStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
-	return s.answer(ctx, table)
+func (s *partialResponseStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
+	return s.respond(ctx, table)
 }
 
 // receiveBytes simulates the arrival of some bytes of a response.
@@ -82,7 +82,7 @@
 // TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its response when idle
 // feeds are canceled.
 func TestReceivingFeedIsNotCanceled(t *testing.T) {
-	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
+	store := newPartialResponseStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	ended := make(chan error, 1)
 	go func() {
@@ -98,7 +98,7 @@
 // TestReceivedBytesKeepStoreFromBeingLost: small calls that time out behind a large response must
 // not make the node lose the store.
 func TestReceivedBytesKeepStoreFromBeingLost(t *testing.T) {
-	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
+	store := newPartialResponseStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	require.Equal(t, unknownAge, n.storeAge())
 	go func() { _, _ = n.store.Feed(context.Background(), "t", 1, time.Hour) }()
@@ -126,7 +126,7 @@
 // TestListingIsDatedByItsFirstByte: the time a response takes to arrive must count towards the age
 // of the configuration, or a revoked key may be accepted.
 func TestListingIsDatedByItsFirstByte(t *testing.T) {
-	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
+	store := newPartialResponseStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
 	n.dependencies.Loop.Post(n.readConfiguration)
 	<-store.started
@@ -137,18 +137,18 @@
 	require.False(t, n.confirmed.Load().After(begun), "confirmed as of %v after the first byte", n.confirmed.Load().Sub(begun))
 }
 
-// slowAnswerStore sends its responses slowly but without stalling.
-type slowAnswerStore struct{ rows.Store }
+// slowResponseStore sends its responses slowly but without stalling.
+type slowResponseStore struct{ rows.Store }
 
-func (s slowAnswerStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
-	return s.answer(ctx, storeTimeout+200*time.Millisecond)
+func (s slowResponseStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
+	return s.respond(ctx, storeTimeout+200*time.Millisecond)
 }
 
-func (s slowAnswerStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
-	return s.answer(ctx, wait+feedSlack+200*time.Millisecond)
+func (s slowResponseStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
+	return s.respond(ctx, wait+feedSlack+200*time.Millisecond)
 }
 
-func (slowAnswerStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
+func (slowResponseStore) respond(ctx context.Context, takes time.Duration) (rows.Listing, error) {
 	for startedAt := time.Now(); time.Since(startedAt) < takes; {
 		receiveBytes(ctx, 8<<10)
 		time.Sleep(10 * time.Millisecond)
@@ -160,7 +160,7 @@
 }
 
 func TestSlowResponsesAreWaitedFor(t *testing.T) {
-	n := runningNode(t, slowAnswerStore{}, peer.NewClient(nil))
+	n := runningNode(t, slowResponseStore{}, peer.NewClient(nil))
 	calls := map[string]func(done func(rows.Listing, error)){
 		"scan":                      func(done func(rows.Listing, error)) { n.ports.Scan(pool.JobTable, "part", "", done) },
 		"feed":                      func(done func(rows.Listing, error)) { n.ports.feedFor(pool.JobTable, 1, 0, done) },
@@ -169,9 +169,9 @@
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			answers := make(chan error, 1)
-			call(func(_ rows.Listing, err error) { answers <- err })
-			require.NoError(t, <-answers)
+			results := make(chan error, 1)
+			call(func(_ rows.Listing, err error) { results <- err })
+			require.NoError(t, <-results)
 		})
 	}
 }
@@ -212,9 +212,9 @@
 			n := runningNode(t, c.own, peer.NewClient(nil))
 			address := servePeers(t, newGateway(t, c.others).node)
 			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
-			answers := make(chan error, 1)
-			n.ports.Commit(large, func(_ rows.Result, err error) { answers <- err })
-			require.NoError(t, <-answers)
+			results := make(chan error, 1)
+			n.ports.Commit(large, func(_ rows.Result, err error) { results <- err })
+			require.NoError(t, <-results)
 		})
 	}
 }
@@ -237,7 +237,7 @@
 // to it is slow.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
-	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "slow link": &fixedStore{listing: listing}} {
+	for name, others := range map[string]rows.Store{"slow store": slowResponseStore{}, "slow link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
 			small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -54,7 +54,7 @@
 // progressTimeout lets a response whose first byte arrives within limit continue while it makes
 // progress. Abandoning and repeating large responses would saturate slow links.
 func progressTimeout(limit time.Duration) progress.Timeouts {
-	return progress.Timeouts{FirstByte: limit, Idle: answerStallTimeout, Total: max(limit, answerTimeout)}
+	return progress.Timeouts{FirstByte: limit, Idle: responseStallTimeout, Total: max(limit, responseTimeout)}
 }
 
 // fixedTimeout bounds a call as a whole.
@@ -82,7 +82,7 @@
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	// The store applies timeouts to the direct and the relayed scan separately.
-	runPaced(p, scanEstimateBytes, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
+	runPaced(p, scanEstimateBytes, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
 		p.pacer.Charge(max(0, listing.Bytes()-scanEstimateBytes))
 		return listing, err
@@ -95,7 +95,7 @@
 
 // page reads up to limit rows of a partition, starting at a name.
 func (p *ports) page(table, part, from string, limit int, done func(rows.Listing, error)) {
-	runAsync(p, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Page(ctx, table, part, from, limit)
 	}, done)
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 	defer cancel()
 	_, err := n.probe(ctx)
-	if !n.storeAnsweredSince(startedAt) {
+	if !n.storeRespondedSince(startedAt) {
 		n.recordStoreFailure(err)
 	}
 	n.currentProbe.Store(nil)
@@ -86,10 +86,10 @@
 		return
 	}
 	n.recoveryProbing = true
-	n.probeUntilAnswered()
+	n.probeUntilResponse()
 }
 
-func (n *Node) probeUntilAnswered() {
+func (n *Node) probeUntilResponse() {
 	if !n.storeLost() {
 		n.recoveryProbing = false
 		return
@@ -99,6 +99,6 @@
 		defer cancel()
 		// recordStoreResult records a success; a failure is followed by the next probe.
 		_, _ = n.probe(ctx)
-		n.dependencies.Loop.After(probePeriod, n.probeUntilAnswered)
+		n.dependencies.Loop.After(probePeriod, n.probeUntilResponse)
 	}()
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -130,8 +130,8 @@
 	err    error
 }
 
-// answered reports whether the outcome is the store's own response.
-func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired) }
+// hasResponse reports whether the outcome is the store's own response.
+func (a *attempt[T]) hasResponse() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired) }
 
 // callTimeouts bound the wait for the first byte of a response.
 type callTimeouts struct {
@@ -163,7 +163,7 @@
 	var direct *attempt[T]
 	select {
 	case first := <-attempts:
-		if first.answered() || ctx.Err() != nil {
+		if first.hasResponse() || ctx.Err() != nil {
 			return first.result, first.err
 		}
 		direct = &first
@@ -180,18 +180,18 @@
 		result, err := relay(ctx, s, timeouts, call)
 		attempts <- attempt[T]{result, err}
 	}()
-	return firstAnswer(attempts, direct)
+	return firstResponse(attempts, direct)
 }
 
-// firstAnswer returns the first response of two attempts, one of which may already have failed.
-func firstAnswer[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
+// firstResponse returns the first response of two attempts, one of which may already have failed.
+func firstResponse[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
 	first := <-attempts
-	if first.answered() {
+	if first.hasResponse() {
 		return first.result, first.err
 	}
 	if failed == nil {
 		second := <-attempts
-		if second.answered() {
+		if second.hasResponse() {
 			return second.result, second.err
 		}
 		failed = &second
@@ -227,7 +227,7 @@
 		ended()
 		cancel()
 		outcome := attempt[T]{result, err}
-		if outcome.answered() {
+		if outcome.hasResponse() {
 			s.preferred.Store(&address)
 			s.node.recordStoreReached()
 			s.node.dependencies.Recorder.Count("store_relays", "answered")
