--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -21,7 +21,7 @@
 		for i := range listing.Rows {
 			n.applyConfiguration(listing.Rows[i])
 		}
-		n.confirm(listing.AsOf)
+		n.recordConfirmation(listing.AsOf)
 		n.applyEvacuations(evacuation.NewSet(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 		n.follow(subscription{
 			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
@@ -56,10 +56,10 @@
 	}
 }
 
-// confirm records that the configuration was the newest at the given time.
-func (n *Node) confirm(at time.Time) {
-	if known := n.confirmed.Load(); known == nil || at.After(*known) {
-		n.confirmed.Store(&at)
+// recordConfirmation records that the configuration was the newest at the given time.
+func (n *Node) recordConfirmation(at time.Time) {
+	if known := n.confirmedAt.Load(); known == nil || at.After(*known) {
+		n.confirmedAt.Store(&at)
 	}
 }
 
--- a/internal/node/configuration_status.go
+++ b/internal/node/configuration_status.go
@@ -24,14 +24,14 @@
 		return
 	}
 	at := requestedAt.Add(-time.Duration(status.AgeMillis) * time.Millisecond)
-	n.confirm(at)
-	n.confirmedByPeer.Store(&at)
+	n.recordConfirmation(at)
+	n.confirmedByPeerAt.Store(&at)
 }
 
 // currentConfigurationStatus returns the status that this node reports. It may be called from any
 // goroutine.
 func (n *Node) currentConfigurationStatus() configurationStatus {
-	status := configurationStatus{AgeMillis: age(n.confirmed.Load()).Milliseconds()}
+	status := configurationStatus{AgeMillis: age(n.confirmedAt.Load()).Milliseconds()}
 	if current := n.catalog.Load(); current != nil {
 		status.Version = current.Version
 	}
@@ -52,7 +52,7 @@
 		// No response of the store is pending.
 		limit = staleConfirmationAge
 	}
-	confirmedAge := age(n.confirmed.Load())
+	confirmedAge := age(n.confirmedAt.Load())
 	if confirmedAge > limit {
 		others := n.otherMembersExcept("")
 		requestedAt := uptime.Now()
--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -115,7 +115,7 @@
 	n := New(ctx, Options{Name: "node-1"}, Dependencies{
 		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
 	})
-	n.sample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
+	n.memberSample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
 	own.Post(n.Start)
 	go own.Run(ctx)
 
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -10,7 +10,7 @@
 // handleOperatorFeed handles a response of the feed of the operators' rows after its rows are
 // applied: the configuration and the evacuations are current as of it.
 func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
-	n.confirm(listing.AsOf)
+	n.recordConfirmation(listing.AsOf)
 	n.applyEvacuations(n.evacuated.Apply(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 }
 
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -114,11 +114,11 @@
 // configurationFeedWait returns the wait of the next configuration feed.
 func (n *Node) configurationFeedWait() time.Duration {
 	switch {
-	case age(n.confirmed.Load()) > staleConfirmationAge:
+	case age(n.confirmedAt.Load()) > staleConfirmationAge:
 		return immediateFeedWait
 	case len(n.owned) > 0:
 		return ownerFeedWait
-	case !n.options.DisabledMechanisms[mechanism.LongFeedPolls] && age(n.confirmedByPeer.Load()) < staleConfirmationAge:
+	case !n.options.DisabledMechanisms[mechanism.LongFeedPolls] && age(n.confirmedByPeerAt.Load()) < staleConfirmationAge:
 		return longFeedWait
 	}
 	return defaultFeedWait
@@ -127,7 +127,7 @@
 // checkConfirmation cancels long feeds once the configuration's confirmation is stale, so that the
 // store is queried at once.
 func (n *Node) checkConfirmation() {
-	confirmedAge := age(n.confirmed.Load())
+	confirmedAge := age(n.confirmedAt.Load())
 	if confirmedAge > staleConfirmationAge && !n.storeLost() {
 		n.feeds.cancelIdle(longFeedWait)
 	}
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -31,7 +31,7 @@
 // Ready reports whether the node should receive new connections.
 func (g *Gateway) Ready() bool {
 	n := g.node
-	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.MaxConfigurationAge
+	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmedAt.Load()) < n.options.MaxConfigurationAge
 }
 
 // Stopping reports whether the node is shutting down.
@@ -41,18 +41,18 @@
 func (g *Gateway) Resolve(host, path, key string) (Access, string, error) {
 	n := g.node
 	current := n.catalog.Load()
-	confirmedAge := age(n.confirmed.Load())
+	confirmedAge := age(n.confirmedAt.Load())
 	if current == nil || confirmedAge > n.options.MaxConfigurationAge {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration is missing or too old to authorize requests"))
+		return Access{}, "", g.refuseBeforeReadingBody(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration is missing or too old to authorize requests"))
 	}
 	queue := current.Match(host, path)
 	if queue == nil {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.NotFound, "no queue matches this host and path"))
+		return Access{}, "", g.refuseBeforeReadingBody(host, path, confirmedAge, fault.New(fault.NotFound, "no queue matches this host and path"))
 	}
 	access := Access{Queue: *queue}
 	tenant, known := current.TenantOf(key)
 	if !known && !queue.Public {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the API key is unknown and the queue is not public"))
+		return Access{}, "", g.refuseBeforeReadingBody(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the API key is unknown and the queue is not public"))
 	}
 	access.Tenant = tenant
 	return access, path[len(queue.PathPrefix):], nil
@@ -61,9 +61,9 @@
 // maxLoggedPathBytes bounds the logged part of a refused request's path.
 const maxLoggedPathBytes = 200
 
-// refuseUnread logs and counts the refusal of a request whose body was not read. The job's
+// refuseBeforeReadingBody logs and counts the refusal of a request whose body was not read. The job's
 // identifier is taken from the end of the path.
-func (g *Gateway) refuseUnread(host, path string, confirmedAge time.Duration, err *fault.Error) error {
+func (g *Gateway) refuseBeforeReadingBody(host, path string, confirmedAge time.Duration, err *fault.Error) error {
 	var version int64
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -115,7 +115,7 @@
 	}
 	current.Index()
 	n.catalog.Store(current)
-	n.confirm(time.Now())
+	n.recordConfirmation(time.Now())
 	return NewGateway(n)
 }
 
@@ -253,7 +253,7 @@
 	_, _, err = gateway.Resolve("other", "/q/x", "key")
 	require.True(t, fault.IsKind(err, fault.NotFound), "%v", err)
 	old := time.Now().Add(-2 * time.Hour)
-	gateway.node.confirmed.Store(&old)
+	gateway.node.confirmedAt.Store(&old)
 	_, _, err = gateway.Resolve("h", "/q/x", "key")
 	require.True(t, fault.IsKind(err, fault.ConfigurationStale), "a key that may have been revoked must be refused: %v", err)
 	require.False(t, gateway.Ready())
@@ -263,8 +263,8 @@
 	gateway := newGateway(t, newFakeStore())
 	n := gateway.node
 	n.options.Weight = 0.2
-	n.sample.members["node-2"] = member{Name: "node-2", Weight: 0.8}
-	n.sample.members["node-3"] = member{Name: "node-3", Weight: 0.1}
+	n.memberSample.members["node-2"] = member{Name: "node-2", Weight: 0.8}
+	n.memberSample.members["node-3"] = member{Name: "node-3", Weight: 0.1}
 	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
--- a/internal/node/indirect_check.go
+++ b/internal/node/indirect_check.go
@@ -24,9 +24,9 @@
 	}
 	pending, seen := len(checkers), false
 	for _, other := range checkers {
-		n.callPeer(other.Address, methodSeen, pingRequest{Pool: w.pool}, func(document []byte, err error) {
+		n.callPeer(other.Address, methodIndirectCheck, pingRequest{Pool: w.pool}, func(document []byte, err error) {
 			pending--
-			var reply seenReply
+			var reply indirectCheckReply
 			if err == nil && json.Unmarshal(document, &reply) == nil {
 				seen = seen || reply.Seen
 			}
@@ -51,8 +51,8 @@
 	return standbys[:min(indirectCheckCount, len(standbys))]
 }
 
-// seenReply says whether a node reaches a pool's owner.
-type seenReply struct {
+// indirectCheckReply says whether a node reaches a pool's owner.
+type indirectCheckReply struct {
 	Seen bool `json:"seen"`
 }
 
@@ -60,9 +60,9 @@
 // has missed two replies exceeds it.
 const seenMaxAge = 600 * time.Millisecond
 
-// serveSeen answers an indirect check of a pool's owner.
-func (n *Node) serveSeen(ctx context.Context, request pingRequest) (seenReply, error) {
-	var reply seenReply
+// serveIndirectCheck answers an indirect check of a pool's owner.
+func (n *Node) serveIndirectCheck(ctx context.Context, request pingRequest) (indirectCheckReply, error) {
+	var reply indirectCheckReply
 	err := loop.Call(ctx, n.dependencies.Loop, func() {
 		w := n.watchers[request.Pool]
 		reply.Seen = n.owned[request.Pool] != nil ||
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -16,7 +16,7 @@
 	if len(n.owned) > 0 {
 		return true
 	}
-	if n.sample.readAt.IsZero() {
+	if n.memberSample.readAt.IsZero() {
 		// The takeover order is not known before the first sample.
 		return false
 	}
@@ -50,11 +50,11 @@
 
 func (n *Node) followLeasesFrom(version int64) {
 	n.follow(subscription{
-		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leaseFeedWait, apply: n.applyNodeRow,
+		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leaseFeedWait, apply: n.applyLeaseTableRow,
 		needed: n.shouldFollowLeases,
 		onEnd: func() {
 			// The history may no longer reach back to the version of the sample.
-			n.followingLeases, n.sample.version = false, 0
+			n.followingLeases, n.memberSample.version = false, 0
 			n.followLeases()
 		},
 	}, version)
@@ -63,10 +63,10 @@
 // recentSampleVersion returns the version from which member rows must be followed so that no change
 // is missed, or 0 if the sample is too old.
 func (n *Node) recentSampleVersion() int64 {
-	if n.now().Sub(n.sample.readAt) > minRefreshInterval {
+	if n.now().Sub(n.memberSample.readAt) > minRefreshInterval {
 		return 0
 	}
-	return n.sample.version
+	return n.memberSample.version
 }
 
 // readLease scans a pool's lease and calls done with the version of the listing.
@@ -87,7 +87,7 @@
 			return
 		}
 		for i := range listing.Rows {
-			n.applyNodeRow(listing.Rows[i])
+			n.applyLeaseTableRow(listing.Rows[i])
 		}
 		done(listing.Version)
 	})
@@ -103,17 +103,17 @@
 		// After an error the next ping starts another scan.
 		w.refreshingLease = false
 		for i := range listing.Rows {
-			n.applyNodeRow(listing.Rows[i])
+			n.applyLeaseTableRow(listing.Rows[i])
 		}
 	})
 }
 
-// applyNodeRow applies a row of the lease table, which also holds one row for each node. In small
+// applyLeaseTableRow applies a row of the lease table, which also holds one row for each node. In small
 // clusters all nodes apply these rows too and so learn of each other at once.
-func (n *Node) applyNodeRow(row rows.Row) {
+func (n *Node) applyLeaseTableRow(row rows.Row) {
 	switch {
-	case row.Part == "" && !n.sample.partial:
-		n.sample.apply(&row)
+	case row.Part == "" && !n.memberSample.partial:
+		n.memberSample.apply(&row)
 	case row.Part != "" && row.Name == pool.LeaseRow:
 		n.applyLease(row)
 	default:
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -73,9 +73,9 @@
 // memberRowName returns the name of a node's row, which sorts rows by descending weight.
 func memberRowName(m member) string {
 	// Weights are fractions of a processor with three decimal places.
-	const scale, heaviest = 1000, 999_999
-	order := heaviest - min(heaviest, int(math.Round(m.Weight*scale)))
-	return fmt.Sprintf("%06d.%016x.%s", order, xxhash.Sum64String(m.Name), m.Name)
+	const scale, maxScaledWeight = 1000, 999_999
+	weightRank := maxScaledWeight - min(maxScaledWeight, int(math.Round(m.Weight*scale)))
+	return fmt.Sprintf("%06d.%016x.%s", weightRank, xxhash.Sum64String(m.Name), m.Name)
 }
 
 // self returns this node's member record.
@@ -134,7 +134,7 @@
 // refreshMembers reads the sample unless it is being read or was read less than minRefreshInterval
 // ago.
 func (n *Node) refreshMembers() {
-	if !n.sample.reading && n.now().Sub(n.sample.readAt) >= minRefreshInterval {
+	if !n.memberSample.reading && n.now().Sub(n.memberSample.readAt) >= minRefreshInterval {
 		n.readMembers()
 	}
 }
@@ -147,12 +147,12 @@
 
 // readMembers reads the sample and retries until the store answers.
 func (n *Node) readMembers() {
-	n.sample.reading = true
+	n.memberSample.reading = true
 	pages := []samplePage{
 		{memberTable, "", candidateCount},
 		{memberTable, memberRowName(n.self()), successorCount + 1},
 	}
-	if n.sample.readAt.IsZero() {
+	if n.memberSample.readAt.IsZero() {
 		pages = append(pages, samplePage{pool.NodeTable, n.options.Name, legacyMemberCount + 1})
 	}
 	listings := make([]rows.Listing, len(pages))
@@ -190,11 +190,11 @@
 	}
 	if len(next.members) <= 1 {
 		// All other nodes run an older version; keep those that the first sample found.
-		maps.Copy(next.members, n.sample.members)
+		maps.Copy(next.members, n.memberSample.members)
 	}
 	ownRow, listed := next.members[n.options.Name]
 	missing := !listed || ownRow.Incarnation != n.options.Incarnation
-	n.sample = next
+	n.memberSample = next
 	n.publishSnapshot()
 	n.followLeases()
 	if missing {
@@ -229,9 +229,9 @@
 // order.
 func (n *Node) otherMembersExcept(excluded string) []member {
 	var others []member
-	for _, name := range sortedKeys(n.sample.members) {
+	for _, name := range sortedKeys(n.memberSample.members) {
 		if name != n.options.Name && name != excluded {
-			others = append(others, n.sample.members[name])
+			others = append(others, n.memberSample.members[name])
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -243,7 +243,7 @@
 func (n *Node) candidatesExcept(excluded string) []member {
 	var found []member
 	for _, other := range n.otherMembersExcept(excluded) {
-		if n.sample.isCandidate(other.Name) {
+		if n.memberSample.isCandidate(other.Name) {
 			found = append(found, other)
 		}
 	}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -129,14 +129,14 @@
 			})
 			require.Eventually(t, func() bool {
 				v := n.snapshot.Load()
-				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.confirmedByPeer.Load() != nil
+				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.confirmedByPeerAt.Load() != nil
 			}, time.Minute, 5*time.Millisecond)
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
 			// After two rounds of pings the node has received the changes that it follows.
-			confirmedAt := *n.confirmedByPeer.Load()
-			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
+			confirmedAt := *n.confirmedByPeerAt.Load()
+			require.Eventually(t, func() bool { return n.confirmedByPeerAt.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
 			require.LessOrEqual(t, store.returned, 2*(candidateCount+successorCount+legacyMemberCount)+8)
@@ -164,7 +164,7 @@
 	}
 	own.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
 	n.applySample(listing, own)
-	require.True(t, n.sample.partial)
+	require.True(t, n.memberSample.partial)
 }
 
 // TestNodesBeyondTheCandidatesTakePoolsLast: those with less weight try after those with more.
@@ -195,7 +195,7 @@
 	lease("node-2")
 	read := make(chan struct{})
 	onLoop(t, n, func() {
-		n.sample.partial = true
+		n.memberSample.partial = true
 		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.readLease(poolName, func(int64) { close(read) })
 	})
@@ -331,15 +331,15 @@
 		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: gone}
 	}
 	n := newWatchingNode(t, 1, nil)
-	n.applyNodeRow(row("node-2", false))
-	n.applyNodeRow(row("node-3", false))
-	n.applyNodeRow(row("node-3", true))
+	n.applyLeaseTableRow(row("node-2", false))
+	n.applyLeaseTableRow(row("node-3", false))
+	n.applyLeaseTableRow(row("node-3", true))
 	others := n.otherMembersExcept("")
 	require.Len(t, others, 1)
 	require.Equal(t, "node-2", others[0].Name)
 
-	n.sample.partial = true
-	n.applyNodeRow(row("node-4", false))
+	n.memberSample.partial = true
+	n.applyLeaseTableRow(row("node-4", false))
 	require.Len(t, n.otherMembersExcept(""), 1, "nodes of a large cluster must not be added from the lease table")
 }
 
@@ -374,7 +374,7 @@
 	store.horizon = store.version
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, func() {
-		n.sample.version, n.sample.readAt = 1, n.now()
+		n.memberSample.version, n.memberSample.readAt = 1, n.now()
 		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.followLeases()
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,10 +58,10 @@
 	// configurationTransferStart is when the first byte of the store's current response with the
 	// configuration arrived; nil if none is arriving. There is one such call at a time.
 	configurationTransferStart atomic.Pointer[time.Time]
-	// confirmed is when the catalog was last known to be the newest.
-	confirmed atomic.Pointer[time.Time]
-	// confirmedByPeer is the time as of which another node last confirmed the catalog.
-	confirmedByPeer atomic.Pointer[time.Time]
+	// confirmedAt is when the catalog was last known to be the newest.
+	confirmedAt atomic.Pointer[time.Time]
+	// confirmedByPeerAt is the time as of which another node last confirmed the catalog.
+	confirmedByPeerAt atomic.Pointer[time.Time]
 	snapshot        atomic.Pointer[snapshot]
 	// storeRespondedAt is when the store last answered this node directly, storeFailed when a feed or
 	// a probe last failed, and storeReached when the store last answered directly or through
@@ -82,7 +82,7 @@
 	// recoveryProbing is true while the node probes a lost store for its recovery.
 	recoveryProbing bool
 
-	sample memberSample
+	memberSample memberSample
 	// joining is true while this node's rows are being written.
 	joining bool
 	leases  map[string]versionedLease
@@ -106,7 +106,7 @@
 func New(ctx context.Context, options Options, dependencies Dependencies) *Node {
 	n := &Node{
 		options: options, dependencies: dependencies,
-		sample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
+		memberSample: memberSample{members: map[string]member{}}, leases: map[string]versionedLease{},
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
@@ -134,9 +134,9 @@
 
 func (n *Node) publishSnapshot() {
 	v := &snapshot{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
-	for _, name := range sortedKeys(n.sample.members) {
+	for _, name := range sortedKeys(n.memberSample.members) {
 		if name != n.options.Name {
-			v.members = append(v.members, n.sample.members[name])
+			v.members = append(v.members, n.memberSample.members[name])
 		}
 	}
 	for name, lease := range n.leases {
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -66,7 +66,7 @@
 // takeoverRank returns this node's position in the order in which nodes take over a pool: by
 // descending weight, and by a hash among nodes of equal weight.
 func (n *Node) takeoverRank(name string) int {
-	if !n.sample.isCandidate(n.options.Name) {
+	if !n.memberSample.isCandidate(n.options.Name) {
 		return maxTakeoverRank
 	}
 	self, rank := n.self(), 0
@@ -86,7 +86,7 @@
 		// The whole cluster may have just started, with no node knowing another yet.
 		return delay + rand.N(startupJitter)
 	}
-	if n.sample.isCandidate(n.options.Name) {
+	if n.memberSample.isCandidate(n.options.Name) {
 		return delay
 	}
 	for _, other := range n.candidatesExcept("") {
@@ -187,7 +187,7 @@
 			n.acquire(w, "earlier acquire took effect")
 			return
 		}
-		n.applyNodeRow(row)
+		n.applyLeaseTableRow(row)
 	}
 }
 
@@ -264,7 +264,7 @@
 	if lease.Weight > 0 {
 		return lease.Weight
 	}
-	return n.sample.members[lease.Owner].Weight
+	return n.memberSample.members[lease.Owner].Weight
 }
 
 // ownerSuspected reports whether a pool's owner should be replaced.
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -59,9 +59,9 @@
 	t.Cleanup(cancel)
 	l := &manualLoop{now: time.Now()}
 	n := New(ctx, Options{Name: "node-1", Weight: weight}, Dependencies{Store: newFakeStore(), Loop: l, Recorder: discardRecorder{}})
-	n.sample.members["node-1"] = member{Name: "node-1", Weight: weight}
+	n.memberSample.members["node-1"] = member{Name: "node-1", Weight: weight}
 	for name, other := range others {
-		n.sample.members[name] = member{Name: name, Weight: other}
+		n.memberSample.members[name] = member{Name: name, Weight: other}
 	}
 	n.watchers[poolName] = &poolWatcher{pool: poolName, leaseRead: true}
 	n.recordStoreResult(nil)
@@ -72,7 +72,7 @@
 func (n *watchingNode) applyLeaseOf(owner string, version int64) {
 	key := pool.LeaseKey(poolName)
 	value, _ := json.Marshal(pool.Lease{Owner: owner, Address: owner})
-	n.applyNodeRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
+	n.applyLeaseTableRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
 }
 
 // TestSuspicionEndsWithTheLease: a suspected owner must not cost the next, healthy owner its pool.
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -133,8 +133,8 @@
 	begun := time.Now()
 	time.Sleep(50 * time.Millisecond)
 	store.complete <- struct{}{}
-	require.Eventually(t, func() bool { return n.confirmed.Load() != nil }, time.Minute, time.Millisecond)
-	require.False(t, n.confirmed.Load().After(begun), "confirmed as of %v after the first byte", n.confirmed.Load().Sub(begun))
+	require.Eventually(t, func() bool { return n.confirmedAt.Load() != nil }, time.Minute, time.Millisecond)
+	require.False(t, n.confirmedAt.Load().After(begun), "confirmed as of %v after the first byte", n.confirmedAt.Load().Sub(begun))
 }
 
 // slowResponseStore sends its responses slowly but without stalling.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,7 +13,7 @@
 // Methods of calls between nodes.
 const (
 	methodPing                = "ping"
-	methodSeen                = "seen"
+	methodIndirectCheck                = "seen"
 	methodConfigurationStatus = "news"
 	methodLookup              = "lookup"
 	methodWaiting             = "waiting"
@@ -90,13 +90,13 @@
 	switch method {
 	case methodConfigurationStatus:
 		return n.currentConfigurationStatus(), nil
-	case methodPing, methodSeen:
+	case methodPing, methodIndirectCheck:
 		request, err := decodeBody[pingRequest](method, body)
 		if err != nil {
 			return nil, err
 		}
-		if method == methodSeen {
-			return n.serveSeen(ctx, request)
+		if method == methodIndirectCheck {
+			return n.serveIndirectCheck(ctx, request)
 		}
 		return n.servePing(ctx, request)
 	case methodStore:
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -43,8 +43,8 @@
 	direct rows.Store
 	// relayedReads are the pending reads through other nodes.
 	relayedReads cancelableReads
-	// preferred is the address of the node that last relayed a call.
-	preferred atomic.Pointer[string]
+	// preferredAddress is the address of the node that last relayed a call.
+	preferredAddress atomic.Pointer[string]
 	// noRelayUntil is when calls may be relayed again.
 	noRelayUntil atomic.Pointer[time.Time]
 }
@@ -228,7 +228,7 @@
 		cancel()
 		outcome := attempt[T]{result, err}
 		if outcome.hasResponse() {
-			s.preferred.Store(&address)
+			s.preferredAddress.Store(&address)
 			s.node.recordStoreReached()
 			s.node.dependencies.Recorder.Count("store_relays", "answered")
 			return result, err
@@ -259,7 +259,7 @@
 		}
 	}
 	var order []string
-	if preferred := s.preferred.Load(); preferred != nil {
+	if preferred := s.preferredAddress.Load(); preferred != nil {
 		order = append(order, *preferred)
 		delete(addresses, *preferred)
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -170,8 +170,8 @@
 	}
 	for name, c := range cases {
 		n := newGateway(t, newFakeStore()).node
-		n.confirmed.Store(ago(c.confirmed))
-		n.confirmedByPeer.Store(ago(c.confirmedByPeer))
+		n.confirmedAt.Store(ago(c.confirmed))
+		n.confirmedByPeerAt.Store(ago(c.confirmedByPeer))
 		if c.owner {
 			n.owned[poolName] = &pool.Pool{}
 		}
@@ -212,10 +212,10 @@
 // TestConfirmationAgesOverSlowLinks: the age of a confirmation counts from the time of the request.
 func TestConfirmationAgesOverSlowLinks(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
-	n.confirmed.Store(nil)
+	n.confirmedAt.Store(nil)
 	requestedAt := time.Now().Add(-time.Minute)
 	n.handleConfigurationStatus("", configurationStatus{Version: 1, AgeMillis: 500}, requestedAt)
-	require.Equal(t, requestedAt.Add(-500*time.Millisecond), *n.confirmed.Load())
+	require.Equal(t, requestedAt.Add(-500*time.Millisecond), *n.confirmedAt.Load())
 }
 
 // TestFeedsOfAVerySlowStoreAreWaitedFor: the slack must grow until it exceeds the latency of the
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -44,14 +44,14 @@
 	gateway := Gateway{node: n}
 	status := Status{
 		Name: n.options.Name, Ready: gateway.Ready(), Stopping: gateway.Stopping(),
-		ConfigurationAgeMillis: age(n.confirmed.Load()).Milliseconds(),
+		ConfigurationAgeMillis: age(n.confirmedAt.Load()).Milliseconds(),
 		StoreAgeMillis:         n.storeAge().Milliseconds(), StoreLost: n.storeLost(),
 	}
 	if current := n.catalog.Load(); current != nil {
 		status.ConfigurationVersion = current.Version
 	}
 	err := loop.Call(ctx, n.dependencies.Loop, func() {
-		status.Members = sortedKeys(n.sample.members)
+		status.Members = sortedKeys(n.memberSample.members)
 		status.EvacuatedZones = n.evacuated.Zones()
 		for _, name := range sortedKeys(n.watchers) {
 			status.Pools = append(status.Pools, n.poolStatus(name))
--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// least returns the minimum latency, and false if no call was answered recently.
-func (w *latencyWindow) least(now time.Time) (time.Duration, bool) {
+// minimum returns the minimum latency, and false if no call was answered recently.
+func (w *latencyWindow) minimum(now time.Time) (time.Duration, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.rotate(now)
@@ -80,11 +80,11 @@
 
 // storeLatencyMillis returns the latency that this node reports to others; 0 if it is unknown.
 func (n *Node) storeLatencyMillis() int64 {
-	least, known := n.storeLatency.least(uptime.Now())
+	minimum, known := n.storeLatency.minimum(uptime.Now())
 	if !known {
 		return 0
 	}
-	return max(1, least.Milliseconds())
+	return max(1, minimum.Milliseconds())
 }
 
 // storeSlow reports whether the store is slow for all calls, judging by this node's own calls or
@@ -92,8 +92,8 @@
 // partition or relayed through another node, as duplicates add to its load. It may be called from
 // any goroutine.
 func (n *Node) storeSlow() bool {
-	if least, known := n.storeLatency.least(uptime.Now()); known {
-		return least > slowStoreLatency
+	if minimum, known := n.storeLatency.minimum(uptime.Now()); known {
+		return minimum > slowStoreLatency
 	}
 	reported := n.reportedLatency.Load()
 	return reported != nil && uptime.Since(reported.at) < reportedLatencyMaxAge && reported.latency > slowStoreLatency
--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -90,19 +90,19 @@
 func TestLeastLatencyFollowsTheStore(t *testing.T) {
 	var window latencyWindow
 	start := time.Now()
-	_, known := window.least(start)
+	_, known := window.minimum(start)
 	require.False(t, known)
 	window.record(start, 300*time.Millisecond)
 	window.record(start, 20*time.Millisecond)
-	least, known := window.least(start)
+	least, known := window.minimum(start)
 	require.True(t, known)
 	require.Equal(t, 20*time.Millisecond, least, "one slow answer must not make the store slow")
 	later := start.Add(latencyPeriod)
 	window.record(later, 310*time.Millisecond)
 	window.record(later.Add(latencyPeriod), 320*time.Millisecond)
-	least, _ = window.least(later.Add(latencyPeriod))
+	least, _ = window.minimum(later.Add(latencyPeriod))
 	require.Equal(t, 310*time.Millisecond, least, "older periods must not count")
-	_, known = window.least(later.Add(4 * latencyPeriod))
+	_, known = window.minimum(later.Add(4 * latencyPeriod))
 	require.False(t, known)
 }
 
