--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -93,13 +93,13 @@
 // maxFeedDoublings is enough doublings to reach maxFeedSlack.
 const maxFeedDoublings = 4
 
-// feedSlack returns how long after its wait a feed may still be answered.
-func (n *Node) feedSlack() time.Duration {
-	slack := feedSlack
+// currentFeedGrace returns how long after its wait a feed may still be answered.
+func (n *Node) currentFeedGrace() time.Duration {
+	grace := feedGrace
 	for range min(n.feedFailures.Load(), maxFeedDoublings) {
-		slack *= 2
+		grace *= 2
 	}
-	return min(slack, maxFeedSlack)
+	return min(grace, maxFeedGrace)
 }
 
 // recordFeedResult counts consecutive direct feeds that were not answered in time.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
-	n.ports = &ports{ctx: ctx, node: n, pacer: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
+	n.ports = &ports{ctx: ctx, node: n, rateLimiter: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(dependencies.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: dependencies.Store, node: n}}
 	n.snapshot.Store(&snapshot{})
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -61,11 +61,11 @@
 const (
 	// feedWait is how long an owner's feeds of jobs and workers wait for a change.
 	feedWait = time.Second
-	// feedSlack is how long after its wait a feed may still be answered. It doubles with each
+	// feedGrace is how long after its wait a feed may still be answered. It doubles with each
 	// consecutive feed without a response, up to maxFeedSlack, so that a very slow store can still
 	// be followed.
-	feedSlack    = 800 * time.Millisecond
-	maxFeedSlack = 3200 * time.Millisecond
+	feedGrace    = 800 * time.Millisecond
+	maxFeedGrace = 3200 * time.Millisecond
 	// storeTimeout bounds a transaction of the control loop, in addition to the time it takes to
 	// send, and the wait for the first byte of a scan. An overloaded store queues calls for up to a
 	// second before it refuses them.
@@ -75,8 +75,8 @@
 	submitTimeout = 1200 * time.Millisecond
 	// orderTimeout bounds an order to a worker, which replies in some 2 ms.
 	orderTimeout = 350 * time.Millisecond
-	// pollSlack is how long after its wait a poll may still be answered.
-	pollSlack = 400 * time.Millisecond
+	// pollGrace is how long after its wait a poll may still be answered.
+	pollGrace = 400 * time.Millisecond
 	// pingPeriod and standbyPingPeriod are the intervals between pings of an owner. With
 	// pingTimeout a standby detects an unresponsive owner in 0.65 to 0.9 s; throttling by a
 	// processor quota stops a process for at most 0.1 s.
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -145,7 +145,7 @@
 }
 
 func (s slowResponseStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
-	return s.respond(ctx, wait+feedSlack+200*time.Millisecond)
+	return s.respond(ctx, wait+feedGrace+200*time.Millisecond)
 }
 
 func (slowResponseStore) respond(ctx context.Context, takes time.Duration) (rows.Listing, error) {
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -15,8 +15,8 @@
 type ports struct {
 	ctx  context.Context
 	node *Node
-	// pacer limits the rate of orders and reads on the machine's link.
-	pacer *ratelimit.Limiter
+	// rateLimiter limits the rate of orders and reads on the machine's link.
+	rateLimiter *ratelimit.Limiter
 }
 
 // An owner's orders and reads come in bursts: a start and a poll for each task of a wide step, or
@@ -34,18 +34,18 @@
 	scanEstimateBytes = 4 << 10
 )
 
-// runPaced is runAsync after the rate limiter admits the given bytes. The timeouts start then.
-func runPaced[T any](p *ports, bytes int, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+// runRateLimited is runAsync after the rate limiter admits the given bytes. The timeouts start then.
+func runRateLimited[T any](p *ports, bytes int, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
-		if err := p.pacer.Wait(p.ctx, bytes); err == nil {
-			runWithin(p, bounds, work, done)
+		if err := p.rateLimiter.Wait(p.ctx, bytes); err == nil {
+			runWithTimeouts(p, timeouts, work, done)
 		}
 	}()
 }
 
-// runWithin calls work with the given timeouts and posts its result.
-func runWithin[T any](p *ports, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
-	ctx, cancel := progress.WithTimeouts(p.ctx, bounds)
+// runWithTimeouts calls work with the given timeouts and posts its result.
+func runWithTimeouts[T any](p *ports, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+	ctx, cancel := progress.WithTimeouts(p.ctx, timeouts)
 	defer cancel()
 	result, err := work(ctx)
 	p.node.dependencies.Loop.Post(func() { done(result, err) })
@@ -63,14 +63,14 @@
 }
 
 // runAsync calls work on a separate goroutine and posts its result.
-func runAsync[T any](p *ports, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
-	go runWithin(p, bounds, work, done)
+func runAsync[T any](p *ports, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+	go runWithTimeouts(p, timeouts, work, done)
 }
 
 // Commit implements pool.Ports.
 func (p *ports) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	limit := storeTimeout + relayHops*rows.SendTime(transaction)
-	runPaced(p, transaction.Bytes(), progressTimeout(limit), func(ctx context.Context) (rows.Result, error) {
+	runRateLimited(p, transaction.Bytes(), progressTimeout(limit), func(ctx context.Context) (rows.Result, error) {
 		return p.commit(ctx, transaction)
 	}, done)
 }
@@ -82,9 +82,9 @@
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	// The store applies timeouts to the direct and the relayed scan separately.
-	runPaced(p, scanEstimateBytes, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
+	runRateLimited(p, scanEstimateBytes, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
-		p.pacer.Charge(max(0, listing.Bytes()-scanEstimateBytes))
+		p.rateLimiter.Charge(max(0, listing.Bytes()-scanEstimateBytes))
 		return listing, err
 	}, done)
 }
@@ -107,7 +107,7 @@
 
 // feedFor is Feed with the given wait.
 func (p *ports) feedFor(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
-	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, progressTimeout(wait+p.node.currentFeedGrace()), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Feed(ctx, table, after, wait)
 	}, done)
 }
@@ -116,16 +116,16 @@
 // (downloadConfiguration).
 func (p *ports) scanDirect(table, part string, done func(rows.Listing, error)) {
 	runAsync(p, progressTimeout(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
-		ctx, ended := p.node.trackStoreTransfer(ctx)
-		defer ended()
+		ctx, stopTracking := p.node.trackStoreTransfer(ctx)
+		defer stopTracking()
 		return p.node.store.scanDirect(ctx, table, part)
 	}, done)
 }
 
 func (p *ports) feedDirect(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
-	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
-		ctx, ended := p.node.trackStoreTransfer(ctx)
-		defer ended()
+	runAsync(p, progressTimeout(wait+p.node.currentFeedGrace()), func(ctx context.Context) (rows.Listing, error) {
+		ctx, stopTracking := p.node.trackStoreTransfer(ctx)
+		defer stopTracking()
 		return p.node.store.feedDirect(ctx, table, after, wait)
 	}, done)
 }
@@ -133,7 +133,7 @@
 // Start implements pool.Ports.
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runRateLimited(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.dependencies.Workers.Start(ctx, &target, order)
 	}, done)
 }
@@ -141,7 +141,7 @@
 // Stop implements pool.Ports.
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runRateLimited(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.dependencies.Workers.Stop(ctx, &target, order)
 	}, done)
 }
@@ -149,7 +149,7 @@
 // Poll implements pool.Ports.
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+pollSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+	runRateLimited(p, orderOverheadBytes, progressTimeout(order.Wait+pollGrace+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
 		return p.node.dependencies.Workers.Poll(ctx, &target, order)
 	}, done)
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -105,8 +105,8 @@
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
 	}
-	ctx, done := s.node.feeds.add(ctx, wait)
-	defer done()
+	ctx, unregister := s.node.feeds.add(ctx, wait)
+	defer unregister()
 	listing, err := s.direct.Feed(ctx, table, after, wait)
 	if err != nil && readCanceled(ctx) {
 		return listing, errors.Mark(errReadCanceled, rows.ErrOutcomeUnknown)
@@ -219,12 +219,12 @@
 	}
 	for _, address := range s.relayAddresses() {
 		attemptContext, cancel := progress.WithTimeouts(ctx, progressTimeout(timeouts.relayed))
-		ended := func() {}
+		unregister := func() {}
 		if timeouts.readOnly {
-			attemptContext, ended = s.relayedReads.add(attemptContext, timeouts.relayed)
+			attemptContext, unregister = s.relayedReads.add(attemptContext, timeouts.relayed)
 		}
 		result, err := call(attemptContext, &peerStore{node: s.node, address: address})
-		ended()
+		unregister()
 		cancel()
 		outcome := attempt[T]{result, err}
 		if outcome.hasResponse() {
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -222,13 +222,13 @@
 // store.
 func TestFeedsOfAVerySlowStoreAreWaitedFor(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
-	require.Equal(t, feedSlack, n.feedSlack())
+	require.Equal(t, feedGrace, n.currentFeedGrace())
 	n.recordFeedResult(rows.ErrOutcomeUnknown)
-	require.Equal(t, 2*feedSlack, n.feedSlack())
+	require.Equal(t, 2*feedGrace, n.currentFeedGrace())
 	for range 40 {
 		n.recordFeedResult(rows.ErrOutcomeUnknown)
 	}
-	require.Equal(t, maxFeedSlack, n.feedSlack())
+	require.Equal(t, maxFeedGrace, n.currentFeedGrace())
 	n.recordFeedResult(rows.ErrHistoryExpired)
-	require.Equal(t, feedSlack, n.feedSlack())
+	require.Equal(t, feedGrace, n.currentFeedGrace())
 }
--- a/internal/node/scheduling_delay.go
+++ b/internal/node/scheduling_delay.go
@@ -33,27 +33,27 @@
 }
 
 // record adds a sample.
-func (l *schedulingDelay) record(delay time.Duration) {
-	l.samples[l.next] = delay
-	l.next = (l.next + 1) % delaySampleCount
+func (d *schedulingDelay) record(delay time.Duration) {
+	d.samples[d.next] = delay
+	d.next = (d.next + 1) % delaySampleCount
 	maximum := time.Duration(0)
-	for _, sample := range l.samples {
+	for _, sample := range d.samples {
 		maximum = max(maximum, sample)
 	}
-	l.maximum.Store(int64(maximum))
+	d.maximum.Store(int64(maximum))
 }
 
 // reset stops sampling and clears the samples.
-func (l *schedulingDelay) reset() {
-	l.sampling = false
-	l.samples = [delaySampleCount]time.Duration{}
-	l.maximum.Store(0)
+func (d *schedulingDelay) reset() {
+	d.sampling = false
+	d.samples = [delaySampleCount]time.Duration{}
+	d.maximum.Store(0)
 }
 
 // timeoutExtension returns how much longer a call to a worker may take. It may be called from any
 // goroutine.
-func (l *schedulingDelay) timeoutExtension() time.Duration {
-	maximum := time.Duration(l.maximum.Load())
+func (d *schedulingDelay) timeoutExtension() time.Duration {
+	maximum := time.Duration(d.maximum.Load())
 	if maximum < minSchedulingDelay {
 		return 0
 	}
