--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -110,14 +110,14 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	own := loop.NewGoroutine()
+	eventLoop := loop.NewGoroutine()
 	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
 	n := New(ctx, Options{Name: "node-1"}, Dependencies{
-		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
+		Store: refusingStore{}, Peers: peer.NewClient(slowLink.dial), Codec: jsonCodec{}, Loop: eventLoop, Recorder: discardRecorder{},
 	})
 	n.memberSample.members["node-2"] = member{Name: "node-2", Address: servePeers(t, source)}
-	own.Post(n.Start)
-	go own.Run(ctx)
+	eventLoop.Post(n.Start)
+	go eventLoop.Run(ctx)
 
 	require.Eventually(t, func() bool {
 		current := n.catalog.Load()
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -158,9 +158,9 @@
 	part string
 }
 
-func (p *hangingPartitionStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
-	if transaction.Puts[0].Part != p.part {
-		return p.fakeStore.Commit(ctx, transaction)
+func (s *hangingPartitionStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+	if transaction.Puts[0].Part != s.part {
+		return s.fakeStore.Commit(ctx, transaction)
 	}
 	<-ctx.Done()
 	return rows.Result{}, rows.ErrOutcomeUnknown
@@ -274,7 +274,7 @@
 	fields map[string][]any
 }
 
-func (l fieldsRecorder) LogEvent(event string, fields ...any) { l.fields[event] = fields }
+func (r fieldsRecorder) LogEvent(event string, fields ...any) { r.fields[event] = fields }
 
 // TestEarlyRefusalsAreLogged: a request that is refused before its body is read is logged with the
 // job's identifier.
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -118,12 +118,12 @@
 			require.NoError(t, err)
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
-			own := loop.NewGoroutine()
+			eventLoop := loop.NewGoroutine()
 			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Dependencies{
-				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
+				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: eventLoop, Recorder: discardRecorder{},
 			})
-			go own.Run(ctx)
-			own.Post(n.Start)
+			go eventLoop.Run(ctx)
+			eventLoop.Post(n.Start)
 			onLoop(t, n, func() {
 				n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
 			})
@@ -154,33 +154,33 @@
 }
 
 // applyPartialSample applies a sample of candidates from a cluster that has more nodes.
-func (n *watchingNode) applyPartialSample(t *testing.T, candidates ...member) {
+func (n *testNode) applyPartialSample(t *testing.T, candidates ...member) {
 	for i := len(candidates); i < candidateCount; i++ {
 		candidates = append(candidates, member{Name: fmt.Sprintf("candidate-%02d", i), Weight: 1})
 	}
-	var listing, own rows.Listing
+	var listing, successors rows.Listing
 	for _, m := range candidates {
 		listing.Rows = append(listing.Rows, rows.Row{Value: pool.Encode(m)})
 	}
-	own.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
-	n.applySample(listing, own)
+	successors.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
+	n.applySample(listing, successors)
 	require.True(t, n.memberSample.partial)
 }
 
 // TestNodesBeyondTheCandidatesTakePoolsLast: those with less weight try after those with more.
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
 	latest := maxTakeoverRank * takeoverRankDelay
-	among := newWatchingNode(t, 1, nil)
-	among.applyPartialSample(t, among.self())
-	require.Less(t, among.takeoverDelay(poolName), latest+time.Millisecond)
-	heavy := newWatchingNode(t, 1, nil)
-	heavy.applyPartialSample(t)
-	require.False(t, heavy.isStandby(poolName))
-	require.GreaterOrEqual(t, heavy.takeoverDelay(poolName), latest)
-	require.Less(t, heavy.takeoverDelay(poolName), latest+lowWeightDelay)
-	light := newWatchingNode(t, 0.2, nil)
-	light.applyPartialSample(t)
-	require.GreaterOrEqual(t, light.takeoverDelay(poolName), latest+lowWeightDelay)
+	candidate := newTestNode(t, 1, nil)
+	candidate.applyPartialSample(t, candidate.self())
+	require.Less(t, candidate.takeoverDelay(poolName), latest+time.Millisecond)
+	equalWeight := newTestNode(t, 1, nil)
+	equalWeight.applyPartialSample(t)
+	require.False(t, equalWeight.isStandby(poolName))
+	require.GreaterOrEqual(t, equalWeight.takeoverDelay(poolName), latest)
+	require.Less(t, equalWeight.takeoverDelay(poolName), latest+lowWeightDelay)
+	lowerWeight := newTestNode(t, 0.2, nil)
+	lowerWeight.applyPartialSample(t)
+	require.GreaterOrEqual(t, lowerWeight.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
 // TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover
@@ -216,7 +216,7 @@
 		// pings are the times, in seconds, at which each node pings the owner.
 		pings map[string][]float64
 		at    float64
-		gone  []string
+		expired  []string
 	}{
 		"no pings":                          {nil, 60, nil},
 		"pinged for less than memberExpiry": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
@@ -234,13 +234,13 @@
 					}
 				}
 			}
-			var gone []string
+			var expired []string
 			for _, name := range []string{"a", "b", "c"} {
 				if h.expired(name, began.Add(time.Duration(c.at*float64(time.Second)))) {
-					gone = append(gone, name)
+					expired = append(expired, name)
 				}
 			}
-			require.Equal(t, c.gone, gone)
+			require.Equal(t, c.expired, expired)
 		})
 	}
 }
@@ -273,7 +273,7 @@
 			n.removeExpired([]rows.Row{row})
 		})
 	}
-	left := func() []string {
+	remainingNames := func() []string {
 		listing, _ := store.Page(context.Background(), memberTable, "", "", prunePageSize)
 		var names []string
 		for _, row := range listing.Rows {
@@ -283,7 +283,7 @@
 		}
 		return names
 	}
-	require.Eventually(t, func() bool { return slices.Equal(left(), []string{"back"}) }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(remainingNames(), []string{"back"}) }, time.Minute, time.Millisecond)
 }
 
 // TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from the node may have
@@ -300,7 +300,7 @@
 
 // TestStoreRelayIncludesOwners: all other known members may have failed.
 func TestStoreRelayIncludesOwners(t *testing.T) {
-	n := newWatchingNode(t, 1, nil)
+	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
@@ -327,10 +327,10 @@
 // TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that starts first must learn of the others
 // before it next reads its sample.
 func TestNodesOfASmallFleetLearnOfEachOtherAtOnce(t *testing.T) {
-	row := func(name string, gone bool) rows.Row {
-		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: gone}
+	row := func(name string, deleted bool) rows.Row {
+		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: deleted}
 	}
-	n := newWatchingNode(t, 1, nil)
+	n := newTestNode(t, 1, nil)
 	n.applyLeaseTableRow(row("node-2", false))
 	n.applyLeaseTableRow(row("node-3", false))
 	n.applyLeaseTableRow(row("node-3", true))
--- a/internal/node/ownership_confirmation_test.go
+++ b/internal/node/ownership_confirmation_test.go
@@ -12,14 +12,14 @@
 )
 
 // owningNode returns a node that owns the watched pool with a fencing token.
-func owningNode(t *testing.T, others map[string]float64) *watchingNode {
-	n := newWatchingNode(t, 1, others)
+func owningNode(t *testing.T, others map[string]float64) *testNode {
+	n := newTestNode(t, 1, others)
 	n.owned[poolName] = pool.New(n.poolOptions(poolName), n.loop, n.ports, discardRecorder{}, 5)
 	return n
 }
 
 // sinceConfirmed returns how long ago the pool's owner was last confirmed.
-func (n *watchingNode) sinceConfirmed() time.Duration {
+func (n *testNode) sinceConfirmed() time.Duration {
 	return time.Duration(n.owned[poolName].Summary().SinceOwnershipConfirmedMillis) * time.Millisecond
 }
 
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -46,15 +46,15 @@
 	}
 }
 
-// watchingNode is a node that watches one pool.
-type watchingNode struct {
+// testNode is a node that watches one pool.
+type testNode struct {
 	*Node
 	loop    *manualLoop
 	watcher *poolWatcher
 }
 
-// newWatchingNode returns a node of the given weight in a cluster with others of the given weights.
-func newWatchingNode(t *testing.T, weight float64, others map[string]float64) *watchingNode {
+// newTestNode returns a node of the given weight in a cluster with others of the given weights.
+func newTestNode(t *testing.T, weight float64, others map[string]float64) *testNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := &manualLoop{now: time.Now()}
@@ -65,11 +65,11 @@
 	}
 	n.watchers[poolName] = &poolWatcher{pool: poolName, leaseRead: true}
 	n.recordStoreResult(nil)
-	return &watchingNode{Node: n, loop: l, watcher: n.watchers[poolName]}
+	return &testNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
 // applyLeaseOf applies a lease with the given owner.
-func (n *watchingNode) applyLeaseOf(owner string, version int64) {
+func (n *testNode) applyLeaseOf(owner string, version int64) {
 	key := pool.LeaseKey(poolName)
 	value, _ := json.Marshal(pool.Lease{Owner: owner, Address: owner})
 	n.applyLeaseTableRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
@@ -77,7 +77,7 @@
 
 // TestSuspicionEndsWithTheLease: a suspected owner must not cost the next, healthy owner its pool.
 func TestSuspicionEndsWithTheLease(t *testing.T) {
-	n := newWatchingNode(t, 1, nil)
+	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
 	n.scheduleAcquire(n.watcher, "owner node-2 does not answer", n.ownerSuspected)
@@ -95,7 +95,7 @@
 // TestIndirectCheckOfEarlierLeaseIsIgnored: the result of an indirect check arrives after the pool
 // has changed its owner.
 func TestIndirectCheckOfEarlierLeaseIsIgnored(t *testing.T) {
-	n := newWatchingNode(t, 1, nil)
+	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
 	handleResult := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
@@ -108,7 +108,7 @@
 
 func TestWeakOwnerIsReplaced(t *testing.T) {
 	cases := map[string]struct {
-		own, owner float64
+		ownWeight, ownerWeight float64
 		want       bool
 	}{
 		"owner has a quarter of the weight": {0.8, 0.2, true},
@@ -116,7 +116,7 @@
 		"stronger":                          {0.2, 0.8, false},
 	}
 	for name, c := range cases {
-		n := newWatchingNode(t, c.own, map[string]float64{"node-2": c.owner})
+		n := newTestNode(t, c.ownWeight, map[string]float64{"node-2": c.ownerWeight})
 		n.applyLeaseOf("node-2", 5)
 		for range weakOwnerReplies {
 			require.False(t, n.watcher.acquireScheduled, name)
@@ -141,7 +141,7 @@
 		"store lost to both nodes":      {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
 	}
 	for name, c := range cases {
-		n := newWatchingNode(t, 1, nil)
+		n := newTestNode(t, 1, nil)
 		n.applyLeaseOf("node-2", 5)
 		if c.lostHere {
 			n.recordStoreFailure(rows.ErrOutcomeUnknown)
@@ -161,7 +161,7 @@
 	for i := range standbyCount {
 		others[fmt.Sprintf("heavy-%d", i)] = 0.8
 	}
-	n := newWatchingNode(t, 0.2, others)
+	n := newTestNode(t, 0.2, others)
 	n.applyLeaseOf("heavy-0", 5)
 	for range 20 {
 		for _, checker := range n.indirectCheckers(poolName) {
@@ -174,7 +174,7 @@
 }
 
 func TestRetriesRunWhenStoreRecovers(t *testing.T) {
-	n := newWatchingNode(t, 1, nil)
+	n := newTestNode(t, 1, nil)
 	retried := 0
 	n.storeRetries.After(time.Hour, func() { retried++ })
 	n.recordStoreFailure(rows.ErrNoEffect)
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -66,11 +66,11 @@
 func runningNode(t *testing.T, store rows.Store, peers *peer.Client) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	own := loop.NewGoroutine()
+	eventLoop := loop.NewGoroutine()
 	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, Dependencies{
-		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
+		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: eventLoop, Recorder: discardRecorder{},
 	})
-	go own.Run(ctx)
+	go eventLoop.Run(ctx)
 	return n
 }
 
@@ -202,15 +202,15 @@
 	large := rows.Transaction{Puts: []rows.Put{{Value: make([]byte, 200<<10)}}}
 	require.Greater(t, rows.SendTime(large), time.Second)
 	cases := map[string]struct {
-		own, others rows.Store
+		ownStore, peersStore rows.Store
 	}{
 		"directly":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
 		"through another node": {refusingStore{}, slowCommitStore{takes: relayTimeout + 500*time.Millisecond}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			n := runningNode(t, c.own, peer.NewClient(nil))
-			address := servePeers(t, newGateway(t, c.others).node)
+			n := runningNode(t, c.ownStore, peer.NewClient(nil))
+			address := servePeers(t, newGateway(t, c.peersStore).node)
 			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			results := make(chan error, 1)
 			n.ports.Commit(large, func(_ rows.Result, err error) { results <- err })
@@ -223,8 +223,8 @@
 // its first byte may.
 func TestLargeRelayedResponseIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
-	small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
-	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
+	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
+	n := runningNode(t, refusingStore{}, peer.NewClient(slowLink.dial))
 	address := servePeers(t, newGateway(t, &fixedStore{listing: listing}).node)
 	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 	n.recordStoreFailure(rows.ErrNoEffect)
@@ -239,8 +239,8 @@
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	for name, others := range map[string]rows.Store{"slow store": slowResponseStore{}, "slow link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
-			small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
-			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
+			slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
+			n := runningNode(t, refusingStore{}, peer.NewClient(slowLink.dial))
 			address := servePeers(t, newGateway(t, others).node)
 			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			result, err := n.store.Scan(context.Background(), pool.JobTable, "part", "")
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -30,15 +30,15 @@
 // TestPingIntervalDependsOnStandby: it schedules a round each pingPeriod, a standby each
 // standbyPingPeriod.
 func TestPingIntervalDependsOnStandby(t *testing.T) {
-	heavier := map[string]float64{}
+	nineHeavierNodes := map[string]float64{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-		heavier[name] = 2
+		nineHeavierNodes[name] = 2
 	}
 	for name, c := range map[string]struct {
 		others map[string]float64
 		pause  time.Duration
-	}{"guard": {nil, standbyPingPeriod}, "other": {heavier, pingPeriod}} {
-		n := newWatchingNode(t, 1, c.others)
+	}{"guard": {nil, standbyPingPeriod}, "other": {nineHeavierNodes, pingPeriod}} {
+		n := newTestNode(t, 1, c.others)
 		n.applyLeaseOf("node-1", 5)
 		n.loop.timers = nil
 		n.pingOwners()
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -63,18 +63,18 @@
 
 // newGatewayWithPeer returns a gateway to a node with one store whose only other node has another
 // store.
-func newGatewayWithPeer(t *testing.T, own, others rows.Store) *Gateway {
-	gateway := newGateway(t, own)
-	address := servePeers(t, newGateway(t, others).node)
+func newGatewayWithPeer(t *testing.T, ownStore, peersStore rows.Store) *Gateway {
+	gateway := newGateway(t, ownStore)
+	address := servePeers(t, newGateway(t, peersStore).node)
 	gateway.node.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 	return gateway
 }
 
 func TestNodeWithoutTheStoreWritesThroughAnother(t *testing.T) {
-	for name, own := range map[string]rows.Store{"store refuses": refusingStore{}, "no answer": hangingStore{}} {
+	for name, ownStore := range map[string]rows.Store{"store refuses": refusingStore{}, "no answer": hangingStore{}} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
-			gateway := newGatewayWithPeer(t, own, store)
+			gateway := newGatewayWithPeer(t, ownStore, store)
 			require.NoError(t, gateway.Submit(context.Background(), testAccess(), testSpec()))
 			require.Contains(t, store.rows, pool.AcceptedKey(pool.JobPartitions(poolName, jobID)[0], jobID))
 			require.Less(t, gateway.node.storeReachedAge(), time.Minute)
