--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -13,8 +13,9 @@
 	Row  rows.Row `json:"row"`
 }
 
-// announce sends the stored row of an accepted job to the pool's owner, without waiting for the
-// reply: the owner's feed delivers the row in any case. It may be called from any goroutine.
+// announce sends the stored row of an accepted job to the pool's owner and does not wait for the
+// reply. If the notice is lost, the owner's feed still delivers the row. announce may be called
+// from any goroutine.
 func (n *Node) announce(poolName string, row rows.Row) {
 	if n.options.DisabledMechanisms[mechanism.Announcements] {
 		return
