--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -8,7 +8,8 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// readConfiguration reads the configuration and the evacuations, then follows their changes.
+// readConfiguration reads the configuration and the evacuated zones, then follows the changes of
+// the operators' table, which holds both.
 func (n *Node) readConfiguration() {
 	codec := n.dependencies.Codec
 	key := codec.ConfigurationKey()
@@ -36,7 +37,8 @@
 	}
 }
 
-// applyDocument makes a configuration current unless a newer one already is.
+// applyDocument decodes a configuration and makes it current, unless the current configuration is
+// as new or newer.
 func (n *Node) applyDocument(content []byte, source string) {
 	decoded, err := n.dependencies.Codec.DecodeCatalog(content)
 	if err != nil {
@@ -56,7 +58,7 @@
 	}
 }
 
-// recordConfirmation records that the configuration was the newest at the given time.
+// recordConfirmation records that the current configuration was the newest at the given time.
 func (n *Node) recordConfirmation(at time.Time) {
 	if known := n.confirmedAt.Load(); known == nil || at.After(*known) {
 		n.confirmedAt.Store(&at)
