--- a/internal/node/configuration_status.go
+++ b/internal/node/configuration_status.go
@@ -10,13 +10,14 @@
 // configurationStatus is the version and the age of a node's configuration.
 type configurationStatus struct {
 	Version int64 `json:"version"`
-	// AgeMillis is how long ago the configuration was known to be the newest.
+	// AgeMillis is how long ago the configuration was last known to be the newest.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// handleConfigurationStatus handles the status reported by the node at an address. Its age is
-// counted from the time of the request: counted from the reply, it would omit the transit time, and
-// two nodes that confirm each other over slow links would never see it age.
+// handleConfigurationStatus handles the status reported by the node at an address. The
+// confirmation's age is counted from the time of the request. Counted from the reply, the age would
+// omit the transit time, and two nodes that confirm each other over slow links would never see the
+// confirmation age.
 func (n *Node) handleConfigurationStatus(address string, status configurationStatus, requestedAt time.Time) {
 	current := n.catalog.Load()
 	if current == nil || current.Version < status.Version {
@@ -38,18 +39,20 @@
 	return status
 }
 
-// configurationPollInterval is how often a node whose confirmation is stale polls other nodes.
+// configurationPollInterval is the interval between polls of other nodes by a node whose
+// confirmation is stale.
 const configurationPollInterval = 400 * time.Millisecond
 
-// configurationPollAge is the age of the confirmation from which other nodes are polled. It leaves
-// the store time to answer first.
+// configurationPollAge is the confirmation's age from which a node polls other nodes. It exceeds
+// staleConfirmationAge, so that the store has time to respond first.
 const configurationPollAge = staleConfirmationAge + 400*time.Millisecond
 
-// pollConfiguration polls other nodes for the configuration while the store does not confirm it.
+// pollConfiguration polls other nodes for their configuration status while the store does not
+// confirm this node's configuration.
 func (n *Node) pollConfiguration() {
 	limit := configurationPollAge
 	if n.storeLost() {
-		// No response of the store is pending.
+		// The store will not respond, so there is nothing to wait for.
 		limit = staleConfirmationAge
 	}
 	confirmedAge := age(n.confirmedAt.Load())
