--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -14,19 +14,19 @@
 
 // Limits of the transfer of a configuration from another node.
 const (
-	// maxChunkBytes is the maximum size of a chunk. Encoded, it takes 35 ms on a link of 10 Mbit/s,
-	// so that pings queued behind it are answered in time.
+	// maxChunkBytes is the maximum size of a chunk. Pings queued behind a chunk on a slow link must
+	// not time out.
 	maxChunkBytes = 32 << 10
-	// chunkTimeout bounds the call for one chunk: 30 times its transmission time on a link of 10
-	// Mbit/s.
+	// chunkTimeout bounds the call for one chunk. It is many times the transmission time of a chunk
+	// on a slow link.
 	chunkTimeout = time.Second
-	// storeTransferGrace is how long the store's own response may take before other nodes are
-	// polled too. It is below the strictest limit on the configuration's age, 2 s.
+	// storeTransferGrace is how long the store may take to send the configuration before this node
+	// also downloads it from another node. It is below the smallest MaxConfigurationAge in use.
 	storeTransferGrace = 1500 * time.Millisecond
-	// servedRetention is how long a replaced version is kept after the last request for it, so that
-	// frequent changes do not make transfers start over.
+	// servedRetention is how long a node keeps a replaced version after the last request for that
+	// version. Without it, frequent changes would make downloads start over.
 	servedRetention = 2 * chunkTimeout
-	// maxServedDocuments bounds the retained versions.
+	// maxServedDocuments is the maximum number of versions that a node keeps for downloads.
 	maxServedDocuments = 4
 )
 
@@ -42,8 +42,9 @@
 	Offset  int   `json:"offset"`
 }
 
-// chunkReply is a chunk of a configuration: from the requested offset if the responding node has
-// the requested version, otherwise the first chunk of the version that it has.
+// chunkReply is a chunk of a configuration. If the responding node has the requested version, the
+// chunk starts at the requested offset. Otherwise it is the first chunk of the version that the
+// responding node has.
 type chunkReply struct {
 	Version int64 `json:"version"`
 	// Size is the size of the whole configuration in bytes.
@@ -51,15 +52,16 @@
 	Content []byte `json:"content"`
 }
 
-// download is a transfer of a configuration from other nodes. There is one at a time; it runs in
-// chunks, so that it completes on slow links, and keeps the received content when a call fails.
+// download is a transfer of a configuration from other nodes. A node runs one download at a time.
+// It requests the configuration in chunks, so that the download completes on slow links, and keeps
+// the received content when a call fails.
 type download struct {
 	document
 	active bool
 }
 
-// downloadConfiguration downloads a version from another node unless a transfer is in progress,
-// including one from the store, which would share the link.
+// downloadConfiguration downloads a version from another node. It does nothing while another
+// download runs, or while the store sends a configuration, as both transfers would share the link.
 func (n *Node) downloadConfiguration(address string, version int64) {
 	if n.download.active || n.storeTransferPending() {
 		return
@@ -87,7 +89,8 @@
 	})
 }
 
-// handleChunk appends a chunk and requests the next one.
+// handleChunk appends a chunk to the download. It then requests the next chunk, or applies the
+// complete configuration.
 func (n *Node) handleChunk(address string, request chunkRequest, reply chunkReply) {
 	if reply.Version != request.Version {
 		n.download.document = document{version: reply.Version}
@@ -124,8 +127,8 @@
 	return chunkReply{Version: served.version, Size: len(served.content), Content: served.content[offset:end]}, nil
 }
 
-// servedDocuments are the versions that other nodes are downloading. Its methods may be called from
-// any goroutine.
+// servedDocuments keeps the versions that other nodes are downloading. The methods may be called
+// from any goroutine.
 type servedDocuments struct {
 	mutex   sync.Mutex
 	entries []servedDocument
@@ -136,8 +139,9 @@
 	requestedAt time.Time
 }
 
-// find returns the requested version if it is retained, and otherwise the newest one, which it
-// retains for further requests. It evicts the versions that are no longer requested.
+// find returns the requested version if it is retained, and the newest version otherwise. It
+// retains the returned version for further requests, and evicts the versions that were not
+// requested for servedRetention.
 func (s *servedDocuments) find(version int64, newest *document) *document {
 	if newest == nil {
 		return nil
@@ -167,8 +171,9 @@
 	s.entries = slices.DeleteFunc(s.entries, func(d servedDocument) bool { return d.document == oldest.document })
 }
 
-// trackStoreTransfer returns a context that records when the store's response with the
-// configuration starts to arrive, and a function that ends the tracking.
+// trackStoreTransfer tracks one store call that reads the configuration. The returned context
+// records when the first byte of the response arrives. The caller calls the returned function when
+// the call ends.
 func (n *Node) trackStoreTransfer(ctx context.Context) (context.Context, func()) {
 	observed := progress.WithObserver(ctx, func(int) {
 		now := uptime.Now()
@@ -177,8 +182,8 @@
 	return observed, func() { n.configurationTransferStart.Store(nil) }
 }
 
-// storeTransferPending reports whether the store's response with the configuration is arriving and
-// still within storeTransferGrace.
+// storeTransferPending reports whether the store started to send a configuration less than
+// storeTransferGrace ago and is still sending.
 func (n *Node) storeTransferPending() bool {
 	startedAt := n.configurationTransferStart.Load()
 	return startedAt != nil && uptime.Since(*startedAt) < storeTransferGrace
