--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -7,14 +7,16 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// handleOperatorFeed handles a response of the feed of the operators' rows after its rows are
-// applied: the configuration and the evacuations are current as of it.
+// handleOperatorFeed handles a response to the feed of the operators' table, which holds the
+// configuration and the evacuated zones. The response confirms the configuration, whose changes are
+// already applied, and updates the evacuated zones.
 func (n *Node) handleOperatorFeed(listing rows.Listing, requestedAt time.Time) {
 	n.recordConfirmation(listing.AsOf)
 	n.applyEvacuations(n.evacuated.Apply(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 }
 
-// applyEvacuations updates the set of evacuated zones and notifies the owned pools of changes.
+// applyEvacuations replaces the set of evacuated zones unless the current set is newer, and
+// notifies the owned pools if the zones changed.
 func (n *Node) applyEvacuations(next evacuation.Set) {
 	previous := n.evacuated
 	n.evacuated = previous.Newest(next)
