--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -12,29 +12,30 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// How long feeds wait for a change. Every call to the store has a cost, so a node whose
-// configuration is confirmed by a pool's owner uses long waits. Changes end a wait at once.
+// A feed is a store call that waits for changes of a table and returns as soon as there is one.
+// These constants set how long configuration and lease feeds wait. Every store call has a cost, so
+// a node whose configuration is confirmed by a pool's owner uses long waits.
 const (
-	// ownerFeedWait bounds the age of the confirmation that an owner reports to other nodes.
-	// Together with pingPeriod it stays below staleConfirmationAge.
+	// ownerFeedWait is for owners. It bounds the age of the confirmation that an owner reports to
+	// other nodes. The sum of ownerFeedWait and pingPeriod is below staleConfirmationAge.
 	ownerFeedWait = 300 * time.Millisecond
 	// defaultFeedWait is for nodes whose configuration no owner confirms.
 	defaultFeedWait = 500 * time.Millisecond
 	longFeedWait    = 15 * time.Second
-	// immediateFeedWait is for a feed that should be answered at once.
+	// immediateFeedWait is for a feed that should return at once, with or without changes.
 	immediateFeedWait = 20 * time.Millisecond
-	// staleConfirmationAge is the age of the configuration's confirmation from which a node queries
-	// the store itself. The strictest site allows an age of 2 s.
+	// staleConfirmationAge is the age from which the configuration's confirmation is stale. The
+	// node then queries the store itself. It is well below the smallest MaxConfigurationAge in use.
 	staleConfirmationAge = 900 * time.Millisecond
-	// confirmationCheckInterval is the interval between checks of that age.
+	// confirmationCheckInterval is the minimum interval between checks for a stale confirmation.
 	confirmationCheckInterval = 150 * time.Millisecond
 )
 
-// errReadCanceled is the cause of reads that cancelIdle ends.
+// errReadCanceled is the cancellation cause of reads that cancelIdle ends.
 var errReadCanceled = errors.New("feed canceled")
 
-// cancelableReads are the pending feeds and other read-only calls, which can be canceled while they
-// wait for the store. Its methods may be called from any goroutine.
+// cancelableReads tracks pending feeds and other read-only calls, so that they can be canceled
+// while they wait for the store. The methods may be called from any goroutine.
 type cancelableReads struct {
 	mutex   sync.Mutex
 	lastID  int
@@ -49,7 +50,7 @@
 }
 
 // add registers a read that waits for up to wait. It returns the context for the read and a
-// function that unregisters it.
+// function that unregisters the read.
 func (r *cancelableReads) add(ctx context.Context, wait time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	r.mutex.Lock()
@@ -75,8 +76,8 @@
 }
 
 // cancelIdle cancels the pending reads that wait for minWait or longer and have not received a
-// byte. On a slow link a large response may take longer to receive than any interval between
-// cancellations.
+// byte. Reads that have received a byte continue: on a slow link a large response may take longer
+// to receive than the interval between cancellations.
 func (r *cancelableReads) cancelIdle(minWait time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -87,13 +88,13 @@
 	}
 }
 
-// readCanceled reports whether a read's context was canceled by cancelIdle.
+// readCanceled reports whether cancelIdle canceled a read's context.
 func readCanceled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errReadCanceled) }
 
 // maxFeedDoublings is enough doublings to reach maxFeedSlack.
 const maxFeedDoublings = 4
 
-// currentFeedGrace returns how long after its wait a feed may still be answered.
+// currentFeedGrace returns how long the store may take to respond after a feed's wait.
 func (n *Node) currentFeedGrace() time.Duration {
 	grace := feedGrace
 	for range min(n.feedFailures.Load(), maxFeedDoublings) {
@@ -102,7 +103,7 @@
 	return min(grace, maxFeedGrace)
 }
 
-// recordFeedResult counts consecutive direct feeds that were not answered in time.
+// recordFeedResult counts consecutive direct feeds that timed out.
 func (n *Node) recordFeedResult(err error) {
 	if errors.Is(err, rows.ErrOutcomeUnknown) {
 		n.feedFailures.Add(1)
@@ -131,30 +132,33 @@
 	if confirmedAge > staleConfirmationAge && !n.storeLost() {
 		n.feeds.cancelIdle(longFeedWait)
 	}
-	// A recent confirmation is next checked when it can become stale, which saves wakeups of idle
-	// nodes.
+	// A recent confirmation is next checked when it would become stale. Idle nodes wake up less
+	// often this way.
 	n.dependencies.Loop.After(max(confirmationCheckInterval, staleConfirmationAge-confirmedAge), n.checkConfirmation)
 }
 
-// feedCall reads the changes of a table after a version, or waits for one.
+// feedCall reads the changes of a table after a version. If there are none, it waits for one.
 type feedCall func(table string, after int64, wait time.Duration, done func(rows.Listing, error))
 
-// subscription is a table whose changes a node follows.
+// subscription describes a table whose changes a node follows: one feed after another, each from
+// the version that the previous feed returned.
 type subscription struct {
 	table string
 	feed  feedCall
 	// wait returns how long the next feed waits for a change.
 	wait  func() time.Duration
 	apply func(rows.Row)
-	// onResponse is called after each response with the time of the request; it may be nil.
+	// onResponse is called once the rows of a response are applied; it may be nil. requestedAt is
+	// the time of the request.
 	onResponse func(listing rows.Listing, requestedAt time.Time)
-	// needed reports whether to continue; nil means always.
+	// needed reports whether to continue following the table; nil means always.
 	needed func() bool
 	// onEnd is called when the subscription ends or the table must be read in full again.
 	onEnd func()
 }
 
-// follow applies the changes of a table after a version while they are needed.
+// follow applies the changes of a table after a version, until they are no longer needed or the
+// store no longer has the history.
 func (n *Node) follow(s subscription, after int64) {
 	if s.needed != nil && !s.needed() {
 		s.onEnd()
