--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -15,14 +15,14 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Gateway serves callers. Its methods may be called from any goroutine; their errors are faults of
-// a listed kind.
+// Gateway serves callers. The methods may be called from any goroutine. Their errors are faults of
+// a kind that package fault lists.
 type Gateway struct{ node *Node }
 
 // NewGateway returns a gateway to a node.
 func NewGateway(n *Node) *Gateway { return &Gateway{node: n} }
 
-// Access is a queue and the tenant that a caller may use it as.
+// Access is a queue and the tenant on whose behalf a caller uses the queue.
 type Access struct {
 	Queue  catalog.Queue
 	Tenant string
@@ -37,7 +37,8 @@
 // Stopping reports whether the node is shutting down.
 func (g *Gateway) Stopping() bool { return g.node.stopping.Load() }
 
-// Resolve finds the queue for a path and checks the caller's key. It returns the rest of the path.
+// Resolve finds the queue for a host and path and checks the caller's key. It also returns the path
+// without the queue's prefix.
 func (g *Gateway) Resolve(host, path, key string) (Access, string, error) {
 	n := g.node
 	current := n.catalog.Load()
@@ -58,11 +59,11 @@
 	return access, path[len(queue.PathPrefix):], nil
 }
 
-// maxLoggedPathBytes bounds the logged part of a refused request's path.
+// maxLoggedPathBytes is how much of a refused request's path is logged.
 const maxLoggedPathBytes = 200
 
-// refuseBeforeReadingBody logs and counts the refusal of a request whose body was not read. The job's
-// identifier is taken from the end of the path.
+// refuseBeforeReadingBody logs and counts the refusal of a request whose body was not read. The
+// logged job identifier comes from the end of the path, as the body is not available.
 func (g *Gateway) refuseBeforeReadingBody(host, path string, confirmedAge time.Duration, err *fault.Error) error {
 	var version int64
 	if current := g.node.catalog.Load(); current != nil {
@@ -82,13 +83,13 @@
 	return ""
 }
 
-// countRefusal counts a refusal and returns its error.
+// countRefusal counts a refusal and returns the given error.
 func (g *Gateway) countRefusal(err error) error {
 	g.node.dependencies.Recorder.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
 
-// Submit accepts a job. When it succeeds, the job is in the store.
+// Submit accepts a job. When Submit succeeds, the job is in the store.
 func (g *Gateway) Submit(ctx context.Context, access Access, spec *taskgraph.Spec) error {
 	if err := spec.Validate(); err != nil {
 		return g.countRefusal(err)
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// lessCertainFault returns the fault that leaves the outcome more uncertain.
+// lessCertainFault returns the fault whose outcome is less certain: a if its outcome is unknown,
+// else b.
 func lessCertainFault(a, b error) error {
 	if a != nil && fault.IsKind(a, fault.OutcomeUnknown) {
 		return a
@@ -132,12 +134,12 @@
 }
 
 // partitionHedgeDelay is how long a partition of the store may take before the write is also sent
-// to the next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
+// to the next partition. It is longer than a commit to a very slow store takes.
 const partitionHedgeDelay = 600 * time.Millisecond
 
-// commitJob writes an accepted job into one of its partitions. It tries the next partition once one
-// fails, or takes long while the store is otherwise fast. Writing the job to several partitions is
-// harmless.
+// commitJob writes an accepted job into one of the job's partitions. It tries the next partition
+// when a write fails, and each partitionHedgeDelay unless the store as a whole is slow. Writing the
+// job to several partitions is harmless.
 func (g *Gateway) commitJob(ctx context.Context, poolName string, job *pool.Accepted) error {
 	value := pool.Encode(job)
 	parts := pool.JobPartitions(poolName, job.Spec.ID)
@@ -189,8 +191,8 @@
 	return checkDuplicate(result, job)
 }
 
-// checkDuplicate returns nil for a repeated submission of the same job, and a fault if the
-// identifier belongs to another job.
+// checkDuplicate compares a job with the stored job of the same identifier. It returns nil if both
+// are the same job, submitted twice, and a fault otherwise.
 func checkDuplicate(result rows.Result, job *pool.Accepted) error {
 	for i := range result.Current {
 		var known pool.Accepted
@@ -204,7 +206,7 @@
 	return fault.NewField(fault.DuplicateID, "id", "a different job with this identifier exists")
 }
 
-// Cancel cancels a job. When it succeeds, the cancellation is in the store.
+// Cancel cancels a job. When Cancel succeeds, the cancellation is in the store.
 func (g *Gateway) Cancel(ctx context.Context, access Access, id string) error {
 	if !taskgraph.ValidID(id) {
 		return g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
@@ -225,8 +227,8 @@
 	AtMillis int64 `json:"at_ms"`
 }
 
-// commitCancel writes a cancellation to the partition that holds the job's accepted row, or to
-// another of its partitions if that one is unavailable.
+// commitCancel writes a cancellation to the partition that holds the job's accepted row. If that
+// partition is unavailable, commitCancel tries the job's other partitions.
 func (g *Gateway) commitCancel(ctx context.Context, poolName, id string) error {
 	accepted, cancelled, err := g.storedJob(ctx, poolName, id)
 	if err != nil {
