--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -26,10 +26,10 @@
 // fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect, those
 // about the partitions in unanswered with ErrOutcomeUnknown.
 type fakeStore struct {
-	rows       map[rows.Key]rows.Row
-	refuse     map[string]bool
+	rows         map[rows.Key]rows.Row
+	refuse       map[string]bool
 	unresponsive map[string]bool
-	version    int64
+	version      int64
 }
 
 func newFakeStore() *fakeStore {
