--- a/internal/node/indirect_check.go
+++ b/internal/node/indirect_check.go
@@ -10,12 +10,13 @@
 	"github.com/wheatroad/wheatroad/internal/loop"
 )
 
-// indirectCheckCount is how many other nodes are queried about an owner.
+// indirectCheckCount is how many other nodes a node asks about an owner in an indirect check.
 const indirectCheckCount = 3
 
-// checkOwnerIndirectly queries other nodes whether they reach a pool's owner. Missing replies count
+// checkOwnerIndirectly asks other nodes whether they reach a pool's owner. A missing reply counts
 // as not seen, since this node may be the only one left. A node that is partitioned from all others
-// can at worst acquire a pool that still has an owner, which fencing tokens make safe.
+// can at worst acquire a pool whose owner still runs. Fencing tokens make such an acquisition safe:
+// workers reject the previous owner's orders.
 func (n *Node) checkOwnerIndirectly(w *poolWatcher, done func(seen bool)) {
 	checkers := n.indirectCheckers(w.pool)
 	if len(checkers) == 0 {
@@ -37,7 +38,8 @@
 	}
 }
 
-// indirectCheckers returns some of the standbys of a pool, which have recent replies of its owner.
+// indirectCheckers returns some of a pool's standbys at random. Standbys ping the owner most often,
+// so they know best whether the owner is reachable.
 func (n *Node) indirectCheckers(name string) []member {
 	others := n.candidatesExcept(n.leases[name].Owner)
 	slices.SortStableFunc(others, func(a, b member) int {
@@ -56,11 +58,11 @@
 	Seen bool `json:"seen"`
 }
 
-// seenMaxAge is the maximum age of an owner's last reply for it to count as seen. A standby that
-// has missed two replies exceeds it.
+// seenMaxAge is the maximum age of an owner's last reply for the owner to count as seen. A standby
+// that has missed two replies no longer counts the owner as seen.
 const seenMaxAge = 600 * time.Millisecond
 
-// serveIndirectCheck answers an indirect check of a pool's owner.
+// serveIndirectCheck tells another node whether this node reaches a pool's owner.
 func (n *Node) serveIndirectCheck(ctx context.Context, request pingRequest) (indirectCheckReply, error) {
 	var reply indirectCheckReply
 	err := loop.Call(ctx, n.dependencies.Loop, func() {
