--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -7,11 +7,11 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// A pool's lease row names its owner. Owners and the nodes next in line for a pool follow the lease
-// table; all others read a lease only when the owner that they know does not answer a ping as the
-// owner.
+// A pool's lease row names the pool's owner. Owners and standbys follow the changes of the lease
+// table; standbys are the first nodes in a pool's takeover order. All other nodes read a lease only
+// when the owner that they know fails a ping or replies that it does not own the pool.
 
-// shouldFollowLeases reports whether this node needs the changes of the lease table.
+// shouldFollowLeases reports whether this node is an owner or a standby of any pool.
 func (n *Node) shouldFollowLeases() bool {
 	if len(n.owned) > 0 {
 		return true
@@ -28,7 +28,7 @@
 	return false
 }
 
-// followLeases reads all leases and follows their changes while this node needs them.
+// followLeases reads all leases and follows their changes while shouldFollowLeases holds.
 func (n *Node) followLeases() {
 	if n.followingLeases || !n.shouldFollowLeases() {
 		return
@@ -53,15 +53,16 @@
 		table: pool.NodeTable, feed: n.ports.feedFor, wait: n.leaseFeedWait, apply: n.applyLeaseTableRow,
 		needed: n.shouldFollowLeases,
 		onEnd: func() {
-			// The history may no longer reach back to the version of the sample.
+			// The store's change history may no longer include the version of the member sample.
 			n.followingLeases, n.memberSample.version = false, 0
 			n.followLeases()
 		},
 	}, version)
 }
 
-// recentSampleVersion returns the version from which member rows must be followed so that no change
-// is missed, or 0 if the sample is too old.
+// recentSampleVersion returns the version of the member sample, or 0 if the sample is too old. The
+// lease table also holds member rows, so a node that follows the table from the sample's version
+// misses no change of a member.
 func (n *Node) recentSampleVersion() int64 {
 	if n.now().Sub(n.memberSample.readAt) > minRefreshInterval {
 		return 0
@@ -78,8 +79,8 @@
 	})
 }
 
-// scanLease scans a pool's lease and retries until the store answers. An unchanged lease leaves the
-// failure count of its owner as it is.
+// scanLease scans a pool's lease and retries until the store responds. If the lease is unchanged,
+// the owner's count of failed pings stays as it is.
 func (n *Node) scanLease(name string, done func(version int64)) {
 	n.ports.Scan(pool.NodeTable, name, "", func(listing rows.Listing, err error) {
 		if err != nil {
@@ -108,8 +109,9 @@
 	})
 }
 
-// applyLeaseTableRow applies a row of the lease table, which also holds one row for each node. In small
-// clusters all nodes apply these rows too and so learn of each other at once.
+// applyLeaseTableRow applies a row of the lease table. The table also holds one row for each node.
+// In small clusters, where the member sample is complete, nodes apply these rows too and so learn
+// of each other at once.
 func (n *Node) applyLeaseTableRow(row rows.Row) {
 	switch {
 	case row.Part == "" && !n.memberSample.partial:
