--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -80,8 +80,9 @@
 	return state, err
 }
 
-// storedJob returns the partition that holds a job, empty if there is none, and whether the job is
-// canceled. A job counts as absent only if every partition has answered.
+// storedJob returns the partition that holds a job and whether the job is canceled. The partition
+// is empty if no partition holds the job. If a partition could not be read, storedJob returns an
+// error unless it found the job in another one.
 func (g *Gateway) storedJob(ctx context.Context, poolName, id string) (accepted string, cancelled bool, err error) {
 	for _, part := range pool.JobPartitions(poolName, id) {
 		listing, failure := g.node.ports.scan(ctx, pool.JobTable, part, id)
@@ -100,7 +101,7 @@
 	return accepted, cancelled, err
 }
 
-// storedState returns the state of a job's newest progress row.
+// storedState returns the state in a job's newest progress row, or Queued if the job has none.
 func (g *Gateway) storedState(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	var newest pool.Progress
 	for _, part := range pool.ProgressPartitions(poolName) {
