--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -14,40 +14,42 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// A node knows a bounded sample of the others: the candidates at the head of the takeover order and
-// some of its own successors in that order. Each node writes its own row when it starts. Nodes of a
-// large cluster do not follow each other's rows, as each restart would cost one response of the
-// store for every node.
+// The takeover order is the order in which nodes take over a pool that lost its owner. A node knows
+// a bounded sample of the other nodes: the candidates, which are first in the takeover order, and
+// some of the node's own successors in that order. Each node writes its own member row when it
+// starts. In large clusters nodes do not follow changes of member rows. Otherwise the store would
+// send every node a response for each node that restarts.
 //
-// Rows are ordered by descending weight and by a hash among equal weights, so that neighbors in the
-// order are spread over all zones.
+// Member rows are sorted by descending weight, and by a hash of the name among equal weights. The
+// hash spreads neighbors in the order over all zones.
 
-// memberTable has one row for each node, named by memberRowName.
+// memberTable has one row for each node. memberRowName returns the row's name.
 const memberTable = "members"
 
 const (
-	// candidateCount is how many nodes at the head of the takeover order are known: the standbys,
-	// and as many to replace them.
+	// candidateCount is how many of the first nodes in the takeover order every node knows: the
+	// standbys, and as many nodes to replace them.
 	candidateCount = 2 * standbyCount
-	// successorCount is how many successors of this node are known. A node that loses the store
-	// finds one among them that still reaches it.
+	// successorCount is how many of its successors a node knows. A node that loses the store relays
+	// its calls through a successor that still reaches the store.
 	successorCount = 12
-	// legacyMemberCount is how many nodes are read, once, whose version does not write memberTable.
+	// legacyMemberCount is how many nodes of versions without memberTable are known. A node reads
+	// them once, with its first sample.
 	legacyMemberCount = 4
-	// initialJoinBackoff is the first backoff after a failed write of a node's rows. It doubles up
-	// to maxJoinBackoff, with jitter: all member rows are in one partition of the store, which
-	// commits some 200 writes a second, and hundreds of nodes may start at once.
+	// initialJoinBackoff is the backoff after the first failed write of a node's rows. The backoff
+	// doubles with each failure, up to maxJoinBackoff, and has jitter. All member rows are in one
+	// partition of the store, whose write rate is limited, and many nodes may start at once.
 	initialJoinBackoff = 500 * time.Millisecond
 	maxJoinBackoff     = 16 * time.Second
-	// sampleRefreshInterval is the interval between reads of the sample, startupRefreshDelay the
-	// delay of the first further read after a start; both have jitter. Reads are at least
+	// sampleRefreshInterval is the interval between reads of the member sample. startupRefreshDelay
+	// is the delay between a node's first and second read. Both have jitter. Reads are at least
 	// minRefreshInterval apart.
 	sampleRefreshInterval = 2 * time.Minute
 	startupRefreshDelay   = 3 * time.Second
 	minRefreshInterval    = 2 * time.Second
 )
 
-// member is another node as described by its row.
+// member is a node as described by its member row.
 type member struct {
 	Name        string  `json:"name"`
 	Incarnation string  `json:"incarnation"`
@@ -55,22 +57,24 @@
 	Weight      float64 `json:"weight"`
 }
 
-// memberSample is what a node has read of the others.
+// memberSample is what a node has read of the member rows.
 type memberSample struct {
-	// members are the known nodes by name, which may include this one.
+	// members are the known nodes by name. They may include this node.
 	members map[string]member
-	// candidates are the names of the nodes at the head of the takeover order. partial is true if
-	// there are more nodes than these.
+	// candidates are the names of the first candidateCount nodes in the takeover order. partial is
+	// true if the cluster may have more nodes.
 	candidates map[string]bool
 	partial    bool
 	// version is the version of the store that the sample reflects.
 	version int64
-	// reading is true while the sample is being read, readAt is when it was last read.
+	// reading is true while a read of the sample is in flight. readAt is when the sample was last
+	// read.
 	reading bool
 	readAt  time.Time
 }
 
-// memberRowName returns the name of a node's row, which sorts rows by descending weight.
+// memberRowName returns the name of a node's row. Sorting the rows by name sorts them by descending
+// weight.
 func memberRowName(m member) string {
 	// Weights are fractions of a processor with three decimal places.
 	const scale, maxScaledWeight = 1000, 999_999
@@ -83,13 +87,13 @@
 	return member{Name: n.options.Name, Incarnation: n.options.Incarnation, Address: n.options.PeerAddress, Weight: n.options.Weight}
 }
 
-// memberRowKeys returns the keys of this node's rows. Nodes of versions without memberTable read
-// the row in pool.NodeTable.
+// memberRowKeys returns the keys of this node's two member rows. Nodes of versions without
+// memberTable read the row in pool.NodeTable.
 func (n *Node) memberRowKeys() []rows.Key {
 	return []rows.Key{{Table: memberTable, Name: memberRowName(n.self())}, {Table: pool.NodeTable, Name: n.options.Name}}
 }
 
-// join writes this node's rows and retries until they are stored.
+// join writes this node's member rows and retries until the write succeeds.
 func (n *Node) join() {
 	if !n.joining {
 		n.joining = true
@@ -97,7 +101,8 @@
 	}
 }
 
-// joinWithBackoff is join with the backoff after the next failure.
+// joinWithBackoff writes this node's member rows. If the write fails, the node waits for backoff,
+// with jitter, and tries again with twice the backoff.
 func (n *Node) joinWithBackoff(backoff time.Duration) {
 	if n.stopping.Load() {
 		return
@@ -117,8 +122,8 @@
 	})
 }
 
-// jitter returns a random period between half and one and a half times the given one, so that nodes
-// that started together do not stay synchronized.
+// jitter returns a random duration from half to one and a half times the given period. Nodes that
+// start together do not stay synchronized this way.
 func jitter(period time.Duration) time.Duration {
 	return time.Duration((0.5 + rand.Float64()) * float64(period))
 }
@@ -131,8 +136,8 @@
 	})
 }
 
-// refreshMembers reads the sample unless it is being read or was read less than minRefreshInterval
-// ago.
+// refreshMembers reads the sample unless a read is in flight or the last read is less than
+// minRefreshInterval ago.
 func (n *Node) refreshMembers() {
 	if !n.memberSample.reading && n.now().Sub(n.memberSample.readAt) >= minRefreshInterval {
 		n.readMembers()
@@ -145,7 +150,7 @@
 	limit       int
 }
 
-// readMembers reads the sample and retries until the store answers.
+// readMembers reads the sample and retries until the store responds.
 func (n *Node) readMembers() {
 	n.memberSample.reading = true
 	pages := []samplePage{
@@ -189,7 +194,7 @@
 		}
 	}
 	if len(next.members) <= 1 {
-		// All other nodes run an older version; keep those that the first sample found.
+		// All other nodes run a version without memberTable. Keep the nodes of the previous sample.
 		maps.Copy(next.members, n.memberSample.members)
 	}
 	ownRow, listed := next.members[n.options.Name]
@@ -198,12 +203,13 @@
 	n.publishSnapshot()
 	n.followLeases()
 	if missing {
-		// An owner that received no pings from this node removed its row.
+		// This node's row is missing or describes an earlier process. A pool owner removes a node's
+		// row if it receives no pings from the node for memberExpiry.
 		n.join()
 	}
 }
 
-// add adds the node of a row. It returns false if the row cannot be decoded.
+// add adds the node that a member row describes. It returns false if the row cannot be decoded.
 func (s *memberSample) add(row *rows.Row) (member, bool) {
 	var m member
 	if err := json.Unmarshal(row.Value, &m); err != nil || m.Name == "" {
@@ -213,7 +219,7 @@
 	return m, true
 }
 
-// apply applies a change of a node's row.
+// apply applies a change of a member row.
 func (s *memberSample) apply(row *rows.Row) {
 	if row.Gone {
 		delete(s.members, row.Name)
@@ -222,7 +228,8 @@
 	s.add(row)
 }
 
-// isCandidate reports whether a node is known to be at the head of the takeover order.
+// isCandidate reports whether a node is among the candidates. In a cluster that the sample covers
+// completely, all nodes are.
 func (s *memberSample) isCandidate(name string) bool { return !s.partial || s.candidates[name] }
 
 // otherMembersExcept lists the known members except this node and the excluded one, in random
