--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -214,9 +214,9 @@
 	began := time.Now()
 	cases := map[string]struct {
 		// pings are the times, in seconds, at which each node pings the owner.
-		pings map[string][]float64
-		at    float64
-		expired  []string
+		pings   map[string][]float64
+		at      float64
+		expired []string
 	}{
 		"no pings":                          {nil, 60, nil},
 		"pinged for less than memberExpiry": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
