--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,69 +27,69 @@
 	members []member
 	leases  map[string]versionedLease
 	owned   map[string]*pool.Pool
-	// waiting caches the owners' counts of waiting jobs by pool.
+	// waiting holds the last counts of waiting jobs that each pool's owner reported.
 	waiting map[string]waitingCounts
 }
 
-// waitingCounts are an owner's counts of waiting jobs by queue at a time.
+// waitingCounts are the counts of waiting jobs by queue that an owner reported at a time.
 type waitingCounts struct {
 	counts map[string]int
 	at     time.Time
 }
 
-// Node is the control state of one process. Its methods run on the loop unless documented
-// otherwise.
+// Node is the control state of one process. The methods run on the event loop (Dependencies.Loop)
+// unless documented otherwise.
 type Node struct {
-	options Options
-	dependencies   Dependencies
-	ports   *ports
-	feeds   cancelableReads
-	// feedFailures counts consecutive direct feeds that were not answered in time.
+	options      Options
+	dependencies Dependencies
+	ports        *ports
+	feeds        cancelableReads
+	// feedFailures counts consecutive direct feeds that timed out.
 	feedFailures atomic.Int32
-	// storeRetries are the store calls that wait for a retry.
+	// storeRetries holds the failed store calls that are to be retried.
 	storeRetries *loop.Retries
 	// store calls the store directly or through other nodes.
 	store   *relayedStore
 	catalog atomic.Pointer[catalog.Catalog]
-	// document is the encoded form of the catalog.
+	// document is the encoded form of catalog, the decoded configuration.
 	document atomic.Pointer[document]
 	// servedDocuments are the documents that other nodes are downloading.
 	servedDocuments servedDocuments
-	// configurationTransferStart is when the first byte of the store's current response with the
-	// configuration arrived; nil if none is arriving. There is one such call at a time.
+	// configurationTransferStart is when the first byte of the configuration that the store is
+	// sending arrived; nil while the store sends none. The node makes one such call at a time.
 	configurationTransferStart atomic.Pointer[time.Time]
-	// confirmedAt is when the catalog was last known to be the newest.
+	// confirmedAt is when the configuration was last known to be the newest.
 	confirmedAt atomic.Pointer[time.Time]
-	// confirmedByPeerAt is the time as of which another node last confirmed the catalog.
+	// confirmedByPeerAt is the time for which another node last confirmed the configuration.
 	confirmedByPeerAt atomic.Pointer[time.Time]
-	snapshot        atomic.Pointer[snapshot]
-	// storeRespondedAt is when the store last answered this node directly, storeFailed when a feed or
-	// a probe last failed, and storeReached when the store last answered directly or through
-	// another node.
+	snapshot          atomic.Pointer[snapshot]
+	// storeRespondedAt is when the store last responded to this node directly. storeFailedAt is
+	// when a feed or a probe last failed. storeReachedAt is when the store last responded directly
+	// or through another node.
 	storeRespondedAt atomic.Pointer[time.Time]
-	storeFailedAt   atomic.Pointer[time.Time]
-	storeReachedAt  atomic.Pointer[time.Time]
-	// storeLatency is measured on this node's own calls, reportedLatency is what a pool's owner
-	// last reported.
+	storeFailedAt    atomic.Pointer[time.Time]
+	storeReachedAt   atomic.Pointer[time.Time]
+	// storeLatency is the latency of this node's own calls. reportedLatency is the latency that a
+	// pool's owner last reported.
 	storeLatency    latencyWindow
 	reportedLatency atomic.Pointer[reportedLatency]
-	// storeUnavailable is true from a failure of the store until its next response.
+	// storeUnavailable is true from a failed feed or probe until the store's next direct response.
 	storeUnavailable atomic.Bool
-	// currentProbe is the store probe in flight, nil if there is none.
+	// currentProbe is the store probe in flight; nil if there is none.
 	currentProbe    atomic.Pointer[storeProbe]
 	stopping        atomic.Bool
 	schedulingDelay schedulingDelay
-	// recoveryProbing is true while the node probes a lost store for its recovery.
+	// recoveryProbing is true while the node probes a lost store until the store recovers.
 	recoveryProbing bool
 
 	memberSample memberSample
-	// joining is true while this node's rows are being written.
+	// joining is true while the node writes its member rows.
 	joining bool
 	leases  map[string]versionedLease
 	// followingLeases is true while this node follows the lease table.
 	followingLeases bool
-	// pingHistory records, on an owner, the pings of other nodes. pruning is true while this node
-	// removes the rows of expired members.
+	// pingHistory records the pings that this node received as an owner. pruning is true while this
+	// node, as an owner, removes the rows of expired members.
 	pingHistory pingHistory
 	pruning     bool
 	watchers    map[string]*poolWatcher
@@ -151,8 +151,8 @@
 	n.snapshot.Store(v)
 }
 
-// recordStoreResult records a direct response of the store; errors are ignored. It may be called
-// from any goroutine.
+// recordStoreResult records a direct response of the store if err is nil, and ignores errors. It
+// may be called from any goroutine.
 func (n *Node) recordStoreResult(err error) {
 	if err != nil {
 		return
@@ -166,8 +166,8 @@
 	}
 }
 
-// handleStoreRecovery retries the calls that wait for the store. Reads relayed through other nodes
-// are canceled, so that they go to the store directly.
+// handleStoreRecovery retries the failed calls at once. It cancels the reads that are relayed
+// through other nodes; their retries call the store directly.
 func (n *Node) handleStoreRecovery() {
 	n.store.relayedReads.cancelIdle(0)
 	n.storeRetries.RunPending()
@@ -176,8 +176,8 @@
 	}
 }
 
-// recordStoreFailure records a failed feed or probe. Failed transactions are not recorded here, as
-// they may concern only one partition of the store.
+// recordStoreFailure records a failed feed or probe. Failed transactions are not recorded, as only
+// one partition of the store may have failed.
 func (n *Node) recordStoreFailure(err error) {
 	if err == nil || errors.Is(err, rows.ErrHistoryExpired) {
 		return
@@ -197,16 +197,16 @@
 	n.storeReachedAt.Store(&now)
 }
 
-// storeAge returns how long ago the store last answered this node directly.
+// storeAge returns how long ago the store last responded to this node directly.
 func (n *Node) storeAge() time.Duration { return age(n.storeRespondedAt.Load()) }
 
-// storeRespondedSince reports whether the store has answered this node directly since a time.
+// storeRespondedSince reports whether the store has responded to this node directly since a time.
 func (n *Node) storeRespondedSince(at time.Time) bool {
 	respondedAt := n.storeRespondedAt.Load()
 	return respondedAt != nil && respondedAt.After(at)
 }
 
-// storeReachedAge returns how long ago the store last answered this node, directly or through
+// storeReachedAge returns how long ago the store last responded to this node, directly or through
 // another node.
 func (n *Node) storeReachedAge() time.Duration { return age(n.storeReachedAt.Load()) }
 
@@ -226,8 +226,8 @@
 	return uptime.Since(*at)
 }
 
-// Stop shuts the node down gracefully: it removes its member rows, releases its pools, then calls
-// done.
+// Stop shuts the node down gracefully. The node removes its member rows, releases its pools and
+// then calls done.
 func (n *Node) Stop(done func()) {
 	n.stopping.Store(true)
 	n.onReleased = done
