--- a/internal/node/observed_store.go
+++ b/internal/node/observed_store.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// observedStore is the store as this node calls it directly. It records each received byte as a
-// sign that the store is reachable, since small calls may time out behind a large response, and
+// observedStore makes this node's direct calls to the store. It records each received byte as a
+// sign that the store is reachable, since small calls may time out behind a large response. It also
 // logs responses that were abandoned midway.
 type observedStore struct {
 	rows.Store
@@ -80,8 +80,8 @@
 	r.node.recordStoreResult(nil)
 }
 
-// finish sets AsOf of a listing to the arrival of its first byte. The store had composed it by
-// then, however long the rest took to arrive.
+// finish sets a listing's AsOf to the arrival of the first byte. The store had composed the listing
+// by then, however long the other bytes took to arrive.
 func (r *observedResponse) finish(listing rows.Listing, err error) (rows.Listing, error) {
 	firstByteAt := r.firstByteAt.Load()
 	listing.AsOf = uptime.Now()
