--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -18,8 +18,8 @@
 	ConfigurationKey() rows.Key
 	WorkerTable() string
 	// EvacuationRows returns the table and the name prefix of the rows with which operators
-	// evacuate zones. ParseEvacuationKey returns the zone in such a row's key, and false for other
-	// rows.
+	// evacuate zones. ParseEvacuationKey returns the zone in the key of an evacuation row, and
+	// false for other rows.
 	EvacuationRows() (table, prefix string)
 	ParseEvacuationKey(key rows.Key) (string, bool)
 	DecodeCatalog(value []byte) (*catalog.Catalog, error)
@@ -33,17 +33,18 @@
 type Options struct {
 	Name        string
 	Incarnation string
-	// PeerAddress is the address at which other nodes reach this one.
+	// PeerAddress is the address at which other nodes reach this node.
 	PeerAddress string
-	// Weight is the node's share of a processor. Nodes with more weight take over pools first.
+	// Weight is the processor time available to the node, in processors. Nodes with more weight
+	// take over pools first.
 	Weight float64
 	// LinkBytesPerSecond is the bandwidth of the machine's link; 0 disables rate limiting.
 	LinkBytesPerSecond float64
 	PoolBounds         pool.Bounds
-	// MaxConfigurationAge is the maximum age of the configuration's confirmation. Requests are
-	// refused beyond it.
+	// MaxConfigurationAge is the maximum age of the configuration's confirmation. The node refuses
+	// requests while the confirmation is older.
 	MaxConfigurationAge time.Duration
-	// DisabledMechanisms are the mechanisms that are disabled, for measurements.
+	// DisabledMechanisms are the mechanisms to disable for measurements.
 	DisabledMechanisms mechanism.Disabled
 }
 
@@ -61,42 +62,44 @@
 const (
 	// feedWait is how long an owner's feeds of jobs and workers wait for a change.
 	feedWait = time.Second
-	// feedGrace is how long after its wait a feed may still be answered. It doubles with each
-	// consecutive feed without a response, up to maxFeedSlack, so that a very slow store can still
-	// be followed.
+	// feedGrace is how long the store may take to respond after a feed's wait. It doubles with each
+	// consecutive feed that times out, up to maxFeedGrace. Feeds of a very slow store succeed this
+	// way.
 	feedGrace    = 800 * time.Millisecond
 	maxFeedGrace = 3200 * time.Millisecond
-	// storeTimeout bounds a transaction of the control loop, in addition to the time it takes to
-	// send, and the wait for the first byte of a scan. An overloaded store queues calls for up to a
-	// second before it refuses them.
+	// storeTimeout bounds the wait for the first byte of a scan. It also bounds the wait for the
+	// result of an owner's transaction, in addition to the time that the transaction takes to send.
+	// It exceeds the time for which an overloaded store queues a call before refusing it.
 	storeTimeout = 1500 * time.Millisecond
-	// submitTimeout bounds the writes of one request. Callers on the platform's sites time out
-	// after 3 s; a write to a store at a fiftieth of its usual speed takes 0.5 s.
+	// submitTimeout bounds the store calls of one request. It is shorter than the timeout of
+	// callers and longer than a write to a very slow store takes.
 	submitTimeout = 1200 * time.Millisecond
-	// orderTimeout bounds an order to a worker, which replies in some 2 ms.
+	// orderTimeout bounds an order that starts or stops a task's run on a worker.
 	orderTimeout = 350 * time.Millisecond
-	// pollGrace is how long after its wait a poll may still be answered.
+	// pollGrace is how long a worker may take to reply after a poll's wait.
 	pollGrace = 400 * time.Millisecond
-	// pingPeriod and standbyPingPeriod are the intervals between pings of an owner. With
-	// pingTimeout a standby detects an unresponsive owner in 0.65 to 0.9 s; throttling by a
-	// processor quota stops a process for at most 0.1 s.
+	// pingPeriod is the interval between a node's pings of an owner, standbyPingPeriod the shorter
+	// interval of a standby. With pingTimeout a standby suspects an unresponsive owner within a
+	// second, which is much longer than throttling by a processor quota stops a process.
 	pingPeriod        = 500 * time.Millisecond
 	standbyPingPeriod = 250 * time.Millisecond
 	pingTimeout       = 400 * time.Millisecond
-	// suspectAfterFailures consecutive failures make an owner suspected.
+	// suspectAfterFailures is the number of consecutive failed pings after which a node suspects an
+	// owner, that is, tries to replace the owner.
 	suspectAfterFailures = 2
-	// storeLossTimeout is the age of the store's last response from which a node has lost the
-	// store.
+	// storeLossTimeout is the age of the store's last response from which an owner counts as having
+	// lost the store.
 	storeLossTimeout = 2200 * time.Millisecond
-	// failingStoreLossTimeout replaces storeLossTimeout for nodes whose feeds fail.
+	// failingStoreLossTimeout replaces storeLossTimeout for owners whose feeds fail.
 	failingStoreLossTimeout = 700 * time.Millisecond
-	// responseStallTimeout bounds the time without progress in a response that has begun. It is
-	// longer than a retransmission or throttling by a processor quota.
+	// responseStallTimeout bounds the time between two received bytes of a response. It is longer
+	// than a retransmission, and than throttling by a processor quota stops a process.
 	responseStallTimeout = 1500 * time.Millisecond
-	// responseTimeout bounds a response as a whole. The largest one, 16 MiB, takes 14 s on a link of
-	// 10 Mbit/s, which may be shared.
+	// responseTimeout bounds a response as a whole. The largest response must arrive in this time
+	// over a slow link that other transfers share.
 	responseTimeout = 60 * time.Second
-	// takeoverRankDelay is the delay between nodes of consecutive takeover ranks.
+	// takeoverRankDelay is how much later a node tries to acquire a pool than the node before it in
+	// the takeover order.
 	takeoverRankDelay = 200 * time.Millisecond
 	retryPause        = 200 * time.Millisecond
 )
