--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -15,20 +15,22 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// poolWatcher is what a node knows of a pool's owner and of its own attempts to acquire the pool.
+// poolWatcher is what a node knows of a pool's owner, and the state of the node's own attempts to
+// acquire the pool.
 type poolWatcher struct {
 	pool string
 	// leaseRead is true once the lease row has been read.
 	leaseRead bool
-	// failures counts consecutive failed pings.
+	// failures counts consecutive failed pings. The node suspects the owner from
+	// suspectAfterFailures on.
 	failures    int
 	lastReplyAt time.Time
 	acquiring   bool
-	// unresponsive is true from the first unanswered ping until the owner replies again.
+	// unresponsive is true from the first ping without a reply until the owner replies again.
 	unresponsive     bool
 	acquireScheduled bool
 	acquireAttempts  int
-	// weakReplies counts consecutive replies of an owner that ownerIsWeak applies to.
+	// weakReplies counts consecutive replies of an owner while ownerIsWeak holds.
 	weakReplies int
 	// refreshingLease is true while a scan of the lease is in flight.
 	refreshingLease bool
@@ -43,8 +45,8 @@
 	n.readLease(name, func(int64) { n.followLeases() })
 }
 
-// handleLeaseChange clears the suspicion of the previous owner. It acquires the pool if it has no
-// owner, or if its owner is an earlier process of this node.
+// handleLeaseChange clears the failures counted against the previous owner. This node then tries to
+// acquire the pool if the pool has no owner, or if the owner is an earlier process of this node.
 func (n *Node) handleLeaseChange(name string) {
 	w := n.watchers[name]
 	if w == nil {
@@ -63,8 +65,9 @@
 	}
 }
 
-// takeoverRank returns this node's position in the order in which nodes take over a pool: by
-// descending weight, and by a hash among nodes of equal weight.
+// takeoverRank returns this node's position in the takeover order of a pool, the order in which
+// nodes take over the pool. Nodes are ordered by descending weight, and by a hash among equal
+// weights.
 func (n *Node) takeoverRank(name string) int {
 	if !n.memberSample.isCandidate(n.options.Name) {
 		return maxTakeoverRank
@@ -78,12 +81,13 @@
 	return min(rank, maxTakeoverRank)
 }
 
-// takeoverDelay returns how long this node waits before it tries to acquire a pool, so that nodes
-// do not all try at once and those with little weight try last.
+// takeoverDelay returns how long this node waits before it tries to acquire a pool. The delay grows
+// with the takeover rank, so that nodes try one after another and those with little weight try
+// last.
 func (n *Node) takeoverDelay(name string) time.Duration {
 	delay := time.Duration(n.takeoverRank(name)) * takeoverRankDelay
 	if len(n.otherMembersExcept("")) == 0 {
-		// The whole cluster may have just started, with no node knowing another yet.
+		// The whole cluster may have just started, so that no node knows another node yet.
 		return delay + rand.N(startupJitter)
 	}
 	if n.memberSample.isCandidate(n.options.Name) {
@@ -100,11 +104,11 @@
 // startupJitter spreads the first attempts of nodes that know no other node.
 const startupJitter = 500 * time.Millisecond
 
-// lowWeightDelay is the extra delay of nodes that are not candidates and have less weight than the
-// candidates.
+// lowWeightDelay is the extra delay of nodes that are not candidates and have less weight than a
+// candidate.
 const lowWeightDelay = time.Second
 
-// maxTakeoverRank bounds the delay of the last node.
+// maxTakeoverRank is the rank of all nodes beyond it. It bounds the delay of the last nodes.
 const maxTakeoverRank = 12
 
 func takesOverBefore(poolName string, a, b member) bool {
@@ -116,8 +120,8 @@
 
 func rankHash(poolName, node string) uint64 { return xxhash.Sum64String(poolName + "/" + node) }
 
-// scheduleAcquire tries to acquire a pool after takeoverDelay, provided that the lease is unchanged
-// and stillNeeded holds by then.
+// scheduleAcquire tries to acquire a pool after takeoverDelay. It gives up if the lease has changed
+// by then or stillNeeded returns false.
 func (n *Node) scheduleAcquire(w *poolWatcher, reason string, stillNeeded func(*poolWatcher) bool) {
 	if w.acquireScheduled || n.stopping.Load() {
 		return
@@ -141,7 +145,8 @@
 	})
 }
 
-// acquire writes this node's lease on condition that the lease is as last read.
+// acquire writes a lease that names this node the owner, on condition that the stored lease has not
+// changed since it was last read.
 func (n *Node) acquire(w *poolWatcher, reason string) {
 	if w.acquiring || n.owned[w.pool] != nil || n.stopping.Load() {
 		return
@@ -155,7 +160,8 @@
 		w.acquiring = false
 		switch {
 		case err != nil:
-			// If the write took effect after all, the feed delivers it.
+			// The outcome may be unknown. If the write took effect, the lease feed delivers the new
+			// lease.
 			n.dependencies.Recorder.Count("retries", "acquire")
 			w.failures = 0
 			n.dependencies.Loop.After(retryPause, func() { n.acquireAfterFailure(w, reason) })
@@ -167,8 +173,8 @@
 	})
 }
 
-// acquireAfterFailure retries unless the pool has another owner, whose failures have to be counted
-// again from zero.
+// acquireAfterFailure retries a failed acquisition if the pool has no owner or this node is the
+// owner. Otherwise it does not retry, as the owner's failures are counted again from zero.
 func (n *Node) acquireAfterFailure(w *poolWatcher, reason string) {
 	if n.hasNoOwner(w) || n.leases[w.pool].Owner == n.options.Name {
 		n.acquire(w, reason)
@@ -181,8 +187,8 @@
 		row := result.Current[i]
 		var lease pool.Lease
 		if json.Unmarshal(row.Value, &lease) == nil && lease.Incarnation == n.options.Incarnation && row.Version > 0 {
-			// An earlier attempt of this process took effect. Acquire again, so that the head row
-			// is this process's too.
+			// An earlier attempt of this process took effect. Acquire again, on condition of the
+			// lease that the earlier attempt wrote.
 			n.leases[w.pool] = versionedLease{Lease: lease, version: row.Version}
 			n.acquire(w, "earlier acquire took effect")
 			return
@@ -232,15 +238,15 @@
 
 func (n *Node) hasNoOwner(w *poolWatcher) bool { return n.leases[w.pool].Owner == "" }
 
-// An owner is replaced by a node with at least weakOwnerWeightRatio times its weight after
-// weakOwnerReplies consecutive replies to that node.
+// A node with at least weakOwnerWeightRatio times the owner's weight replaces the owner, after the
+// owner has replied to weakOwnerReplies consecutive pings of the node.
 const (
 	weakOwnerWeightRatio = 2.0
 	weakOwnerReplies     = 4
 )
 
-// replaceWeakOwner acquires a pool from an owner that has much less processor time than this node.
-// After a takeover during an outage the new owner may be such a node.
+// replaceWeakOwner acquires a pool from an owner that has much less weight, that is, processor
+// time, than this node. Such a node may have taken over the pool during an outage.
 func (n *Node) replaceWeakOwner(w *poolWatcher) {
 	if !n.ownerIsWeak(w) {
 		w.weakReplies = 0
@@ -251,7 +257,8 @@
 	}
 }
 
-// ownerIsWeak reports whether this node has enough weight to replace a pool's owner.
+// ownerIsWeak reports whether this node has enough weight to replace a pool's owner, and can do so
+// now.
 func (n *Node) ownerIsWeak(w *poolWatcher) bool {
 	weight := n.ownerWeight(w.pool)
 	return !n.options.DisabledMechanisms[mechanism.WeakOwnerTakeover] && weight > 0 && n.options.Weight >= weakOwnerWeightRatio*weight &&
@@ -267,5 +274,5 @@
 	return n.memberSample.members[lease.Owner].Weight
 }
 
-// ownerSuspected reports whether a pool's owner should be replaced.
+// ownerSuspected reports whether this node suspects a pool's owner and may replace it.
 func (n *Node) ownerSuspected(w *poolWatcher) bool { return w.failures >= suspectAfterFailures }
