--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -109,7 +109,7 @@
 func TestWeakOwnerIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		ownWeight, ownerWeight float64
-		want       bool
+		want                   bool
 	}{
 		"owner has a quarter of the weight": {0.8, 0.2, true},
 		"alike":                             {0.4, 0.4, false},
