--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,7 +13,7 @@
 // Methods of calls between nodes.
 const (
 	methodPing                = "ping"
-	methodIndirectCheck                = "seen"
+	methodIndirectCheck       = "seen"
 	methodConfigurationStatus = "news"
 	methodLookup              = "lookup"
 	methodWaiting             = "waiting"
@@ -49,7 +49,8 @@
 	return n.dependencies.Peers.Call(ctx, address, request)
 }
 
-// callPeer sends a request without blocking the loop, on which it then runs done.
+// callPeer sends a request to another node without blocking the loop. It runs done on the loop with
+// the reply or the error.
 func (n *Node) callPeer(address, method string, body any, done func([]byte, error)) {
 	n.callPeerWithTimeout(pingTimeout, address, method, body, done)
 }
