--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -23,23 +23,24 @@
 	StoreLost bool `json:"store_lost,omitempty"`
 }
 
-// pingReply is an owner's state.
+// pingReply is the state of the pinged node.
 type pingReply struct {
 	Owner bool `json:"owner"`
-	// StoreAgeMillis is how long ago the store last answered the node, directly or through another
-	// one.
+	// StoreAgeMillis is how long ago the store last responded to the node, directly or through
+	// another node.
 	StoreAgeMillis int64 `json:"store_age_ms"`
-	// StoreLost is true if the node's feeds have failed since that response.
+	// StoreLost is true if a feed or a probe of the node has failed since the store's last direct
+	// response.
 	StoreLost bool           `json:"store_lost,omitempty"`
 	Waiting   map[string]int `json:"waiting,omitempty"`
-	// StoreLatencyMillis is the minimum latency of the node's recent store calls; 0 if there were
-	// none.
+	// StoreLatencyMillis is the minimum latency of the node's recent store calls, or 0 if the node
+	// made none.
 	StoreLatencyMillis int64 `json:"store_latency_ms,omitempty"`
 	configurationStatus
 }
 
-// standbyCount is how many nodes ping a pool's owner at the shorter interval: the first in the
-// takeover order. It bounds the owner's load from pings in clusters of any size.
+// standbyCount is the number of a pool's standbys: the first nodes in the takeover order, which
+// ping the owner each standbyPingPeriod. It bounds the owner's load from these frequent pings.
 const standbyCount = 8
 
 // isStandby reports whether this node is a standby for a pool.
@@ -47,8 +48,8 @@
 	return !n.options.DisabledMechanisms[mechanism.Standbys] && n.takeoverRank(name) < standbyCount
 }
 
-// pingOwners pings the owners of all pools periodically: standbys each standbyPingPeriod, other
-// nodes each pingPeriod.
+// pingOwners runs one round of pings and schedules the next round. A node pings the owners of pools
+// that it is a standby for each standbyPingPeriod, and all other owners each pingPeriod.
 func (n *Node) pingOwners() {
 	n.confirmIfOnlyNode()
 	fullRound := n.pings.fullRoundDue(n.now())
@@ -65,11 +66,12 @@
 	n.dependencies.Loop.After(pause, n.pingOwners)
 }
 
-// pingSchedule selects the rounds in which nodes that are not standbys ping too. Rounds run each
-// standbyPingPeriod or pingPeriod.
+// pingSchedule selects the full rounds, in which a node pings all owners. In other rounds a node
+// pings only the owners of pools that it is a standby for.
 type pingSchedule struct{ lastFullRound time.Time }
 
-// fullRoundDue reports whether all owners are to be pinged in the round at a time, and records it.
+// fullRoundDue reports whether the round that starts now is a full round, and if so records its
+// time.
 func (s *pingSchedule) fullRoundDue(now time.Time) bool {
 	if now.Sub(s.lastFullRound) < pingPeriod-standbyPingPeriod/2 {
 		return false
@@ -107,7 +109,8 @@
 	owner := n.leases[w.pool].Owner
 	switch {
 	case !reply.Owner:
-		// The process has restarted, or it lost the pool without this node reading the new lease.
+		// The owner's process has restarted, or the owner lost the pool and this node has not read
+		// the new lease.
 		w.failures++
 		n.refreshLease(w)
 		n.replaceSuspectedOwner(w, "owner "+owner+" no longer owns the pool")
@@ -130,8 +133,8 @@
 	}
 }
 
-// ownerLostStore reports whether an owner reaches the store neither directly nor through other
-// nodes.
+// ownerLostStore reports whether an owner has lost the store: the store has not responded to the
+// owner for too long, neither directly nor through other nodes.
 func ownerLostStore(owner pingReply) bool {
 	limit := storeLossTimeout
 	if owner.StoreLost {
@@ -140,7 +143,8 @@
 	return time.Duration(owner.StoreAgeMillis)*time.Millisecond > limit
 }
 
-// handlePingFailure counts a failure. A refused connection counts twice, as the process is gone.
+// handlePingFailure counts a failed ping. A refused connection counts twice, as it shows that the
+// owner's process has ended.
 func (n *Node) handlePingFailure(w *poolWatcher, err error) {
 	w.failures++
 	if fault.IsKind(err, fault.NoOwner) {
@@ -155,7 +159,8 @@
 	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
 }
 
-// replaceSuspectedOwner acquires a pool from a suspected owner unless other nodes still reach it.
+// replaceSuspectedOwner acquires a pool from a suspected owner unless other nodes still reach the
+// owner.
 func (n *Node) replaceSuspectedOwner(w *poolWatcher, reason string) {
 	if !n.ownerSuspected(w) || n.stopping.Load() {
 		return
@@ -163,7 +168,8 @@
 	n.checkOwnerIndirectly(w, n.handleIndirectCheck(w, reason))
 }
 
-// handleIndirectCheck returns the callback for an indirect check of a pool's owner.
+// handleIndirectCheck returns the function that handles the result of an indirect check of a pool's
+// owner.
 func (n *Node) handleIndirectCheck(w *poolWatcher, reason string) func(seen bool) {
 	lease := n.leases[w.pool]
 	return func(seen bool) {
@@ -179,9 +185,10 @@
 	}
 }
 
-// confirmOwnership compares the lease known to the requesting node with the owned pool. It abandons
-// the pool and returns false if that node knows a newer owner. While both have lost the store, a
-// matching token confirms the owner, whose running tasks then continue.
+// confirmOwnership compares the fencing token in a ping with the token of the owned pool. If the
+// requesting node knows a newer token, this node abandons the pool and returns false. If the tokens
+// match and the requesting node has lost the store, the ping confirms the ownership, so that
+// running tasks continue.
 func (n *Node) confirmOwnership(p *pool.Pool, request *pingRequest) bool {
 	if request.Token > p.Token() {
 		p.Abandon("ping with a newer token")
@@ -193,8 +200,8 @@
 	return true
 }
 
-// confirmIfOnlyNode confirms the owned pools while the store is lost if no other node could acquire
-// them, so that running tasks continue.
+// confirmIfOnlyNode confirms this node's ownership of its pools while the store is lost and no
+// other node is known that could acquire the pools. Running tasks then continue.
 func (n *Node) confirmIfOnlyNode() {
 	if !n.storeLost() || len(n.otherMembersExcept("")) > 0 {
 		return
@@ -204,7 +211,7 @@
 	}
 }
 
-// servePing answers another node's ping of a pool's owner.
+// servePing handles another node's ping of a pool's owner.
 func (n *Node) servePing(ctx context.Context, request pingRequest) (pingReply, error) {
 	reply := pingReply{
 		StoreAgeMillis: n.storeReachedAge().Milliseconds(), StoreLost: n.storeLost(),
