--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -15,26 +15,29 @@
 type ports struct {
 	ctx  context.Context
 	node *Node
-	// rateLimiter limits the rate of orders and reads on the machine's link.
+	// rateLimiter limits the rate of orders, scans and transactions on the machine's link. An order
+	// is a call to a worker.
 	rateLimiter *ratelimit.Limiter
 }
 
-// An owner's orders and reads come in bursts: a start and a poll for each task of a wide step, or
-// all rows of a pool at a takeover. Without rate limiting, pings queue behind them on a slow link
-// and time out, and the pool is taken over.
+// An owner's orders and reads come in bursts: a start and a poll for each task of a step with many
+// tasks, or all rows of a pool after a takeover. Without rate limiting, pings queue behind a burst
+// on a slow link and time out. Another node then takes over the pool.
 const (
-	// linkFraction is the part of the link's bandwidth for orders and reads, linkBurst the length
-	// of a burst at that rate.
+	// linkFraction is the part of the link's bandwidth that the rate limiter admits. linkBurst is
+	// the length of a burst at that rate.
 	linkFraction = 0.8
 	linkBurst    = 100 * time.Millisecond
-	// orderOverheadBytes is the size of an order without its payload, including headers. Its reply
-	// has about the same size.
+	// orderOverheadBytes is the size of an order without its payload, including headers. The
+	// worker's reply has about the same size.
 	orderOverheadBytes = 450
-	// scanEstimateBytes is charged for a scan until its size is known.
+	// scanEstimateBytes is the size that the rate limiter assumes for a scan until the response is
+	// complete.
 	scanEstimateBytes = 4 << 10
 )
 
-// runRateLimited is runAsync after the rate limiter admits the given bytes. The timeouts start then.
+// runRateLimited waits until the rate limiter admits the given bytes, then does what runAsync does.
+// The timeouts start after the wait.
 func runRateLimited[T any](p *ports, bytes int, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
 		if err := p.rateLimiter.Wait(p.ctx, bytes); err == nil {
@@ -43,7 +46,7 @@
 	}()
 }
 
-// runWithTimeouts calls work with the given timeouts and posts its result.
+// runWithTimeouts calls work with the given timeouts and posts the result to the loop.
 func runWithTimeouts[T any](p *ports, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	ctx, cancel := progress.WithTimeouts(p.ctx, timeouts)
 	defer cancel()
@@ -51,18 +54,19 @@
 	p.node.dependencies.Loop.Post(func() { done(result, err) })
 }
 
-// progressTimeout lets a response whose first byte arrives within limit continue while it makes
-// progress. Abandoning and repeating large responses would saturate slow links.
+// progressTimeout returns timeouts that let a response continue while it makes progress, if its
+// first byte arrives within limit. Abandoning and repeating large responses would saturate slow
+// links.
 func progressTimeout(limit time.Duration) progress.Timeouts {
 	return progress.Timeouts{FirstByte: limit, Idle: responseStallTimeout, Total: max(limit, responseTimeout)}
 }
 
-// fixedTimeout bounds a call as a whole.
+// fixedTimeout returns timeouts that bound a call as a whole.
 func fixedTimeout(limit time.Duration) progress.Timeouts {
 	return progress.Timeouts{FirstByte: limit, Idle: limit, Total: limit}
 }
 
-// runAsync calls work on a separate goroutine and posts its result.
+// runAsync calls work on a separate goroutine and posts the result to the loop.
 func runAsync[T any](p *ports, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go runWithTimeouts(p, timeouts, work, done)
 }
@@ -81,7 +85,8 @@
 
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
-	// The store applies timeouts to the direct and the relayed scan separately.
+	// responseTimeout only bounds the scan as a whole. relayedStore sets shorter timeouts for the
+	// direct and the relayed call.
 	runRateLimited(p, scanEstimateBytes, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
 		p.rateLimiter.Charge(max(0, listing.Bytes()-scanEstimateBytes))
@@ -93,7 +98,8 @@
 	return p.node.store.Scan(ctx, table, part, prefix)
 }
 
-// page reads up to limit rows of a partition, starting at a name.
+// page reads up to limit rows of a partition in the order of their names, starting at the name
+// from.
 func (p *ports) page(table, part, from string, limit int, done func(rows.Listing, error)) {
 	runAsync(p, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Page(ctx, table, part, from, limit)
@@ -105,15 +111,16 @@
 	p.feedFor(table, after, feedWait, done)
 }
 
-// feedFor is Feed with the given wait.
+// feedFor is Feed with the given wait in place of feedWait.
 func (p *ports) feedFor(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
 	runAsync(p, progressTimeout(wait+p.node.currentFeedGrace()), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Feed(ctx, table, after, wait)
 	}, done)
 }
 
-// scanDirect and feedDirect read the configuration without relays. Other nodes send it in chunks
-// (downloadConfiguration).
+// scanDirect scans the operators' table, which holds the configuration. Neither scanDirect nor
+// feedDirect relays its call through another node: a node that has lost the store downloads the
+// configuration from another node in chunks (downloadConfiguration).
 func (p *ports) scanDirect(table, part string, done func(rows.Listing, error)) {
 	runAsync(p, progressTimeout(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
 		ctx, stopTracking := p.node.trackStoreTransfer(ctx)
@@ -160,7 +167,9 @@
 }
 
 // EvacuationRows implements pool.Ports.
-func (p *ports) EvacuationRows() (table, prefix string) { return p.node.dependencies.Codec.EvacuationRows() }
+func (p *ports) EvacuationRows() (table, prefix string) {
+	return p.node.dependencies.Codec.EvacuationRows()
+}
 
 // ParseEvacuationKey implements pool.Ports.
 func (p *ports) ParseEvacuationKey(key rows.Key) (string, bool) {
