--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -8,8 +8,8 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// probeTimeout bounds a probe of the store. A store at a fiftieth of its usual speed still answers
-// a read in 0.2 s.
+// probeTimeout bounds a probe, which is a small read that tests whether the store responds to this
+// node. It is longer than a read of a very slow store takes.
 const probeTimeout = 400 * time.Millisecond
 
 // slowProbeTimeout bounds a probe while the store is slow for all calls.
@@ -23,7 +23,8 @@
 	return probeTimeout
 }
 
-// ifStoreReachable runs fn on the loop if the store answers this node directly.
+// ifStoreReachable runs fn on the loop if the store responds to this node directly. It probes the
+// store unless the store has responded recently.
 func (n *Node) ifStoreReachable(fn func()) {
 	if n.storeLost() {
 		return
@@ -39,7 +40,8 @@
 	})
 }
 
-// storeFreshAge is the age of the store's last response below which no probe is needed.
+// storeFreshAge is the age of the store's last direct response below which ifStoreReachable does
+// not probe.
 const storeFreshAge = time.Second
 
 // probe reads this node's own row directly from the store.
@@ -49,8 +51,8 @@
 	return struct{}{}, err
 }
 
-// confirmStoreLost probes the store after a call that failed or takes long, and reports whether
-// this node has lost it. Concurrent callers share one probe.
+// confirmStoreLost probes the store and reports whether this node has lost the store. It is for use
+// after a call that failed or takes long. Concurrent callers share one probe.
 func (n *Node) confirmStoreLost() bool {
 	if n.storeLost() {
 		return true
@@ -80,7 +82,7 @@
 // probePeriod is the interval between probes of a lost store.
 const probePeriod = 200 * time.Millisecond
 
-// startRecoveryProbes probes a lost store until it answers.
+// startRecoveryProbes starts to probe a lost store until the store responds.
 func (n *Node) startRecoveryProbes() {
 	if n.recoveryProbing {
 		return
@@ -97,7 +99,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(n.ports.ctx, n.currentProbeTimeout())
 		defer cancel()
-		// recordStoreResult records a success; a failure is followed by the next probe.
+		// probe records a success with recordStoreResult. After a failure the next probe follows.
 		_, _ = n.probe(ctx)
 		n.dependencies.Loop.After(probePeriod, n.probeUntilResponse)
 	}()
