--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -6,30 +6,30 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Nodes that crash leave their rows behind. Owners remove these rows, since every live node pings
-// the owner of each pool. Otherwise samples would fill with dead nodes, and owners would have no
-// standbys.
+// A node that crashes leaves its member row behind. Pool owners remove such rows: every live node
+// pings the owner of each pool, so an owner notices which nodes are dead. Otherwise member samples
+// would fill with dead nodes, and owners would have no standbys.
 
 const (
-	// memberExpiry is how long a node may send no ping before its row is removed, many times the
-	// interval between pings. A live node whose row was removed writes it again.
+	// memberExpiry is the time without a ping after which an owner removes a node's row. It is many
+	// times the interval between pings. A live node whose row was removed writes the row again.
 	memberExpiry = 15 * time.Second
-	// maxPingGap is the longest interval between consecutive pings of an owner if there is more
-	// than one other node. After a longer gap the owner was partitioned or stalled and cannot tell
-	// other nodes.
+	// maxPingGap is the longest expected interval between two pings that an owner receives from any
+	// nodes. After a longer gap the owner was partitioned or stalled, and cannot tell which nodes
+	// are dead.
 	maxPingGap = 2 * time.Second
-	// prunePageSize is how many rows are checked at a time, prunePageInterval the interval between
-	// pages, and pruneInterval the interval between passes over all rows.
+	// prunePageSize is how many rows are checked at a time. prunePageInterval is the interval
+	// between such pages. pruneInterval is the interval between passes over all rows.
 	prunePageSize     = 40
 	prunePageInterval = time.Second
 	pruneInterval     = time.Minute
 )
 
-// pingHistory is when other nodes last pinged an owner.
+// pingHistory records when other nodes last pinged this node as an owner.
 type pingHistory struct {
 	lastPings map[string]time.Time
 	latest    time.Time
-	// since is the start of the current period without a gap.
+	// since is the time of the first ping after the last gap longer than maxPingGap.
 	since time.Time
 }
 
@@ -44,7 +44,8 @@
 	h.lastPings[name], h.latest = now, now
 }
 
-// expired reports whether a node has certainly sent no ping for memberExpiry.
+// expired reports whether a node has sent no ping for memberExpiry. It returns false if pings of
+// the node may have been lost because this owner was partitioned or stalled.
 func (h *pingHistory) expired(name string, now time.Time) bool {
 	if h.lastPings == nil || now.Sub(h.latest) > maxPingGap || now.Sub(h.since) < memberExpiry {
 		return false
@@ -52,7 +53,8 @@
 	return now.Sub(h.lastPings[name]) > memberExpiry
 }
 
-// pruneMembers removes the rows of expired members, page by page, while this node owns a pool.
+// pruneMembers removes the rows of expired members from one page of memberTable and schedules the
+// next page. It stops once this node owns no pool.
 func (n *Node) pruneMembers(from string) {
 	if len(n.owned) == 0 {
 		n.pruning = false
@@ -70,8 +72,8 @@
 	})
 }
 
-// removeExpired removes the rows of expired members unless they were written again since they were
-// read.
+// removeExpired removes the listed rows of expired members in one transaction. The transaction has
+// no effect if any of these rows was written after the listing.
 func (n *Node) removeExpired(listed []rows.Row) {
 	var transaction rows.Transaction
 	pageSample := memberSample{members: map[string]member{}}
