--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -17,35 +17,35 @@
 
 // Timeouts and limits of store calls through other nodes.
 const (
-	// probeAfter is how long a direct call may take before the node probes the store. The usual
-	// latency is 5 to 15 ms.
+	// probeAfter is how long a direct call may take before the node probes the store. It is many
+	// times the usual latency.
 	probeAfter = 300 * time.Millisecond
-	// maxRelayAttempts is how many other nodes are tried for one call.
+	// maxRelayAttempts is how many other nodes a node tries for one call.
 	maxRelayAttempts = 2
-	// relayTimeout bounds one relayed call, in addition to the wait of a feed and to the time the
-	// call takes to send over relayHops links.
+	// relayTimeout bounds the wait for the first byte of a relayed call's response. The wait of a
+	// feed, and the time that a transaction takes to send over relayHops links, are added.
 	relayTimeout = 500 * time.Millisecond
 	relayHops    = 2
-	// relayScanTimeout bounds the wait for the first byte of a relayed scan of all job rows in a
-	// partition. The relaying node reads all of them before it replies: 3.7 MB on a link of 10
-	// Mbit/s.
+	// relayScanTimeout replaces relayTimeout for a relayed scan of all job rows in a partition. The
+	// relaying node reads all rows before it sends the first byte.
 	relayScanTimeout = 3 * time.Second
-	// relayBackoff is how long no call is relayed after all attempts have failed, as the store is
-	// then unavailable to all nodes.
+	// relayBackoff is how long a node relays no calls after all attempts for a call have failed.
+	// The store is then probably unavailable to all nodes.
 	relayBackoff = 150 * time.Millisecond
 )
 
-// relayedStore calls the store directly, or through other nodes while the store refuses this one or
-// a partition separates them. A call may be made both ways; transactions of callers have conditions
-// that make a second commit harmless.
+// relayedStore calls the store directly. While this node has lost the store, relayedStore relays
+// calls through other nodes. A call may be made both directly and through another node, so a
+// transaction may be committed twice. Callers give their transactions conditions that make a second
+// commit harmless.
 type relayedStore struct {
 	node   *Node
 	direct rows.Store
-	// relayedReads are the pending reads through other nodes.
+	// relayedReads are the pending reads that are relayed through other nodes.
 	relayedReads cancelableReads
 	// preferredAddress is the address of the node that last relayed a call.
 	preferredAddress atomic.Pointer[string]
-	// noRelayUntil is when calls may be relayed again.
+	// noRelayUntil is the end of the current relayBackoff; nil before the first.
 	noRelayUntil atomic.Pointer[time.Time]
 }
 
@@ -77,7 +77,8 @@
 	})
 }
 
-// Feed implements rows.Store. A direct feed that fails is not relayed; the caller's retry is.
+// Feed implements rows.Store. It does not relay a direct feed that failed. If the node has then
+// lost the store, the caller's next feed is relayed.
 func (s *relayedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, callTimeouts{relayed: wait + relayTimeout, readOnly: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
@@ -100,7 +101,7 @@
 	return listing, err
 }
 
-// feedDirect is Feed without relays.
+// feedDirect makes a feed without relays.
 func (s *relayedStore) feedDirect(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
@@ -114,8 +115,8 @@
 	s.node.recordFeedResult(err)
 	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrOutcomeUnknown) || s.node.storeAge() > probeTimeout {
-		// A feed that times out while other calls are answered does not mean that the store is
-		// lost: its response may be queued behind a larger one.
+		// A feed that times out while the store responds to other calls does not mean that the
+		// store is lost. The feed's response may be queued behind a larger response.
 		s.node.recordStoreFailure(err)
 	}
 	return listing, err
@@ -130,22 +131,25 @@
 	err    error
 }
 
-// hasResponse reports whether the outcome is the store's own response.
-func (a *attempt[T]) hasResponse() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired) }
+// hasResponse reports whether the store itself responded: with a result, or by reporting that the
+// history has expired.
+func (a *attempt[T]) hasResponse() bool {
+	return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired)
+}
 
 // callTimeouts bound the wait for the first byte of a response.
 type callTimeouts struct {
 	direct time.Duration
 	// relayed is the timeout for each other node.
 	relayed time.Duration
-	// readOnly calls are canceled at other nodes once the store answers this one, which then
-	// repeats them directly.
+	// readOnly is true for calls that change no rows. A relayed read-only call is canceled once the
+	// store responds to this node again. The caller then repeats the call directly.
 	readOnly bool
 }
 
-// callWithRelay makes a call directly and, if this node turns out to have lost the store, through
-// another one. A call that fails or takes long while the store is reachable is not relayed, as a
-// duplicate would add to the store's load.
+// callWithRelay makes a call directly. If the call fails or takes long and a probe shows that this
+// node has lost the store, callWithRelay also makes the call through another node. While the store
+// is reachable, it does not relay the call, as a duplicate would add to the store's load.
 func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, timeouts, call)
@@ -183,7 +187,8 @@
 	return firstResponse(attempts, direct)
 }
 
-// firstResponse returns the first response of two attempts, one of which may already have failed.
+// firstResponse returns the first response of two attempts. failed is the first attempt's outcome
+// if that attempt has already failed, and nil otherwise.
 func firstResponse[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
 	first := <-attempts
 	if first.hasResponse() {
@@ -199,7 +204,8 @@
 	return first.result, lessCertain(failed.err, first.err)
 }
 
-// lessCertain returns the error that leaves a call's effect more uncertain.
+// lessCertain returns the error that leaves the call's effect less certain: b if a means no effect,
+// else a.
 func lessCertain(a, b error) error {
 	if errors.Is(a, rows.ErrNoEffect) {
 		return b
@@ -207,7 +213,8 @@
 	return a
 }
 
-// relay makes a call through other nodes, one after another.
+// relay makes a call through other nodes, one after another, until one of them returns the store's
+// response.
 func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
 	var zero T
 	failure := errors.Mark(errors.New("no other node reaches the store"), rows.ErrNoEffect)
@@ -244,9 +251,9 @@
 	return zero, failure
 }
 
-// relayAddresses lists the nodes to try: the one that last relayed a call, then others in random
-// order. They include the owners of pools, which are known to be alive even if most known members
-// are not.
+// relayAddresses lists the addresses to try: first the node that last relayed a call, then other
+// nodes in random order. The list includes the owners of pools, since most members of the sample
+// may have failed while the owners are alive.
 func (s *relayedStore) relayAddresses() []string {
 	v := s.node.snapshot.Load()
 	addresses := map[string]bool{}
