--- a/internal/node/scheduling_delay.go
+++ b/internal/node/scheduling_delay.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// A process short of processor time reads replies late. Its calls to workers then time out although
-// they were answered, and reopening their connections takes even more processor time. Timeouts of
-// these calls are therefore extended by the process's own scheduling delay.
+// A process short of processor time reads replies late. Calls to workers then time out although the
+// workers replied in time, and reopening the connections takes even more processor time. The
+// process therefore extends the timeouts of these calls by a multiple of its own scheduling delay.
 const (
 	// delaySampleInterval is the interval between samples of the delay.
 	delaySampleInterval = 100 * time.Millisecond
-	// delaySampleCount is how many samples the maximum is taken over.
+	// delaySampleCount is how many of the last samples count towards the maximum.
 	delaySampleCount = 10
-	// minSchedulingDelay is more than timers are delayed on an idle machine. Each call gets
-	// timeoutExtensionFactor times the delay, as its goroutine and those that write and read its
-	// connection wait in turn.
+	// minSchedulingDelay is the delay from which timeouts are extended. It is more than timers are
+	// late on an idle machine. The extension is timeoutExtensionFactor times the delay: the call's
+	// goroutine, the connection's writer and the connection's reader are each delayed in turn.
 	minSchedulingDelay     = 20 * time.Millisecond
 	timeoutExtensionFactor = 4
-	// maxTimeoutExtension bounds the extension. Starts are not carried out after 3 s.
+	// maxTimeoutExtension bounds the extension. The extended timeout stays below the age from which
+	// workers refuse a start.
 	maxTimeoutExtension = 1200 * time.Millisecond
 )
 
@@ -60,7 +61,7 @@
 	return min(timeoutExtensionFactor*maximum, maxTimeoutExtension)
 }
 
-// startDelaySampling samples the scheduling delay while this node owns a pool: only owners call
+// startDelaySampling samples the scheduling delay while this node owns a pool, as only owners call
 // workers.
 func (n *Node) startDelaySampling() {
 	if n.schedulingDelay.sampling {
