--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -13,16 +13,16 @@
 	// Ready is the state reported to the load balancer.
 	Ready    bool `json:"ready"`
 	Stopping bool `json:"stopping"`
-	// ConfigurationVersion is the current version; it was known to be the newest
-	// ConfigurationAgeMillis ago.
+	// ConfigurationVersion is the version of the node's configuration. ConfigurationAgeMillis is
+	// how long ago the configuration was last known to be the newest.
 	ConfigurationVersion   int64 `json:"configuration_version"`
 	ConfigurationAgeMillis int64 `json:"configuration_age_ms"`
-	// StoreAgeMillis is how long ago the store last answered this node directly.
+	// StoreAgeMillis is how long ago the store last responded to this node directly.
 	StoreAgeMillis int64 `json:"store_age_ms"`
 	StoreLost      bool  `json:"store_lost"`
 	// EvacuatedZones receive no new work.
 	EvacuatedZones []string `json:"evacuated_zones"`
-	// Members are the nodes that this one knows: a sample in large clusters.
+	// Members are the nodes that this node knows. In large clusters this is a sample.
 	Members []string     `json:"members"`
 	Pools   []PoolStatus `json:"pools"`
 }
