--- a/internal/node/store_latency.go
+++ b/internal/node/store_latency.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// slowStoreLatency is the latency from which the store counts as overloaded. Its usual latency
-	// is 4 to 15 ms.
+	// slowStoreLatency is the latency above which the store counts as slow. It is many times the
+	// usual latency.
 	slowStoreLatency = 100 * time.Millisecond
-	// latencyPeriod is the length of one window of latencies.
+	// latencyPeriod is the length of one period of a latencyWindow.
 	latencyPeriod = time.Second
 	// reportedLatencyMaxAge is how long a latency reported by a pool's owner is used.
 	reportedLatencyMaxAge = 2 * time.Second
 )
 
 // latencyWindow keeps the minimum latency of the current and the previous period. The minimum is
-// the store's own latency: other calls may have queued behind large responses on a slow link.
+// the best estimate of the store's own latency, as calls with a higher latency may have queued
+// behind large responses on a slow link.
 type latencyWindow struct {
 	mutex             sync.Mutex
 	startedAt         time.Time
 	current, previous time.Duration
 }
 
-// record adds the latency of a call that was answered at a time.
+// record adds the latency of a call whose response arrived at now.
 func (w *latencyWindow) record(now time.Time, latency time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -35,7 +36,7 @@
 	}
 }
 
-// minimum returns the minimum latency, and false if no call was answered recently.
+// minimum returns the minimum latency, and false if no call was recorded in the two periods.
 func (w *latencyWindow) minimum(now time.Time) (time.Duration, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -70,15 +71,16 @@
 	at      time.Time
 }
 
-// recordReportedLatency stores the latency reported by a pool's owner, in milliseconds; 0 means
-// unknown.
+// recordReportedLatency stores the latency that a pool's owner reported, in milliseconds. It
+// ignores 0, which means unknown.
 func (n *Node) recordReportedLatency(millis int64) {
 	if millis > 0 {
 		n.reportedLatency.Store(&reportedLatency{latency: time.Duration(millis) * time.Millisecond, at: uptime.Now()})
 	}
 }
 
-// storeLatencyMillis returns the latency that this node reports to others; 0 if it is unknown.
+// storeLatencyMillis returns the store latency that this node reports to other nodes, or 0 if it is
+// unknown.
 func (n *Node) storeLatencyMillis() int64 {
 	minimum, known := n.storeLatency.minimum(uptime.Now())
 	if !known {
@@ -87,10 +89,10 @@
 	return max(1, minimum.Milliseconds())
 }
 
-// storeSlow reports whether the store is slow for all calls, judging by this node's own calls or
-// else by the latency that a pool's owner reported. Calls to a slow store are not hedged to another
-// partition or relayed through another node, as duplicates add to its load. It may be called from
-// any goroutine.
+// storeSlow reports whether the store is slow for all calls. It judges by the latency of this
+// node's own calls if known, and otherwise by the latency that a pool's owner reported. A slow
+// store gets no hedged writes and longer probe timeouts, as duplicate calls add to the store's
+// load. storeSlow may be called from any goroutine.
 func (n *Node) storeSlow() bool {
 	if minimum, known := n.storeLatency.minimum(uptime.Now()); known {
 		return minimum > slowStoreLatency
