--- a/internal/node/suspension.go
+++ b/internal/node/suspension.go
@@ -6,8 +6,9 @@
 	"github.com/wheatroad/wheatroad/internal/uptime"
 )
 
-// suspensionCheckInterval is the interval between checks for a suspension of the machine that other
-// clock readings miss because the time of day was set meanwhile.
+// suspensionCheckInterval is the interval between checks for a suspension of the machine. The
+// checks also find suspensions that other clock readings miss because the time of day was set
+// meanwhile.
 const suspensionCheckInterval = time.Second
 
 // watchSuspensions logs each suspension of the machine after it ends.
