--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -15,7 +15,8 @@
 	"github.com/wheatroad/wheatroad/internal/pool"
 )
 
-// receiveNotices serves as the pool owner of a gateway's node and returns the notices it receives.
+// receiveNotices starts a server that stands in for the pool's owner, and points the gateway's
+// lease at the server. It returns the notices that the server receives.
 func receiveNotices(t *testing.T, gateway *Gateway) <-chan acceptedNotice {
 	notices := make(chan acceptedNotice, 4)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
