--- a/internal/node/configuration_transfer_test.go
+++ b/internal/node/configuration_transfer_test.go
@@ -63,7 +63,8 @@
 	link *throttledLink
 }
 
-// readSegmentBytes is how much a link carries for one connection before the others.
+// readSegmentBytes is the most that one connection receives before other connections get their turn
+// on the link.
 const readSegmentBytes = 8 << 10
 
 // Read implements net.Conn.
@@ -82,14 +83,14 @@
 	return &throttledConnection{Conn: connection, link: l}, nil
 }
 
-// listen opens a port of this machine.
+// listen opens a port of this machine. Connections to the port are not throttled.
 func (*throttledLink) listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
 const (
 	largeConfigurationBytes = 1 << 20
-	// slowLinkBytesPerSecond carries the large configuration in some 3.5 s.
+	// slowLinkBytesPerSecond makes the large configuration take longer than any one call may.
 	slowLinkBytesPerSecond = 400_000
-	// transferTimeout bounds the wait for a transfer.
+	// transferTimeout bounds a test's wait for a transfer.
 	transferTimeout = 40 * time.Second
 )
 
@@ -100,9 +101,8 @@
 	return append(document, bytes.Repeat([]byte(" "), largeConfigurationBytes-len(document))...)
 }
 
-// TestLargeConfigurationComesFromAnotherNodeOverASmallLink: a configuration that takes longer to
-// receive than one call may last must still arrive, or nodes on slow links refuse requests once
-// their configuration is too old.
+// TestLargeConfigurationComesFromAnotherNodeOverASmallLink: on a slow link a configuration may take
+// longer to receive than one call may last. It must still arrive, or the node refuses requests.
 func TestLargeConfigurationComesFromAnotherNodeOverASmallLink(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.dependencies.Codec = jsonCodec{}
