--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -91,7 +91,7 @@
 // readCanceled reports whether cancelIdle canceled a read's context.
 func readCanceled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errReadCanceled) }
 
-// maxFeedDoublings is enough doublings to reach maxFeedSlack.
+// maxFeedDoublings is enough doublings of feedGrace to reach maxFeedGrace.
 const maxFeedDoublings = 4
 
 // currentFeedGrace returns how long the store may take to respond after a feed's wait.
