--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -23,8 +23,8 @@
 	jobID    = "00000000000000aa"
 )
 
-// fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect, those
-// about the partitions in unanswered with ErrOutcomeUnknown.
+// fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect. Calls
+// about the partitions in unresponsive fail with ErrOutcomeUnknown.
 type fakeStore struct {
 	rows         map[rows.Key]rows.Row
 	refuse       map[string]bool
@@ -152,7 +152,7 @@
 	}
 }
 
-// hangingPartitionStore never answers transactions in one partition.
+// hangingPartitionStore never responds to transactions in one partition.
 type hangingPartitionStore struct {
 	*fakeStore
 	part string
@@ -166,8 +166,8 @@
 	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
-// TestWriteIsHedgedToNextPartition: one unresponsive partition must not use up the time of a
-// submission.
+// TestWriteIsHedgedToNextPartition: a submission must not time out because one partition is
+// unresponsive.
 func TestWriteIsHedgedToNextPartition(t *testing.T) {
 	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
@@ -276,8 +276,8 @@
 
 func (r fieldsRecorder) LogEvent(event string, fields ...any) { r.fields[event] = fields }
 
-// TestEarlyRefusalsAreLogged: a request that is refused before its body is read is logged with the
-// job's identifier.
+// TestEarlyRefusalsAreLogged: the log of a request that is refused before its body is read must
+// name the job.
 func TestEarlyRefusalsAreLogged(t *testing.T) {
 	g := newGateway(t, newFakeStore())
 	recorder := fieldsRecorder{fields: map[string][]any{}}
