--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -30,8 +30,8 @@
 	// candidateCount is how many of the first nodes in the takeover order every node knows: the
 	// standbys, and as many nodes to replace them.
 	candidateCount = 2 * standbyCount
-	// successorCount is how many of its successors a node knows. A node that loses the store relays
-	// its calls through a successor that still reaches the store.
+	// successorCount is how many of its successors a node knows. A node that loses the store can
+	// relay its calls through a successor that still reaches the store.
 	successorCount = 12
 	// legacyMemberCount is how many nodes of versions without memberTable are known. A node reads
 	// them once, with its first sample.
