--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -20,7 +20,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// countingStore counts the rows that it returns, and answers feeds.
+// countingStore is a fakeStore that supports feeds and counts the rows that it returns.
 type countingStore struct {
 	mutex sync.Mutex
 	*fakeStore
@@ -77,7 +77,7 @@
 	return listing
 }
 
-// writeMember writes a node's rows as it does when it starts.
+// writeMember writes the rows that a node writes when it starts.
 func (s *countingStore) writeMember(m member) {
 	var transaction rows.Transaction
 	for _, key := range []rows.Key{{Table: memberTable, Name: memberRowName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
@@ -86,7 +86,8 @@
 	_, _ = s.Commit(context.Background(), transaction)
 }
 
-// serveOwner answers pings as a healthy owner and returns its address.
+// serveOwner starts a server that replies to pings like a healthy owner, and returns the server's
+// address.
 func serveOwner(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -98,11 +99,8 @@
 	return listener.Addr().String()
 }
 
-// A node that follows the rows of all others makes each restart cost one response of the store for
-// every node of the cluster.
-
-// TestMemberReadsDoNotGrowWithCluster: a node reads few member rows, both at its start and as
-// others restart.
+// TestMemberReadsDoNotGrowWithCluster: a node must read few member rows, both when it starts and
+// when other nodes restart. Otherwise restarts overload the store of a large cluster.
 func TestMemberReadsDoNotGrowWithCluster(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
@@ -134,7 +132,7 @@
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
-			// After two rounds of pings the node has received the changes that it follows.
+			// After two rounds of pings the node has received all changes that it follows.
 			confirmedAt := *n.confirmedByPeerAt.Load()
 			require.Eventually(t, func() bool { return n.confirmedByPeerAt.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
@@ -153,7 +151,8 @@
 	require.NotEqual(t, memberRowName(member{Name: "a", Weight: 1}), memberRowName(member{Name: "b", Weight: 1}))
 }
 
-// applyPartialSample applies a sample of candidates from a cluster that has more nodes.
+// applyPartialSample applies a sample of a cluster that has more nodes than the sample. It fills
+// the given candidates up to candidateCount.
 func (n *testNode) applyPartialSample(t *testing.T, candidates ...member) {
 	for i := len(candidates); i < candidateCount; i++ {
 		candidates = append(candidates, member{Name: fmt.Sprintf("candidate-%02d", i), Weight: 1})
@@ -167,7 +166,8 @@
 	require.True(t, n.memberSample.partial)
 }
 
-// TestNodesBeyondTheCandidatesTakePoolsLast: those with less weight try after those with more.
+// TestNodesBeyondTheCandidatesTakePoolsLast: nodes that are not candidates try after the
+// candidates. Among them, nodes with less weight than a candidate try last.
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
 	latest := maxTakeoverRank * takeoverRankDelay
 	candidate := newTestNode(t, 1, nil)
@@ -183,8 +183,8 @@
 	require.GreaterOrEqual(t, lowerWeight.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
-// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover
-// from the replies to its pings.
+// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases must read a pool's
+// lease when the pinged node replies that it does not own the pool.
 func TestLeaseIsReadWhenTheOwnerIsAnother(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -208,8 +208,8 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
-// TestRowsOfExpiredMembersAreRemoved: an owner removes the rows of nodes only while it receives the
-// pings of others.
+// TestRowsOfExpiredMembersAreRemoved: an owner that receives no pings at all may be partitioned,
+// and must not remove the rows of live nodes.
 func TestRowsOfExpiredMembersAreRemoved(t *testing.T) {
 	began := time.Now()
 	cases := map[string]struct {
@@ -254,7 +254,8 @@
 	return times
 }
 
-// TestRewrittenRowsAreKept: the node wrote its row again between the read and the removal.
+// TestRewrittenRowsAreKept: an owner must not remove a row that the node has written again since
+// the owner read it.
 func TestRewrittenRowsAreKept(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -286,8 +287,8 @@
 	require.Eventually(t, func() bool { return slices.Equal(remainingNames(), []string{"back"}) }, time.Minute, time.Millisecond)
 }
 
-// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from the node may have
-// removed its row.
+// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from a live node may have
+// removed the node's row.
 func TestNodeWhoseRowIsMissingWritesItAgain(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -298,15 +299,16 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// TestStoreRelayIncludesOwners: all other known members may have failed.
+// TestStoreRelayIncludesOwners: a node must relay store calls through a pool's owner even if the
+// sample lists no live node.
 func TestStoreRelayIncludesOwners(t *testing.T) {
 	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
 
-// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: a node that does not follow the leases scans the
-// lease before it acquires the pool. An unchanged lease must not clear the suspicion.
+// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: a node that does not follow the leases scans a
+// lease before it acquires the pool. An unchanged lease must not reset the owner's failures.
 func TestLightNodeTakesAPoolOnceAllCandidatesAreGone(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	lease := pool.Lease{Owner: "candidate-00", Address: "127.0.0.1:9", Weight: 1}
@@ -324,8 +326,8 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
 }
 
-// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that starts first must learn of the others
-// before it next reads its sample.
+// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: in a small cluster the first node must learn of
+// later nodes before it reads its member sample again.
 func TestNodesOfASmallFleetLearnOfEachOtherAtOnce(t *testing.T) {
 	row := func(name string, deleted bool) rows.Row {
 		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: deleted}
@@ -343,7 +345,7 @@
 	require.Len(t, n.otherMembersExcept(""), 1, "nodes of a large cluster must not be added from the lease table")
 }
 
-// truncatedHistoryStore has no history before a version.
+// truncatedHistoryStore has no change history before the version horizon.
 type truncatedHistoryStore struct {
 	countingStore
 	horizon int64
@@ -361,8 +363,8 @@
 	return s.countingStore.Feed(ctx, table, after, wait)
 }
 
-// TestLeasesAreFollowedAgainOnceTheHistoryIsGone: the node reads the leases in full and follows
-// them from there.
+// TestLeasesAreFollowedAgainOnceTheHistoryIsGone: after an expired history the node must read the
+// leases in full and follow them from the version of that read.
 func TestLeasesAreFollowedAgainOnceTheHistoryIsGone(t *testing.T) {
 	store := &truncatedHistoryStore{countingStore: countingStore{fakeStore: newFakeStore()}}
 	store.writeMember(member{Name: "node-2", Weight: 1})
