--- a/internal/node/ownership_confirmation_test.go
+++ b/internal/node/ownership_confirmation_test.go
@@ -11,20 +11,20 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// owningNode returns a node that owns the watched pool with a fencing token.
+// owningNode returns a node that owns the watched pool with fencing token 5.
 func owningNode(t *testing.T, others map[string]float64) *testNode {
 	n := newTestNode(t, 1, others)
 	n.owned[poolName] = pool.New(n.poolOptions(poolName), n.loop, n.ports, discardRecorder{}, 5)
 	return n
 }
 
-// sinceConfirmed returns how long ago the pool's owner was last confirmed.
+// sinceConfirmed returns how long ago the node's ownership of the pool was last confirmed.
 func (n *testNode) sinceConfirmed() time.Duration {
 	return time.Duration(n.owned[poolName].Summary().SinceOwnershipConfirmedMillis) * time.Millisecond
 }
 
-// TestPingsConfirmOrDeposeOwner: the lease known to the pinging node confirms the owner or
-// makes it abandon the pool.
+// TestPingsConfirmOrDeposeOwner: the token in a ping confirms the owner, or makes the owner abandon
+// the pool.
 func TestPingsConfirmOrDeposeOwner(t *testing.T) {
 	cases := map[string]struct {
 		request   pingRequest
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestOnlyNodeConfirmsItselfWhileStoreIsLost: the owner is confirmed without the store only if no
-// other node could acquire its pool.
+// TestOnlyNodeConfirmsItselfWhileStoreIsLost: an owner may confirm itself without the store only if
+// no other node could acquire the pool.
 func TestOnlyNodeConfirmsItselfWhileStoreIsLost(t *testing.T) {
 	onlyNode := owningNode(t, nil)
 	onlyNode.confirmIfOnlyNode()
