--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -13,7 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// manualLoop runs posted functions at once, and timers when the test advances its time.
+// manualLoop is an event loop that runs posted functions at once, and timers when the test advances
+// the time.
 type manualLoop struct {
 	now    time.Time
 	timers []manualTimer
@@ -46,14 +47,15 @@
 	}
 }
 
-// testNode is a node that watches one pool.
+// testNode is a node that watches the pool poolName on a manualLoop.
 type testNode struct {
 	*Node
 	loop    *manualLoop
 	watcher *poolWatcher
 }
 
-// newTestNode returns a node of the given weight in a cluster with others of the given weights.
+// newTestNode returns a node of the given weight. others are the weights of the other nodes of the
+// cluster.
 func newTestNode(t *testing.T, weight float64, others map[string]float64) *testNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -68,14 +70,15 @@
 	return &testNode{Node: n, loop: l, watcher: n.watchers[poolName]}
 }
 
-// applyLeaseOf applies a lease with the given owner.
+// applyLeaseOf applies a version of the pool's lease with the given owner.
 func (n *testNode) applyLeaseOf(owner string, version int64) {
 	key := pool.LeaseKey(poolName)
 	value, _ := json.Marshal(pool.Lease{Owner: owner, Address: owner})
 	n.applyLeaseTableRow(rows.Row{Key: rows.Key{Table: key.Table, Part: key.Part, Name: key.Name}, Value: value, Version: version})
 }
 
-// TestSuspicionEndsWithTheLease: a suspected owner must not cost the next, healthy owner its pool.
+// TestSuspicionEndsWithTheLease: failures of a previous owner must not count against the next
+// owner.
 func TestSuspicionEndsWithTheLease(t *testing.T) {
 	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
@@ -92,8 +95,8 @@
 	require.False(t, n.watcher.acquiring, "the owner has answered since")
 }
 
-// TestIndirectCheckOfEarlierLeaseIsIgnored: the result of an indirect check arrives after the pool
-// has changed its owner.
+// TestIndirectCheckOfEarlierLeaseIsIgnored: an indirect check whose result arrives after a change
+// of owner must not count against the new owner.
 func TestIndirectCheckOfEarlierLeaseIsIgnored(t *testing.T) {
 	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
@@ -126,8 +129,8 @@
 	}
 }
 
-// TestOwnerThatLostTheStoreIsReplacedSoon: judged by the store state in its replies, unless the
-// pinging node has lost the store too.
+// TestOwnerThatLostTheStoreIsReplacedSoon: a node must replace an owner whose ping replies report a
+// lost store, unless the node has lost the store too.
 func TestOwnerThatLostTheStoreIsReplacedSoon(t *testing.T) {
 	cases := map[string]struct {
 		reply    pingReply
@@ -151,8 +154,7 @@
 	}
 }
 
-// TestStandbysMakeIndirectChecks: the other nodes' last replies of an owner are too old for
-// an indirect check.
+// TestStandbysMakeIndirectChecks: only standbys ping an owner often enough for an indirect check.
 func TestStandbysMakeIndirectChecks(t *testing.T) {
 	others := map[string]float64{}
 	for i := range 40 {
