--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -19,9 +19,8 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// partialResponseStore sends the first byte of each response about a table at once, and the rest when
-// the test closes complete. It gives up when the caller does. Calls about other tables get no
-// response.
+// partialResponseStore sends the first byte of each response about one table at once. It sends the
+// rest when the test closes complete or sends to it. Calls about other tables get no response.
 type partialResponseStore struct {
 	rows.Store
 	table    string
@@ -62,7 +61,7 @@
 	_, _ = io.Copy(io.Discard, progress.NewReader(ctx, bytes.NewReader(make([]byte, count))))
 }
 
-// runningNode returns a node whose loop runs.
+// runningNode returns a node whose event loop runs.
 func runningNode(t *testing.T, store rows.Store, peers *peer.Client) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -74,13 +73,13 @@
 	return n
 }
 
-// onLoop runs fn on a node's loop and waits for it.
+// onLoop runs fn on a node's event loop and waits until fn returns.
 func onLoop(t *testing.T, n *Node, fn func()) {
 	require.NoError(t, loop.Call(context.Background(), n.dependencies.Loop, fn))
 }
 
-// TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its response when idle
-// feeds are canceled.
+// TestReceivingFeedIsNotCanceled: canceling idle feeds must not cancel a feed that has begun to
+// receive its response.
 func TestReceivingFeedIsNotCanceled(t *testing.T) {
 	store := newPartialResponseStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
@@ -123,8 +122,8 @@
 	return ctx
 }
 
-// TestListingIsDatedByItsFirstByte: the time a response takes to arrive must count towards the age
-// of the configuration, or a revoked key may be accepted.
+// TestListingIsDatedByItsFirstByte: the age of a configuration must include the time that the
+// response takes to arrive. Otherwise a node may accept a revoked key.
 func TestListingIsDatedByItsFirstByte(t *testing.T) {
 	store := newPartialResponseStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -176,7 +175,7 @@
 	}
 }
 
-// slowCommitStore answers a transaction after a delay.
+// slowCommitStore commits each transaction after a delay.
 type slowCommitStore struct {
 	rows.Store
 	takes time.Duration
@@ -191,13 +190,13 @@
 	}
 }
 
-// Scan answers probes.
+// Scan responds to probes.
 func (slowCommitStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestLargeTransactionHasTheTimeItTakesToSend: the timeout of a transaction, direct or relayed,
-// includes the time it takes to send.
+// TestLargeTransactionHasTheTimeItTakesToSend: the timeout of a direct or relayed transaction must
+// include the time that the transaction takes to send.
 func TestLargeTransactionHasTheTimeItTakesToSend(t *testing.T) {
 	large := rows.Transaction{Puts: []rows.Put{{Value: make([]byte, 200<<10)}}}
 	require.Greater(t, rows.SendTime(large), time.Second)
@@ -219,8 +218,8 @@
 	}
 }
 
-// TestLargeRelayedResponseIsWaitedFor: on a slow link the whole response takes longer than
-// its first byte may.
+// TestLargeRelayedResponseIsWaitedFor: the timeout for the first byte must not end a response that
+// takes longer to arrive over a slow link.
 func TestLargeRelayedResponseIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
@@ -233,8 +232,8 @@
 	require.Equal(t, int64(7), result.Version)
 }
 
-// TestScanThroughAnotherNodeIsWaitedFor: the relaying node reads slowly from the store, or the link
-// to it is slow.
+// TestScanThroughAnotherNodeIsWaitedFor: a relayed scan must succeed although the relaying node
+// reads slowly from the store, or the link to the relaying node is slow.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
 	for name, others := range map[string]rows.Store{"slow store": slowResponseStore{}, "slow link": &fixedStore{listing: listing}} {
@@ -250,8 +249,8 @@
 	}
 }
 
-// TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers: the read must not wait for its relay
-// timeout once the store answers this node.
+// TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers: once the store responds to this node, a
+// relayed read must not wait for its relay timeout.
 func TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers(t *testing.T) {
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
@@ -270,7 +269,7 @@
 	require.Less(t, time.Since(began), relayScanTimeout)
 }
 
-// fixedStore answers each read at once with the same listing.
+// fixedStore returns the same listing for each read.
 type fixedStore struct {
 	rows.Store
 	listing rows.Listing
@@ -284,9 +283,8 @@
 	return s.listing, nil
 }
 
-// TestOtherNodesAreQueriedWhenStoreIsSlow: no other node is polled while the store sends a
-// configuration, as both would share the link, unless the store takes longer than
-// storeTransferGrace.
+// TestOtherNodesAreQueriedWhenStoreIsSlow: while the store sends a configuration, a node must not
+// download it from another node as well, until storeTransferGrace has passed.
 func TestOtherNodesAreQueriedWhenStoreIsSlow(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.dependencies.Codec = jsonCodec{}
@@ -329,8 +327,8 @@
 	require.False(t, n.storeTransferPending())
 }
 
-// TestDownloadResumesAfterFailure: received content is kept, one transfer runs at a time, and
-// another node that has the version sends the rest.
+// TestDownloadResumesAfterFailure: after a failed call a node must keep the received content and
+// get the rest from another node. Only one download may run at a time.
 func TestDownloadResumesAfterFailure(t *testing.T) {
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	content := largeDocument(t, 2)
@@ -367,8 +365,8 @@
 	return listener.Addr().String()
 }
 
-// TestChangesInQuickSuccessionDoNotStopATransfer: a replaced version is retained while another node
-// downloads it.
+// TestChangesInQuickSuccessionDoNotStopATransfer: a node must retain a replaced version while
+// another node downloads that version.
 func TestChangesInQuickSuccessionDoNotStopATransfer(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
 	source.dependencies.Codec = jsonCodec{}
