--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAllNodesPingOwners: with rounds at either interval, and with late timers, a node that is not
-// a standby pings owners each pingPeriod.
+// TestAllNodesPingOwners: full rounds must come each pingPeriod, whatever the interval between
+// rounds and even if timers are late.
 func TestAllNodesPingOwners(t *testing.T) {
 	const span = 20 * time.Second
 	for _, pause := range []time.Duration{standbyPingPeriod, pingPeriod} {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestPingIntervalDependsOnStandby: it schedules a round each pingPeriod, a standby each
-// standbyPingPeriod.
+// TestPingIntervalDependsOnStandby: a standby schedules rounds of pings each standbyPingPeriod, any
+// other node each pingPeriod.
 func TestPingIntervalDependsOnStandby(t *testing.T) {
 	nineHeavierNodes := map[string]float64{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
