--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -24,11 +24,8 @@
 	return fleet.Reply{}, nil
 }
 
-// Bursts of orders on a slow link delay the pings of standbys until the owner is suspected and the
-// pool is taken over; the next owner then does the same.
-
-// TestOrderBurstsAreRateLimited: on a link of one byte per second the second order
-// waits for minutes; without a rate all orders are sent at once.
+// TestOrderBurstsAreRateLimited: a burst of orders on a slow link must not delay pings. The second
+// order on a link of one byte per second waits for minutes.
 func TestOrderBurstsAreRateLimited(t *testing.T) {
 	const burst = 50
 	for name, c := range map[string]struct {
