--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -16,7 +16,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// hangingStore does not answer before its caller gives up.
+// hangingStore does not respond before the caller gives up.
 type hangingStore struct{ rows.Store }
 
 func (hangingStore) Commit(ctx context.Context, _ rows.Transaction) (rows.Result, error) {
@@ -61,8 +61,8 @@
 	return listener.Addr().String()
 }
 
-// newGatewayWithPeer returns a gateway to a node with one store whose only other node has another
-// store.
+// newGatewayWithPeer returns a gateway to a node that uses ownStore. The cluster has one other
+// node, which uses peersStore.
 func newGatewayWithPeer(t *testing.T, ownStore, peersStore rows.Store) *Gateway {
 	gateway := newGateway(t, ownStore)
 	address := servePeers(t, newGateway(t, peersStore).node)
@@ -98,7 +98,7 @@
 
 const truncatedTable = "gone"
 
-// feedStore answers feeds.
+// feedStore responds to feeds at once.
 type feedStore struct{ rows.Store }
 
 func (feedStore) Feed(_ context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
@@ -119,7 +119,7 @@
 	require.True(t, fault.IsKind(err, fault.InvalidRequest), "%v", err)
 }
 
-// waitingStore answers a feed after its wait.
+// waitingStore responds to a feed after the feed's wait.
 type waitingStore struct{ rows.Store }
 
 func (waitingStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
@@ -150,8 +150,8 @@
 	require.False(t, n.storeLost(), "a canceled feed must not count as a failure of the store")
 }
 
-// TestConfigurationFeedWait: feeds are short on owners, long on nodes whose configuration an
-// owner confirms, and immediate once the confirmation is stale.
+// TestConfigurationFeedWait: the wait is short on owners and long on nodes whose configuration an
+// owner confirms. Once the confirmation is stale, feeds return at once.
 func TestConfigurationFeedWait(t *testing.T) {
 	ago := func(d time.Duration) *time.Time {
 		at := time.Now().Add(-d)
@@ -195,12 +195,13 @@
 	}
 }
 
-// Scan answers probes.
+// Scan responds to probes.
 func (s *slowStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestSlowStoreIsNotQueriedTwice: relaying the calls to a slow store would double its load.
+// TestSlowStoreIsNotQueriedTwice: a node must not relay a call to a store that is only slow, as the
+// duplicate would add to the store's load.
 func TestSlowStoreIsNotQueriedTwice(t *testing.T) {
 	store := &slowStore{fakeStore: newFakeStore()}
 	gateway := newGatewayWithPeer(t, store, store)
@@ -209,7 +210,8 @@
 	require.False(t, gateway.node.storeLost())
 }
 
-// TestConfirmationAgesOverSlowLinks: the age of a confirmation counts from the time of the request.
+// TestConfirmationAgesOverSlowLinks: the age of a confirmation must count from the time of the
+// request, not of the reply.
 func TestConfirmationAgesOverSlowLinks(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	n.confirmedAt.Store(nil)
@@ -218,8 +220,8 @@
 	require.Equal(t, requestedAt.Add(-500*time.Millisecond), *n.confirmedAt.Load())
 }
 
-// TestFeedsOfAVerySlowStoreAreWaitedFor: the slack must grow until it exceeds the latency of the
-// store.
+// TestFeedsOfAVerySlowStoreAreWaitedFor: the grace period of feeds must grow while feeds time out,
+// or a node could not follow a very slow store.
 func TestFeedsOfAVerySlowStoreAreWaitedFor(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.Equal(t, feedGrace, n.currentFeedGrace())
