--- a/internal/node/scheduling_delay_test.go
+++ b/internal/node/scheduling_delay_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSchedulingDelayExtendsTimeouts: an owner short of processor time must not take replies that
-// it reads late for timeouts.
+// TestSchedulingDelayExtendsTimeouts: an owner short of processor time reads replies late. Calls to
+// workers must not time out because of this.
 func TestSchedulingDelayExtendsTimeouts(t *testing.T) {
 	var l schedulingDelay
 	l.record(minSchedulingDelay - time.Millisecond)
@@ -23,7 +23,8 @@
 	require.Zero(t, l.timeoutExtension(), "old samples must not count")
 }
 
-// TestOnlyOwnersSampleSchedulingDelay: sampling runs once, and ends with the last owned pool.
+// TestOnlyOwnersSampleSchedulingDelay: sampling must not run twice at a time, and must end once the
+// node owns no pool.
 func TestOnlyOwnersSampleSchedulingDelay(t *testing.T) {
 	n := owningNode(t, nil)
 	n.startDelaySampling()
