--- a/internal/node/store_latency_test.go
+++ b/internal/node/store_latency_test.go
@@ -13,8 +13,8 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// While the store is 60 to 90 times slower than usual, hedged and relayed duplicates of a
-// transaction multiply its load until submissions run into their deadlines.
+// Hedged and relayed duplicates of a transaction multiply the load of an overloaded store until
+// submissions time out.
 
 // overloadedStore delays each call and counts the transactions of jobs.
 type overloadedStore struct {
@@ -37,7 +37,7 @@
 	s.mutex.Lock()
 	s.commits++
 	s.mutex.Unlock()
-	// Transactions queue for their partition and take longer than a read.
+	// Transactions queue for their partition and take longer than reads.
 	for range 2 {
 		if err := s.wait(ctx); err != nil {
 			return rows.Result{}, err
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestWriteIsHedgedWhileStoreIsFast: a write is still hedged to a second partition while
-// the store is otherwise fast.
+// TestWriteIsHedgedWhileStoreIsFast: a write to an unresponsive partition must be hedged to a
+// second partition while the store as a whole is fast.
 func TestWriteIsHedgedWhileStoreIsFast(t *testing.T) {
 	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	gateway := newGateway(t, store)
@@ -106,7 +106,8 @@
 	require.False(t, known)
 }
 
-// TestOwnLatencyOverridesReportedLatency: a store that answers this node quickly is not slow.
+// TestOwnLatencyOverridesReportedLatency: a store that responds quickly to this node must not count
+// as slow because an owner reports otherwise.
 func TestOwnLatencyOverridesReportedLatency(t *testing.T) {
 	n := newGateway(t, newFakeStore()).node
 	require.False(t, n.storeSlow())
