--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -20,12 +20,12 @@
 	if n.options.DisabledMechanisms[mechanism.Announcements] {
 		return
 	}
-	v := n.snapshot.Load()
-	if v.owned[poolName] != nil {
+	current := n.snapshot.Load()
+	if current.owned[poolName] != nil {
 		n.dependencies.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
 		return
 	}
-	lease := v.leases[poolName]
+	lease := current.leases[poolName]
 	if lease.Address == "" || lease.Owner == n.options.Name {
 		return
 	}
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -137,14 +137,14 @@
 	n.dependencies.Loop.After(max(confirmationCheckInterval, staleConfirmationAge-confirmedAge), n.checkConfirmation)
 }
 
-// feedCall reads the changes of a table after a version. If there are none, it waits for one.
-type feedCall func(table string, after int64, wait time.Duration, done func(rows.Listing, error))
+// feedFunc reads the changes of a table after a version. If there are none, it waits for one.
+type feedFunc func(table string, after int64, wait time.Duration, done func(rows.Listing, error))
 
 // subscription describes a table whose changes a node follows: one feed after another, each from
 // the version that the previous feed returned.
 type subscription struct {
 	table string
-	feed  feedCall
+	feed  feedFunc
 	// wait returns how long the next feed waits for a change.
 	wait  func() time.Duration
 	apply func(rows.Row)
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -28,9 +28,9 @@
 
 func (g *Gateway) lookupFromOwner(ctx context.Context, poolName, id string) (taskgraph.State, error) {
 	n := g.node
-	v := n.snapshot.Load()
-	lease := v.leases[poolName]
-	if v.owned[poolName] == nil && lease.Address != "" && lease.Owner != n.options.Name {
+	current := n.snapshot.Load()
+	lease := current.leases[poolName]
+	if current.owned[poolName] == nil && lease.Address != "" && lease.Owner != n.options.Name {
 		var reply lookupReply
 		err := withTimeout(ctx, pingTimeout, func(ctx context.Context) error {
 			document, err := n.call(ctx, lease.Address, methodLookup, jobRequest{Pool: poolName, ID: id})
@@ -145,9 +145,9 @@
 func (g *Gateway) WaitingJobs(ctx context.Context, access Access) (int, error) {
 	n := g.node
 	poolName, queue := access.Queue.Pool, access.Queue.Name
-	v := n.snapshot.Load()
-	lease := v.leases[poolName]
-	if v.owned[poolName] != nil || lease.Address == "" || lease.Owner == n.options.Name {
+	current := n.snapshot.Load()
+	lease := current.leases[poolName]
+	if current.owned[poolName] != nil || lease.Address == "" || lease.Owner == n.options.Name {
 		count, err := g.waitingLocal(ctx, poolName, queue)
 		if err != nil {
 			return 0, g.countRefusal(err)
@@ -165,7 +165,7 @@
 	if err == nil {
 		return reply.Waiting, nil
 	}
-	if cached := v.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingCacheMaxAge {
+	if cached := current.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingCacheMaxAge {
 		return cached.counts[queue], nil
 	}
 	return 0, g.countRefusal(fault.New(fault.NoOwner, "the pool's owner does not answer"))
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -126,8 +126,8 @@
 				n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
 			})
 			require.Eventually(t, func() bool {
-				v := n.snapshot.Load()
-				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.confirmedByPeerAt.Load() != nil
+				current := n.snapshot.Load()
+				return len(current.members) > 0 && current.leases[poolName].Owner != "" && n.confirmedByPeerAt.Load() != nil
 			}, time.Minute, 5*time.Millisecond)
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
@@ -143,11 +143,11 @@
 }
 
 func TestNamesOfMembersAreInTheOrderOfTheirWeights(t *testing.T) {
-	var names []string
+	var rowNames []string
 	for _, weight := range []float64{1.6, 0.8, 0.801, 0.192, 0} {
-		names = append(names, memberRowName(member{Name: "b", Weight: weight}))
+		rowNames = append(rowNames, memberRowName(member{Name: "b", Weight: weight}))
 	}
-	require.Equal(t, []string{names[0], names[2], names[1], names[3], names[4]}, slices.Sorted(slices.Values(names)))
+	require.Equal(t, []string{rowNames[0], rowNames[2], rowNames[1], rowNames[3], rowNames[4]}, slices.Sorted(slices.Values(rowNames)))
 	require.NotEqual(t, memberRowName(member{Name: "a", Weight: 1}), memberRowName(member{Name: "b", Weight: 1}))
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 		watchers: map[string]*poolWatcher{}, owned: map[string]*pool.Pool{},
 		waiting: map[string]waitingCounts{},
 	}
-	n.ports = &ports{ctx: ctx, node: n, rateLimiter: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
+	n.ports = &ports{ctx: ctx, node: n, linkLimiter: ratelimit.New(linkFraction*options.LinkBytesPerSecond, linkBurst, uptime.Now)}
 	n.storeRetries = loop.NewRetries(dependencies.Loop)
 	n.store = &relayedStore{node: n, direct: &observedStore{Store: dependencies.Store, node: n}}
 	n.snapshot.Store(&snapshot{})
@@ -133,22 +133,22 @@
 func (n *Node) now() time.Time { return n.dependencies.Loop.Now() }
 
 func (n *Node) publishSnapshot() {
-	v := &snapshot{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
+	next := &snapshot{leases: map[string]versionedLease{}, owned: map[string]*pool.Pool{}, waiting: map[string]waitingCounts{}}
 	for _, name := range sortedKeys(n.memberSample.members) {
 		if name != n.options.Name {
-			v.members = append(v.members, n.memberSample.members[name])
+			next.members = append(next.members, n.memberSample.members[name])
 		}
 	}
 	for name, lease := range n.leases {
-		v.leases[name] = lease
+		next.leases[name] = lease
 	}
 	for name, p := range n.owned {
-		v.owned[name] = p
+		next.owned[name] = p
 	}
 	for name, counts := range n.waiting {
-		v.waiting[name] = counts
+		next.waiting[name] = counts
 	}
-	n.snapshot.Store(v)
+	n.snapshot.Store(next)
 }
 
 // recordStoreResult records a direct response of the store if err is nil, and ignores errors. It
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -15,9 +15,9 @@
 type ports struct {
 	ctx  context.Context
 	node *Node
-	// rateLimiter limits the rate of orders, scans and transactions on the machine's link. An order
+	// linkLimiter limits the rate of orders, scans and transactions on the machine's link. An order
 	// is a call to a worker.
-	rateLimiter *ratelimit.Limiter
+	linkLimiter *ratelimit.Limiter
 }
 
 // An owner's orders and reads come in bursts: a start and a poll for each task of a step with many
@@ -40,7 +40,7 @@
 // The timeouts start after the wait.
 func runRateLimited[T any](p *ports, bytes int, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
-		if err := p.rateLimiter.Wait(p.ctx, bytes); err == nil {
+		if err := p.linkLimiter.Wait(p.ctx, bytes); err == nil {
 			runWithTimeouts(p, timeouts, work, done)
 		}
 	}()
@@ -89,7 +89,7 @@
 	// direct and the relayed call.
 	runRateLimited(p, scanEstimateBytes, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
-		p.rateLimiter.Charge(max(0, listing.Bytes()-scanEstimateBytes))
+		p.linkLimiter.Charge(max(0, listing.Bytes()-scanEstimateBytes))
 		return listing, err
 	}, done)
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -122,8 +122,8 @@
 	return listing, err
 }
 
-// storeCall is one call to a store.
-type storeCall[T any] func(ctx context.Context, store rows.Store) (T, error)
+// storeFunc is one call to a store.
+type storeFunc[T any] func(ctx context.Context, store rows.Store) (T, error)
 
 // attempt is the outcome of one direct or relayed call.
 type attempt[T any] struct {
@@ -150,7 +150,7 @@
 // callWithRelay makes a call directly. If the call fails or takes long and a probe shows that this
 // node has lost the store, callWithRelay also makes the call through another node. While the store
 // is reachable, it does not relay the call, as a duplicate would add to the store's load.
-func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
+func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeFunc[T]) (T, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, timeouts, call)
 	}
@@ -215,7 +215,7 @@
 
 // relay makes a call through other nodes, one after another, until one of them returns the store's
 // response.
-func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
+func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeFunc[T]) (T, error) {
 	var zero T
 	failure := errors.Mark(errors.New("no other node reaches the store"), rows.ErrNoEffect)
 	if s.node.options.DisabledMechanisms[mechanism.StoreRelay] {
@@ -255,12 +255,12 @@
 // nodes in random order. The list includes the owners of pools, since most members of the sample
 // may have failed while the owners are alive.
 func (s *relayedStore) relayAddresses() []string {
-	v := s.node.snapshot.Load()
+	current := s.node.snapshot.Load()
 	addresses := map[string]bool{}
-	for _, other := range v.members {
+	for _, other := range current.members {
 		addresses[other.Address] = true
 	}
-	for _, lease := range v.leases {
+	for _, lease := range current.leases {
 		if lease.Owner != "" && lease.Owner != s.node.options.Name {
 			addresses[lease.Address] = true
 		}
