--- a/internal/node/configuration_transfer.go
+++ b/internal/node/configuration_transfer.go
@@ -21,7 +21,7 @@
 	// on a slow link.
 	chunkTimeout = time.Second
 	// storeTransferGrace is how long the store may take to send the configuration before this node
-	// also downloads it from another node. It is below the smallest MaxConfigurationAge in use.
+	// also downloads it from another node. It must be below MaxConfigurationAge.
 	storeTransferGrace = 1500 * time.Millisecond
 	// servedRetention is how long a node keeps a replaced version after the last request for that
 	// version. Without it, frequent changes would make downloads start over.
--- a/internal/node/feeds.go
+++ b/internal/node/feeds.go
@@ -25,7 +25,7 @@
 	// immediateFeedWait is for a feed that should return at once, with or without changes.
 	immediateFeedWait = 20 * time.Millisecond
 	// staleConfirmationAge is the age from which the configuration's confirmation is stale. The
-	// node then queries the store itself. It is well below the smallest MaxConfigurationAge in use.
+	// node then queries the store itself. It must be well below MaxConfigurationAge.
 	staleConfirmationAge = 900 * time.Millisecond
 	// confirmationCheckInterval is the minimum interval between checks for a stale confirmation.
 	confirmationCheckInterval = 150 * time.Millisecond
