--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -23,7 +23,7 @@
 	if n.evacuated.SameZones(previous) {
 		return
 	}
-	n.dependencies.Recorder.LogEvent("evacuated zones read", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
+	n.dependencies.Recorder.LogEvent("evacuated zones changed", "zones", n.evacuated.Zones(), "revision", n.evacuated.Revision)
 	for _, name := range sortedKeys(n.owned) {
 		n.owned[name].EvacuationsChanged()
 	}
--- a/internal/node/prune.go
+++ b/internal/node/prune.go
@@ -88,7 +88,7 @@
 	if len(transaction.Removes) == 0 {
 		return
 	}
-	n.dependencies.Recorder.LogEvent("rows of gone nodes removed", "count", len(transaction.Removes), "first", transaction.Removes[0].Name)
+	n.dependencies.Recorder.LogEvent("removing expired member rows", "count", len(transaction.Removes), "first", transaction.Removes[0].Name)
 	// The next pass retries after an error.
 	n.ports.Commit(transaction, func(rows.Result, error) {})
 }
