--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -128,9 +128,9 @@
 // storeWriteFault converts an error of a store write into a fault.
 func storeWriteFault(err error) error {
 	if errors.Is(err, rows.ErrNoEffect) {
-		return fault.New(fault.StoreUnavailable, "the store did nothing")
+		return fault.New(fault.StoreUnavailable, "store request failed; nothing was changed")
 	}
-	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
+	return fault.New(fault.OutcomeUnknown, "store outcome unknown; a write may have taken effect")
 }
 
 // partitionHedgeDelay is how long a partition of the store may take before the write is also sent
--- a/internal/node/lookup.go
+++ b/internal/node/lookup.go
@@ -112,7 +112,7 @@
 		for i := range listing.Rows {
 			var record pool.Progress
 			if err := json.Unmarshal(listing.Rows[i].Value, &record); err != nil {
-				return "", fault.New(fault.Internal, "the job's progress cannot be read")
+				return "", fault.New(fault.Internal, "stored job progress cannot be decoded")
 			}
 			if newest.State == "" || record.NewerThan(&newest) {
 				newest = record
@@ -168,7 +168,7 @@
 	if cached := current.waiting[poolName]; cached.counts != nil && uptime.Since(cached.at) < waitingCacheMaxAge {
 		return cached.counts[queue], nil
 	}
-	return 0, g.countRefusal(fault.New(fault.NoOwner, "the pool's owner does not answer"))
+	return 0, g.countRefusal(fault.New(fault.NoOwner, "the pool's owner is unresponsive"))
 }
 
 func (g *Gateway) waitingLocal(ctx context.Context, poolName, queue string) (int, error) {
