--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -136,7 +136,7 @@
 	}
 	n.leases[row.Part] = lease
 	if p := n.owned[row.Part]; p != nil && p.Token() < row.Version {
-		p.Abandon("lease taken by " + lease.Owner)
+		p.Abandon("lease now held by " + lease.Owner)
 	}
 	n.handleLeaseChange(row.Part)
 }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -83,13 +83,13 @@
 	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
-	n.scheduleAcquire(n.watcher, "owner node-2 does not answer", n.ownerSuspected)
+	n.scheduleAcquire(n.watcher, "owner node-2 is unresponsive", n.ownerSuspected)
 	n.applyLeaseOf("node-3", 6)
 	n.loop.advance(time.Minute)
 	require.False(t, n.watcher.acquiring, "the lease has changed")
 
 	n.watcher.failures = suspectAfterFailures
-	n.scheduleAcquire(n.watcher, "owner node-3 does not answer", n.ownerSuspected)
+	n.scheduleAcquire(n.watcher, "owner node-3 is unresponsive", n.ownerSuspected)
 	n.handlePingReply(n.watcher, pingReply{Owner: true})
 	n.loop.advance(time.Minute)
 	require.False(t, n.watcher.acquiring, "the owner has answered since")
@@ -101,7 +101,7 @@
 	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-2", 5)
 	n.watcher.failures = suspectAfterFailures
-	handleResult := n.handleIndirectCheck(n.watcher, "owner node-2 does not answer")
+	handleResult := n.handleIndirectCheck(n.watcher, "owner node-2 is unresponsive")
 	n.applyLeaseOf("node-3", 6)
 	handleResult(false)
 	n.watcher.failures = suspectAfterFailures
--- a/internal/node/pings.go
+++ b/internal/node/pings.go
@@ -156,7 +156,7 @@
 		n.dependencies.Recorder.LogEvent("owner unresponsive", "pool", w.pool, "owner", n.leases[w.pool].Owner, "token", n.leases[w.pool].version, "reason", string(fault.From(err).Kind))
 	}
 	n.refreshLease(w)
-	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" does not answer")
+	n.replaceSuspectedOwner(w, "owner "+n.leases[w.pool].Owner+" is unresponsive")
 }
 
 // replaceSuspectedOwner acquires a pool from a suspected owner unless other nodes still reach the
