--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -133,12 +133,12 @@
 		prepare func(*fakeStore)
 		want    fault.Kind
 	}{
-		"no failure":               {func(*fakeStore) {}, ""},
-		"one part refuses":         {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part does not answer": {func(f *fakeStore) { f.unresponsive[parts[0]] = true }, ""},
-		"all parts refuse":         {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"no part answers":          {func(f *fakeStore) { f.unresponsive = allOf(parts) }, fault.OutcomeUnknown},
-		"no answer, then refusals": {func(f *fakeStore) { f.unresponsive[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
+		"no failure":                                {func(*fakeStore) {}, ""},
+		"one partition refuses":                     {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
+		"one partition unresponsive":                {func(f *fakeStore) { f.unresponsive[parts[0]] = true }, ""},
+		"all partitions refuse":                     {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
+		"all partitions unresponsive":               {func(f *fakeStore) { f.unresponsive = allOf(parts) }, fault.OutcomeUnknown},
+		"one partition unresponsive, others refuse": {func(f *fakeStore) { f.unresponsive[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		store := newFakeStore()
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -137,11 +137,11 @@
 		lostHere bool
 		want     bool
 	}{
-		"recent answer, feeds failing":  {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
-		"failing":                       {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
-		"old answer, feeds not failing": {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
-		"silent":                        {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
-		"store lost to both nodes":      {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
+		"recent response, feeds failing":  {pingReply{Owner: true, StoreAgeMillis: 600, StoreLost: true}, false, false},
+		"failing":                         {pingReply{Owner: true, StoreAgeMillis: 800, StoreLost: true}, false, true},
+		"old response, feeds not failing": {pingReply{Owner: true, StoreAgeMillis: 1100}, false, false},
+		"silent":                          {pingReply{Owner: true, StoreAgeMillis: 2300}, false, true},
+		"store lost to both nodes":        {pingReply{Owner: true, StoreAgeMillis: 2300, StoreLost: true}, true, false},
 	}
 	for name, c := range cases {
 		n := newTestNode(t, 1, nil)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -71,7 +71,7 @@
 }
 
 func TestNodeWithoutTheStoreWritesThroughAnother(t *testing.T) {
-	for name, ownStore := range map[string]rows.Store{"store refuses": refusingStore{}, "no answer": hangingStore{}} {
+	for name, ownStore := range map[string]rows.Store{"store refuses": refusingStore{}, "store unresponsive": hangingStore{}} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
 			gateway := newGatewayWithPeer(t, ownStore, store)
