--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -13,18 +13,19 @@
 	Row  rows.Row `json:"row"`
 }
 
-// announce sends the stored row of an accepted job to the pool's owner, without waiting for the
-// reply: the owner's feed delivers the row in any case. It may be called from any goroutine.
+// announce sends the stored row of an accepted job to the pool's owner and does not wait for the
+// reply. If the notice is lost, the owner's feed still delivers the row. announce may be called
+// from any goroutine.
 func (n *Node) announce(poolName string, row rows.Row) {
 	if n.options.DisabledMechanisms[mechanism.Announcements] {
 		return
 	}
-	v := n.snapshot.Load()
-	if v.owned[poolName] != nil {
-		n.edges.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
+	current := n.snapshot.Load()
+	if current.owned[poolName] != nil {
+		n.dependencies.Loop.Post(func() { n.handleAnnouncedJob(poolName, row) })
 		return
 	}
-	lease := v.leases[poolName]
+	lease := current.leases[poolName]
 	if lease.Address == "" || lease.Owner == n.options.Name {
 		return
 	}
@@ -35,7 +36,7 @@
 		if _, err := n.call(ctx, lease.Address, methodAccepted, acceptedNotice{Pool: poolName, Row: row}); err != nil {
 			result = "lost"
 		}
-		n.edges.Recorder.Count("announcements", result)
+		n.dependencies.Recorder.Count("announcements", result)
 	}()
 }
 
@@ -48,6 +49,6 @@
 
 // serveAccepted handles another node's notice.
 func (n *Node) serveAccepted(notice acceptedNotice) (struct{}, error) {
-	n.edges.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
+	n.dependencies.Loop.Post(func() { n.handleAnnouncedJob(notice.Pool, notice.Row) })
 	return struct{}{}, nil
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -8,9 +8,10 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// readConfiguration reads the configuration and the evacuations, then follows their changes.
+// readConfiguration reads the configuration and the evacuated zones, then follows the changes of
+// the operators' table, which holds both.
 func (n *Node) readConfiguration() {
-	codec := n.edges.Codec
+	codec := n.dependencies.Codec
 	key := codec.ConfigurationKey()
 	requestedAt := n.now()
 	n.ports.scanDirect(key.Table, key.Part, func(listing rows.Listing, err error) {
@@ -21,27 +22,28 @@
 		for i := range listing.Rows {
 			n.applyConfiguration(listing.Rows[i])
 		}
-		n.confirm(listing.AsOf)
+		n.recordConfirmation(listing.AsOf)
 		n.applyEvacuations(evacuation.NewSet(n.evacuationChanges(listing.Rows), listing.Version, requestedAt))
 		n.follow(subscription{
 			table: key.Table, feed: n.ports.feedDirect, wait: n.configurationFeedWait, apply: n.applyConfiguration,
-			onAnswer: n.handleOperatorFeed, onEnd: n.readConfiguration,
+			onResponse: n.handleOperatorFeed, onEnd: n.readConfiguration,
 		}, listing.Version)
 	})
 }
 
 func (n *Node) applyConfiguration(row rows.Row) {
-	if row.Key == n.edges.Codec.ConfigurationKey() && !row.Gone {
+	if row.Key == n.dependencies.Codec.ConfigurationKey() && !row.Gone {
 		n.applyDocument(row.Value, "feed")
 	}
 }
 
-// applyDocument makes a configuration current unless a newer one already is.
+// applyDocument decodes a configuration and makes it current, unless the current configuration is
+// as new or newer.
 func (n *Node) applyDocument(content []byte, source string) {
-	decoded, err := n.edges.Codec.DecodeCatalog(content)
+	decoded, err := n.dependencies.Codec.DecodeCatalog(content)
 	if err != nil {
-		n.edges.Recorder.Count("refusals", "configuration_invalid")
-		n.edges.Recorder.LogEvent("configuration rejected", "source", source, "reason", err.Error())
+		n.dependencies.Recorder.Count("refusals", "configuration_invalid")
+		n.dependencies.Recorder.LogEvent("configuration rejected", "source", source, "reason", err.Error())
 		return
 	}
 	if current := n.catalog.Load(); current != nil && decoded.Version <= current.Version {
@@ -50,16 +52,16 @@
 	decoded.Index()
 	n.document.Store(&document{version: decoded.Version, content: content})
 	n.catalog.Store(decoded)
-	n.edges.Recorder.LogEvent("configuration applied", "version", decoded.Version, "source", source, "bytes", len(content))
+	n.dependencies.Recorder.LogEvent("configuration applied", "version", decoded.Version, "source", source, "bytes", len(content))
 	for _, name := range decoded.PoolNames() {
 		n.watchPool(name)
 	}
 }
 
-// confirm records that the configuration was the newest at the given time.
-func (n *Node) confirm(at time.Time) {
-	if known := n.confirmed.Load(); known == nil || at.After(*known) {
-		n.confirmed.Store(&at)
+// recordConfirmation records that the current configuration was the newest at the given time.
+func (n *Node) recordConfirmation(at time.Time) {
+	if known := n.confirmedAt.Load(); known == nil || at.After(*known) {
+		n.confirmedAt.Store(&at)
 	}
 }
 
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -15,14 +15,14 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Gateway serves callers. Its methods may be called from any goroutine; their errors are faults of
-// a listed kind.
+// Gateway serves callers. The methods may be called from any goroutine. Their errors are faults of
+// a kind that package fault lists.
 type Gateway struct{ node *Node }
 
 // NewGateway returns a gateway to a node.
 func NewGateway(n *Node) *Gateway { return &Gateway{node: n} }
 
-// Access is a queue and the tenant that a caller may use it as.
+// Access is a queue and the tenant on whose behalf a caller uses the queue.
 type Access struct {
 	Queue  catalog.Queue
 	Tenant string
@@ -31,44 +31,45 @@
 // Ready reports whether the node should receive new connections.
 func (g *Gateway) Ready() bool {
 	n := g.node
-	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmed.Load()) < n.options.MaxConfigurationAge
+	return !n.stopping.Load() && n.catalog.Load() != nil && age(n.confirmedAt.Load()) < n.options.MaxConfigurationAge
 }
 
 // Stopping reports whether the node is shutting down.
 func (g *Gateway) Stopping() bool { return g.node.stopping.Load() }
 
-// Resolve finds the queue for a path and checks the caller's key. It returns the rest of the path.
+// Resolve finds the queue for a host and path and checks the caller's key. It also returns the path
+// without the queue's prefix.
 func (g *Gateway) Resolve(host, path, key string) (Access, string, error) {
 	n := g.node
 	current := n.catalog.Load()
-	confirmedAge := age(n.confirmed.Load())
+	confirmedAge := age(n.confirmedAt.Load())
 	if current == nil || confirmedAge > n.options.MaxConfigurationAge {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration is missing or too old to authorize requests"))
+		return Access{}, "", g.refuseBeforeReadingBody(host, path, confirmedAge, fault.New(fault.ConfigurationStale, "the configuration is missing or too old to authorize requests"))
 	}
 	queue := current.Match(host, path)
 	if queue == nil {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.NotFound, "no queue matches this host and path"))
+		return Access{}, "", g.refuseBeforeReadingBody(host, path, confirmedAge, fault.New(fault.NotFound, "no queue matches this host and path"))
 	}
 	access := Access{Queue: *queue}
 	tenant, known := current.TenantOf(key)
 	if !known && !queue.Public {
-		return Access{}, "", g.refuseUnread(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the API key is unknown and the queue is not public"))
+		return Access{}, "", g.refuseBeforeReadingBody(host, path, confirmedAge, fault.New(fault.Unauthenticated, "the API key is unknown and the queue is not public"))
 	}
 	access.Tenant = tenant
 	return access, path[len(queue.PathPrefix):], nil
 }
 
-// maxLoggedPathBytes bounds the logged part of a refused request's path.
+// maxLoggedPathBytes is how much of a refused request's path is logged.
 const maxLoggedPathBytes = 200
 
-// refuseUnread logs and counts the refusal of a request whose body was not read. The job's
-// identifier is taken from the end of the path.
-func (g *Gateway) refuseUnread(host, path string, confirmedAge time.Duration, err *fault.Error) error {
+// refuseBeforeReadingBody logs and counts the refusal of a request whose body was not read. The
+// logged job identifier comes from the end of the path, as the body is not available.
+func (g *Gateway) refuseBeforeReadingBody(host, path string, confirmedAge time.Duration, err *fault.Error) error {
 	var version int64
 	if current := g.node.catalog.Load(); current != nil {
 		version = current.Version
 	}
-	g.node.edges.Recorder.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
+	g.node.dependencies.Recorder.LogEvent("request refused", "host", host, "path", path[:min(len(path), maxLoggedPathBytes)],
 		"job", jobInPath(path), "reason", string(err.Kind), "configuration", version, "configuration_age_ms", confirmedAge.Milliseconds())
 	return g.countRefusal(err)
 }
@@ -82,13 +83,13 @@
 	return ""
 }
 
-// countRefusal counts a refusal and returns its error.
+// countRefusal counts a refusal and returns the given error.
 func (g *Gateway) countRefusal(err error) error {
-	g.node.edges.Recorder.Count("refusals", string(fault.From(err).Kind))
+	g.node.dependencies.Recorder.Count("refusals", string(fault.From(err).Kind))
 	return err
 }
 
-// Submit accepts a job. When it succeeds, the job is in the store.
+// Submit accepts a job. When Submit succeeds, the job is in the store.
 func (g *Gateway) Submit(ctx context.Context, access Access, spec *taskgraph.Spec) error {
 	if err := spec.Validate(); err != nil {
 		return g.countRefusal(err)
@@ -99,17 +100,18 @@
 		return g.commitJob(ctx, access.Queue.Pool, job)
 	})
 	if err != nil {
-		g.node.edges.Recorder.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
+		g.node.dependencies.Recorder.LogEvent("job not accepted", "job", spec.ID, "queue", access.Queue.Name, "reason", string(fault.From(err).Kind),
 			"detail", fault.From(err).Detail, "store_answered_ms_ago", g.node.storeAge().Milliseconds())
 		return g.countRefusal(err)
 	}
-	g.node.edges.Recorder.Count("job_transitions", "accepted")
-	g.node.edges.Recorder.Observe("acceptance", time.Since(receivedAt))
-	g.node.edges.Recorder.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
+	g.node.dependencies.Recorder.Count("job_transitions", "accepted")
+	g.node.dependencies.Recorder.Observe("acceptance", time.Since(receivedAt))
+	g.node.dependencies.Recorder.LogEvent("job accepted", "job", spec.ID, "queue", access.Queue.Name, "tenant", access.Tenant)
 	return nil
 }
 
-// lessCertainFault returns the fault that leaves the outcome more uncertain.
+// lessCertainFault returns the fault whose outcome is less certain: a if its outcome is unknown,
+// else b.
 func lessCertainFault(a, b error) error {
 	if a != nil && fault.IsKind(a, fault.OutcomeUnknown) {
 		return a
@@ -126,18 +128,18 @@
 // storeWriteFault converts an error of a store write into a fault.
 func storeWriteFault(err error) error {
 	if errors.Is(err, rows.ErrNoEffect) {
-		return fault.New(fault.StoreUnavailable, "the store did nothing")
+		return fault.New(fault.StoreUnavailable, "store request failed; nothing was changed")
 	}
-	return fault.New(fault.OutcomeUnknown, "the store gave no answer")
+	return fault.New(fault.OutcomeUnknown, "store outcome unknown; a write may have taken effect")
 }
 
 // partitionHedgeDelay is how long a partition of the store may take before the write is also sent
-// to the next partition. A store at a fiftieth of its usual speed commits in 0.5 s.
+// to the next partition. It is longer than a commit to a very slow store takes.
 const partitionHedgeDelay = 600 * time.Millisecond
 
-// commitJob writes an accepted job into one of its partitions. It tries the next partition once one
-// fails, or takes long while the store is otherwise fast. Writing the job to several partitions is
-// harmless.
+// commitJob writes an accepted job into one of the job's partitions. It tries the next partition
+// when a write fails, and each partitionHedgeDelay unless the store as a whole is slow. Writing the
+// job to several partitions is harmless.
 func (g *Gateway) commitJob(ctx context.Context, poolName string, job *pool.Accepted) error {
 	value := pool.Encode(job)
 	parts := pool.JobPartitions(poolName, job.Spec.ID)
@@ -189,8 +191,8 @@
 	return checkDuplicate(result, job)
 }
 
-// checkDuplicate returns nil for a repeated submission of the same job, and a fault if the
-// identifier belongs to another job.
+// checkDuplicate compares a job with the stored job of the same identifier. It returns nil if both
+// are the same job, submitted twice, and a fault otherwise.
 func checkDuplicate(result rows.Result, job *pool.Accepted) error {
 	for i := range result.Current {
 		var known pool.Accepted
@@ -204,7 +206,7 @@
 	return fault.NewField(fault.DuplicateID, "id", "a different job with this identifier exists")
 }
 
-// Cancel cancels a job. When it succeeds, the cancellation is in the store.
+// Cancel cancels a job. When Cancel succeeds, the cancellation is in the store.
 func (g *Gateway) Cancel(ctx context.Context, access Access, id string) error {
 	if !taskgraph.ValidID(id) {
 		return g.countRefusal(fault.New(fault.UnknownJob, "no such job"))
@@ -213,10 +215,10 @@
 		return g.commitCancel(ctx, access.Queue.Pool, id)
 	})
 	if err != nil {
-		g.node.edges.Recorder.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
+		g.node.dependencies.Recorder.LogEvent("cancellation refused", "job", id, "reason", string(fault.From(err).Kind))
 		return g.countRefusal(err)
 	}
-	g.node.edges.Recorder.LogEvent("cancellation accepted", "job", id)
+	g.node.dependencies.Recorder.LogEvent("cancellation accepted", "job", id)
 	return nil
 }
 
@@ -225,8 +227,8 @@
 	AtMillis int64 `json:"at_ms"`
 }
 
-// commitCancel writes a cancellation to the partition that holds the job's accepted row, or to
-// another of its partitions if that one is unavailable.
+// commitCancel writes a cancellation to the partition that holds the job's accepted row. If that
+// partition is unavailable, commitCancel tries the job's other partitions.
 func (g *Gateway) commitCancel(ctx context.Context, poolName, id string) error {
 	accepted, cancelled, err := g.storedJob(ctx, poolName, id)
 	if err != nil {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -23,24 +23,24 @@
 	jobID    = "00000000000000aa"
 )
 
-// fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect, those
-// about the partitions in unanswered with ErrOutcomeUnknown.
+// fakeStore keeps rows in memory. Calls about the partitions in refuse fail with ErrNoEffect. Calls
+// about the partitions in unresponsive fail with ErrOutcomeUnknown.
 type fakeStore struct {
-	rows       map[rows.Key]rows.Row
-	refuse     map[string]bool
-	unanswered map[string]bool
-	version    int64
+	rows         map[rows.Key]rows.Row
+	refuse       map[string]bool
+	unresponsive map[string]bool
+	version      int64
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, unanswered: map[string]bool{}}
+	return &fakeStore{rows: map[rows.Key]rows.Row{}, refuse: map[string]bool{}, unresponsive: map[string]bool{}}
 }
 
 func (f *fakeStore) failure(part string) error {
 	switch {
 	case f.refuse[part]:
 		return rows.ErrNoEffect
-	case f.unanswered[part]:
+	case f.unresponsive[part]:
 		return rows.ErrOutcomeUnknown
 	}
 	return nil
@@ -103,8 +103,8 @@
 func newGateway(t *testing.T, store rows.Store) *Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	edges := Dependencies{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{}}
-	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, edges)
+	dependencies := Dependencies{Store: store, Peers: peer.NewClient(nil), Loop: loop.NewGoroutine(), Recorder: discardRecorder{}}
+	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, dependencies)
 	current := &catalog.Catalog{
 		Version: 1,
 		Queues: []catalog.Queue{
@@ -115,7 +115,7 @@
 	}
 	current.Index()
 	n.catalog.Store(current)
-	n.confirm(time.Now())
+	n.recordConfirmation(time.Now())
 	return NewGateway(n)
 }
 
@@ -133,12 +133,12 @@
 		prepare func(*fakeStore)
 		want    fault.Kind
 	}{
-		"no failure":               {func(*fakeStore) {}, ""},
-		"one part refuses":         {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
-		"one part does not answer": {func(f *fakeStore) { f.unanswered[parts[0]] = true }, ""},
-		"all parts refuse":         {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
-		"no part answers":          {func(f *fakeStore) { f.unanswered = allOf(parts) }, fault.OutcomeUnknown},
-		"no answer, then refusals": {func(f *fakeStore) { f.unanswered[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
+		"no failure":                                {func(*fakeStore) {}, ""},
+		"one partition refuses":                     {func(f *fakeStore) { f.refuse[parts[0]] = true }, ""},
+		"one partition unresponsive":                {func(f *fakeStore) { f.unresponsive[parts[0]] = true }, ""},
+		"all partitions refuse":                     {func(f *fakeStore) { f.refuse = allOf(parts) }, fault.StoreUnavailable},
+		"all partitions unresponsive":               {func(f *fakeStore) { f.unresponsive = allOf(parts) }, fault.OutcomeUnknown},
+		"one partition unresponsive, others refuse": {func(f *fakeStore) { f.unresponsive[parts[0]] = true; f.refuse = allOf(parts[1:]) }, fault.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		store := newFakeStore()
@@ -152,22 +152,22 @@
 	}
 }
 
-// hangingPartitionStore never answers transactions in one partition.
+// hangingPartitionStore never responds to transactions in one partition.
 type hangingPartitionStore struct {
 	*fakeStore
 	part string
 }
 
-func (p *hangingPartitionStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
-	if transaction.Puts[0].Part != p.part {
-		return p.fakeStore.Commit(ctx, transaction)
+func (s *hangingPartitionStore) Commit(ctx context.Context, transaction rows.Transaction) (rows.Result, error) {
+	if transaction.Puts[0].Part != s.part {
+		return s.fakeStore.Commit(ctx, transaction)
 	}
 	<-ctx.Done()
 	return rows.Result{}, rows.ErrOutcomeUnknown
 }
 
-// TestWriteIsHedgedToNextPartition: one unresponsive partition must not use up the time of a
-// submission.
+// TestWriteIsHedgedToNextPartition: a submission must not time out because one partition is
+// unresponsive.
 func TestWriteIsHedgedToNextPartition(t *testing.T) {
 	store := &hangingPartitionStore{fakeStore: newFakeStore(), part: pool.JobPartitions(poolName, jobID)[0]}
 	require.NoError(t, newGateway(t, store).Submit(context.Background(), testAccess(), testSpec()))
@@ -219,7 +219,7 @@
 	state, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.NoError(t, err)
 	require.Equal(t, taskgraph.Completed, state)
-	store.unanswered[parts[1]] = true
+	store.unresponsive[parts[1]] = true
 	_, err = gateway.Lookup(context.Background(), testAccess(), jobID)
 	require.Error(t, err, "an older progress row must not be returned while a part is unread")
 }
@@ -253,7 +253,7 @@
 	_, _, err = gateway.Resolve("other", "/q/x", "key")
 	require.True(t, fault.IsKind(err, fault.NotFound), "%v", err)
 	old := time.Now().Add(-2 * time.Hour)
-	gateway.node.confirmed.Store(&old)
+	gateway.node.confirmedAt.Store(&old)
 	_, _, err = gateway.Resolve("h", "/q/x", "key")
 	require.True(t, fault.IsKind(err, fault.ConfigurationStale), "a key that may have been revoked must be refused: %v", err)
 	require.False(t, gateway.Ready())
@@ -263,8 +263,8 @@
 	gateway := newGateway(t, newFakeStore())
 	n := gateway.node
 	n.options.Weight = 0.2
-	n.sample.members["node-2"] = member{Name: "node-2", Weight: 0.8}
-	n.sample.members["node-3"] = member{Name: "node-3", Weight: 0.1}
+	n.memberSample.members["node-2"] = member{Name: "node-2", Weight: 0.8}
+	n.memberSample.members["node-3"] = member{Name: "node-3", Weight: 0.1}
 	require.Equal(t, 1, n.takeoverRank(poolName))
 }
 
@@ -274,14 +274,14 @@
 	fields map[string][]any
 }
 
-func (l fieldsRecorder) LogEvent(event string, fields ...any) { l.fields[event] = fields }
+func (r fieldsRecorder) LogEvent(event string, fields ...any) { r.fields[event] = fields }
 
-// TestEarlyRefusalsAreLogged: a request that is refused before its body is read is logged with the
-// job's identifier.
+// TestEarlyRefusalsAreLogged: the log of a request that is refused before its body is read must
+// name the job.
 func TestEarlyRefusalsAreLogged(t *testing.T) {
 	g := newGateway(t, newFakeStore())
 	recorder := fieldsRecorder{fields: map[string][]any{}}
-	g.node.edges.Recorder = recorder
+	g.node.dependencies.Recorder = recorder
 	_, _, err := g.Resolve("h", "/q/"+jobID, "unknown key")
 	require.True(t, fault.IsKind(err, fault.Unauthenticated))
 	require.Contains(t, recorder.fields["request refused"], jobID)
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -20,7 +20,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// countingStore counts the rows that it returns, and answers feeds.
+// countingStore is a fakeStore that supports feeds and counts the rows that it returns.
 type countingStore struct {
 	mutex sync.Mutex
 	*fakeStore
@@ -77,7 +77,7 @@
 	return listing
 }
 
-// writeMember writes a node's rows as it does when it starts.
+// writeMember writes the rows that a node writes when it starts.
 func (s *countingStore) writeMember(m member) {
 	var transaction rows.Transaction
 	for _, key := range []rows.Key{{Table: memberTable, Name: memberRowName(m)}, {Table: pool.NodeTable, Name: m.Name}} {
@@ -86,23 +86,21 @@
 	_, _ = s.Commit(context.Background(), transaction)
 }
 
-// serveOwner answers pings as a healthy owner and returns its address.
+// serveOwner starts a server that replies to pings like a healthy owner, and returns the server's
+// address.
 func serveOwner(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	answer := func(context.Context, *peerpb.Request) ([]byte, error) {
+	servePing := func(context.Context, *peerpb.Request) ([]byte, error) {
 		return json.Marshal(pingReply{Owner: true, configurationStatus: configurationStatus{Version: 1}})
 	}
-	go func() { _ = peer.NewServer(answer).Serve(listener) }()
+	go func() { _ = peer.NewServer(servePing).Serve(listener) }()
 	return listener.Addr().String()
 }
 
-// A node that follows the rows of all others makes each restart cost one response of the store for
-// every node of the cluster.
-
-// TestMemberReadsDoNotGrowWithCluster: a node reads few member rows, both at its start and as
-// others restart.
+// TestMemberReadsDoNotGrowWithCluster: a node must read few member rows, both when it starts and
+// when other nodes restart. Otherwise restarts overload the store of a large cluster.
 func TestMemberReadsDoNotGrowWithCluster(t *testing.T) {
 	const restarts = 200
 	for _, count := range []int{100, 5000} {
@@ -118,25 +116,25 @@
 			require.NoError(t, err)
 			ctx, cancel := context.WithCancel(context.Background())
 			t.Cleanup(cancel)
-			own := loop.NewGoroutine()
+			eventLoop := loop.NewGoroutine()
 			n := New(ctx, Options{Name: "node-1", Incarnation: "own", Weight: 0.1}, Dependencies{
-				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
+				Store: store, Peers: peer.NewClient(nil), Codec: jsonCodec{}, Loop: eventLoop, Recorder: discardRecorder{},
 			})
-			go own.Run(ctx)
-			own.Post(n.Start)
+			go eventLoop.Run(ctx)
+			eventLoop.Post(n.Start)
 			onLoop(t, n, func() {
 				n.applyDocument(pool.Encode(catalog.Catalog{Version: 1, Pools: []catalog.Pool{{Name: poolName}}, Queues: []catalog.Queue{{Pool: poolName}}}), "test")
 			})
 			require.Eventually(t, func() bool {
-				v := n.snapshot.Load()
-				return len(v.members) > 0 && v.leases[poolName].Owner != "" && n.confirmedByPeer.Load() != nil
+				current := n.snapshot.Load()
+				return len(current.members) > 0 && current.leases[poolName].Owner != "" && n.confirmedByPeerAt.Load() != nil
 			}, time.Minute, 5*time.Millisecond)
 			for i := range restarts {
 				store.writeMember(member{Name: nameOf(count - 1 - i%count), Incarnation: "second", Weight: 0.8})
 			}
-			// After two rounds of pings the node has received the changes that it follows.
-			confirmedAt := *n.confirmedByPeer.Load()
-			require.Eventually(t, func() bool { return n.confirmedByPeer.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
+			// After two rounds of pings the node has received all changes that it follows.
+			confirmedAt := *n.confirmedByPeerAt.Load()
+			require.Eventually(t, func() bool { return n.confirmedByPeerAt.Load().Sub(confirmedAt) > 2*pingPeriod }, time.Minute, 5*time.Millisecond)
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
 			require.LessOrEqual(t, store.returned, 2*(candidateCount+successorCount+legacyMemberCount)+8)
@@ -145,46 +143,48 @@
 }
 
 func TestNamesOfMembersAreInTheOrderOfTheirWeights(t *testing.T) {
-	var names []string
+	var rowNames []string
 	for _, weight := range []float64{1.6, 0.8, 0.801, 0.192, 0} {
-		names = append(names, memberRowName(member{Name: "b", Weight: weight}))
+		rowNames = append(rowNames, memberRowName(member{Name: "b", Weight: weight}))
 	}
-	require.Equal(t, []string{names[0], names[2], names[1], names[3], names[4]}, slices.Sorted(slices.Values(names)))
+	require.Equal(t, []string{rowNames[0], rowNames[2], rowNames[1], rowNames[3], rowNames[4]}, slices.Sorted(slices.Values(rowNames)))
 	require.NotEqual(t, memberRowName(member{Name: "a", Weight: 1}), memberRowName(member{Name: "b", Weight: 1}))
 }
 
-// applyPartialSample applies a sample of candidates from a cluster that has more nodes.
-func (n *watchingNode) applyPartialSample(t *testing.T, candidates ...member) {
+// applyPartialSample applies a sample of a cluster that has more nodes than the sample. It fills
+// the given candidates up to candidateCount.
+func (n *testNode) applyPartialSample(t *testing.T, candidates ...member) {
 	for i := len(candidates); i < candidateCount; i++ {
 		candidates = append(candidates, member{Name: fmt.Sprintf("candidate-%02d", i), Weight: 1})
 	}
-	var listing, own rows.Listing
+	var listing, successors rows.Listing
 	for _, m := range candidates {
 		listing.Rows = append(listing.Rows, rows.Row{Value: pool.Encode(m)})
 	}
-	own.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
-	n.applySample(listing, own)
-	require.True(t, n.sample.partial)
+	successors.Rows = []rows.Row{{Value: pool.Encode(n.self())}}
+	n.applySample(listing, successors)
+	require.True(t, n.memberSample.partial)
 }
 
-// TestNodesBeyondTheCandidatesTakePoolsLast: those with less weight try after those with more.
+// TestNodesBeyondTheCandidatesTakePoolsLast: nodes that are not candidates try after the
+// candidates. Among them, nodes with less weight than a candidate try last.
 func TestNodesBeyondTheCandidatesTakePoolsLast(t *testing.T) {
 	latest := maxTakeoverRank * takeoverRankDelay
-	among := newWatchingNode(t, 1, nil)
-	among.applyPartialSample(t, among.self())
-	require.Less(t, among.takeoverDelay(poolName), latest+time.Millisecond)
-	heavy := newWatchingNode(t, 1, nil)
-	heavy.applyPartialSample(t)
-	require.False(t, heavy.isStandby(poolName))
-	require.GreaterOrEqual(t, heavy.takeoverDelay(poolName), latest)
-	require.Less(t, heavy.takeoverDelay(poolName), latest+lowWeightDelay)
-	light := newWatchingNode(t, 0.2, nil)
-	light.applyPartialSample(t)
-	require.GreaterOrEqual(t, light.takeoverDelay(poolName), latest+lowWeightDelay)
+	candidate := newTestNode(t, 1, nil)
+	candidate.applyPartialSample(t, candidate.self())
+	require.Less(t, candidate.takeoverDelay(poolName), latest+time.Millisecond)
+	equalWeight := newTestNode(t, 1, nil)
+	equalWeight.applyPartialSample(t)
+	require.False(t, equalWeight.isStandby(poolName))
+	require.GreaterOrEqual(t, equalWeight.takeoverDelay(poolName), latest)
+	require.Less(t, equalWeight.takeoverDelay(poolName), latest+lowWeightDelay)
+	lowerWeight := newTestNode(t, 0.2, nil)
+	lowerWeight.applyPartialSample(t)
+	require.GreaterOrEqual(t, lowerWeight.takeoverDelay(poolName), latest+lowWeightDelay)
 }
 
-// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases learns of a takeover
-// from the replies to its pings.
+// TestLeaseIsReadWhenTheOwnerIsAnother: a node that does not follow the leases must read a pool's
+// lease when the pinged node replies that it does not own the pool.
 func TestLeaseIsReadWhenTheOwnerIsAnother(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -195,7 +195,7 @@
 	lease("node-2")
 	read := make(chan struct{})
 	onLoop(t, n, func() {
-		n.sample.partial = true
+		n.memberSample.partial = true
 		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.readLease(poolName, func(int64) { close(read) })
 	})
@@ -208,15 +208,15 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-3" }, time.Minute, time.Millisecond)
 }
 
-// TestRowsOfExpiredMembersAreRemoved: an owner removes the rows of nodes only while it receives the
-// pings of others.
+// TestRowsOfExpiredMembersAreRemoved: an owner that receives no pings at all may be partitioned,
+// and must not remove the rows of live nodes.
 func TestRowsOfExpiredMembersAreRemoved(t *testing.T) {
 	began := time.Now()
 	cases := map[string]struct {
 		// pings are the times, in seconds, at which each node pings the owner.
-		pings map[string][]float64
-		at    float64
-		gone  []string
+		pings   map[string][]float64
+		at      float64
+		expired []string
 	}{
 		"no pings":                          {nil, 60, nil},
 		"pinged for less than memberExpiry": {map[string][]float64{"a": everyHalfSecond(0, 20)}, 14, nil},
@@ -234,13 +234,13 @@
 					}
 				}
 			}
-			var gone []string
+			var expired []string
 			for _, name := range []string{"a", "b", "c"} {
 				if h.expired(name, began.Add(time.Duration(c.at*float64(time.Second)))) {
-					gone = append(gone, name)
+					expired = append(expired, name)
 				}
 			}
-			require.Equal(t, c.gone, gone)
+			require.Equal(t, c.expired, expired)
 		})
 	}
 }
@@ -254,7 +254,8 @@
 	return times
 }
 
-// TestRewrittenRowsAreKept: the node wrote its row again between the read and the removal.
+// TestRewrittenRowsAreKept: an owner must not remove a row that the node has written again since
+// the owner read it.
 func TestRewrittenRowsAreKept(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -273,7 +274,7 @@
 			n.removeExpired([]rows.Row{row})
 		})
 	}
-	left := func() []string {
+	remainingNames := func() []string {
 		listing, _ := store.Page(context.Background(), memberTable, "", "", prunePageSize)
 		var names []string
 		for _, row := range listing.Rows {
@@ -283,11 +284,11 @@
 		}
 		return names
 	}
-	require.Eventually(t, func() bool { return slices.Equal(left(), []string{"back"}) }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(remainingNames(), []string{"back"}) }, time.Minute, time.Millisecond)
 }
 
-// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from the node may have
-// removed its row.
+// TestNodeWhoseRowIsMissingWritesItAgain: an owner that was partitioned from a live node may have
+// removed the node's row.
 func TestNodeWhoseRowIsMissingWritesItAgain(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	n := runningNode(t, store, peer.NewClient(nil))
@@ -298,15 +299,16 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// TestStoreRelayIncludesOwners: all other known members may have failed.
+// TestStoreRelayIncludesOwners: a node must relay store calls through a pool's owner even if the
+// sample lists no live node.
 func TestStoreRelayIncludesOwners(t *testing.T) {
-	n := newWatchingNode(t, 1, nil)
+	n := newTestNode(t, 1, nil)
 	n.applyLeaseOf("node-7", 3)
 	require.Equal(t, []string{"node-7"}, n.store.relayAddresses())
 }
 
-// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: a node that does not follow the leases scans the
-// lease before it acquires the pool. An unchanged lease must not clear the suspicion.
+// TestLightNodeTakesAPoolOnceAllCandidatesAreGone: a node that does not follow the leases scans a
+// lease before it acquires the pool. An unchanged lease must not reset the owner's failures.
 func TestLightNodeTakesAPoolOnceAllCandidatesAreGone(t *testing.T) {
 	store := &countingStore{fakeStore: newFakeStore()}
 	lease := pool.Lease{Owner: "candidate-00", Address: "127.0.0.1:9", Weight: 1}
@@ -324,26 +326,26 @@
 	require.Eventually(t, func() bool { return n.snapshot.Load().leases[poolName].Owner == "node-1" }, time.Minute, 5*time.Millisecond)
 }
 
-// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: a node that starts first must learn of the others
-// before it next reads its sample.
+// TestNodesOfASmallFleetLearnOfEachOtherAtOnce: in a small cluster the first node must learn of
+// later nodes before it reads its member sample again.
 func TestNodesOfASmallFleetLearnOfEachOtherAtOnce(t *testing.T) {
-	row := func(name string, gone bool) rows.Row {
-		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: gone}
+	row := func(name string, deleted bool) rows.Row {
+		return rows.Row{Key: rows.Key{Table: pool.NodeTable, Name: name}, Value: pool.Encode(member{Name: name, Weight: 1}), Gone: deleted}
 	}
-	n := newWatchingNode(t, 1, nil)
-	n.applyNodeRow(row("node-2", false))
-	n.applyNodeRow(row("node-3", false))
-	n.applyNodeRow(row("node-3", true))
+	n := newTestNode(t, 1, nil)
+	n.applyLeaseTableRow(row("node-2", false))
+	n.applyLeaseTableRow(row("node-3", false))
+	n.applyLeaseTableRow(row("node-3", true))
 	others := n.otherMembersExcept("")
 	require.Len(t, others, 1)
 	require.Equal(t, "node-2", others[0].Name)
 
-	n.sample.partial = true
-	n.applyNodeRow(row("node-4", false))
+	n.memberSample.partial = true
+	n.applyLeaseTableRow(row("node-4", false))
 	require.Len(t, n.otherMembersExcept(""), 1, "nodes of a large cluster must not be added from the lease table")
 }
 
-// truncatedHistoryStore has no history before a version.
+// truncatedHistoryStore has no change history before the version horizon.
 type truncatedHistoryStore struct {
 	countingStore
 	horizon int64
@@ -361,8 +363,8 @@
 	return s.countingStore.Feed(ctx, table, after, wait)
 }
 
-// TestLeasesAreFollowedAgainOnceTheHistoryIsGone: the node reads the leases in full and follows
-// them from there.
+// TestLeasesAreFollowedAgainOnceTheHistoryIsGone: after an expired history the node must read the
+// leases in full and follow them from the version of that read.
 func TestLeasesAreFollowedAgainOnceTheHistoryIsGone(t *testing.T) {
 	store := &truncatedHistoryStore{countingStore: countingStore{fakeStore: newFakeStore()}}
 	store.writeMember(member{Name: "node-2", Weight: 1})
@@ -374,7 +376,7 @@
 	store.horizon = store.version
 	n := runningNode(t, store, peer.NewClient(nil))
 	onLoop(t, n, func() {
-		n.sample.version, n.sample.readAt = 1, n.now()
+		n.memberSample.version, n.memberSample.readAt = 1, n.now()
 		n.watchers[poolName] = &poolWatcher{pool: poolName}
 		n.followLeases()
 	})
--- a/internal/node/partial_answers_test.go
+++ b/internal/node/partial_answers_test.go
@@ -19,10 +19,9 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// partialAnswerStore sends the first byte of each response about a table at once, and the rest when
-// the test closes complete. It gives up when the caller does. Calls about other tables get no
-// response.
-type partialAnswerStore struct {
+// partialResponseStore sends the first byte of each response about one table at once. It sends the
+// rest when the test closes complete or sends to it. Calls about other tables get no response.
+type partialResponseStore struct {
 	rows.Store
 	table    string
 	listing  rows.Listing
@@ -30,11 +29,11 @@
 	complete chan struct{}
 }
 
-func newPartialAnswerStore(table string, listing rows.Listing) *partialAnswerStore {
-	return &partialAnswerStore{table: table, listing: listing, started: make(chan struct{}, 16), complete: make(chan struct{})}
+func newPartialResponseStore(table string, listing rows.Listing) *partialResponseStore {
+	return &partialResponseStore{table: table, listing: listing, started: make(chan struct{}, 16), complete: make(chan struct{})}
 }
 
-func (s *partialAnswerStore) answer(ctx context.Context, table string) (rows.Listing, error) {
+func (s *partialResponseStore) respond(ctx context.Context, table string) (rows.Listing, error) {
 	if table != s.table {
 		<-ctx.Done()
 		return rows.Listing{}, errors.Mark(context.Cause(ctx), rows.ErrOutcomeUnknown)
@@ -49,12 +48,12 @@
 	}
 }
 
-func (s *partialAnswerStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
-	return s.answer(ctx, table)
+func (s *partialResponseStore) Scan(ctx context.Context, table, _, _ string) (rows.Listing, error) {
+	return s.respond(ctx, table)
 }
 
-func (s *partialAnswerStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
-	return s.answer(ctx, table)
+func (s *partialResponseStore) Feed(ctx context.Context, table string, _ int64, _ time.Duration) (rows.Listing, error) {
+	return s.respond(ctx, table)
 }
 
 // receiveBytes simulates the arrival of some bytes of a response.
@@ -62,27 +61,27 @@
 	_, _ = io.Copy(io.Discard, progress.NewReader(ctx, bytes.NewReader(make([]byte, count))))
 }
 
-// runningNode returns a node whose loop runs.
+// runningNode returns a node whose event loop runs.
 func runningNode(t *testing.T, store rows.Store, peers *peer.Client) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	own := loop.NewGoroutine()
+	eventLoop := loop.NewGoroutine()
 	n := New(ctx, Options{Name: "node-1", MaxConfigurationAge: time.Hour}, Dependencies{
-		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: own, Recorder: discardRecorder{},
+		Store: store, Peers: peers, Codec: jsonCodec{}, Loop: eventLoop, Recorder: discardRecorder{},
 	})
-	go own.Run(ctx)
+	go eventLoop.Run(ctx)
 	return n
 }
 
-// onLoop runs fn on a node's loop and waits for it.
+// onLoop runs fn on a node's event loop and waits until fn returns.
 func onLoop(t *testing.T, n *Node, fn func()) {
-	require.NoError(t, loop.Call(context.Background(), n.edges.Loop, fn))
+	require.NoError(t, loop.Call(context.Background(), n.dependencies.Loop, fn))
 }
 
-// TestReceivingFeedIsNotCanceled: on a slow link a feed may be receiving its response when idle
-// feeds are canceled.
+// TestReceivingFeedIsNotCanceled: canceling idle feeds must not cancel a feed that has begun to
+// receive its response.
 func TestReceivingFeedIsNotCanceled(t *testing.T) {
-	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
+	store := newPartialResponseStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	ended := make(chan error, 1)
 	go func() {
@@ -98,7 +97,7 @@
 // TestReceivedBytesKeepStoreFromBeingLost: small calls that time out behind a large response must
 // not make the node lose the store.
 func TestReceivedBytesKeepStoreFromBeingLost(t *testing.T) {
-	store := newPartialAnswerStore("t", rows.Listing{Version: 7})
+	store := newPartialResponseStore("t", rows.Listing{Version: 7})
 	n := newGateway(t, store).node
 	require.Equal(t, unknownAge, n.storeAge())
 	go func() { _, _ = n.store.Feed(context.Background(), "t", 1, time.Hour) }()
@@ -123,32 +122,32 @@
 	return ctx
 }
 
-// TestListingIsDatedByItsFirstByte: the time a response takes to arrive must count towards the age
-// of the configuration, or a revoked key may be accepted.
+// TestListingIsDatedByItsFirstByte: the age of a configuration must include the time that the
+// response takes to arrive. Otherwise a node may accept a revoked key.
 func TestListingIsDatedByItsFirstByte(t *testing.T) {
-	store := newPartialAnswerStore("operator", rows.Listing{Version: 7})
+	store := newPartialResponseStore("operator", rows.Listing{Version: 7})
 	n := runningNode(t, store, peer.NewClient(nil))
-	n.edges.Loop.Post(n.readConfiguration)
+	n.dependencies.Loop.Post(n.readConfiguration)
 	<-store.started
 	begun := time.Now()
 	time.Sleep(50 * time.Millisecond)
 	store.complete <- struct{}{}
-	require.Eventually(t, func() bool { return n.confirmed.Load() != nil }, time.Minute, time.Millisecond)
-	require.False(t, n.confirmed.Load().After(begun), "confirmed as of %v after the first byte", n.confirmed.Load().Sub(begun))
+	require.Eventually(t, func() bool { return n.confirmedAt.Load() != nil }, time.Minute, time.Millisecond)
+	require.False(t, n.confirmedAt.Load().After(begun), "confirmed as of %v after the first byte", n.confirmedAt.Load().Sub(begun))
 }
 
-// slowAnswerStore sends its responses slowly but without stalling.
-type slowAnswerStore struct{ rows.Store }
+// slowResponseStore sends its responses slowly but without stalling.
+type slowResponseStore struct{ rows.Store }
 
-func (s slowAnswerStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
-	return s.answer(ctx, storeTimeout+200*time.Millisecond)
+func (s slowResponseStore) Scan(ctx context.Context, _, _, _ string) (rows.Listing, error) {
+	return s.respond(ctx, storeTimeout+200*time.Millisecond)
 }
 
-func (s slowAnswerStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
-	return s.answer(ctx, wait+feedSlack+200*time.Millisecond)
+func (s slowResponseStore) Feed(ctx context.Context, _ string, _ int64, wait time.Duration) (rows.Listing, error) {
+	return s.respond(ctx, wait+feedGrace+200*time.Millisecond)
 }
 
-func (slowAnswerStore) answer(ctx context.Context, takes time.Duration) (rows.Listing, error) {
+func (slowResponseStore) respond(ctx context.Context, takes time.Duration) (rows.Listing, error) {
 	for startedAt := time.Now(); time.Since(startedAt) < takes; {
 		receiveBytes(ctx, 8<<10)
 		time.Sleep(10 * time.Millisecond)
@@ -160,7 +159,7 @@
 }
 
 func TestSlowResponsesAreWaitedFor(t *testing.T) {
-	n := runningNode(t, slowAnswerStore{}, peer.NewClient(nil))
+	n := runningNode(t, slowResponseStore{}, peer.NewClient(nil))
 	calls := map[string]func(done func(rows.Listing, error)){
 		"scan":                      func(done func(rows.Listing, error)) { n.ports.Scan(pool.JobTable, "part", "", done) },
 		"feed":                      func(done func(rows.Listing, error)) { n.ports.feedFor(pool.JobTable, 1, 0, done) },
@@ -169,14 +168,14 @@
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			answers := make(chan error, 1)
-			call(func(_ rows.Listing, err error) { answers <- err })
-			require.NoError(t, <-answers)
+			results := make(chan error, 1)
+			call(func(_ rows.Listing, err error) { results <- err })
+			require.NoError(t, <-results)
 		})
 	}
 }
 
-// slowCommitStore answers a transaction after a delay.
+// slowCommitStore commits each transaction after a delay.
 type slowCommitStore struct {
 	rows.Store
 	takes time.Duration
@@ -191,40 +190,40 @@
 	}
 }
 
-// Scan answers probes.
+// Scan responds to probes.
 func (slowCommitStore) Scan(context.Context, string, string, string) (rows.Listing, error) {
 	return rows.Listing{}, nil
 }
 
-// TestLargeTransactionHasTheTimeItTakesToSend: the timeout of a transaction, direct or relayed,
-// includes the time it takes to send.
+// TestLargeTransactionHasTheTimeItTakesToSend: the timeout of a direct or relayed transaction must
+// include the time that the transaction takes to send.
 func TestLargeTransactionHasTheTimeItTakesToSend(t *testing.T) {
 	large := rows.Transaction{Puts: []rows.Put{{Value: make([]byte, 200<<10)}}}
 	require.Greater(t, rows.SendTime(large), time.Second)
 	cases := map[string]struct {
-		own, others rows.Store
+		ownStore, peersStore rows.Store
 	}{
 		"directly":             {slowCommitStore{takes: storeTimeout + 500*time.Millisecond}, refusingStore{}},
 		"through another node": {refusingStore{}, slowCommitStore{takes: relayTimeout + 500*time.Millisecond}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			n := runningNode(t, c.own, peer.NewClient(nil))
-			address := servePeers(t, newGateway(t, c.others).node)
+			n := runningNode(t, c.ownStore, peer.NewClient(nil))
+			address := servePeers(t, newGateway(t, c.peersStore).node)
 			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
-			answers := make(chan error, 1)
-			n.ports.Commit(large, func(_ rows.Result, err error) { answers <- err })
-			require.NoError(t, <-answers)
+			results := make(chan error, 1)
+			n.ports.Commit(large, func(_ rows.Result, err error) { results <- err })
+			require.NoError(t, <-results)
 		})
 	}
 }
 
-// TestLargeRelayedResponseIsWaitedFor: on a slow link the whole response takes longer than
-// its first byte may.
+// TestLargeRelayedResponseIsWaitedFor: the timeout for the first byte must not end a response that
+// takes longer to arrive over a slow link.
 func TestLargeRelayedResponseIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
-	small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
-	n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
+	slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
+	n := runningNode(t, refusingStore{}, peer.NewClient(slowLink.dial))
 	address := servePeers(t, newGateway(t, &fixedStore{listing: listing}).node)
 	n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 	n.recordStoreFailure(rows.ErrNoEffect)
@@ -233,14 +232,14 @@
 	require.Equal(t, int64(7), result.Version)
 }
 
-// TestScanThroughAnotherNodeIsWaitedFor: the relaying node reads slowly from the store, or the link
-// to it is slow.
+// TestScanThroughAnotherNodeIsWaitedFor: a relayed scan must succeed although the relaying node
+// reads slowly from the store, or the link to the relaying node is slow.
 func TestScanThroughAnotherNodeIsWaitedFor(t *testing.T) {
 	listing := rows.Listing{Version: 7, Rows: []rows.Row{{Key: rows.Key{Name: "large"}, Value: make([]byte, largeConfigurationBytes/2)}}}
-	for name, others := range map[string]rows.Store{"slow store": slowAnswerStore{}, "slow link": &fixedStore{listing: listing}} {
+	for name, others := range map[string]rows.Store{"slow store": slowResponseStore{}, "slow link": &fixedStore{listing: listing}} {
 		t.Run(name, func(t *testing.T) {
-			small := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
-			n := runningNode(t, refusingStore{}, peer.NewClient(small.dial))
+			slowLink := &throttledLink{bytesPerSecond: slowLinkBytesPerSecond}
+			n := runningNode(t, refusingStore{}, peer.NewClient(slowLink.dial))
 			address := servePeers(t, newGateway(t, others).node)
 			n.snapshot.Store(&snapshot{members: []member{{Name: "node-2", Address: address}}})
 			result, err := n.store.Scan(context.Background(), pool.JobTable, "part", "")
@@ -250,8 +249,8 @@
 	}
 }
 
-// TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers: the read must not wait for its relay
-// timeout once the store answers this node.
+// TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers: once the store responds to this node, a
+// relayed read must not wait for its relay timeout.
 func TestScanThroughUnresponsiveNodeEndsWhenStoreRecovers(t *testing.T) {
 	n := runningNode(t, newFakeStore(), peer.NewClient(nil))
 	address := servePeers(t, newGateway(t, hangingStore{}).node)
@@ -270,7 +269,7 @@
 	require.Less(t, time.Since(began), relayScanTimeout)
 }
 
-// fixedStore answers each read at once with the same listing.
+// fixedStore returns the same listing for each read.
 type fixedStore struct {
 	rows.Store
 	listing rows.Listing
@@ -284,12 +283,11 @@
 	return s.listing, nil
 }
 
-// TestOtherNodesAreQueriedWhenStoreIsSlow: no other node is polled while the store sends a
-// configuration, as both would share the link, unless the store takes longer than
-// storeTransferGrace.
+// TestOtherNodesAreQueriedWhenStoreIsSlow: while the store sends a configuration, a node must not
+// download it from another node as well, until storeTransferGrace has passed.
 func TestOtherNodesAreQueriedWhenStoreIsSlow(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
 	address := servePeers(t, source)
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
@@ -329,8 +327,8 @@
 	require.False(t, n.storeTransferPending())
 }
 
-// TestDownloadResumesAfterFailure: received content is kept, one transfer runs at a time, and
-// another node that has the version sends the rest.
+// TestDownloadResumesAfterFailure: after a failed call a node must keep the received content and
+// get the rest from another node. Only one download may run at a time.
 func TestDownloadResumesAfterFailure(t *testing.T) {
 	n := runningNode(t, refusingStore{}, peer.NewClient(nil))
 	content := largeDocument(t, 2)
@@ -349,7 +347,7 @@
 	}, transferTimeout, time.Millisecond, "the transfer must end when a call fails")
 
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(content, "feed")
 	address := servePeers(t, source)
 	onLoop(t, n, func() {
@@ -367,11 +365,11 @@
 	return listener.Addr().String()
 }
 
-// TestChangesInQuickSuccessionDoNotStopATransfer: a replaced version is retained while another node
-// downloads it.
+// TestChangesInQuickSuccessionDoNotStopATransfer: a node must retain a replaced version while
+// another node downloads that version.
 func TestChangesInQuickSuccessionDoNotStopATransfer(t *testing.T) {
 	source := newGateway(t, refusingStore{}).node
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	var first, fetched []byte
 	for version := int64(2); len(fetched) == 0 || len(fetched) < len(first); version++ {
 		content := largeDocument(t, version)
@@ -410,7 +408,7 @@
 	source := newGateway(t, refusingStore{}).node
 	_, err := source.serveChunk(chunkRequest{Version: 1})
 	require.Error(t, err, "a node without a configuration must refuse chunks")
-	source.edges.Codec = jsonCodec{}
+	source.dependencies.Codec = jsonCodec{}
 	source.applyDocument(largeDocument(t, 2), "feed")
 	for _, offset := range []int{-1, largeConfigurationBytes + 1} {
 		_, err := source.serveChunk(chunkRequest{Version: 2, Offset: offset})
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,7 +13,7 @@
 // Methods of calls between nodes.
 const (
 	methodPing                = "ping"
-	methodSeen                = "seen"
+	methodIndirectCheck       = "seen"
 	methodConfigurationStatus = "news"
 	methodLookup              = "lookup"
 	methodWaiting             = "waiting"
@@ -46,10 +46,11 @@
 		return nil, fault.New(fault.Internal, "%s: %v", method, err)
 	}
 	request := &peerpb.Request{Body: &peerpb.Request_PoolCall{PoolCall: &peerpb.PoolCall{Method: method, Document: document}}}
-	return n.edges.Peers.Call(ctx, address, request)
+	return n.dependencies.Peers.Call(ctx, address, request)
 }
 
-// callPeer sends a request without blocking the loop, on which it then runs done.
+// callPeer sends a request to another node without blocking the loop. It runs done on the loop with
+// the reply or the error.
 func (n *Node) callPeer(address, method string, body any, done func([]byte, error)) {
 	n.callPeerWithTimeout(pingTimeout, address, method, body, done)
 }
@@ -60,7 +61,7 @@
 		ctx, cancel := context.WithTimeout(n.ports.ctx, timeout)
 		defer cancel()
 		document, err := n.call(ctx, address, method, body)
-		n.edges.Loop.Post(func() { done(document, err) })
+		n.dependencies.Loop.Post(func() { done(document, err) })
 	}()
 }
 
@@ -90,13 +91,13 @@
 	switch method {
 	case methodConfigurationStatus:
 		return n.currentConfigurationStatus(), nil
-	case methodPing, methodSeen:
+	case methodPing, methodIndirectCheck:
 		request, err := decodeBody[pingRequest](method, body)
 		if err != nil {
 			return nil, err
 		}
-		if method == methodSeen {
-			return n.serveSeen(ctx, request)
+		if method == methodIndirectCheck {
+			return n.serveIndirectCheck(ctx, request)
 		}
 		return n.servePing(ctx, request)
 	case methodStore:
--- a/internal/node/pings_test.go
+++ b/internal/node/pings_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAllNodesPingOwners: with rounds at either interval, and with late timers, a node that is not
-// a standby pings owners each pingPeriod.
+// TestAllNodesPingOwners: full rounds must come each pingPeriod, whatever the interval between
+// rounds and even if timers are late.
 func TestAllNodesPingOwners(t *testing.T) {
 	const span = 20 * time.Second
 	for _, pause := range []time.Duration{standbyPingPeriod, pingPeriod} {
@@ -27,18 +27,18 @@
 	}
 }
 
-// TestPingIntervalDependsOnStandby: it schedules a round each pingPeriod, a standby each
-// standbyPingPeriod.
+// TestPingIntervalDependsOnStandby: a standby schedules rounds of pings each standbyPingPeriod, any
+// other node each pingPeriod.
 func TestPingIntervalDependsOnStandby(t *testing.T) {
-	heavier := map[string]float64{}
+	nineHeavierNodes := map[string]float64{}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-		heavier[name] = 2
+		nineHeavierNodes[name] = 2
 	}
 	for name, c := range map[string]struct {
 		others map[string]float64
 		pause  time.Duration
-	}{"guard": {nil, standbyPingPeriod}, "other": {heavier, pingPeriod}} {
-		n := newWatchingNode(t, 1, c.others)
+	}{"guard": {nil, standbyPingPeriod}, "other": {nineHeavierNodes, pingPeriod}} {
+		n := newTestNode(t, 1, c.others)
 		n.applyLeaseOf("node-1", 5)
 		n.loop.timers = nil
 		n.pingOwners()
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -15,62 +15,66 @@
 type ports struct {
 	ctx  context.Context
 	node *Node
-	// pacer limits the rate of orders and reads on the machine's link.
-	pacer *ratelimit.Limiter
+	// linkLimiter limits the rate of orders, scans and transactions on the machine's link. An order
+	// is a call to a worker.
+	linkLimiter *ratelimit.Limiter
 }
 
-// An owner's orders and reads come in bursts: a start and a poll for each task of a wide step, or
-// all rows of a pool at a takeover. Without rate limiting, pings queue behind them on a slow link
-// and time out, and the pool is taken over.
+// An owner's orders and reads come in bursts: a start and a poll for each task of a step with many
+// tasks, or all rows of a pool after a takeover. Without rate limiting, pings queue behind a burst
+// on a slow link and time out. Another node then takes over the pool.
 const (
-	// linkFraction is the part of the link's bandwidth for orders and reads, linkBurst the length
-	// of a burst at that rate.
+	// linkFraction is the part of the link's bandwidth that the rate limiter admits. linkBurst is
+	// the length of a burst at that rate.
 	linkFraction = 0.8
 	linkBurst    = 100 * time.Millisecond
-	// orderOverheadBytes is the size of an order without its payload, including headers. Its reply
-	// has about the same size.
+	// orderOverheadBytes is the size of an order without its payload, including headers. The
+	// worker's reply has about the same size.
 	orderOverheadBytes = 450
-	// scanEstimateBytes is charged for a scan until its size is known.
+	// scanEstimateBytes is the size that the rate limiter assumes for a scan until the response is
+	// complete.
 	scanEstimateBytes = 4 << 10
 )
 
-// runPaced is runAsync after the rate limiter admits the given bytes. The timeouts start then.
-func runPaced[T any](p *ports, bytes int, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+// runRateLimited waits until the rate limiter admits the given bytes, then does what runAsync does.
+// The timeouts start after the wait.
+func runRateLimited[T any](p *ports, bytes int, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
 	go func() {
-		if err := p.pacer.Wait(p.ctx, bytes); err == nil {
-			runWithin(p, bounds, work, done)
+		if err := p.linkLimiter.Wait(p.ctx, bytes); err == nil {
+			runWithTimeouts(p, timeouts, work, done)
 		}
 	}()
 }
 
-// runWithin calls work with the given timeouts and posts its result.
-func runWithin[T any](p *ports, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
-	ctx, cancel := progress.WithTimeouts(p.ctx, bounds)
+// runWithTimeouts calls work with the given timeouts and posts the result to the loop.
+func runWithTimeouts[T any](p *ports, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+	ctx, cancel := progress.WithTimeouts(p.ctx, timeouts)
 	defer cancel()
 	result, err := work(ctx)
-	p.node.edges.Loop.Post(func() { done(result, err) })
+	p.node.dependencies.Loop.Post(func() { done(result, err) })
 }
 
-// progressTimeout lets a response whose first byte arrives within limit continue while it makes
-// progress. Abandoning and repeating large responses would saturate slow links.
+// progressTimeout returns timeouts that let a response continue while it makes progress, if its
+// first byte arrives within limit. Abandoning and repeating large responses would saturate slow
+// links.
 func progressTimeout(limit time.Duration) progress.Timeouts {
-	return progress.Timeouts{FirstByte: limit, Idle: answerStallTimeout, Total: max(limit, answerTimeout)}
+	return progress.Timeouts{FirstByte: limit, Idle: responseStallTimeout, Total: max(limit, responseTimeout)}
 }
 
-// fixedTimeout bounds a call as a whole.
+// fixedTimeout returns timeouts that bound a call as a whole.
 func fixedTimeout(limit time.Duration) progress.Timeouts {
 	return progress.Timeouts{FirstByte: limit, Idle: limit, Total: limit}
 }
 
-// runAsync calls work on a separate goroutine and posts its result.
-func runAsync[T any](p *ports, bounds progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
-	go runWithin(p, bounds, work, done)
+// runAsync calls work on a separate goroutine and posts the result to the loop.
+func runAsync[T any](p *ports, timeouts progress.Timeouts, work func(context.Context) (T, error), done func(T, error)) {
+	go runWithTimeouts(p, timeouts, work, done)
 }
 
 // Commit implements pool.Ports.
 func (p *ports) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	limit := storeTimeout + relayHops*rows.SendTime(transaction)
-	runPaced(p, transaction.Bytes(), progressTimeout(limit), func(ctx context.Context) (rows.Result, error) {
+	runRateLimited(p, transaction.Bytes(), progressTimeout(limit), func(ctx context.Context) (rows.Result, error) {
 		return p.commit(ctx, transaction)
 	}, done)
 }
@@ -81,10 +85,11 @@
 
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
-	// The store applies timeouts to the direct and the relayed scan separately.
-	runPaced(p, scanEstimateBytes, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
+	// responseTimeout only bounds the scan as a whole. relayedStore sets shorter timeouts for the
+	// direct and the relayed call.
+	runRateLimited(p, scanEstimateBytes, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		listing, err := p.scan(ctx, table, part, prefix)
-		p.pacer.Charge(max(0, listing.Bytes()-scanEstimateBytes))
+		p.linkLimiter.Charge(max(0, listing.Bytes()-scanEstimateBytes))
 		return listing, err
 	}, done)
 }
@@ -93,9 +98,10 @@
 	return p.node.store.Scan(ctx, table, part, prefix)
 }
 
-// page reads up to limit rows of a partition, starting at a name.
+// page reads up to limit rows of a partition in the order of their names, starting at the name
+// from.
 func (p *ports) page(table, part, from string, limit int, done func(rows.Listing, error)) {
-	runAsync(p, fixedTimeout(answerTimeout), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, fixedTimeout(responseTimeout), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Page(ctx, table, part, from, limit)
 	}, done)
 }
@@ -105,27 +111,28 @@
 	p.feedFor(table, after, feedWait, done)
 }
 
-// feedFor is Feed with the given wait.
+// feedFor is Feed with the given wait in place of feedWait.
 func (p *ports) feedFor(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
-	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
+	runAsync(p, progressTimeout(wait+p.node.currentFeedGrace()), func(ctx context.Context) (rows.Listing, error) {
 		return p.node.store.Feed(ctx, table, after, wait)
 	}, done)
 }
 
-// scanDirect and feedDirect read the configuration without relays. Other nodes send it in chunks
-// (downloadConfiguration).
+// scanDirect scans the operators' table, which holds the configuration. Neither scanDirect nor
+// feedDirect relays its call through another node: a node that has lost the store downloads the
+// configuration from another node in chunks (downloadConfiguration).
 func (p *ports) scanDirect(table, part string, done func(rows.Listing, error)) {
 	runAsync(p, progressTimeout(storeTimeout), func(ctx context.Context) (rows.Listing, error) {
-		ctx, ended := p.node.trackStoreTransfer(ctx)
-		defer ended()
+		ctx, stopTracking := p.node.trackStoreTransfer(ctx)
+		defer stopTracking()
 		return p.node.store.scanDirect(ctx, table, part)
 	}, done)
 }
 
 func (p *ports) feedDirect(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
-	runAsync(p, progressTimeout(wait+p.node.feedSlack()), func(ctx context.Context) (rows.Listing, error) {
-		ctx, ended := p.node.trackStoreTransfer(ctx)
-		defer ended()
+	runAsync(p, progressTimeout(wait+p.node.currentFeedGrace()), func(ctx context.Context) (rows.Listing, error) {
+		ctx, stopTracking := p.node.trackStoreTransfer(ctx)
+		defer stopTracking()
 		return p.node.store.feedDirect(ctx, table, after, wait)
 	}, done)
 }
@@ -133,39 +140,41 @@
 // Start implements pool.Ports.
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Workers.Start(ctx, &target, order)
+	runRateLimited(p, orderOverheadBytes+len(order.Payload), fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+		return p.node.dependencies.Workers.Start(ctx, &target, order)
 	}, done)
 }
 
 // Stop implements pool.Ports.
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Workers.Stop(ctx, &target, order)
+	runRateLimited(p, orderOverheadBytes, fixedTimeout(orderTimeout+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+		return p.node.dependencies.Workers.Stop(ctx, &target, order)
 	}, done)
 }
 
 // Poll implements pool.Ports.
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	target := *to
-	runPaced(p, orderOverheadBytes, progressTimeout(order.Wait+pollSlack+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
-		return p.node.edges.Workers.Poll(ctx, &target, order)
+	runRateLimited(p, orderOverheadBytes, progressTimeout(order.Wait+pollGrace+p.node.schedulingDelay.timeoutExtension()), func(ctx context.Context) (fleet.Reply, error) {
+		return p.node.dependencies.Workers.Poll(ctx, &target, order)
 	}, done)
 }
 
 // DecodeWorker implements pool.Ports.
 func (p *ports) DecodeWorker(id string, value []byte) (*fleet.Worker, error) {
-	return p.node.edges.Codec.DecodeWorker(id, value)
+	return p.node.dependencies.Codec.DecodeWorker(id, value)
 }
 
 // EvacuationRows implements pool.Ports.
-func (p *ports) EvacuationRows() (table, prefix string) { return p.node.edges.Codec.EvacuationRows() }
+func (p *ports) EvacuationRows() (table, prefix string) {
+	return p.node.dependencies.Codec.EvacuationRows()
+}
 
 // ParseEvacuationKey implements pool.Ports.
 func (p *ports) ParseEvacuationKey(key rows.Key) (string, bool) {
-	return p.node.edges.Codec.ParseEvacuationKey(key)
+	return p.node.dependencies.Codec.ParseEvacuationKey(key)
 }
 
 // WorkerTable implements pool.Ports.
-func (p *ports) WorkerTable() string { return p.node.edges.Codec.WorkerTable() }
+func (p *ports) WorkerTable() string { return p.node.dependencies.Codec.WorkerTable() }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -17,35 +17,35 @@
 
 // Timeouts and limits of store calls through other nodes.
 const (
-	// probeAfter is how long a direct call may take before the node probes the store. The usual
-	// latency is 5 to 15 ms.
+	// probeAfter is how long a direct call may take before the node probes the store. It is many
+	// times the usual latency.
 	probeAfter = 300 * time.Millisecond
-	// maxRelayAttempts is how many other nodes are tried for one call.
+	// maxRelayAttempts is how many other nodes a node tries for one call.
 	maxRelayAttempts = 2
-	// relayTimeout bounds one relayed call, in addition to the wait of a feed and to the time the
-	// call takes to send over relayHops links.
+	// relayTimeout bounds the wait for the first byte of a relayed call's response. The wait of a
+	// feed, and the time that a transaction takes to send over relayHops links, are added.
 	relayTimeout = 500 * time.Millisecond
 	relayHops    = 2
-	// relayScanTimeout bounds the wait for the first byte of a relayed scan of all job rows in a
-	// partition. The relaying node reads all of them before it replies: 3.7 MB on a link of 10
-	// Mbit/s.
+	// relayScanTimeout replaces relayTimeout for a relayed scan of all job rows in a partition. The
+	// relaying node reads all rows before it sends the first byte.
 	relayScanTimeout = 3 * time.Second
-	// relayBackoff is how long no call is relayed after all attempts have failed, as the store is
-	// then unavailable to all nodes.
+	// relayBackoff is how long a node relays no calls after all attempts for a call have failed.
+	// The store is then probably unavailable to all nodes.
 	relayBackoff = 150 * time.Millisecond
 )
 
-// relayedStore calls the store directly, or through other nodes while the store refuses this one or
-// a partition separates them. A call may be made both ways; transactions of callers have conditions
-// that make a second commit harmless.
+// relayedStore calls the store directly. While this node has lost the store, relayedStore relays
+// calls through other nodes. A call may be made both directly and through another node, so a
+// transaction may be committed twice. Callers give their transactions conditions that make a second
+// commit harmless.
 type relayedStore struct {
 	node   *Node
 	direct rows.Store
-	// relayedReads are the pending reads through other nodes.
+	// relayedReads are the pending reads that are relayed through other nodes.
 	relayedReads cancelableReads
-	// preferred is the address of the node that last relayed a call.
-	preferred atomic.Pointer[string]
-	// noRelayUntil is when calls may be relayed again.
+	// preferredAddress is the address of the node that last relayed a call.
+	preferredAddress atomic.Pointer[string]
+	// noRelayUntil is the end of the current relayBackoff; nil before the first.
 	noRelayUntil atomic.Pointer[time.Time]
 }
 
@@ -77,7 +77,8 @@
 	})
 }
 
-// Feed implements rows.Store. A direct feed that fails is not relayed; the caller's retry is.
+// Feed implements rows.Store. It does not relay a direct feed that failed. If the node has then
+// lost the store, the caller's next feed is relayed.
 func (s *relayedStore) Feed(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, callTimeouts{relayed: wait + relayTimeout, readOnly: true}, func(ctx context.Context, store rows.Store) (rows.Listing, error) {
@@ -100,13 +101,13 @@
 	return listing, err
 }
 
-// feedDirect is Feed without relays.
+// feedDirect makes a feed without relays.
 func (s *relayedStore) feedDirect(ctx context.Context, table string, after int64, wait time.Duration) (rows.Listing, error) {
 	if s.node.storeLost() {
 		return rows.Listing{}, errStoreLost
 	}
-	ctx, done := s.node.feeds.add(ctx, wait)
-	defer done()
+	ctx, unregister := s.node.feeds.add(ctx, wait)
+	defer unregister()
 	listing, err := s.direct.Feed(ctx, table, after, wait)
 	if err != nil && readCanceled(ctx) {
 		return listing, errors.Mark(errReadCanceled, rows.ErrOutcomeUnknown)
@@ -114,15 +115,15 @@
 	s.node.recordFeedResult(err)
 	s.node.recordStoreResult(err)
 	if !errors.Is(err, rows.ErrOutcomeUnknown) || s.node.storeAge() > probeTimeout {
-		// A feed that times out while other calls are answered does not mean that the store is
-		// lost: its response may be queued behind a larger one.
+		// A feed that times out while the store responds to other calls does not mean that the
+		// store is lost. The feed's response may be queued behind a larger response.
 		s.node.recordStoreFailure(err)
 	}
 	return listing, err
 }
 
-// storeCall is one call to a store.
-type storeCall[T any] func(ctx context.Context, store rows.Store) (T, error)
+// storeFunc is one call to a store.
+type storeFunc[T any] func(ctx context.Context, store rows.Store) (T, error)
 
 // attempt is the outcome of one direct or relayed call.
 type attempt[T any] struct {
@@ -130,23 +131,26 @@
 	err    error
 }
 
-// answered reports whether the outcome is the store's own response.
-func (a *attempt[T]) answered() bool { return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired) }
+// hasResponse reports whether the store itself responded: with a result, or by reporting that the
+// history has expired.
+func (a *attempt[T]) hasResponse() bool {
+	return a.err == nil || errors.Is(a.err, rows.ErrHistoryExpired)
+}
 
 // callTimeouts bound the wait for the first byte of a response.
 type callTimeouts struct {
 	direct time.Duration
 	// relayed is the timeout for each other node.
 	relayed time.Duration
-	// readOnly calls are canceled at other nodes once the store answers this one, which then
-	// repeats them directly.
+	// readOnly is true for calls that change no rows. A relayed read-only call is canceled once the
+	// store responds to this node again. The caller then repeats the call directly.
 	readOnly bool
 }
 
-// callWithRelay makes a call directly and, if this node turns out to have lost the store, through
-// another one. A call that fails or takes long while the store is reachable is not relayed, as a
-// duplicate would add to the store's load.
-func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
+// callWithRelay makes a call directly. If the call fails or takes long and a probe shows that this
+// node has lost the store, callWithRelay also makes the call through another node. While the store
+// is reachable, it does not relay the call, as a duplicate would add to the store's load.
+func callWithRelay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeFunc[T]) (T, error) {
 	if s.node.storeLost() {
 		return relay(ctx, s, timeouts, call)
 	}
@@ -163,7 +167,7 @@
 	var direct *attempt[T]
 	select {
 	case first := <-attempts:
-		if first.answered() || ctx.Err() != nil {
+		if first.hasResponse() || ctx.Err() != nil {
 			return first.result, first.err
 		}
 		direct = &first
@@ -180,18 +184,19 @@
 		result, err := relay(ctx, s, timeouts, call)
 		attempts <- attempt[T]{result, err}
 	}()
-	return firstAnswer(attempts, direct)
+	return firstResponse(attempts, direct)
 }
 
-// firstAnswer returns the first response of two attempts, one of which may already have failed.
-func firstAnswer[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
+// firstResponse returns the first response of two attempts. failed is the first attempt's outcome
+// if that attempt has already failed, and nil otherwise.
+func firstResponse[T any](attempts <-chan attempt[T], failed *attempt[T]) (T, error) {
 	first := <-attempts
-	if first.answered() {
+	if first.hasResponse() {
 		return first.result, first.err
 	}
 	if failed == nil {
 		second := <-attempts
-		if second.answered() {
+		if second.hasResponse() {
 			return second.result, second.err
 		}
 		failed = &second
@@ -199,7 +204,8 @@
 	return first.result, lessCertain(failed.err, first.err)
 }
 
-// lessCertain returns the error that leaves a call's effect more uncertain.
+// lessCertain returns the error that leaves the call's effect less certain: b if a means no effect,
+// else a.
 func lessCertain(a, b error) error {
 	if errors.Is(a, rows.ErrNoEffect) {
 		return b
@@ -207,8 +213,9 @@
 	return a
 }
 
-// relay makes a call through other nodes, one after another.
-func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeCall[T]) (T, error) {
+// relay makes a call through other nodes, one after another, until one of them returns the store's
+// response.
+func relay[T any](ctx context.Context, s *relayedStore, timeouts callTimeouts, call storeFunc[T]) (T, error) {
 	var zero T
 	failure := errors.Mark(errors.New("no other node reaches the store"), rows.ErrNoEffect)
 	if s.node.options.DisabledMechanisms[mechanism.StoreRelay] {
@@ -219,21 +226,21 @@
 	}
 	for _, address := range s.relayAddresses() {
 		attemptContext, cancel := progress.WithTimeouts(ctx, progressTimeout(timeouts.relayed))
-		ended := func() {}
+		unregister := func() {}
 		if timeouts.readOnly {
-			attemptContext, ended = s.relayedReads.add(attemptContext, timeouts.relayed)
+			attemptContext, unregister = s.relayedReads.add(attemptContext, timeouts.relayed)
 		}
 		result, err := call(attemptContext, &peerStore{node: s.node, address: address})
-		ended()
+		unregister()
 		cancel()
 		outcome := attempt[T]{result, err}
-		if outcome.answered() {
-			s.preferred.Store(&address)
+		if outcome.hasResponse() {
+			s.preferredAddress.Store(&address)
 			s.node.recordStoreReached()
-			s.node.edges.Recorder.Count("store_relays", "answered")
+			s.node.dependencies.Recorder.Count("store_relays", "answered")
 			return result, err
 		}
-		s.node.edges.Recorder.Count("store_relays", "failed")
+		s.node.dependencies.Recorder.Count("store_relays", "failed")
 		failure = lessCertain(failure, err)
 		if ctx.Err() != nil || readCanceled(attemptContext) {
 			return zero, failure
@@ -244,22 +251,22 @@
 	return zero, failure
 }
 
-// relayAddresses lists the nodes to try: the one that last relayed a call, then others in random
-// order. They include the owners of pools, which are known to be alive even if most known members
-// are not.
+// relayAddresses lists the addresses to try: first the node that last relayed a call, then other
+// nodes in random order. The list includes the owners of pools, since most members of the sample
+// may have failed while the owners are alive.
 func (s *relayedStore) relayAddresses() []string {
-	v := s.node.snapshot.Load()
+	current := s.node.snapshot.Load()
 	addresses := map[string]bool{}
-	for _, other := range v.members {
+	for _, other := range current.members {
 		addresses[other.Address] = true
 	}
-	for _, lease := range v.leases {
+	for _, lease := range current.leases {
 		if lease.Owner != "" && lease.Owner != s.node.options.Name {
 			addresses[lease.Address] = true
 		}
 	}
 	var order []string
-	if preferred := s.preferred.Load(); preferred != nil {
+	if preferred := s.preferredAddress.Load(); preferred != nil {
 		order = append(order, *preferred)
 		delete(addresses, *preferred)
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -13,16 +13,16 @@
 	// Ready is the state reported to the load balancer.
 	Ready    bool `json:"ready"`
 	Stopping bool `json:"stopping"`
-	// ConfigurationVersion is the current version; it was known to be the newest
-	// ConfigurationAgeMillis ago.
+	// ConfigurationVersion is the version of the node's configuration. ConfigurationAgeMillis is
+	// how long ago the configuration was last known to be the newest.
 	ConfigurationVersion   int64 `json:"configuration_version"`
 	ConfigurationAgeMillis int64 `json:"configuration_age_ms"`
-	// StoreAgeMillis is how long ago the store last answered this node directly.
+	// StoreAgeMillis is how long ago the store last responded to this node directly.
 	StoreAgeMillis int64 `json:"store_age_ms"`
 	StoreLost      bool  `json:"store_lost"`
 	// EvacuatedZones receive no new work.
 	EvacuatedZones []string `json:"evacuated_zones"`
-	// Members are the nodes that this one knows: a sample in large clusters.
+	// Members are the nodes that this node knows. In large clusters this is a sample.
 	Members []string     `json:"members"`
 	Pools   []PoolStatus `json:"pools"`
 }
@@ -44,14 +44,14 @@
 	gateway := Gateway{node: n}
 	status := Status{
 		Name: n.options.Name, Ready: gateway.Ready(), Stopping: gateway.Stopping(),
-		ConfigurationAgeMillis: age(n.confirmed.Load()).Milliseconds(),
+		ConfigurationAgeMillis: age(n.confirmedAt.Load()).Milliseconds(),
 		StoreAgeMillis:         n.storeAge().Milliseconds(), StoreLost: n.storeLost(),
 	}
 	if current := n.catalog.Load(); current != nil {
 		status.ConfigurationVersion = current.Version
 	}
-	err := loop.Call(ctx, n.edges.Loop, func() {
-		status.Members = sortedKeys(n.sample.members)
+	err := loop.Call(ctx, n.dependencies.Loop, func() {
+		status.Members = sortedKeys(n.memberSample.members)
 		status.EvacuatedZones = n.evacuated.Zones()
 		for _, name := range sortedKeys(n.watchers) {
 			status.Pools = append(status.Pools, n.poolStatus(name))
