--- a/internal/pool/acknowledgements.go
+++ b/internal/pool/acknowledgements.go
@@ -40,8 +40,8 @@
 
 // acknowledgeable returns the number that a poll may acknowledge at the given time; 0 acknowledges
 // nothing.
-func (e *endAcknowledgements) acknowledgeable(now time.Time, without DisabledSafeguards) int64 {
-	if now.Sub(e.reportAt) > maxReportAge && !without.FreshReport {
+func (e *endAcknowledgements) acknowledgeable(now time.Time, disabled DisabledSafeguards) int64 {
+	if now.Sub(e.reportAt) > maxReportAge && !disabled.FreshReport {
 		return 0
 	}
 	return e.due
--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -12,10 +12,10 @@
 // assign reserves capacity for a member on a worker and resets the state of its previous run.
 func (p *Pool) assign(m *member, w *worker) {
 	m.worker = w
-	m.state = memberNone
+	m.state = memberWithoutRun
 	m.stopAttempted, m.stopSent, m.stopAnswered, m.startUnanswered = false, false, false, false
 	m.startCall = nil
-	m.confirmedBefore, m.formerIncarnation = false, fleet.Incarnation{}
+	m.confirmedToEarlierOwner, m.formerIncarnation = false, fleet.Incarnation{}
 	m.percent, m.percentChangedAt, m.reportedAt = 0, time.Time{}, time.Time{}
 	m.sentAt = time.Time{}
 	m.startDeadline = 0
@@ -35,7 +35,7 @@
 		m.worker.members = slices.DeleteFunc(slices.Clone(m.worker.members), func(other *member) bool { return other == m })
 	}
 	m.worker = nil
-	m.state = memberNone
+	m.state = memberWithoutRun
 	m.stopAttempted, m.stopSent, m.stopAnswered = false, false, false
 }
 
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -105,13 +105,13 @@
 		return
 	}
 	current := p.evacuatedZones()
-	known := p.evacuationsFresh(p.loop.Now())
-	if current.SameZones(p.reportedEvacuations) && known == p.evacuationsWereFresh {
+	fresh := p.evacuationsFresh(p.loop.Now())
+	if current.SameZones(p.reportedEvacuations) && fresh == p.evacuationsWereFresh {
 		return
 	}
-	p.reportedEvacuations, p.evacuationsWereFresh = current, known
+	p.reportedEvacuations, p.evacuationsWereFresh = current, fresh
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
-	p.record.LogEvent("evacuated zones", "zones", current.Zones(), "known", known, "revision", current.Revision,
+	p.record.LogEvent("evacuated zones", "zones", current.Zones(), "known", fresh, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
 	p.scheduleCycle()
 }
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -17,7 +17,7 @@
 
 // findUnmeasuredWorker returns an idle worker of unknown speed for a deferrable task, or nil.
 func (p *Pool) findUnmeasuredWorker(s *snapshot, u *unit, visible *placement.Request) []int {
-	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.hasUnexplainedLosses() {
+	if !p.shouldExplore(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.hasUnexplainedLosses() {
 		return nil
 	}
 	return placement.Fit(s.workers, s.racks.All, restrict(visible, func(i int) bool {
@@ -26,8 +26,8 @@
 	}))
 }
 
-// exploring reports whether enough workers are too slow for urgent units.
-func (p *Pool) exploring(now time.Time) bool {
+// shouldExplore reports whether enough workers are too slow for urgent units.
+func (p *Pool) shouldExplore(now time.Time) bool {
 	if p.options.DisabledMechanisms[mechanism.LearnedSpeeds] {
 		return false
 	}
--- a/internal/pool/find_placement.go
+++ b/internal/pool/find_placement.go
@@ -196,20 +196,20 @@
 }
 
 // reserve reserves the resources of a future placement for a unit.
-func (s *snapshot) reserve(u *unit, request *placement.Request, promise *placement.FuturePlacement) {
-	if promise == nil {
+func (s *snapshot) reserve(u *unit, request *placement.Request, future *placement.FuturePlacement) {
+	if future == nil {
 		return
 	}
 	if u.job.Queue.Priority > 0 {
 		s.reservationsLeft--
 	}
-	for i, spare := range promise.Unreserved {
+	for i, spare := range future.Unreserved {
 		existing, found := s.reservations[i]
 		if found {
 			spare = spare.Min(existing.unreserved)
 		}
-		if !found || promise.Wait < existing.startsIn {
-			existing.startsIn = promise.Wait
+		if !found || future.Wait < existing.startsIn {
+			existing.startsIn = future.Wait
 		}
 		s.reservations[i] = reservation{startsIn: existing.startsIn, unreserved: spare}
 	}
--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -36,22 +36,22 @@
 // this owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner
 // is fenced there by the request. A run that is being stopped is missing from reports, so it counts
 // as ended only if an earlier owner had it confirmed in the former incarnation.
-func (m *member) endedWithIncarnation(sentAt time.Time, without DisabledSafeguards) bool {
+func (m *member) endedWithIncarnation(sentAt time.Time, disabled DisabledSafeguards) bool {
 	switch m.state {
-	case memberNone:
+	case memberWithoutRun:
 		return true
 	case memberUnconfirmed:
-		return m.confirmedBefore
+		return m.confirmedToEarlierOwner
 	case memberRunning:
-		open := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
-		return (!open || without.UnansweredStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
+		startUnresolved := m.startUnanswered || m.incarnationUnknown || m.startCall != nil && m.startCall.pending > 0
+		return (!startUnresolved || disabled.UnansweredStarts) && !m.stopAttempted && m.sentAt.Before(sentAt)
 	}
 	return false
 }
 
-// markConfirmedBeforeLost marks as lost the members whose runs an earlier owner had confirmed in a
+// markEarlierConfirmedRunsLost marks as lost the members whose runs an earlier owner had confirmed in a
 // former incarnation of the worker, if the first report of the present one does not list them.
-func (p *Pool) markConfirmedBeforeLost(w *worker, listed map[*member]bool) {
+func (p *Pool) markEarlierConfirmedRunsLost(w *worker, listed map[*member]bool) {
 	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
 		if m.formerIncarnation.ID == "" || m.state != memberUnconfirmed || !m.sentAt.IsZero() || listed[m] {
@@ -65,7 +65,7 @@
 		former := formers[index]
 		w.members = slices.DeleteFunc(w.members, func(other *member) bool { return other == m })
 		former.members = append(former.members, m)
-		m.worker, m.confirmedBefore = former, true
+		m.worker, m.confirmedToEarlierOwner = former, true
 	}
 	for _, former := range formers {
 		p.markRunsLost(former, lostWorkerRestarted)
@@ -78,7 +78,7 @@
 	if m.wasConfirmed() {
 		m.formerIncarnation = incarnation
 	}
-	m.confirmedBefore = false
+	m.confirmedToEarlierOwner = false
 }
 
 // recordUnexplainedLoss records the loss of the worker's former incarnation for a run that is not
--- a/internal/pool/hedging.go
+++ b/internal/pool/hedging.go
@@ -12,13 +12,13 @@
 const (
 	minHedgeDelay   = 60 * time.Millisecond
 	hedgeDelayRatio = 4
-	// orderLatencySamples is the number of commands over which the latency is averaged.
-	orderLatencySamples = 32
+	// commandLatencySamples is the number of commands over which the latency is averaged.
+	commandLatencySamples = 32
 )
 
 // hedgeDelay returns the time without a response after which a command is sent again.
 func (p *Pool) hedgeDelay() time.Duration {
-	delay := max(minHedgeDelay, hedgeDelayRatio*p.orderLatency)
+	delay := max(minHedgeDelay, hedgeDelayRatio*p.commandLatency)
 	if p.options.SchedulingDelay != nil {
 		delay += p.options.SchedulingDelay()
 	}
@@ -34,10 +34,10 @@
 }
 
 // awaitingFirst reports whether the first copy is pending and no other was sent.
-func (t *hedgedCall) awaitingFirst() bool { return t.pending == 1 && !t.answered }
+func (c *hedgedCall) awaitingFirst() bool { return c.pending == 1 && !c.answered }
 
-// hedgedOrder is a hedged command to a worker.
-type hedgedOrder struct {
+// hedgedCommand is a hedged command to a worker.
+type hedgedCommand struct {
 	// name is the command's name in counters.
 	name string
 	// isCurrent reports whether the command still concerns its member's latest run, and shouldRetry
@@ -50,22 +50,22 @@
 
 // sendHedged sends a command, and a second copy if there is no response after hedgeDelay. It
 // returns the state of the hedged command.
-func (p *Pool) sendHedged(order *hedgedOrder) *hedgedCall {
+func (p *Pool) sendHedged(command *hedgedCommand) *hedgedCall {
 	state := &hedgedCall{}
 	sendCopy := func() {
-		p.record.Count("worker_orders", order.name)
+		p.record.Count("worker_orders", command.name)
 		state.pending++
-		order.send(func(reply fleet.Reply, err error) {
+		command.send(func(reply fleet.Reply, err error) {
 			state.pending--
-			if order.isCurrent() {
-				order.onResult(state, reply, err)
+			if command.isCurrent() {
+				command.onResult(state, reply, err)
 			}
 		})
 	}
 	sendCopy()
 	p.loop.After(p.hedgeDelay(), func() {
-		if order.isCurrent() && order.shouldRetry() && state.awaitingFirst() {
-			p.record.Count("retries", order.name+"_unanswered")
+		if command.isCurrent() && command.shouldRetry() && state.awaitingFirst() {
+			p.record.Count("retries", command.name+"_unanswered")
 			sendCopy()
 		}
 	})
--- a/internal/pool/incarnations.go
+++ b/internal/pool/incarnations.go
@@ -38,11 +38,11 @@
 )
 
 // compareIncarnation compares a reported start time with that of the known incarnation.
-func (p *Pool) compareIncarnation(w *worker, born int64) incarnationOrder {
+func (p *Pool) compareIncarnation(w *worker, startMillis int64) incarnationOrder {
 	switch {
-	case p.options.DisabledSafeguards.Incarnations, w.StartMillis == 0, born == 0, born == w.StartMillis:
+	case p.options.DisabledSafeguards.Incarnations, w.StartMillis == 0, startMillis == 0, startMillis == w.StartMillis:
 		return sameIncarnation
-	case born > w.StartMillis:
+	case startMillis > w.StartMillis:
 		return laterIncarnation
 	}
 	return earlierIncarnation
@@ -52,12 +52,12 @@
 // known one. Start times are wall-clock times, and the clock may be set back between two
 // incarnations. So a reply to a request that was sent after the known incarnation's last report
 // counts as that of a successor, even if its start time is earlier.
-func (p *Pool) isSuccessor(w *worker, born int64, askedAt time.Time) bool {
-	switch p.compareIncarnation(w, born) {
+func (p *Pool) isSuccessor(w *worker, startMillis int64, sentAt time.Time) bool {
+	switch p.compareIncarnation(w, startMillis) {
 	case laterIncarnation:
 		return true
 	case earlierIncarnation:
-		return w.contacted && askedAt.After(w.endAcks.reportAt)
+		return w.contacted && sentAt.After(w.endAcks.reportAt)
 	}
 	return false
 }
--- a/internal/pool/isolation.go
+++ b/internal/pool/isolation.go
@@ -112,14 +112,14 @@
 
 // reserveEmptyWorkers reserves the workers that become empty first, with all their resources.
 func (s *snapshot) reserveEmptyWorkers(u *unit, request *placement.Request) {
-	promise := s.earliestPlacement(u, s.restrictToEmpty(request))
-	if promise == nil {
+	future := s.earliestPlacement(u, s.restrictToEmpty(request))
+	if future == nil {
 		return
 	}
-	for i := range promise.Unreserved {
-		promise.Unreserved[i] = taskgraph.Resources{}
+	for i := range future.Unreserved {
+		future.Unreserved[i] = taskgraph.Resources{}
 	}
-	s.reserve(u, request, promise)
+	s.reserve(u, request, future)
 }
 
 // isolationPreferences returns the preferred workers of a unit with unexplained losses, best first.
--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -29,8 +29,8 @@
 type memberState int
 
 const (
-	// memberNone members have no run.
-	memberNone memberState = iota
+	// memberWithoutRun members have no run.
+	memberWithoutRun memberState = iota
 	// memberStarting members have a start order in flight.
 	memberStarting
 	// memberUnconfirmed members may run: their start got no response, or they were restored.
@@ -144,8 +144,8 @@
 	// incarnationUnknown is true if the start may have been answered by an unknown incarnation of
 	// the worker; the next run report shows which.
 	incarnationUnknown bool
-	// confirmedBefore is true if the present run was confirmed to an earlier owner.
-	confirmedBefore bool
+	// confirmedToEarlierOwner is true if the present run was confirmed to an earlier owner.
+	confirmedToEarlierOwner bool
 	// formerIncarnation is the worker's incarnation in which the present run was last known, if the
 	// worker has restarted since.
 	formerIncarnation fleet.Incarnation
--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -37,7 +37,7 @@
 // still being written has no run.
 func (p *Pool) recordLostRun(m *member, reason lossReason) {
 	u, w := m.unit, m.worker
-	if m.state == memberNone {
+	if m.state == memberWithoutRun {
 		return
 	}
 	p.record.Count("attempts", "lost")
@@ -65,7 +65,7 @@
 // recordWorkerLoss records a lost worker against the tasks that ran there. A task that crashes its
 // workers is never reported as failed, so without this record it would be restarted forever.
 func (p *Pool) recordWorkerLoss(w *worker, reason lossReason) {
-	if w.Draining || w.leftWithoutDrain {
+	if w.Draining || w.respondedWithoutRow {
 		// The worker left as planned, with the runs that were not moved in time.
 		for _, m := range w.members {
 			if m.losses.LossCount() > 0 {
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -24,17 +24,17 @@
 	}
 	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Poll{Token: p.token, AcknowledgedEnd: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
+	request := fleet.Poll{Token: p.token, AcknowledgedEnd: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
 	if w.contacted && w.unansweredCalls == 0 {
-		order.Wait = p.pollWaitFor(w, order.AcknowledgedEnd)
+		request.Wait = p.pollWaitFor(w, request.AcknowledgedEnd)
 		if extension := min(leaseDuration, p.options.Bounds.MaxLease, p.remainingLease(now)); extension > 0 {
-			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
-			w.deadline = max(w.deadline, order.DeadlineMillis)
+			request.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
+			w.deadline = max(w.deadline, request.DeadlineMillis)
 		}
 	}
 	p.record.Count("worker_orders", "hold")
-	p.ports.Poll(&w.Worker, order, func(reply fleet.Reply, err error) {
-		p.queuedPollDone(w)
+	p.ports.Poll(&w.Worker, request, func(reply fleet.Reply, err error) {
+		p.releasePollSlot(w)
 		if p.closed || p.workers[w.ID] != w {
 			return
 		}
@@ -46,7 +46,7 @@
 		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
-		w.endAcks.acknowledge(order.AcknowledgedEnd)
+		w.endAcks.acknowledge(request.AcknowledgedEnd)
 		p.handlePollReply(w, reply, now)
 	})
 }
@@ -98,7 +98,7 @@
 			return
 		}
 		if err != nil {
-			p.handleOrderError(w, err)
+			p.handleCommandError(w, err)
 			return
 		}
 		if p.handleOtherIncarnation(w, reply, sentAt) {
@@ -108,9 +108,9 @@
 	})
 }
 
-// noteReply records a reply of a worker. It returns true if the worker's clock deviates from its
+// recordReply records a reply of a worker. It returns true if the worker's clock deviates from its
 // estimate, in which case another incarnation may have answered.
-func (p *Pool) noteReply(w *worker, clock int64) (jumped bool) {
+func (p *Pool) recordReply(w *worker, clock int64) (jumped bool) {
 	now := p.loop.Now()
 	jumped = p.checkClockJump(w, clock, now)
 	w.clock, w.clockAt = clock, now
@@ -124,13 +124,13 @@
 		p.record.LogEvent("worker responsive again", "worker", w.ID, "unanswered", w.unansweredCalls)
 	}
 	w.unansweredCalls = 0
-	w.leftWithoutDrain = w.leftWithoutDrain || (!w.hasRow && !w.rowMissing)
+	w.respondedWithoutRow = w.respondedWithoutRow || (!w.hasRow && !w.rowMissing)
 	return jumped
 }
 
 // handleReport handles a report of the known incarnation that was requested at sentAt.
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
-	p.noteReply(w, reply.ClockMillis)
+	p.recordReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
 	if p.lossTracker.WithdrawLoss(w.Incarnation.String()) {
 		p.record.LogEvent("lost worker responded", "worker", w.ID)
@@ -158,8 +158,8 @@
 	return true
 }
 
-// noteNoReply records a call without a reply.
-func (p *Pool) noteNoReply(w *worker) {
+// recordNoReply records a call without a reply.
+func (p *Pool) recordNoReply(w *worker) {
 	first := w.unansweredCalls == 0
 	w.unansweredCalls++
 	if first {
@@ -238,7 +238,7 @@
 }
 
 func (p *Pool) handlePollError(w *worker, err error) {
-	if p.handleOrderError(w, err) {
+	if p.handleCommandError(w, err) {
 		return
 	}
 	pause := pollRetryDelay
--- a/internal/pool/poll_queue.go
+++ b/internal/pool/poll_queue.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// queuedPollDone frees the slot of a queued poll, whatever its result.
-func (p *Pool) queuedPollDone(w *worker) {
+// releasePollSlot frees the slot of a queued poll, whatever its result.
+func (p *Pool) releasePollSlot(w *worker) {
 	if !w.queuedPollInFlight {
 		return
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -52,8 +52,8 @@
 	hasBacklog   bool
 	// lastCycleDuration is the duration of the last cycle.
 	lastCycleDuration time.Duration
-	// orderLatency is the moving average of the response time of starts.
-	orderLatency time.Duration
+	// commandLatency is the moving average of the response time of starts.
+	commandLatency time.Duration
 	// lastStoreAnswerAt is the time of the store's last response.
 	lastStoreAnswerAt time.Time
 	// storeRecoveredAt is the time of the first response after the last outage longer than
--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -79,7 +79,7 @@
 
 // reallocate reserves the victims' resources at places. The victims' other resources stay in use
 // until they have stopped, so no other unit of this cycle gets them.
-func (s *snapshot) reallocate(victims, places []int, room taskgraph.Resources) {
+func (s *snapshot) reallocate(victims, places []int, resources taskgraph.Resources) {
 	freeBefore := map[int]taskgraph.Resources{}
 	for _, index := range victims {
 		for _, i := range s.units[index].Workers {
@@ -91,7 +91,7 @@
 		s.units[index].PreemptionCost = -1
 		s.units[index].Workers = nil
 	}
-	placement.Reserve(s.workers, places, room)
+	placement.Reserve(s.workers, places, resources)
 	for i, free := range freeBefore {
 		s.workers[i].Free = s.workers[i].Free.Min(free)
 	}
--- a/internal/pool/progress_restore.go
+++ b/internal/pool/progress_restore.go
@@ -76,7 +76,7 @@
 		m, incarnation := u.members[i], saved.incarnationOf(i)
 		p.assign(m, p.workerFromProgress(incarnation, saved.Addresses[id]))
 		m.state = memberUnconfirmed
-		m.confirmedBefore = bitset(saved.Confirmed).has(i)
+		m.confirmedToEarlierOwner = bitset(saved.Confirmed).has(i)
 		if p.compareIncarnation(m.worker, incarnation.StartMillis) == earlierIncarnation {
 			m.leaveIncarnation(incarnation)
 		}
--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -109,7 +109,7 @@
 	switch {
 	case u.lastAttempt() && !p.options.DisabledMechanisms[mechanism.FailedWorkerAvoidance]:
 		return []func(int) bool{healthy, notFailing}
-	case p.riskyOnSlowWorkers(s, u) && p.exploring(s.now):
+	case p.riskyOnSlowWorkers(s, u) && p.shouldExplore(s.now):
 		return []func(int) bool{measuredFast, fast, notFailing}
 	case gang:
 		return []func(int) bool{fast, notFailing}
--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -36,7 +36,7 @@
 	if reply.MoreEnded {
 		return
 	}
-	p.markConfirmedBeforeLost(w, listed)
+	p.markEarlierConfirmedRunsLost(w, listed)
 	for _, m := range w.members {
 		if !listed[m] {
 			p.reconcileUnlisted(m, sentAt)
@@ -135,9 +135,9 @@
 	if p.options.DisabledSafeguards.PersistEndsBeforeAcknowledging {
 		w.endAcks.markWritten(highest)
 	}
-	takenAt := p.loop.Now()
-	p.afterPersist(p.writer.delayOfEnds(), func() {
-		p.record.Observe("end_noted", p.loop.Now().Sub(takenAt))
+	receivedAt := p.loop.Now()
+	p.afterPersist(p.writer.resultWriteDelay(), func() {
+		p.record.Observe("end_noted", p.loop.Now().Sub(receivedAt))
 		w.endAcks.markWritten(highest)
 		p.poll(w)
 	})
--- a/internal/pool/run_presence.go
+++ b/internal/pool/run_presence.go
@@ -21,7 +21,7 @@
 func (m *member) runPresenceAt(at time.Time) runPresence {
 	u := m.unit
 	switch {
-	case m.state == memberNone, u.startedByThisOwner && at.Before(u.startedAt):
+	case m.state == memberWithoutRun, u.startedByThisOwner && at.Before(u.startedAt):
 		return notStarted
 	case m.wasConfirmed():
 		return confirmedStarted
@@ -33,7 +33,7 @@
 
 // wasConfirmed reports whether the worker has confirmed the run to this owner or an earlier one.
 func (m *member) wasConfirmed() bool {
-	return m.state == memberRunning && !m.incarnationUnknown || m.confirmedBefore
+	return m.state == memberRunning && !m.incarnationUnknown || m.confirmedToEarlierOwner
 }
 
 // confirmedStartWriteDelay is how long the write of a confirmed start may be delayed to share a
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -65,9 +65,9 @@
 		now: p.loop.Now(), reservationsLeft: reservationLimit, reservations: map[int]reservation{}, headroomWorkers: make([][]bool, len(headroomShares)),
 		workers: buffers.workers[:0], poolWorkers: buffers.poolWorkers[:0], units: buffers.units[:0], running: buffers.running[:0],
 	}
-	zones, known := p.evacuatedZones(), p.evacuationsFresh(s.now)
+	zones, fresh := p.evacuatedZones(), p.evacuationsFresh(s.now)
 	for _, w := range p.sortedWorkers() {
-		p.addWorker(s, w, zones, known)
+		p.addWorker(s, w, zones, fresh)
 	}
 	buffers.workers, buffers.poolWorkers, buffers.units, buffers.running = s.workers, s.poolWorkers, s.units, s.running
 	s.utilization = utilizationOf(s.poolWorkers, s.workers)
@@ -80,34 +80,34 @@
 }
 
 // addWorker adds a worker and the units that use its resources.
-func (p *Pool) addWorker(s *snapshot, w *worker, zones evacuation.Set, zonesKnown bool) {
+func (p *Pool) addWorker(s *snapshot, w *worker, zones evacuation.Set, zonesFresh bool) {
 	workerIndex := len(s.workers)
 	entry := placement.Worker{
 		Rack: w.rack, Capacity: w.Capacity, Slow: p.avoidedByGangs(w), Free: w.Capacity, Usable: p.usable(w, s.now),
 		Cordoned:    zones.Contains(w.Zone),
-		Allocations: reusedHolders(s.workers),
+		Allocations: reusedAllocations(s.workers),
 	}
-	if !p.options.DisabledSafeguards.Evacuations && (entry.Cordoned || !zonesKnown) {
+	if !p.options.DisabledSafeguards.Evacuations && (entry.Cordoned || !zonesFresh) {
 		entry.Usable = false
 	}
 	for _, m := range w.members {
 		if m.unit.isolated(s.now) {
 			entry.Usable = false
 		}
-		room := m.unit.spec().Requirements()
-		entry.Free = entry.Free.Minus(room)
+		requirements := m.unit.spec().Requirements()
+		entry.Free = entry.Free.Minus(requirements)
 		index := p.unitIndex(s, m.unit)
 		s.units[index].Workers = append(s.units[index].Workers, workerIndex)
-		entry.Allocations = append(entry.Allocations, placement.Allocation{Unit: index, Resources: room})
+		entry.Allocations = append(entry.Allocations, placement.Allocation{Unit: index, Resources: requirements})
 	}
 	entry.Free = w.subtractUnexpected(entry.Free, s.now)
 	s.workers = append(s.workers, entry)
 	s.poolWorkers = append(s.poolWorkers, w)
 }
 
-// reusedHolders returns the next entry's list of holders in the previous snapshot, emptied
+// reusedAllocations returns the next entry's list of holders in the previous snapshot, emptied
 // for reuse.
-func reusedHolders(workers []placement.Worker) []placement.Allocation {
+func reusedAllocations(workers []placement.Worker) []placement.Allocation {
 	if len(workers) == cap(workers) {
 		return nil
 	}
@@ -137,11 +137,11 @@
 }
 
 // utilizationOf returns the utilization of the most used resource on usable workers.
-func utilizationOf(owners []*worker, workers []placement.Worker) float64 {
+func utilizationOf(poolWorkers []*worker, workers []placement.Worker) float64 {
 	var total, free taskgraph.Resources
 	for i := range workers {
 		if workers[i].Usable {
-			total = total.Plus(owners[i].Capacity)
+			total = total.Plus(poolWorkers[i].Capacity)
 			free = free.Plus(workers[i].Free)
 		}
 	}
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -49,7 +49,7 @@
 	m.state = memberStarting
 	m.sentAt = now
 	run := u.run
-	m.startCall = p.sendHedged(&hedgedOrder{
+	m.startCall = p.sendHedged(&hedgedCommand{
 		name:        "start",
 		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
@@ -64,7 +64,7 @@
 	lost := err != nil && reason == fleet.OutcomeUnknown
 	if err != nil && reply.ClockMillis > 0 {
 		// A refusal also carries the worker's clock, which explains a start refused as late.
-		p.noteReply(m.worker, reply.ClockMillis)
+		p.recordReply(m.worker, reply.ClockMillis)
 	}
 	if lost {
 		m.worker.lossyUntil = p.loop.Now().Add(lossyDuration)
@@ -87,8 +87,8 @@
 func (p *Pool) handleStartConfirmed(m *member, reply fleet.Reply) {
 	latency := p.loop.Now().Sub(m.sentAt)
 	p.record.Observe("start_order", latency)
-	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
-	m.incarnationUnknown = p.noteReply(m.worker, reply.ClockMillis)
+	p.commandLatency += (latency - p.commandLatency) / commandLatencySamples
+	m.incarnationUnknown = p.recordReply(m.worker, reply.ClockMillis)
 	if m.state == memberStarting || m.state == memberUnconfirmed {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
@@ -103,7 +103,7 @@
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
 	p.record.LogEvent("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason))
-	if p.handleOrderError(w, err) {
+	if p.handleCommandError(w, err) {
 		return
 	}
 	m.startUnanswered = m.startUnanswered || reason == fleet.OutcomeUnknown
@@ -117,7 +117,7 @@
 	}
 	if reason == fleet.InsufficientCapacity {
 		// The worker runs something that this owner does not know of.
-		w.excludedUntil = p.loop.Now().Add(noRoomExclusionPeriod)
+		w.excludedUntil = p.loop.Now().Add(insufficientCapacityExclusion)
 		p.pollNow(w)
 	}
 	// The start was refused, so nothing runs.
@@ -160,6 +160,6 @@
 	})
 }
 
-// noRoomExclusionPeriod is how long a worker that refused a start for lack of capacity gets no new
+// insufficientCapacityExclusion is how long a worker that refused a start for lack of capacity gets no new
 // work.
-const noRoomExclusionPeriod = 500 * time.Millisecond
+const insufficientCapacityExclusion = 500 * time.Millisecond
--- a/internal/pool/stops.go
+++ b/internal/pool/stops.go
@@ -35,7 +35,7 @@
 	m.stopAttempted, m.stopSent = true, true
 	u, w, run := m.unit, m.worker, m.unit.run
 	order := fleet.Stop{Task: m.name(), Run: run, Token: p.token}
-	p.sendHedged(&hedgedOrder{
+	p.sendHedged(&hedgedCommand{
 		name:        "stop",
 		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.stopSent },
@@ -51,7 +51,7 @@
 	case sent.answered:
 	case err == nil:
 		sent.answered = true
-		p.noteReply(w, reply.ClockMillis)
+		p.recordReply(w, reply.ClockMillis)
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 		if m.state != memberRunning {
@@ -59,7 +59,7 @@
 		}
 	case sent.pending > 0 && fleet.ReasonOf(err) == fleet.OutcomeUnknown:
 		// The other copy is still in flight.
-	case p.handleOrderError(w, err):
+	case p.handleCommandError(w, err):
 	default:
 		sent.answered = true
 		m.stopTimer = p.loop.After(stopRetryDelay, func() {
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -55,7 +55,7 @@
 
 // followFeed reads a table's change feed until the pool stops. If the store has compacted the
 // history after the given version, it calls again, which has to read the whole table.
-func (p *Pool) followFeed(table string, after int64, pause time.Duration, apply func(rows.Row), again func()) {
+func (p *Pool) followFeed(table string, after int64, pause time.Duration, apply func(rows.Row), reload func()) {
 	if p.closed {
 		return
 	}
@@ -67,17 +67,17 @@
 		case errors.Is(err, rows.ErrHistoryExpired):
 			p.record.Count("feed_gaps", table)
 			p.record.LogEvent("feed history expired", "table", table, "after", after)
-			again()
+			reload()
 		case err != nil:
 			p.record.Count("retries", "feed")
-			p.storeRetries.After(pause, func() { p.followFeed(table, after, nextRetryDelay(pause), apply, again) })
+			p.storeRetries.After(pause, func() { p.followFeed(table, after, nextRetryDelay(pause), apply, reload) })
 		default:
 			p.recordStoreAnswer()
 			for i := range listing.Rows {
 				apply(listing.Rows[i])
 			}
 			p.recordWorkersReadAt(table, askedAt)
-			p.afterDelay(p.feedDelay(table, listing), func() { p.followFeed(table, listing.Version, retryDelay, apply, again) })
+			p.afterDelay(p.feedDelay(table, listing), func() { p.followFeed(table, listing.Version, retryDelay, apply, reload) })
 		}
 	})
 }
--- a/internal/pool/unexpected_runs.go
+++ b/internal/pool/unexpected_runs.go
@@ -16,18 +16,18 @@
 // unexpectedRun is a run that a worker listed and that this owner did not expect there. It occupies
 // capacity until it has ended.
 type unexpectedRun struct {
-	room taskgraph.Resources
+	resources taskgraph.Resources
 	// endedBy is the time by which the run has certainly ended; zero while the worker lists it.
 	endedBy time.Time
 }
 
 // runIDs returns the identifiers of the runs that a worker lists as running.
 func runIDs(running []fleet.ActiveRun) map[runID]bool {
-	names := make(map[runID]bool, len(running))
+	ids := make(map[runID]bool, len(running))
 	for i := range running {
-		names[runID{task: running[i].Task, run: running[i].Run}] = true
+		ids[runID{task: running[i].Task, run: running[i].Run}] = true
 	}
-	return names
+	return ids
 }
 
 // stopUnexpected stops a run that should not be on a worker.
@@ -36,12 +36,12 @@
 	if j := p.jobs[name.Job]; j != nil && name.Step < len(j.Spec.Steps) {
 		room = j.Spec.Steps[name.Step].Requirements()
 	}
-	w.unexpected[runID{task: name, run: run}] = unexpectedRun{room: room}
+	w.unexpected[runID{task: name, run: run}] = unexpectedRun{resources: room}
 	p.record.Count("worker_orders", "stop_stranger")
 	p.record.LogEvent("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.StartMillis)
 	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
 		if !p.closed && err != nil {
-			p.handleOrderError(w, err)
+			p.handleCommandError(w, err)
 		}
 	})
 }
@@ -71,7 +71,7 @@
 func (w *worker) subtractUnexpected(free taskgraph.Resources, now time.Time) taskgraph.Resources {
 	for _, run := range w.unexpected {
 		if run.endedBy.IsZero() || now.Before(run.endedBy) {
-			free = free.Minus(run.room)
+			free = free.Minus(run.resources)
 		}
 	}
 	return free
--- a/internal/pool/unresponsive.go
+++ b/internal/pool/unresponsive.go
@@ -40,12 +40,12 @@
 	if !p.loaded || !p.unresponsive.add(p.loop.Now()) {
 		return
 	}
-	asked := 0
+	polled := 0
 	for _, w := range p.sortedWorkers() {
 		if w.contacted && len(w.members) == 0 && w.unansweredCalls == 0 && !w.pollInFlight {
 			p.enqueuePoll(w)
-			asked++
+			polled++
 		}
 	}
-	p.record.LogEvent("polling idle workers", "reason", "workers unresponsive", "count", asked)
+	p.record.LogEvent("polling idle workers", "reason", "workers unresponsive", "count", polled)
 }
--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -32,9 +32,9 @@
 	verifying          bool
 	// hasRow is false once the worker's row is gone.
 	hasRow bool
-	// leftWithoutDrain is true once the worker has answered after its row was deleted: it is
+	// respondedWithoutRow is true once the worker has answered after its row was deleted: it is
 	// shutting down as planned and still serves for a while.
-	leftWithoutDrain bool
+	respondedWithoutRow bool
 	// rowMissing is true while the row is gone but may only have expired during a store outage.
 	rowMissing bool
 	// contacted is true once the worker has answered a request with this owner's token.
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -70,15 +70,15 @@
 		p.lossTracker.MarkReplaced(described.Address, described.Incarnation.String())
 	}
 	wasDraining := w.Draining
-	born := max(w.StartMillis, described.StartMillis)
+	startMillis := max(w.StartMillis, described.StartMillis)
 	w.Worker = *described
-	w.StartMillis = born
+	w.StartMillis = startMillis
 	w.claimedIncarnation = nil
 	if rack := described.Rack(); w.rack != rack {
 		w.rack = rack
 		p.snapshotBuffers.racks = nil
 	}
-	w.hasRow, w.rowMissing, w.leftWithoutDrain = true, false, false
+	w.hasRow, w.rowMissing, w.respondedWithoutRow = true, false, false
 	w.coldStartUntil = p.loop.Now().Add(time.Duration(described.ColdMillis) * time.Millisecond)
 	if w.Draining && !wasDraining {
 		p.record.LogEvent("worker draining", "worker", w.ID, "remaining_ms", w.RemainingMillis, "runs", len(w.members))
@@ -153,9 +153,9 @@
 	}
 }
 
-// handleOrderError handles what all failed requests to workers have in common. It returns true if
+// handleCommandError handles what all failed requests to workers have in common. It returns true if
 // the worker was replaced or this owner has lost the pool.
-func (p *Pool) handleOrderError(w *worker, err error) bool {
+func (p *Pool) handleCommandError(w *worker, err error) bool {
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
 		p.Abandon("worker has a newer token: " + w.ID)
@@ -164,7 +164,7 @@
 		p.handleWorkerReplaced(w, "another instance responds")
 		return true
 	case fleet.OutcomeUnknown, fleet.Unreachable:
-		p.noteNoReply(w)
+		p.recordNoReply(w)
 	case fleet.Unhealthy:
 		w.excludedUntil = p.loop.Now().Add(exclusionPeriod)
 	}
--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -26,7 +26,7 @@
 	// dueAt is the time of the next flush; zero if nothing is pending. timer cancels that
 	// flush.
 	dueAt time.Time
-	timer func()
+	cancelFlush func()
 }
 
 // endDelay is how long the result of a run may wait for others to share its transaction. The
@@ -39,10 +39,10 @@
 func (p *Pool) persist(j *job) { p.writer.add(j, 0) }
 
 // persistEnd writes a job's progress after the result of a run on which nothing waits.
-func (p *Pool) persistEnd(j *job) { p.writer.add(j, p.writer.delayOfEnds()) }
+func (p *Pool) persistEnd(j *job) { p.writer.add(j, p.writer.resultWriteDelay()) }
 
-// delayOfEnds returns how long results may wait to be written.
-func (w *writer) delayOfEnds() time.Duration {
+// resultWriteDelay returns how long results may wait to be written.
+func (w *writer) resultWriteDelay() time.Duration {
 	if w.pool.releasing || w.pool.options.DisabledMechanisms[mechanism.CompletionBatching] {
 		return 0
 	}
@@ -72,7 +72,7 @@
 // remove deletes a job's progress row.
 func (w *writer) remove(id string) {
 	w.removals = append(w.removals, id)
-	w.flushWithin(w.delayOfEnds())
+	w.flushWithin(w.resultWriteDelay())
 }
 
 // flushWithin sends the pending rows within delay, or once the batch in flight is written.
@@ -89,9 +89,9 @@
 	if w.sending {
 		return
 	}
-	if w.timer != nil {
-		w.timer()
-		w.timer = nil
+	if w.cancelFlush != nil {
+		w.cancelFlush()
+		w.cancelFlush = nil
 	}
 	delay := w.dueAt.Sub(w.pool.loop.Now())
 	if delay <= 0 {
@@ -99,8 +99,8 @@
 		w.pool.loop.Post(w.flush)
 		return
 	}
-	w.timer = w.pool.loop.After(delay, func() {
-		w.timer = nil
+	w.cancelFlush = w.pool.loop.After(delay, func() {
+		w.cancelFlush = nil
 		if !w.sending {
 			w.sending = true
 			w.flush()
@@ -138,8 +138,8 @@
 	return ready
 }
 
-func (w *writer) runCallbacks(after []func()) {
-	for _, fn := range after {
+func (w *writer) runCallbacks(callbacks []func()) {
+	for _, fn := range callbacks {
 		fn()
 	}
 }
