--- a/internal/pool/acknowledgements.go
+++ b/internal/pool/acknowledgements.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// maxReportAge is the greatest age of an incarnation's last report at which its ended runs
-// may be acknowledged by number. It is shorter than a worker needs to crash, restart, and start and
-// end a run. While ends are to be acknowledged, polls are frequent enough to stay below it.
+// maxReportAge is the maximum age of the last report of a worker's incarnation for acknowledging
+// its ended runs. A worker needs longer than maxReportAge to crash, restart, and start and end a
+// run. While acknowledgements are pending, the owner polls often enough to stay below maxReportAge.
 const maxReportAge = 500 * time.Millisecond
 
 // endAcknowledgements tracks which ended runs of a worker are being written, are stored, and are
-// acknowledged. A worker numbers its ends from 1 in each incarnation and discards acknowledged
-// ones, so a number must not reach the next incarnation: it is sent only shortly after a report of
-// the same incarnation, and until one poll that carried it is answered.
+// acknowledged. A worker numbers its ended runs from 1 in each incarnation and discards the
+// acknowledged ones. An acknowledgement must therefore not reach the next incarnation. The owner
+// sends a number only shortly after a report of the same incarnation, and no longer once the worker
+// has answered a poll with that number.
 type endAcknowledgements struct {
-	// writing is the highest number among the ends being written; 0 if there are none.
+	// writing is the highest number among the ended runs being written; 0 if there are none.
 	writing int64
 	// due is the number to be acknowledged next; 0 if there is none.
 	due int64
@@ -22,15 +23,15 @@
 	reportAt time.Time
 }
 
-// pending reports whether ends are still to be written or acknowledged.
+// pending reports whether ended runs are still to be written or acknowledged.
 func (e *endAcknowledgements) pending() bool { return e.writing > 0 || e.due > 0 }
 
-// handled reports whether the ends up to a number are already being handled.
+// handled reports whether the ended runs up to a number are being written, or are written.
 func (e *endAcknowledgements) handled(number int64) bool {
 	return number <= e.writing || number <= e.due || number <= e.acknowledged
 }
 
-// markWritten records that all ends up to a number are stored.
+// markWritten records that all ended runs up to a number are stored.
 func (e *endAcknowledgements) markWritten(number int64) {
 	if number >= e.writing {
 		e.writing = 0
