--- a/internal/pool/assignment.go
+++ b/internal/pool/assignment.go
@@ -80,7 +80,8 @@
 	})
 }
 
-// placementValid reports whether a unit whose placement is stored may still be started there.
+// placementValid reports whether a unit may still be started on the workers of its stored
+// placement.
 func (p *Pool) placementValid(u *unit) bool {
 	if !p.canStartWithinLease(p.loop.Now()) || !p.capacitiesFresh() {
 		return false
