--- a/internal/pool/capacity.go
+++ b/internal/pool/capacity.go
@@ -3,8 +3,7 @@
 import "time"
 
 // maxCapacityAge is the maximum age of the workers' rows for a start on workers that do not enforce
-// their capacity. Feeds are polled each second; the platform counts a reduced capacity from at
-// least 3 s and a heartbeat after the change.
+// their capacity. Feeds are polled each second.
 const maxCapacityAge = 2500 * time.Millisecond
 
 // capacitiesFresh reports whether the workers' capacities are fresh enough for placement; always
