--- a/internal/pool/cycle.go
+++ b/internal/pool/cycle.go
@@ -110,8 +110,9 @@
 	return waiting
 }
 
-// compareUnits orders units by priority, then those that can still meet their objective
-// before those that cannot, then by the job's time of acceptance.
+// compareUnits orders units by priority. Within a priority, units that can still meet their
+// objective come before units that cannot. Units that are equal so far are ordered by the job's
+// time of acceptance.
 func compareUnits(a, b *unit, now time.Time, timelyFirst bool) int {
 	if a.job.Queue.Priority != b.job.Queue.Priority {
 		return a.job.Queue.Priority - b.job.Queue.Priority
@@ -142,8 +143,8 @@
 	return u.job.Queue.Priority > 0 && u.slack(now) < 0
 }
 
-// placeUnit assigns a unit to workers. If it finds none it preempts other units or reserves
-// resources for the unit, and returns false.
+// placeUnit assigns a unit to workers. If no workers are free, placeUnit preempts other units or
+// reserves resources for the unit, and returns false.
 func (p *Pool) placeUnit(s *snapshot, u *unit) bool {
 	request := s.request(u)
 	if places := p.findPlacement(s, u, request); places != nil {
