--- a/internal/pool/draining.go
+++ b/internal/pool/draining.go
@@ -18,7 +18,8 @@
 }
 
 // drainWorker stops the runs that will not end before a draining worker shuts down. Long-running
-// tasks move a few at a time, so that no more of a step are down than its spec allows.
+// tasks move a few at a time, so that the number of a step's tasks that are down stays within the
+// limit in its spec.
 func (p *Pool) drainWorker(w *worker) {
 	now := p.loop.Now()
 	left := time.Duration(w.RemainingMillis) * time.Millisecond
