--- a/internal/pool/durations.go
+++ b/internal/pool/durations.go
@@ -7,8 +7,9 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// The estimates in job specs may be far off. Durations are therefore predicted for each
-// queue by a linear regression of the logarithm of the duration on that of the estimate.
+// The estimates in job specs may be far off. The owner therefore predicts durations for each queue
+// by a linear regression. The regression predicts the logarithm of the duration from the logarithm
+// of the estimate.
 const (
 	// maxDurationWeight bounds the total weight of past runs, in jobs, so that the model follows a
 	// changing workload.
@@ -18,9 +19,8 @@
 	// squared logarithms.
 	priorLevelWeight = 3.0
 	priorSlopeWeight = 2.0
-	// priorVariance is the prior variance of the prediction error, with the weight of
-	// priorLevelWeight.
-	// maxSquaredError bounds the squared error that one run adds, against outliers.
+	// priorVariance is the prior variance of the prediction error. Its weight is priorLevelWeight.
+	// maxSquaredError bounds the squared error that one run adds, to limit the effect of outliers.
 	priorVariance   = 0.25
 	maxSquaredError = 1.0
 )
@@ -86,13 +86,13 @@
 		model = &durationModel{}
 		p.durations[u.job.Queue.Name] = model
 	}
-	// Corrects for slow workers.
+	// Divide by the slowness to get the duration on a median worker.
 	duration := time.Duration(float64(p.loop.Now().Sub(u.startedAt)) / u.slowness)
 	model.learn(u.spec().Estimate(), duration, 1/float64(len(u.step.units)))
 }
 
-// mergeDurations takes over the models of an earlier owner. Of several head rows it keeps, for
-// each queue, the model with the largest weight.
+// mergeDurations takes over the models that an earlier owner stored in a head row. Several head
+// rows may have a model of the same queue; the model with the largest weight is kept.
 func (p *Pool) mergeDurations(earlier headRecord) {
 	if p.options.DisabledMechanisms[mechanism.LearnedDurations] {
 		return
