--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -9,21 +9,22 @@
 
 // Operators evacuate zones: no run may start there later than Bounds.EvacuationTimeout after the
 // store acknowledged the evacuation. Owners poll for evacuations, so a start requires a set of
-// evacuated zones that is not older than evacuationAgeLimit. With a delay of at most maxStartDelay
-// until the start is carried out, it stays within the bound.
+// evacuated zones that is not older than evacuationAgeLimit. A worker carries out the start at most
+// maxStartDelay later, which is still within EvacuationTimeout.
 const (
-	// maxEvacuationAge bounds evacuationAgeLimit. It is several responses of a node's feed, which
-	// come every 0.3 s.
+	// maxEvacuationAge bounds evacuationAgeLimit. A node's feed responds several times within this
+	// period.
 	maxEvacuationAge = 2 * time.Second
 	// evacuationMargin is subtracted from the bound for late timers and a clock drift of 2%.
 	evacuationMargin = 250 * time.Millisecond
-	// maxEvacuationReadAge bounds the age from which the owner reads the rows itself, for example
-	// because its node's feed is unresponsive or the store refuses the node.
+	// maxEvacuationReadAge bounds the age of the set from which the owner reads the rows itself.
+	// The set grows old, for example, if the node's feed is unresponsive or the store refuses the
+	// node.
 	maxEvacuationReadAge = 800 * time.Millisecond
 )
 
-// maxStartDelay returns how far a start's deadline lies ahead of the worker's clock. No start is
-// carried out later.
+// maxStartDelay returns the time from sending a start to its deadline. A worker refuses a start
+// after the deadline.
 func (p *Pool) maxStartDelay() time.Duration {
 	ahead := startTimeout
 	if p.options.SchedulingDelay != nil {
@@ -45,8 +46,8 @@
 	return min(maxEvacuationAge, bound-p.maxStartDelay()-evacuationMargin)
 }
 
-// evacuationReadAgeLimit returns the age of the set from which the owner reads it again. At most
-// half of evacuationAgeLimit, so that the other half is left for the read.
+// evacuationReadAgeLimit returns the age from which the owner reads the set again. It is at most
+// half of evacuationAgeLimit, which leaves the other half for the read.
 func (p *Pool) evacuationReadAgeLimit() time.Duration {
 	if limit := p.evacuationAgeLimit(); limit > 0 {
 		return min(maxEvacuationReadAge, limit/2)
@@ -68,7 +69,8 @@
 	return limit == 0 || now.Sub(p.evacuatedZones().AsOf) <= limit
 }
 
-// mayStartOn reports whether a run may start on a worker: its zone is known not to be evacuated.
+// mayStartOn reports whether a run may start on a worker, which requires that the worker's zone is
+// known not to be evacuated.
 func (p *Pool) mayStartOn(w *worker, now time.Time) bool {
 	if p.options.DisabledSafeguards.Evacuations {
 		return true
@@ -98,8 +100,8 @@
 	})
 }
 
-// EvacuationsChanged handles a change of the evacuated zones or of their freshness: it logs the
-// change and schedules a cycle.
+// EvacuationsChanged logs a change of the evacuated zones or of their freshness, and schedules a
+// cycle.
 func (p *Pool) EvacuationsChanged() {
 	if p.closed {
 		return
@@ -116,8 +118,8 @@
 	p.scheduleCycle()
 }
 
-// runsInEvacuatedZones returns the number of runs in evacuated zones. They continue: a restart
-// would lose work and take resources from others while a zone is missing.
+// runsInEvacuatedZones returns the number of runs in evacuated zones. These runs continue, because
+// a restart would lose work and take resources from other runs while a zone is missing.
 func (p *Pool) runsInEvacuatedZones() int {
 	count := 0
 	zones := p.evacuatedZones()
