--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -7,12 +7,12 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Where urgent units miss their objective on slow workers, deferrable tasks run first on idle
-// workers of unknown speed. Otherwise the headroom for urgent units would consist of unmeasured
-// workers.
+// If many workers are too slow for urgent units, deferrable tasks run first on idle workers of
+// unknown speed, which measures these workers. Otherwise the headroom for urgent units would
+// consist of unmeasured workers.
 
 // minSlowShareToExplore is the share of measured workers that must be too slow for urgent units
-// before the others are explored.
+// before deferrable tasks explore the unmeasured workers.
 const minSlowShareToExplore = 0.1
 
 // findUnmeasuredWorker returns an idle worker of unknown speed for a deferrable task, or nil.
@@ -26,7 +26,8 @@
 	}))
 }
 
-// shouldExplore reports whether enough workers are too slow for urgent units.
+// shouldExplore reports whether enough workers are too slow for urgent units to explore unmeasured
+// workers.
 func (p *Pool) shouldExplore(now time.Time) bool {
 	if p.options.DisabledMechanisms[mechanism.LearnedSpeeds] {
 		return false
