--- a/internal/pool/find_placement.go
+++ b/internal/pool/find_placement.go
@@ -38,8 +38,9 @@
 	return p.fitWithLocality(s, u, &visible, &visible)
 }
 
-// fitWithLocality prefers workers that satisfy the unit's locality, and takes any once the unit has
-// waited long enough for it. It places within visible; all decides whether waiting can help.
+// fitWithLocality prefers workers that satisfy the unit's locality. Once the unit has waited long
+// enough, fitWithLocality takes any workers. The search is restricted to visible; all tells whether
+// waiting for locality can help.
 func (p *Pool) fitWithLocality(s *snapshot, u *unit, visible, all *placement.Request) []int {
 	spec := u.spec()
 	if rack := spec.PreferredRack; rack != "" {
@@ -76,14 +77,14 @@
 	return placement.Fit(s.workers, s.racks.All, request)
 }
 
-// starved reports whether a unit has waited too long while much of the pool is free. It is
-// then placed anywhere, to prevent starvation.
+// starved reports whether a unit has waited too long while much of the pool is free. A starved unit
+// is placed on any workers.
 func (s *snapshot) starved(u *unit) bool {
 	return s.utilization < idleUtilization && s.now.Sub(u.readyAt) > starvationTimeout
 }
 
-// waitsForLocality reports whether a unit still waits for locality. It waits no longer than the
-// extra time that a remote run takes.
+// waitsForLocality reports whether a unit still waits for locality. A unit waits no longer than the
+// extra time that a run outside its rack takes.
 func (p *Pool) waitsForLocality(s *snapshot, u *unit, request *placement.Request) bool {
 	if p.options.DisabledMechanisms[mechanism.LocalityWait] || !s.hasLocalPlacement(u, request) {
 		return false
@@ -92,8 +93,8 @@
 	return s.now.Sub(u.readyAt) < time.Duration(maxWait)
 }
 
-// hasLocalPlacement reports whether the unit's locality could be satisfied by workers whose
-// capacity suffices, whatever they run now.
+// hasLocalPlacement reports whether empty workers would have the capacity to run the unit with its
+// locality.
 func (s *snapshot) hasLocalPlacement(u *unit, request *placement.Request) bool {
 	spec := u.spec()
 	if members := s.racks.Members[spec.PreferredRack]; spec.PreferredRack != "" && len(members) > 0 {
@@ -129,7 +130,7 @@
 }
 
 // headroomFor marks the workers of the emptiest racks, which deferrable units of a priority don't
-// use. The lower the priority, the more racks these are.
+// use. A lower priority excludes more racks.
 func (s *snapshot) headroomFor(priority int) []bool {
 	if excluded := s.headroomWorkers[priority]; excluded != nil {
 		return excluded
