--- a/internal/pool/formerruns.go
+++ b/internal/pool/formerruns.go
@@ -7,11 +7,12 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// Runs that were placed in a former incarnation of their worker: those that certainly ended with it
-// are lost at once, the others are looked up in the next incarnation.
+// A worker's restart begins a new incarnation of the worker. Runs that certainly ended with the
+// former incarnation are marked as lost at once. The owner looks for the other runs in the reports
+// of the next incarnation.
 
-// markFormerRunsLost marks as lost the runs that were confirmed in the former incarnation before
-// the report of the next one was requested, and that this report does not contain.
+// markFormerRunsLost marks runs of the former incarnation as lost. These runs were confirmed before
+// the report of the next incarnation was requested at sentAt, and the report does not contain them.
 func (p *Pool) markFormerRunsLost(w *worker, reply fleet.Reply, sentAt time.Time) {
 	listed := runIDs(reply.Running)
 	for i := range reply.Ended {
@@ -31,11 +32,12 @@
 	w.members = append(w.members, kept...)
 }
 
-// endedWithIncarnation reports whether the member's run has certainly ended if it is missing from
-// the report of the worker's next incarnation that was requested at sentAt. An unanswered start of
-// this owner, or a copy of one, may still reach the next incarnation; a start of an earlier owner
-// is fenced there by the request. A run that is being stopped is missing from reports, so it counts
-// as ended only if an earlier owner had it confirmed in the former incarnation.
+// endedWithIncarnation reports whether absence from a report proves that the member's run has
+// ended. The report is that of the worker's next incarnation, requested at sentAt. An unanswered
+// start of this owner, or a copy of the start, may still reach the next incarnation. A start of an
+// earlier owner cannot, because the request for the report has fenced that owner. A run that is
+// being stopped is missing from reports. Such a run counts as ended only if the former incarnation
+// had confirmed it to an earlier owner.
 func (m *member) endedWithIncarnation(sentAt time.Time, disabled DisabledSafeguards) bool {
 	switch m.state {
 	case memberWithoutRun:
@@ -49,8 +51,9 @@
 	return false
 }
 
-// markEarlierConfirmedRunsLost marks as lost the members whose runs an earlier owner had confirmed in a
-// former incarnation of the worker, if the first report of the present one does not list them.
+// markEarlierConfirmedRunsLost marks runs as lost that a former incarnation of the worker had
+// confirmed to an earlier owner. The first report of the present incarnation does not list these
+// runs.
 func (p *Pool) markEarlierConfirmedRunsLost(w *worker, listed map[*member]bool) {
 	var formers []*worker
 	for _, m := range slices.Clone(w.members) {
@@ -81,8 +84,8 @@
 	m.confirmedToEarlierOwner = false
 }
 
-// recordUnexplainedLoss records the loss of the worker's former incarnation for a run that is not
-// in the next one. The loss is unexplained, since the time at which the run ended is unknown.
+// recordUnexplainedLoss adds the end of the worker's former incarnation to the member's loss
+// history. The loss is unexplained, since the time at which the run ended is unknown.
 func (m *member) recordUnexplainedLoss() {
 	if m.formerIncarnation.ID == "" {
 		return
