--- a/internal/pool/hedging.go
+++ b/internal/pool/hedging.go
@@ -6,9 +6,9 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// Commands to workers are hedged: without a response within minHedgeDelay, or within
-// hedgeDelayRatio times the recent average latency if that is longer, a second copy is sent
-// while the first is pending. Workers handle starts and stops idempotently.
+// Commands to workers are hedged: if a worker does not respond in time, the owner sends a second
+// copy while the first is pending. The delay is minHedgeDelay or hedgeDelayRatio times the recent
+// average latency, whichever is longer. Workers handle starts and stops idempotently.
 const (
 	minHedgeDelay   = 60 * time.Millisecond
 	hedgeDelayRatio = 4
@@ -33,7 +33,7 @@
 	answered bool
 }
 
-// awaitingFirst reports whether the first copy is pending and no other was sent.
+// awaitingFirst reports whether one copy is pending and the command is not answered.
 func (c *hedgedCall) awaitingFirst() bool { return c.pending == 1 && !c.answered }
 
 // hedgedCommand is a hedged command to a worker.
