--- a/internal/pool/incarnation_verification.go
+++ b/internal/pool/incarnation_verification.go
@@ -3,8 +3,8 @@
 import "github.com/wheatroad/wheatroad/internal/fleet"
 
 // verifyNextIncarnation handles a worker row that names another incarnation, which probably follows
-// the known one. If runs may exist in the known incarnation, the named one has to answer before it
-// replaces it.
+// the known incarnation. If runs may exist in the known incarnation, the named incarnation replaces
+// it only after answering a request.
 func (p *Pool) verifyNextIncarnation(w *worker, described *fleet.Worker) {
 	if len(w.members) == 0 && len(w.unexpected) == 0 {
 		p.recordRestart(w, described.Incarnation, restartSeenInRow, 0)
@@ -39,8 +39,8 @@
 	})
 }
 
-// claimedIncarnationUnverified keeps the known incarnation. Without a response the row may still be
-// right, so the request is repeated.
+// claimedIncarnationUnverified keeps the known incarnation. If the request got no response, the row
+// may still be right, and the owner repeats the request.
 func (p *Pool) claimedIncarnationUnverified(w *worker, err error) {
 	if err == nil {
 		// The known incarnation answered at the address in the row.
@@ -61,8 +61,8 @@
 	}
 }
 
-// rejectClaimedIncarnation discards an incarnation that the worker did not confirm, and treats the
-// worker's row as gone.
+// rejectClaimedIncarnation discards an incarnation that the worker did not confirm, and handles the
+// worker's row as deleted.
 func (p *Pool) rejectClaimedIncarnation(w *worker) {
 	p.record.Count("refusals", "worker_row_refuted")
 	w.claimedIncarnation = nil
