--- a/internal/pool/incarnations.go
+++ b/internal/pool/incarnations.go
@@ -6,9 +6,10 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// A worker value stands for one incarnation of a worker: everything kept there ends with it, except
-// the machine state. A worker row that names another incarnation is only a hint, since it may have
-// been written by someone else: runs are not given up until the worker itself has answered.
+// A value of type worker stands for one incarnation of a worker. A restart discards the state in
+// the value, except the members and the machine state. A worker row that names another incarnation
+// is only a hint, since another process may have written the row. The owner does not mark runs as
+// lost until the worker itself has answered.
 
 // restartEvidence says how the owner learned that a worker has restarted.
 type restartEvidence string
@@ -16,7 +17,7 @@
 const (
 	// restartSeenInRow: the row named another incarnation, and no run was known in the former one.
 	restartSeenInRow restartEvidence = "row"
-	// restartConfirmedByReply: the row named another incarnation, and that one answered.
+	// restartConfirmedByReply: the row named another incarnation, and this incarnation answered.
 	restartConfirmedByReply restartEvidence = "row and answer"
 	// restartSeenInReply: another incarnation answered at the address of the former one.
 	restartSeenInReply restartEvidence = "answer"
@@ -48,10 +49,10 @@
 	return earlierIncarnation
 }
 
-// isSuccessor reports whether the incarnation that answered a request sent at askedAt succeeds the
-// known one. Start times are wall-clock times, and the clock may be set back between two
-// incarnations. So a reply to a request that was sent after the known incarnation's last report
-// counts as that of a successor, even if its start time is earlier.
+// isSuccessor reports whether the incarnation that answered a request succeeds the known
+// incarnation. The request was sent at sentAt. Start times are wall-clock times, and the clock may
+// be set back between two incarnations. An incarnation with an earlier start time therefore also
+// counts as a successor if the request was sent after the last report of the known incarnation.
 func (p *Pool) isSuccessor(w *worker, startMillis int64, sentAt time.Time) bool {
 	switch p.compareIncarnation(w, startMillis) {
 	case laterIncarnation:
@@ -62,9 +63,9 @@
 	return false
 }
 
-// handleRestart handles the report of an incarnation that succeeds the known one; the report was
-// requested at sentAt. Runs that were certainly in the former incarnation are lost; any other start
-// that was sent may still reach the new one.
+// handleRestart handles the report of an incarnation that succeeds the known one. The report was
+// requested at sentAt. Runs that certainly ended with the former incarnation are lost. Any other
+// start may still reach the new incarnation.
 func (p *Pool) handleRestart(w *worker, reply fleet.Reply, evidence restartEvidence, sentAt time.Time) {
 	claimed := w.claimedIncarnation
 	next := w.Worker
@@ -82,7 +83,7 @@
 		replacement.StartMillis = reply.StartMillis
 	}
 	if !p.options.DisabledSafeguards.RestartLease {
-		// Orders addressed to the former incarnation carried lease deadlines on its clock.
+		// Commands to the former incarnation carried lease deadlines on its clock.
 		replacement.deadline = reply.ClockMillis + p.options.Bounds.MaxLease.Milliseconds()
 	}
 	p.handlePollReply(replacement, reply, sentAt)
@@ -94,8 +95,8 @@
 	p.record.LogEvent("worker restarted", "worker", w.ID, "born", next.StartMillis, "former", w.StartMillis, "known_by", string(evidence), "runs", runs)
 }
 
-// replaceIncarnation switches to the next incarnation of a worker. It keeps the remaining members
-// and the machine state; the row of the new incarnation has not been read yet.
+// replaceIncarnation switches to the next incarnation of a worker. The replacement keeps the
+// remaining members and the machine state. The row of the new incarnation has not been read yet.
 func (p *Pool) replaceIncarnation(w *worker, next fleet.Worker) *worker {
 	if w.cancelPollTimer != nil {
 		w.cancelPollTimer()
@@ -115,10 +116,10 @@
 	return replacement
 }
 
-// moveToIncarnation moves a member to the next incarnation of its worker, whose report will show
-// whether the run is there. If the run is not listed, it is stopped there before the task is placed
-// again, because the start or a copy of it may still arrive. Answers to requests in flight are
-// ignored from here on.
+// moveToIncarnation moves a member to the next incarnation of its worker. The next report shows
+// whether the run exists in this incarnation. If not, the owner sends a stop before the task is
+// placed again, because the start or its copy may still arrive. Responses to requests in flight are
+// ignored from now on.
 func (p *Pool) moveToIncarnation(m *member, replacement *worker) {
 	m.leaveIncarnation(m.worker.Incarnation)
 	m.worker = replacement
@@ -138,8 +139,8 @@
 	}
 }
 
-// handleOtherIncarnation handles a reply that is not from the known incarnation. It returns false
-// if the reply is from the known one.
+// handleOtherIncarnation handles a reply of another incarnation than the known one. It returns
+// false if the caller should handle the reply as one of the known incarnation.
 func (p *Pool) handleOtherIncarnation(w *worker, reply fleet.Reply, sentAt time.Time) bool {
 	if w.StartMillis == 0 {
 		w.StartMillis = reply.StartMillis
@@ -155,7 +156,7 @@
 			p.pollAfter(w, quickPollDelay)
 			return true
 		}
-		// Only a row named the known incarnation, and the row was false.
+		// The known incarnation was taken from a row, and the row was wrong.
 		p.record.Count("refusals", "worker_row_refuted")
 		w.StartMillis = reply.StartMillis
 		p.markUnlisted(w)
