--- a/internal/pool/invalid_worker_rows.go
+++ b/internal/pool/invalid_worker_rows.go
@@ -8,7 +8,7 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// invalidWorkerRows has the worker rows that cannot be used, and what was last logged of them.
+// invalidWorkerRows tracks invalid worker rows and when their number was last logged.
 type invalidWorkerRows struct {
 	// faults holds the fault of each invalid row by row name.
 	faults map[string]fleet.RowFault
@@ -17,12 +17,12 @@
 	loggedAt    time.Time
 }
 
-// invalidRowsLogInterval limits the rate of log lines about invalid rows: there may be thousands,
-// and they may change with each heartbeat.
+// invalidRowsLogInterval is the minimum time between log lines about invalid rows. The number of
+// invalid rows may change with each heartbeat.
 const invalidRowsLogInterval = 10 * time.Second
 
-// handleInvalidWorkerRow records an invalid worker row. Runs on the worker of that name continue,
-// but nothing is started there until its row is valid again.
+// handleInvalidWorkerRow records an invalid worker row. Runs on the worker continue, but the owner
+// starts nothing on the worker until the row is valid again.
 func (p *Pool) handleInvalidWorkerRow(name string, err error) {
 	fault := fleet.RowUnreadable
 	var rowError *fleet.RowError
