--- a/internal/pool/isolation.go
+++ b/internal/pool/isolation.go
@@ -13,13 +13,13 @@
 // isolated, so that another loss can be attributed to the unit and affects few other runs.
 const (
 	// isolationPeriod is how long after its start a suspected unit gets no new neighbors. Most
-	// tasks that crash workers do so at once.
+	// tasks that crash workers do so soon after their start.
 	isolationPeriod = time.Second
-	// isolationWait is how long a suspected unit waits for a worker without another one.
+	// isolationWait is how long a suspected unit waits for workers without other suspected units.
 	isolationWait = 500 * time.Millisecond
 	// isolationLosses is the number of lost workers from which a unit needs empty workers, whatever
-	// its odds. The platform allows two more starts after three losses by a task that crashes
-	// its workers, so both must be conclusive.
+	// its odds. The platform limits further starts of a task that crashes its workers, so each
+	// start must be conclusive.
 	isolationLosses = 3
 )
 
@@ -45,8 +45,8 @@
 }
 
 // needsEmptyWorkers reports whether the unit's next run must show whether it crashes its workers.
-// It then waits for empty workers, and nothing else is placed there until it has ended, since a
-// loss beside another suspected unit proves nothing.
+// Such a unit waits for empty workers and does not share them, since the loss of a shared worker
+// proves nothing.
 func (u *unit) needsEmptyWorkers() bool {
 	for _, m := range u.suspects() {
 		if m.losses.LossCount() >= isolationLosses || m.losses.LossCount() > 1 && m.losses.SuspectedByOdds() {
@@ -67,8 +67,9 @@
 	return false
 }
 
-// isolated reports whether nothing else may be placed beside the unit: it is suspected, and its
-// start is under way or recent, or it needs empty workers.
+// isolated reports whether no other unit may be placed on the unit's workers. This holds for a
+// suspected unit while its start is pending or recent, and for its whole run if the unit needs
+// empty workers.
 func (u *unit) isolated(now time.Time) bool {
 	if u.lossGroup == nil || !u.suspectedOfCrashes() {
 		return false
@@ -94,8 +95,8 @@
 	return p.fitWithLocality(s, u, visible, visible)
 }
 
-// restrictToEmpty restricts a request to workers without runs. In a search for a future placement
-// these are the workers that will have none.
+// restrictToEmpty restricts a request to workers without runs. In a search for a future placement,
+// workers count that will be empty then.
 func (s *snapshot) restrictToEmpty(request *placement.Request) *placement.Request {
 	restricted := *request
 	restricted.Limit = func(i int, free taskgraph.Resources) taskgraph.Resources {
@@ -110,7 +111,7 @@
 	return &restricted
 }
 
-// reserveEmptyWorkers reserves the workers that become empty first, with all their resources.
+// reserveEmptyWorkers reserves all resources of the workers that become empty first.
 func (s *snapshot) reserveEmptyWorkers(u *unit, request *placement.Request) {
 	future := s.earliestPlacement(u, s.restrictToEmpty(request))
 	if future == nil {
@@ -139,7 +140,7 @@
 	return []func(int) bool{withoutDoubtful}
 }
 
-// excludeWorkers makes workers unusable for the rest of the cycle.
+// excludeWorkers marks workers as unusable for the rest of the cycle.
 func (s *snapshot) excludeWorkers(places []int) {
 	for _, place := range places {
 		s.workers[place].Usable = false
