--- a/internal/pool/job.go
+++ b/internal/pool/job.go
@@ -17,9 +17,9 @@
 	unitWaiting unitState = iota
 	// unitCommitting units have a placement that is being persisted.
 	unitCommitting
-	// unitActive units have been ordered to start.
+	// unitActive units have been sent starts.
 	unitActive
-	// unitStopping units have been ordered to stop.
+	// unitStopping units have been sent stops.
 	unitStopping
 	// unitEnded units have finished; workers may still report runs of their members.
 	unitEnded
@@ -29,9 +29,9 @@
 type memberState int
 
 const (
-	// memberWithoutRun members have no run.
+	// memberWithoutRun members have no run; their placement may be pending.
 	memberWithoutRun memberState = iota
-	// memberStarting members have a start order in flight.
+	// memberStarting members have a start in flight.
 	memberStarting
 	// memberUnconfirmed members may run: their start got no response, or they were restored.
 	memberUnconfirmed
@@ -59,7 +59,7 @@
 	cancelled bool
 	// placed is true once a task of the job was placed, by any owner.
 	placed bool
-	// startSent is true once a start order was sent; assumed for restored jobs.
+	// startSent is true once a start was sent; it is assumed to be true for restored jobs.
 	startSent bool
 	dirty     bool
 }
@@ -80,8 +80,8 @@
 	units    []*unit
 	ended    int
 	complete bool
-	// waitReason is why the step's units could not be placed at waitReasonAt, the last time that
-	// was checked.
+	// waitReason is why the step's units could not be placed when this was last checked, at
+	// waitReasonAt.
 	waitReason   waitReason
 	waitReasonAt time.Time
 	// cohort compares the durations of the step's tasks.
@@ -102,8 +102,8 @@
 	members    []*member
 	readyAt    time.Time
 	startedAt  time.Time
-	// runningSince is when all members of the latest run were known to be running; zero before
-	// that.
+	// runningSince is when all members of the latest run were first known to be running; zero
+	// before.
 	runningSince time.Time
 	// startedByThisOwner is true if this owner started the latest run.
 	startedByThisOwner bool
@@ -132,35 +132,36 @@
 	state memberState
 	// worker is where a run of the member may exist, or nil.
 	worker *worker
-	// stopAttempted is true once a stop of the present run was sent, whatever its outcome;
-	// stopSent and stopAnswered are the state of the current stop order.
+	// stopAttempted is true once a stop of the present run was sent, whatever its outcome; stopSent
+	// and stopAnswered are the state of the current stop.
 	stopAttempted bool
 	stopSent      bool
 	stopAnswered  bool
 	stopTimer     func()
-	// startUnanswered is true once a start of the present run got no response: the order may still
-	// be executed, whatever the response to a later attempt.
+	// startUnanswered is true once a start of the present run got no response. The worker may still
+	// carry out this start, whatever the response to a later attempt.
 	startUnanswered bool
-	// incarnationUnknown is true if the start may have been answered by an unknown incarnation of
-	// the worker; the next run report shows which.
+	// incarnationUnknown is true if an unknown incarnation of the worker may have answered the
+	// start. The next report shows which incarnation has the run.
 	incarnationUnknown bool
 	// confirmedToEarlierOwner is true if the present run was confirmed to an earlier owner.
 	confirmedToEarlierOwner bool
 	// formerIncarnation is the worker's incarnation in which the present run was last known, if the
 	// worker has restarted since.
 	formerIncarnation fleet.Incarnation
-	// startCall is the state of the present run's latest start order; nil before it.
+	// startCall is the state of the present run's latest start; nil before the first.
 	startCall *hedgedCall
 	sentAt    time.Time
-	// startDeadline is the deadline of the present run's start order, in milliseconds of the
-	// worker's clock; 0 before it is sent.
+	// startDeadline is the deadline of the present run's start, in milliseconds of the worker's
+	// clock; 0 before the start is sent.
 	startDeadline int64
 	// percent is the last reported progress, percentChangedAt when it last changed, and reportedAt
 	// when the run was last reported.
 	percent          int
 	percentChangedAt time.Time
 	reportedAt       time.Time
-	// losses is the history of workers lost while the member ran there; nil if there are none.
+	// losses is the history of workers that were lost while they ran the member; nil if there are
+	// none.
 	losses *poison.History
 	// logRunTime is the logarithm of the run's projected duration in seconds, estimated at
 	// runTimePercent of its progress; 0 before the first estimate.
