--- a/internal/pool/leases.go
+++ b/internal/pool/leases.go
@@ -13,8 +13,8 @@
 )
 
 // estimatedClock returns a lower estimate of the worker's clock, so that leases never end later
-// than intended. After minutes of idleness a worker may refuse a start as late because of it; the
-// refusal carries the worker's clock.
+// than intended. After a long idle time the estimate may be so low that the worker refuses a start
+// as late. The refusal carries the worker's clock.
 func (w *worker) estimatedClock(now time.Time) int64 {
 	elapsed := float64(now.Sub(w.clockAt).Milliseconds())
 	return w.clock + int64(elapsed*(1-clockDrift))
@@ -27,8 +27,8 @@
 		return true
 	}
 	if deadline == 0 {
-		// This owner granted no lease. The former owner may have granted some until this one had
-		// fenced the progress partitions.
+		// This owner granted no lease. The former owner may have granted leases until this owner
+		// had fenced the progress partitions.
 		since := w.clockAt
 		if p.progressFencedAt.After(since) && !p.options.DisabledSafeguards.FormerOwnerLeaseWait {
 			since = p.progressFencedAt
@@ -38,8 +38,7 @@
 	return w.estimatedClock(p.loop.Now()) > deadline+leaseExpiryMargin.Milliseconds()
 }
 
-// expireLeases marks the runs of workers that stopped responding as lost once the lease has
-// expired.
+// expireLeases marks the runs of unresponsive workers as lost once the lease has expired.
 func (p *Pool) expireLeases() {
 	for _, w := range p.sortedWorkers() {
 		silent := w.unansweredCalls > 0 || (!w.contacted && p.loaded)
