--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// applyCancel ends a job at the request of a caller.
+// applyCancel cancels a job. If the job is unknown, the cancellation is kept until the job is read.
 func (p *Pool) applyCancel(id string) {
 	j := p.jobs[id]
 	if j == nil {
