--- a/internal/pool/losshistory.go
+++ b/internal/pool/losshistory.go
@@ -26,7 +26,7 @@
 	return m.losses
 }
 
-// suspects returns the members whose workers were lost while they ran there.
+// suspects returns the members that ran on a worker when the worker was lost.
 func (u *unit) suspects() []*member {
 	if u.lossGroup == nil {
 		return nil
