--- a/internal/pool/lostruns.go
+++ b/internal/pool/lostruns.go
@@ -13,14 +13,14 @@
 const (
 	// lostInstanceReplaced: another instance answers at the worker's address.
 	lostInstanceReplaced lossReason = "worker replaced"
-	// lostWorkerRestarted: the worker has restarted and runs nothing from before.
+	// lostWorkerRestarted: the worker has restarted, which ended the run.
 	lostWorkerRestarted lossReason = "worker restarted"
 	// lostLeaseExpired: the worker did not respond until its lease had expired.
 	lostLeaseExpired lossReason = "lease ran out"
 )
 
-// markRunsLost marks all members as lost on a worker that no longer runs anything and will report
-// no ends. One of the runs may have crashed the worker.
+// markRunsLost marks all runs on a worker as lost. The worker no longer runs anything and will not
+// report how the runs ended. One of the runs may have crashed the worker.
 func (p *Pool) markRunsLost(w *worker, reason lossReason) {
 	lost := w.members
 	p.recordWorkerLoss(w, reason)
@@ -66,7 +66,7 @@
 // workers is never reported as failed, so without this record it would be restarted forever.
 func (p *Pool) recordWorkerLoss(w *worker, reason lossReason) {
 	if w.Draining || w.respondedWithoutRow {
-		// The worker left as planned, with the runs that were not moved in time.
+		// The worker shut down as planned. These runs had not ended in time.
 		for _, m := range w.members {
 			if m.losses.LossCount() > 0 {
 				m.losses.AddUnexplained(w.Incarnation.String())
@@ -95,7 +95,7 @@
 	history := m.lossHistory()
 	switch {
 	case history == nil:
-		// Losses of this many members at once have a cause outside the unit.
+		// The unit has too many loss histories, so the cause is probably outside the unit.
 	case ran == possiblyStarted:
 		history.AddUnexplained(loss.Worker)
 	default:
