--- a/internal/pool/options.go
+++ b/internal/pool/options.go
@@ -16,7 +16,7 @@
 	MaxLease time.Duration
 	// StopTimeout is the longest time that a stop takes.
 	StopTimeout time.Duration
-	// GangTimeout is how long members of a gang wait for the others.
+	// GangTimeout is how long members of a gang wait for the start of the other members.
 	GangTimeout time.Duration
 	// GuaranteedStartTimeout is the time within which a job with guaranteed capacity must start.
 	GuaranteedStartTimeout time.Duration
@@ -50,13 +50,14 @@
 	// DisabledSafeguards disables safeguards, for tests that show what they prevent.
 	DisabledSafeguards DisabledSafeguards
 	// SchedulingDelay returns the current delay of this process, which is added to timeouts and
-	// deadlines of orders; nil means no delay.
+	// deadlines of commands; nil means no delay.
 	SchedulingDelay func() time.Duration
 	// OnOwnershipEnded is called once the node is no longer the owner.
 	OnOwnershipEnded func(reason string)
 }
 
-// DisabledSafeguards selects safeguards to disable. Each comment says what happens without it.
+// DisabledSafeguards selects safeguards to disable. Each comment says what happens without the
+// safeguard.
 type DisabledSafeguards struct {
 	// StopConfirmation: a run that a contacted worker does not report counts as ended immediately.
 	StopConfirmation bool
@@ -82,8 +83,8 @@
 	ZoneRecheckAtStart bool
 	// Incarnations: the incarnations of a worker are not distinguished.
 	Incarnations bool
-	// RestartLease: orders meant for a worker's former incarnation do not count as leases in
-	// the next one.
+	// RestartLease: commands to a worker's former incarnation do not count as leases in the next
+	// one.
 	RestartLease bool
 	// UnansweredStarts: unanswered starts are assumed not to reach a worker's next incarnation.
 	UnansweredStarts bool
