--- a/internal/pool/ownership_confirmation.go
+++ b/internal/pool/ownership_confirmation.go
@@ -6,15 +6,15 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// ownershipCheckInterval is the age of the last confirmation from which the lease row is read
-// again. It is well below the shortest worker lease of 6 s. Each committed write confirms ownership
-// too.
+// ownershipCheckInterval is the maximum age of the last confirmation of ownership. When it is
+// exceeded, the owner reads the lease row again. It is well below the shortest lease of a worker.
+// Each committed write confirms ownership too.
 const ownershipCheckInterval = time.Second
 
 // ConfirmOwnership records that this owner held the pool at a given time. Leases of runs may extend
-// at most MaxLease beyond it, which is how long a successor waits for workers that it cannot reach.
-// Otherwise an owner that was replaced while partitioned or suspended could keep runs alive that
-// its successor has started elsewhere.
+// at most MaxLease beyond that time. A successor waits for MaxLease before it restarts the runs of
+// workers that do not respond. Otherwise an owner that was replaced while partitioned or suspended
+// could keep runs alive that its successor has started elsewhere.
 func (p *Pool) ConfirmOwnership(at time.Time) {
 	if at.After(p.ownershipConfirmedAt) {
 		p.ownershipConfirmedAt = at
