--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -51,8 +51,9 @@
 	})
 }
 
-// pollWaitFor returns how long the next poll waits at the worker. It is 0 while a report is needed
-// soon, such as the one that must precede an acknowledgement that this poll does not carry.
+// pollWaitFor returns how long the next poll waits at the worker. It is 0 while the owner needs a
+// report soon. For example, an acknowledgement that this poll does not carry can only be sent after
+// another report.
 func (p *Pool) pollWaitFor(w *worker, acknowledged int64) time.Duration {
 	if w.endAcks.writing > 0 || w.endAcks.due > acknowledged || len(w.members) == 0 {
 		return 0
@@ -66,9 +67,9 @@
 	return pollWait
 }
 
-// A worker that left a call unanswered may do so again, and an end reported in a lost reply is
-// noticed only with the next poll. For lossyDuration, about as long as such faults last, polls wait
-// only for lossyPollWait.
+// A worker that left a call unanswered may do so again. If the lost reply contains the end of a
+// run, the owner learns of the end only from the next poll. Polls therefore wait only for
+// lossyPollWait during lossyDuration after an unanswered call.
 const (
 	lossyDuration = 6 * time.Second
 	lossyPollWait = 400 * time.Millisecond
@@ -115,7 +116,7 @@
 	jumped = p.checkClockJump(w, clock, now)
 	w.clock, w.clockAt = clock, now
 	if jumped {
-		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
+		// Earlier deadlines were on another clock, and another incarnation may have replied. A poll
 		// identifies the incarnation; the reply to a start does not.
 		w.deadline = clock + p.options.Bounds.MaxLease.Milliseconds()
 		p.pollNow(w)
@@ -168,8 +169,8 @@
 		p.pollIdleWorkers()
 	}
 	w.lossyUntil = p.loop.Now().Add(lossyDuration)
-	// Without this poll nothing would contact the worker again once its runs are lost, and it would
-	// stay unused.
+	// Once the runs of the worker are lost, only this poll contacts the worker again. Without the
+	// poll the worker would stay unused.
 	p.pollAfter(w, quickPollDelay)
 }
 
@@ -195,8 +196,8 @@
 	}
 }
 
-// schedulePoll keeps polling while anything runs on the worker, and acknowledges ended runs once
-// they are written.
+// schedulePoll schedules the next poll while anything runs on the worker or ended runs are to be
+// acknowledged.
 func (p *Pool) schedulePoll(w *worker) {
 	if w.endAcks.due > 0 {
 		p.poll(w)
