--- a/internal/pool/poll_queue.go
+++ b/internal/pool/poll_queue.go
@@ -1,19 +1,19 @@
 package pool
 
-// maxQueuedPollsInFlight bounds the queued polls in flight. Each may open a connection; a new owner
-// that polls thousands of workers at once reads the replies too late and takes the workers for
+// maxQueuedPollsInFlight bounds the queued polls in flight. Each poll may open a connection. If a
+// new owner polled all workers at once, it would read the replies too late and consider the workers
 // unresponsive.
 const maxQueuedPollsInFlight = 128
 
-// pollQueue is the queue of first contacts with workers, which fence former owners there, and of
-// polls of idle workers.
+// pollQueue is the queue of polls of workers that this owner has not contacted yet, and of polls of
+// idle workers. The first contact makes a worker refuse former owners.
 type pollQueue struct {
 	workers  []*worker
 	inFlight int
 }
 
-// contactAll polls every worker, first those that have runs according to the rows, since their
-// leases are running.
+// contactAll queues a poll of every worker. Workers that have runs according to the rows come
+// first, since the leases of these runs may expire.
 func (p *Pool) contactAll() {
 	for _, w := range p.sortedWorkers() {
 		if len(w.members) > 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// releasePollSlot frees the slot of a queued poll, whatever its result.
+// releasePollSlot releases the worker's slot in the poll queue, whatever the result of the poll.
 func (p *Pool) releasePollSlot(w *worker) {
 	if !w.queuedPollInFlight {
 		return
