--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -41,7 +41,7 @@
 	writer          writer
 	// storeRetries schedules the retries of store calls.
 	storeRetries *loop.Retries
-	// loaded is true once the pool's rows are read; no orders are sent before.
+	// loaded is true once the pool's rows are read; no commands are sent before.
 	loaded         bool
 	closed         bool
 	releasing      bool
@@ -59,8 +59,8 @@
 	// storeRecoveredAt is the time of the first response after the last outage longer than
 	// storeOutageThreshold.
 	storeRecoveredAt time.Time
-	// preemptionBackoffUntil is when units of lower priority than preemptionBackoffPriority, if
-	// they can wait, may be placed again.
+	// preemptionBackoffUntil is when deferrable units of lower priority than
+	// preemptionBackoffPriority may be placed again.
 	preemptionBackoffUntil    time.Time
 	preemptionBackoffPriority int
 	// medianLogRunTime is the median of the workers' relative task durations, as a logarithm,
@@ -91,8 +91,9 @@
 	confirmingOwnership  bool
 	// workersReadAt is the time as of which the worker rows are known.
 	workersReadAt time.Time
-	// evacuationsRead holds the evacuated zones as read by this owner, reportedEvacuations those
-	// last logged, and evacuationsWereFresh whether they were recent enough for starts.
+	// evacuationsRead holds the evacuated zones as read by this owner, and reportedEvacuations the
+	// zones last logged. evacuationsWereFresh is true if the zones last logged were fresh enough
+	// for starts.
 	evacuationsRead, reportedEvacuations         evacuation.Set
 	evacuationsWereFresh, evacuationReadInFlight bool
 	invalidRows                                  invalidWorkerRows
