--- a/internal/pool/preempt.go
+++ b/internal/pool/preempt.go
@@ -8,9 +8,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// onTimeGains has, by priority, the gain of a unit that meets its objective, in core-seconds
-// of other units' work that may be lost for it: a base, and a share of the unit's own work.
-// The last entry holds for all lower priorities too.
+// onTimeGains holds, by priority, the gain of a unit that meets its objective. The gain is the work
+// of other units, in core-seconds, that may be lost for this unit. It is a base plus a share of the
+// unit's own work. The last entry holds for all lower priorities too.
 var onTimeGains = []struct{ base, perWork float64 }{{600, 6}, {400, 0.5}, {200, 0.1}}
 
 // preemptionCost returns the cost of stopping a unit in core-seconds: the work lost, and the unit's
@@ -77,8 +77,8 @@
 	return cheapestPreemption(s, [][]int{s.racks.All}, request)
 }
 
-// reallocate reserves the victims' resources at places. The victims' other resources stay in use
-// until they have stopped, so no other unit of this cycle gets them.
+// reallocate reserves the victims' resources at places. The victims keep their other resources
+// until they have stopped, so no other unit gets these resources in this cycle.
 func (s *snapshot) reallocate(victims, places []int, resources taskgraph.Resources) {
 	freeBefore := map[int]taskgraph.Resources{}
 	for _, index := range victims {
@@ -97,8 +97,8 @@
 	}
 }
 
-// mayPreempt reports whether a unit may preempt others: always with priority 0, and as a gang
-// of another priority while little of its slack is left.
+// mayPreempt reports whether a unit may preempt others. Units of priority 0 always may; gangs of
+// other priorities may while little of their slack is left.
 func (p *Pool) mayPreempt(s *snapshot, u *unit) bool {
 	if u.job.Queue.Priority == 0 {
 		return true
@@ -173,8 +173,9 @@
 	return slack > 0 && time.Duration((slowest-1)*float64(u.estimate())) > slack
 }
 
-// preemptForFastWorkers preempts units on workers that are not slow, for a unit that would miss its
-// objective on the free ones, if it can then meet it and the gain exceeds the cost.
+// preemptForFastWorkers preempts units on fast workers for a unit that would miss its objective on
+// the free workers. It does so only if the unit can then meet its objective and the gain covers the
+// cost.
 func (p *Pool) preemptForFastWorkers(s *snapshot, u *unit, request *placement.Request) bool {
 	fast := restrict(request, func(i int) bool { return !s.workers[i].Slow && !s.poolWorkers[i].reliability.failsEarly() })
 	places, victims, loss := cheapestPreemption(s, s.localityGroups(u), fast)
