--- a/internal/pool/progress.go
+++ b/internal/pool/progress.go
@@ -43,7 +43,7 @@
 }
 
 // activeProgress returns the record of an ended job's units that may still run on workers without a
-// row, which the next owner could not find otherwise.
+// row. The next owner could not find these workers otherwise.
 func (s *step) activeProgress(number int) (stepProgress, bool) {
 	record := stepProgress{Repetition: number, Step: s.index}
 	for _, u := range s.units {
