--- a/internal/pool/progress_batch.go
+++ b/internal/pool/progress_batch.go
@@ -10,8 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// Limits of one batch. The store allows 100 entries and 1 MB of encoded size per
-// transaction.
+// Limits of one batch, below the store's limits for a transaction.
 const (
 	maxBatchRows  = 80
 	maxBatchBytes = 700 << 10
@@ -26,8 +25,8 @@
 	values    [][]byte
 	removals  []string
 	callbacks []func()
-	// hasRemainder is true if dirty rows did not fit. They are overdue, so the next batch is sent
-	// without a delay.
+	// hasRemainder is true if dirty rows did not fit. These rows are overdue, so the next batch is
+	// sent without a delay.
 	hasRemainder   bool
 	sentAt         time.Time
 	failedAttempts int
@@ -89,8 +88,8 @@
 	return mustEncode(headRecord{Token: p.token, Nonce: p.options.Incarnation + "." + nonce, Durations: p.durations})
 }
 
-// partitionTimeout is the time after which a batch without a response is also sent to the next
-// partition, in addition to the time that sending takes.
+// partitionTimeout is how long the owner waits for a response before it also sends a batch to the
+// next partition. The time that sending takes is added.
 const partitionTimeout = 600 * time.Millisecond
 
 func (w *writer) send(b *batch) {
@@ -123,8 +122,8 @@
 	})
 }
 
-// retry sends a failed batch to the next partition, with backoff once all partitions have
-// failed. The rows are the same in each, so any number of attempts may take effect.
+// retry sends a failed batch to the next partition, with backoff once all partitions have failed.
+// All attempts write the same rows, so any number of attempts may take effect.
 func (w *writer) retry(b *batch, err error) {
 	w.pool.record.Count("retries", commitRetryReason(err))
 	b.failedAttempts++
@@ -157,9 +156,9 @@
 	return "commit_no_answer"
 }
 
-// conditionFailed handles a failed condition on the head row. If the row was written by an earlier
-// attempt whose response was lost, the batch is written; if by another batch of this owner, the
-// batch is sent again. Otherwise this owner was replaced.
+// conditionFailed handles a failed condition on the head row. If an earlier attempt wrote the row
+// and its response was lost, the batch is written. If another batch of this owner wrote the row,
+// the batch is sent again. Otherwise this owner was replaced.
 func (w *writer) conditionFailed(b *batch, part int, result rows.Result) {
 	w.pool.recordStoreAnswer()
 	for i := range result.Current {
