--- a/internal/pool/progress_restore.go
+++ b/internal/pool/progress_restore.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// restoreUnit assumes that the unit's members run on the workers in its row, until those workers
-// report their runs.
+// restoreUnit assumes that the unit's members run on the workers in the unit's row, until these
+// workers report their runs.
 func (p *Pool) restoreUnit(u *unit, saved unitProgress) {
 	u.run, u.failures, u.checkpoint = saved.Run, saved.Failures, saved.Checkpoint
 	p.restoreLosses(u, saved.Losses)
@@ -87,10 +87,10 @@
 	}
 }
 
-// workerFromProgress returns the worker that a progress row names. The address is only set if the
-// worker's own row was gone at the time of the write. If a later incarnation than the named one
-// is known, it is returned: it may run the task, as the worker may have restarted between the
-// write and the start.
+// workerFromProgress returns the worker that a progress row names. The address is set only if the
+// worker's own row was gone when the progress row was written. If a later incarnation than the
+// named one is known, workerFromProgress returns the later incarnation: the worker may have
+// restarted between the write and the start, and then run the task.
 func (p *Pool) workerFromProgress(incarnation fleet.Incarnation, address string) *worker {
 	known := p.workers[incarnation.ID]
 	if known == nil {
@@ -111,7 +111,7 @@
 }
 
 // trackWorkersOfEndedJob adds workers without a row of their own that may still run tasks of an
-// ended job. The runs that they report are then stopped as unexpected.
+// ended job. The runs that these workers report are then stopped as unexpected.
 func (p *Pool) trackWorkersOfEndedJob(record *Progress) {
 	for i := range record.Steps {
 		for _, unit := range record.Steps[i].Units {
