--- a/internal/pool/records.go
+++ b/internal/pool/records.go
@@ -14,7 +14,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Tables of the store. Partitions are named after the pool, except for that of the node rows.
+// Tables of the store. Partitions are named after the pool, except for the partition of the node
+// rows.
 const (
 	// NodeTable holds the lease row of each pool and, in the partition with the empty name, a
 	// row for each node.
@@ -91,7 +92,7 @@
 // maxRunNumber is the largest run number or failure count of a valid row.
 const maxRunNumber = 1 << 30
 
-// validFor reports whether the row is consistent with the job's spec. If not, it is corrupt
+// validFor reports whether the row is consistent with the job's spec. Otherwise the row is corrupt
 // or was not written by an owner.
 func (p *Progress) validFor(spec *taskgraph.Spec) bool {
 	for i := range p.Steps {
@@ -137,8 +138,8 @@
 	// Confirmed is a bit set of the members whose run was confirmed by the worker. It is written
 	// with a delay, so the bit of a confirmed run may be missing.
 	Confirmed []byte `json:"n,omitempty"`
-	// Addresses holds the addresses of workers whose own rows are gone. They may still serve, and
-	// the next owner needs the address to contact them.
+	// Addresses holds the addresses of workers whose own rows are gone. These workers may still
+	// have runs, and the next owner needs the address to contact them.
 	Addresses map[string]string `json:"a,omitempty"`
 	// Losses holds the crash records of members whose workers were lost.
 	Losses []memberLosses `json:"l,omitempty"`
@@ -154,22 +155,23 @@
 	return incarnation
 }
 
-// memberLosses holds the losses of workers under one member of a unit.
+// memberLosses holds the records of workers that were lost while they ran one member of a unit.
 type memberLosses struct {
 	Member  int             `json:"m,omitempty"`
 	Records []poison.Record `json:"l"`
 }
 
 // jobPartitions is the number of partitions for a pool's accepted jobs. A partition serializes its
-// transactions, so the number limits the jobs per second that a slow store accepts. A takeover
-// reads every partition.
+// transactions, so the number of partitions limits the jobs per second that a slow store accepts. A
+// takeover reads every partition.
 const jobPartitions = 32
 
 // partitionSeparator separates the pool's name from the partition number.
 const partitionSeparator = "/"
 
-// jobPartitionChoices is the number of partitions that may hold a job's accepted row. If one is
-// unavailable, the row is written to the next. Rows in several partitions are the same job.
+// jobPartitionChoices is the number of partitions that may hold a job's accepted row. If a
+// partition is unavailable, the row is written to the next one. Rows of one job in several
+// partitions are identical.
 const jobPartitionChoices = 3
 
 // JobPartitions returns the partitions that may hold a job's accepted row, in order of preference.
