--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -7,30 +7,30 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Handling of failed runs. A run fails because of its job, at any time, or because its worker
-// fails all runs, usually at once. A run that started after the worker's last failure and makes
-// progress shows that the worker is healthy.
+// Handling of failed runs. A run may fail because of its job, at any time. It may also fail because
+// its worker fails all runs, usually soon after their start. The worker is known to be healthy once
+// a run that started after its last failure makes progress.
 const (
-	// failureLimit is the number of failures without such a run that excludes a worker.
+	// failureLimit is the number of failures, since a worker was last known to be healthy, from
+	// which the worker is excluded.
 	failureLimit = 2
-	// exclusionPeriod is how long a worker that failed or stalled gets no new work. Such faults
-	// last 5 to 7 s on the platform.
+	// exclusionPeriod is how long a worker that failed or stalled gets no new work.
 	exclusionPeriod = 6 * time.Second
-	// A failure is early, and so attributed to the worker, within earlyFailureShare of the expected
-	// duration and earlyFailureLimit. A run resumed from a checkpoint gets restoreAllowance more,
-	// since a restore takes up to 0.6 s.
+	// An early failure is attributed to the worker. A failure is early before earlyFailureLimit and
+	// before earlyFailureShare of the expected duration have passed. For a run resumed from a
+	// checkpoint both limits are extended by restoreAllowance, for the time of the restore.
 	earlyFailureShare = 0.1
 	earlyFailureLimit = 500 * time.Millisecond
 	restoreAllowance  = 700 * time.Millisecond
-	// healthyPeriod is how long after its start a run that made progress shows its worker to be
-	// healthy.
+	// healthyPeriod is how long a worker counts as recently healthy. It begins with the start of a
+	// run that made progress.
 	healthyPeriod = 3 * time.Second
 )
 
 // reliability is the record of a worker's failures.
 type reliability struct {
-	// failures counts the failed runs since the worker was last known to be healthy, and
-	// earlyFailures those of them that failed early.
+	// failures counts the failed runs since the worker was last known to be healthy. earlyFailures
+	// counts the runs among them that failed early.
 	failures      int
 	earlyFailures int
 	failedAt      time.Time
@@ -56,8 +56,8 @@
 	return r.failures == 0 && now.Sub(r.healthyAt) < healthyPeriod
 }
 
-// recordRunFailure records a failed run of a unit, and excludes the worker after failureLimit of
-// them.
+// recordRunFailure records a failed run of a unit, and excludes the worker once it has failureLimit
+// failures.
 func (p *Pool) recordRunFailure(w *worker, u *unit) {
 	now := p.loop.Now()
 	w.reliability.failures++
@@ -71,8 +71,8 @@
 	}
 }
 
-// cold reports whether the worker is still slow after its start. It is healthy: single tasks may
-// run there, and gangs avoid it since they are as slow as their slowest member.
+// cold reports whether the worker is still slow after its start. Single tasks may run on a cold
+// worker. Gangs avoid cold workers, since a gang is as slow as its slowest member.
 func (w *worker) cold(now time.Time) bool { return now.Before(w.coldStartUntil) }
 
 // excludeWorker excludes a worker from new work for exclusionPeriod, unless it is cold.
@@ -96,7 +96,7 @@
 }
 
 // workerPreferences returns the preferred workers of a unit, the narrowest choice first. A gang is
-// as slow as its slowest member and fails if any member fails; a unit that has failed before should
+// as slow as its slowest member and fails if any member fails. A unit that has failed before should
 // not lose another attempt to a failing worker.
 func (p *Pool) workerPreferences(s *snapshot, u *unit) []func(i int) bool {
 	notFailing := func(i int) bool {
