--- a/internal/pool/report.go
+++ b/internal/pool/report.go
@@ -8,7 +8,8 @@
 )
 
 // applyReport applies a worker's report of running and ended runs. An owner that is releasing its
-// pool leaves that to the next one, since each recorded end would delay the release by a write.
+// pool leaves reports to the next owner, since each recorded end would delay the release by a
+// write.
 func (p *Pool) applyReport(w *worker, reply fleet.Reply, sentAt time.Time) {
 	if p.releasing {
 		return
@@ -17,8 +18,8 @@
 	p.reconcile(w, reply, sentAt)
 }
 
-// reconcile reconciles the members on a worker with the runs that it lists. Ended runs have already
-// been applied.
+// reconcile reconciles the members on a worker with the runs that the worker lists. Ended runs have
+// already been applied.
 func (p *Pool) reconcile(w *worker, reply fleet.Reply, sentAt time.Time) {
 	now := p.loop.Now()
 	p.updateUnexpected(w, reply)
@@ -44,7 +45,7 @@
 	}
 }
 
-// memberOnWorker returns the member whose given run is on a worker, or nil.
+// memberOnWorker returns the member of a run if the member is assigned to the worker, or nil.
 func (p *Pool) memberOnWorker(w *worker, name taskgraph.TaskName, run int) *member {
 	j := p.jobs[name.Job]
 	if j == nil {
@@ -81,22 +82,23 @@
 func (p *Pool) reconcileUnlisted(m *member, sentAt time.Time) {
 	switch {
 	case m.stopAnswered:
-		// A completed stop is reported as an end; if none was reported in time, there was no run.
+		// The worker reports a completed stop as an ended run. If it reported none in time, there
+		// was no run.
 		if sentAt.Sub(m.sentAt) > p.options.Bounds.StopTimeout {
 			m.recordUnexplainedLoss()
 			p.memberEnded(m, fleet.EndStopped)
 		}
 	case m.stopAttempted && m.state == memberRunning && !p.options.DisabledSafeguards.StopConfirmation:
-		// The worker may be carrying out a stop whose reply was lost: a run that is being stopped
-		// is not listed but may still run. A run whose start was never confirmed may still arrive,
-		// and is gone only once a stop is answered.
+		// The worker may be carrying out a stop whose reply was lost. A run that is being stopped
+		// is not listed but may still run. An unconfirmed start may still arrive, so such a run has
+		// ended only once the worker has answered a stop.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 	case m.state == memberUnconfirmed && m.sentAt.IsZero() && p.options.DisabledSafeguards.StopConfirmation:
 		p.memberEnded(m, fleet.EndLeaseExpired)
 	case m.state == memberUnconfirmed && m.sentAt.IsZero():
 		// The worker has seen this owner's token, so a pending start of an earlier owner is fenced.
-		// A stop of that owner may still be in progress.
+		// A stop of the earlier owner may still be in progress.
 		m.stopAnswered = true
 		m.sentAt = p.loop.Now()
 	case m.state == memberUnconfirmed && m.sentAt.Before(sentAt):
@@ -118,7 +120,8 @@
 }
 
 // applyEnds applies the ended runs that a worker lists, and acknowledges them once they are stored.
-// Ends are matched by run rather than by number, because a list may be received twice.
+// Ended runs are matched by task and run rather than by their number, because a list may be
+// received twice.
 func (p *Pool) applyEnds(w *worker, ends []fleet.EndedRun) {
 	var highest int64
 	for i := range ends {
