--- a/internal/pool/run_presence.go
+++ b/internal/pool/run_presence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// runPresence says whether a run can have been on a worker when the worker was lost.
+// runPresence says whether a run may have been on its worker when the worker was lost.
 type runPresence int
 
 const (
@@ -10,7 +10,8 @@
 	// stopped responding. An owner with a stale worker list places tasks on failed workers.
 	notStarted runPresence = iota
 	// possiblyStarted: the start is unanswered, or an earlier owner wrote the placement. The worker
-	// may have failed or been cut off before, and the start may never have been sent.
+	// may have failed or become unreachable before the start, and the start may never have been
+	// sent.
 	possiblyStarted
 	// confirmedStarted: the worker confirmed the run.
 	confirmedStarted
@@ -37,15 +38,15 @@
 }
 
 // confirmedStartWriteDelay is how long the write of a confirmed start may be delayed to share a
-// transaction with other changes. A later owner needs that row to tell a run that crashed its
-// worker from a start that never arrived.
+// transaction with other changes. From the written row, a later owner can tell a run that crashed
+// its worker from a start that never arrived.
 const confirmedStartWriteDelay = 500 * time.Millisecond
 
 // scheduleConfirmationWrite schedules the write that records a confirmed start.
 func (p *Pool) scheduleConfirmationWrite(u *unit) { p.writer.add(u.job, confirmedStartWriteDelay) }
 
 // assumedRunAge is the least age assumed for runs that an earlier owner started. It lies between
-// the age of runs that crash their worker at once and a typical duration.
+// the age of runs that crash their worker soon after the start and a typical duration.
 const assumedRunAge = 2 * time.Second
 
 // runAgeAt returns the age of the unit's run at a given time.
