--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -9,7 +9,7 @@
 )
 
 // snapshot is the state of the pool that one scheduling cycle works on. Workers and units are
-// identified by their indexes in it.
+// identified by their indexes in the snapshot.
 type snapshot struct {
 	now         time.Time
 	workers     []placement.Worker
@@ -19,22 +19,23 @@
 	running     []*unit
 	// utilization is the utilization of the pool's most used resource.
 	utilization float64
-	// headroomWorkers has, by priority, the workers that are kept free of deferrable units.
+	// headroomWorkers holds, by priority, the workers that are kept free of deferrable units.
 	headroomWorkers [][]bool
 	// reservationsLeft is how many more units may reserve resources in this cycle.
 	reservationsLeft int
-	// reservations has the resources reserved for waiting units, by worker.
+	// reservations holds the resources reserved for waiting units, by worker.
 	reservations map[int]reservation
 }
 
-// reservation is a reservation of resources on one worker. It starts after a duration.
+// reservation is a reservation of resources on one worker. It starts after startsIn.
 type reservation struct {
 	startsIn time.Duration
-	// unreserved has the resources that other units may use past the start.
+	// unreserved holds the resources that other units may use after the reservation has started.
 	unreserved taskgraph.Resources
 }
 
-// equivalenceClass groups units that one cycle either places or cannot place alike.
+// equivalenceClass identifies units with the same requirements. If a cycle cannot place one unit of
+// a class, it cannot place the others either.
 type equivalenceClass struct {
 	step *step
 	gang bool
@@ -105,7 +106,7 @@
 	s.poolWorkers = append(s.poolWorkers, w)
 }
 
-// reusedAllocations returns the next entry's list of holders in the previous snapshot, emptied
+// reusedAllocations returns the next worker's list of allocations in the previous snapshot, emptied
 // for reuse.
 func reusedAllocations(workers []placement.Worker) []placement.Allocation {
 	if len(workers) == cap(workers) {
@@ -114,8 +115,7 @@
 	return workers[:len(workers)+1][len(workers)].Allocations[:0]
 }
 
-// reusedPlaces returns the next entry's list of places in the previous snapshot, emptied for
-// reuse.
+// reusedPlaces returns the next unit's list of workers in the previous snapshot, emptied for reuse.
 func reusedPlaces(units []placement.Unit) []int {
 	if len(units) == cap(units) {
 		return nil
@@ -160,7 +160,7 @@
 	return w.contacted && w.unansweredCalls == 0 && w.claimedIncarnation == nil && p.usageKnown(w, now) && !w.drainingOrUnlisted() && now.After(w.excludedUntil)
 }
 
-// placementUnit returns the placement view of a unit that uses resources.
+// placementUnit describes a unit that uses resources to package placement.
 func (p *Pool) placementUnit(u *unit, now time.Time) placement.Unit {
 	described := placement.Unit{Resources: u.spec().Requirements(), Remaining: p.remaining(u, now), PreemptionCost: -1, Priority: u.job.Queue.Priority}
 	switch {
