--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -9,16 +9,16 @@
 	"github.com/wheatroad/wheatroad/internal/speeds"
 )
 
-// Estimation of worker speeds from runs. The members of a gang are equal tasks that start together;
-// the single tasks of a step are similar, not equal.
+// Estimation of worker speeds from runs. The members of a gang are equal tasks that start together.
+// The single tasks of a step are similar but not equal.
 const (
 	// minSpeedPercent is the minimum progress for a projection of a run's duration.
 	minSpeedPercent = 3
 	// reliableSpeedPercent is the minimum progress of a single task for an estimate of its worker's
 	// speed. The rounding error of the projection is then at most a twentieth.
 	reliableSpeedPercent = 10
-	// slowRatio is the time per work, relative to the median worker's, from which gangs avoid a
-	// worker.
+	// slowRatio is the slowness from which gangs avoid a worker: its time per work relative to the
+	// median worker's.
 	slowRatio = 1.12
 	// maxMedianAge is the maximum age of the cached median.
 	maxMedianAge = 250 * time.Millisecond
@@ -59,8 +59,8 @@
 	return slices.ContainsFunc(u.members, func(m *member) bool { return m.worker != nil && m.worker.rack != rack })
 }
 
-// updateSpeedsFromGang updates the speeds of a gang's workers, once per run, when all members have
-// a projected duration.
+// updateSpeedsFromGang updates the speeds of a gang's workers once per run, as soon as all members
+// have a projected duration.
 func (p *Pool) updateSpeedsFromGang(u *unit) {
 	if u.measuredRun == u.run || len(u.members) < 2 || !u.measuresSpeed() {
 		return
@@ -89,7 +89,8 @@
 	return speeds.ExpectedWork{LogTime: math.Log(u.estimate().Seconds()) + p.currentMedianLogRunTime(p.loop.Now()), Variance: model.variance()}
 }
 
-// updateSpeedFromEndedTask updates its worker's speed from the duration of a completed single task.
+// updateSpeedFromEndedTask updates the speed of a completed single task's worker from the task's
+// duration.
 func (p *Pool) updateSpeedFromEndedTask(u *unit) {
 	m := u.members[0]
 	if len(u.members) != 1 || m.worker == nil || u.runningSince.IsZero() || !u.measuresSpeed() {
@@ -100,8 +101,8 @@
 	p.updateSpeedFromTask(u)
 }
 
-// updateSpeedFromTask updates a worker's speed from a single task compared with others of its step,
-// once per run.
+// updateSpeedFromTask updates a worker's speed once per run of a single task, by a comparison with
+// other tasks of the step.
 func (p *Pool) updateSpeedFromTask(u *unit) {
 	m := u.members[0]
 	if u.measuredRun == u.run || m.worker.cold(p.loop.Now()) {
@@ -134,8 +135,9 @@
 	return p.medianLogRunTime
 }
 
-// tooSlowShareOf returns the share of workers, given their sorted log times, on which jobs of the
-// queue with the smallest stretch miss their objective.
+// tooSlowShareOf returns the share of workers that are too slow for the queue with the smallest
+// stretch: jobs of this queue miss their objective on them. The workers are given by their sorted
+// log times.
 func (p *Pool) tooSlowShareOf(logTimes []float64) float64 {
 	stretch, found := p.minStretch()
 	if !found {
