--- a/internal/pool/stalls.go
+++ b/internal/pool/stalls.go
@@ -6,8 +6,8 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Detection of stalled runs. The duration of a stall is unknown; a restart after a wait as long
-// as the time that it loses costs at most twice the optimum.
+// Detection of stalled runs. The duration of a stall is unknown. If the owner waits as long as the
+// run time that a restart loses, the cost is at most twice the optimum.
 const (
 	// A run is stalled once its progress has not changed for stallPeriod and for stallEstimateShare
 	// of its estimate. Progress is reported in whole percent, so a run that takes eight times its
@@ -15,23 +15,22 @@
 	stallPeriod        = time.Second
 	stallEstimateShare = 0.08
 	// nearEndPercent is the progress in percent from which a member of a gang may be waiting for
-	// the others.
+	// the other members.
 	nearEndPercent = 95
 	// maxStallTimeout, or maxStallTimeoutShare of the estimate if that is longer, bounds the wait
 	// for a stalled run, however much a restart loses.
 	maxStallTimeout      = 8 * time.Second
 	maxStallTimeoutShare = 0.4
-	// maxStallDoublings bounds the doublings of these times, one for each stall of the unit. Work
-	// that takes far longer than its estimate looks stalled on any worker. The longest wait is
-	// 34 minutes, one percent of two days.
+	// maxStallDoublings bounds the doublings of these times. Each stall of the unit doubles them,
+	// since work that takes far longer than its estimate looks stalled on any worker.
 	maxStallDoublings = 8
 	// slowWorkStalls is the number of stalls from which the unit's own work counts as slow.
 	slowWorkStalls = 2
 	// gangStartTimeoutShare is the share of the gang timeout after which a gang with unanswered
 	// starts is stopped.
 	gangStartTimeoutShare = 0.6
-	// firstPollDelay is the age of a run from which its worker is polled if it reports no progress,
-	// and pollInterval the minimum time between polls.
+	// firstPollDelay is the age of a run from which the owner polls a worker that reports no
+	// progress. pollInterval is the minimum time between such polls.
 	firstPollDelay = 600 * time.Millisecond
 	pollInterval   = 400 * time.Millisecond
 )
@@ -57,8 +56,8 @@
 	}
 }
 
-// checkProgress restarts a unit whose run has been stalled for long enough, and polls the worker
-// of a young run for its progress.
+// checkProgress restarts a unit whose run has been stalled for stallTimeout, and polls the worker
+// of a run that has not shown progress yet.
 func (p *Pool) checkProgress(m *member, now time.Time) {
 	stalled := p.stalledFor(m)
 	if stalled > 0 && p.adaptiveStallTimeout() && !m.unit.slowByItself() {
@@ -73,8 +72,8 @@
 	}
 }
 
-// needsPoll reports whether a run's worker should be polled: while the run shows no progress, and
-// for gangs until each member can be compared with the others.
+// needsPoll reports whether a run's worker should be polled. The worker is polled while the run
+// shows no progress. The workers of a gang are also polled until the members can be compared.
 func (p *Pool) needsPoll(m *member, now time.Time) bool {
 	u := m.unit
 	if m.state != memberRunning || !u.startedByThisOwner || u.runningSince.IsZero() || u.spec().LongRunning || now.Sub(u.runningSince) < firstPollDelay {
@@ -132,15 +131,15 @@
 	return runTime
 }
 
-// slowByItself reports whether the unit itself is slow rather than its workers, since it stalled on
-// several sets of workers.
+// slowByItself reports whether the unit itself is considered slow rather than its workers, since
+// the unit stalled on several sets of workers.
 func (u *unit) slowByItself() bool { return u.stalls >= slowWorkStalls }
 
 // restartStalled stops a stalled unit to restart it, and excludes the workers on which it stalled.
 func (p *Pool) restartStalled(u *unit) {
 	u.stalls++
 	if u.slowByItself() {
-		// The workers are not the cause, and there may be no others.
+		// The workers are not the cause, and the pool may have no other workers for the unit.
 		u.excludedWorkers = nil
 		p.stopUnit(u, "stands still")
 		return
