--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -8,8 +8,7 @@
 
 const (
 	// startTimeout is the time from sending a start to its deadline on the worker's clock. A worker
-	// that does not answer cannot have started the run after it; until then the gang waits. The
-	// poll after a reply renews the lease.
+	// does not start the run after the deadline. The poll after a reply renews the lease.
 	startTimeout = 2 * time.Second
 	// startRetryDelay is the delay before an unanswered start is sent again.
 	startRetryDelay = 50 * time.Millisecond
@@ -71,7 +70,7 @@
 	}
 	switch {
 	case sent.answered:
-		// The other copy has settled the start, but this one may still be carried out.
+		// The result of the other copy is known, but the worker may still carry out this copy.
 		m.startUnanswered = m.startUnanswered || lost
 	case err == nil:
 		sent.answered = true
@@ -116,7 +115,7 @@
 		return
 	}
 	if reason == fleet.InsufficientCapacity {
-		// The worker runs something that this owner does not know of.
+		// The worker has runs that this owner does not know.
 		w.excludedUntil = p.loop.Now().Add(insufficientCapacityExclusion)
 		p.pollNow(w)
 	}
@@ -132,7 +131,7 @@
 	p.poll(m.worker)
 	p.sendStop(m)
 	if len(m.unit.members) > 1 {
-		// The gang can no longer start completely: the other members need not wait.
+		// The gang can no longer start completely, so the other members need not wait.
 		p.stopUnit(m.unit, "start unanswered")
 	}
 }
