--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -11,7 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// scanPrefix is scanPartition limited to row names with a prefix.
+// scanPrefix reads the rows of a partition whose names have a prefix, and retries with backoff
+// until it succeeds.
 func (p *Pool) scanPrefix(table, part, prefix string, done func(rows.Listing)) {
 	p.scanWithRetry(table, part, prefix, retryDelay, done)
 }
@@ -45,16 +46,16 @@
 	}
 }
 
-// recordWorkersReadAt records as of when a table is known. That is the time of the request, since
-// the response may have been delayed in this process.
+// recordWorkersReadAt records the time as of which the worker rows are known. This is the time of
+// the request, since the response may have been delayed in this process.
 func (p *Pool) recordWorkersReadAt(table string, askedAt time.Time) {
 	if table == p.ports.WorkerTable() && askedAt.After(p.workersReadAt) {
 		p.workersReadAt = askedAt
 	}
 }
 
-// followFeed reads a table's change feed until the pool stops. If the store has compacted the
-// history after the given version, it calls again, which has to read the whole table.
+// followFeed reads a table's change feed until the pool stops. If the store no longer has the
+// history after the given version, followFeed calls reload, which has to read the whole table.
 func (p *Pool) followFeed(table string, after int64, pause time.Duration, apply func(rows.Row), reload func()) {
 	if p.closed {
 		return
@@ -84,12 +85,12 @@
 
 // workerFeedInterval is the delay between a response of the worker feed and the next request. Every
 // heartbeat completes a request, so without the delay the feed would dominate the calls to the
-// store. It delays the notice of a drain, which is at least 2 s long.
+// store. The delay is short compared with the notice of a drain.
 const workerFeedInterval = 200 * time.Millisecond
 
 // workerFeedBurst is the number of rows in a response from which the next request follows without
-// delay, so that the feed keeps up with thousands of workers. It is half of the platform's limit
-// of rows in a response.
+// delay, so that the feed keeps up in a large pool. It is below the maximum number of rows in a
+// response.
 const workerFeedBurst = 250
 
 // afterDelay calls next after a delay, or immediately if the delay is 0.
@@ -134,8 +135,8 @@
 	})
 }
 
-// scanJobs reads all partitions of the job table as one listing, with the lowest of their
-// versions.
+// scanJobs reads all partitions of the pool's jobs and merges them into one listing. The listing's
+// version is the lowest version of the partitions.
 func (p *Pool) scanJobs(done func(rows.Listing)) {
 	merged := rows.Listing{}
 	remaining := jobPartitions
