--- a/internal/pool/stragglers.go
+++ b/internal/pool/stragglers.go
@@ -7,23 +7,24 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Detection of stragglers: members of a gang that are much slower than the others, which wait
-// for them.
+// Detection of stragglers: members of a gang that are much slower than the other members. The other
+// members wait for the stragglers.
 const (
-	// stragglerRatio is the ratio of a run's projected duration to the one that its worker's known
-	// speed explains, from which the member is a straggler.
+	// stragglerRatio is the ratio from which a member is a straggler: the projected duration of its
+	// run, divided by the duration to expect at the worker's known speed.
 	stragglerRatio = 2.5
-	// maxMedianSlowness bounds the median worker's duration as a multiple of that of the fastest
-	// workers while most speeds are unknown.
+	// maxMedianSlowness bounds the median duration while most speeds are unknown. It is a multiple
+	// of the lower quartile.
 	maxMedianSlowness = 2
-	// restartOverhead is the time that a restart takes besides the repeated work: the stop, which
-	// takes up to 0.9 s on the platform, and the start.
+	// restartOverhead is the time that a restart takes besides the repeated work: the stop and the
+	// start.
 	restartOverhead = 1200 * time.Millisecond
-	// restartRatio is how many times longer than a restart the rest of the run must take.
+	// restartRatio is how many times longer than a restart the rest of the run must take for the
+	// gang to be restarted.
 	restartRatio = 1.5
 	// minProjectionAge is the minimum age of a run for a projection from its progress.
 	minProjectionAge = 500 * time.Millisecond
-	// minProgressShare is assumed for progress that is reported as 0 percent.
+	// minProgressShare is the progress assumed for a run that reports 0 percent.
 	minProgressShare = 0.005
 )
 
@@ -33,7 +34,7 @@
 	if len(u.members) < 2 || !u.startedByThisOwner || u.fromCheckpoint || u.runningSince.IsZero() {
 		return
 	}
-	// Deferred, so that the speeds learned from this run do not hide its stragglers.
+	// The update is deferred, so that the speeds learned from this run do not hide its stragglers.
 	defer p.updateSpeedsFromGang(u)
 	if p.options.DisabledMechanisms[mechanism.Stragglers] {
 		return
@@ -65,11 +66,11 @@
 // period, so that single tasks run there first.
 const slowExclusionPeriod = 2 * exclusionPeriod
 
-// medianWorkerDuration returns the projected duration of a member on the median worker, and false
-// while less than half of the members or fewer than two have a projection. It is the lower quartile
-// of the members on workers of known speed, which is robust against many stragglers. If most speeds
-// are unknown it is the median of all members, at most maxMedianSlowness times their lower
-// quartile.
+// medianWorkerDuration returns the projected duration of a member on the median worker. It returns
+// false while fewer than two members, or less than half of them, have a projection. If most speeds
+// are known, the result is the lower quartile of the durations corrected for speed, which is robust
+// against many stragglers. Otherwise it is the median of all projections, at most maxMedianSlowness
+// times their lower quartile.
 func (p *Pool) medianWorkerDuration(u *unit, now time.Time) (time.Duration, bool) {
 	var projections, corrected []time.Duration
 	for _, m := range u.members {
