--- a/internal/pool/summary.go
+++ b/internal/pool/summary.go
@@ -29,15 +29,15 @@
 	// WaitingUnits counts tasks and gangs that wait for placement.
 	WaitingUnits int `json:"waiting_units"`
 	Workers      int `json:"workers"`
-	// Unusable counts workers that get no new runs, Slow those slower than most, and Unresponsive
-	// those with unanswered calls.
+	// Unusable counts the workers that get no new runs. Slow counts the workers that gangs avoid.
+	// Unresponsive counts the workers with unanswered calls.
 	Unusable     int `json:"unusable"`
 	Slow         int `json:"slow"`
 	Unresponsive int `json:"silent"`
 	Runs         int `json:"runs"`
 	// EvacuatedZones get no new runs, and RunsInEvacuatedZones counts the runs that continue in
-	// them. EvacuationsAgeMillis is the age of this information, and EvacuationsFresh is false if
-	// it is too old for starts.
+	// these zones. EvacuationsAgeMillis is the age of the set of evacuated zones, and
+	// EvacuationsFresh is false if the set is too old for starts.
 	EvacuatedZones       []string `json:"evacuated_zones"`
 	RunsInEvacuatedZones int      `json:"runs_in_evacuated_zones"`
 	EvacuationsAgeMillis int64    `json:"evacuations_age_ms"`
