--- a/internal/pool/unexpected_runs.go
+++ b/internal/pool/unexpected_runs.go
@@ -13,8 +13,8 @@
 	run  int
 }
 
-// unexpectedRun is a run that a worker listed and that this owner did not expect there. It occupies
-// capacity until it has ended.
+// unexpectedRun is a run that a worker listed but that this owner did not expect on the worker. It
+// occupies capacity until it has ended.
 type unexpectedRun struct {
 	resources taskgraph.Resources
 	// endedBy is the time by which the run has certainly ended; zero while the worker lists it.
@@ -46,9 +46,9 @@
 	})
 }
 
-// updateUnexpected updates the unexpected runs of a worker from its report. A run that is neither
-// listed nor reported as ended is being stopped, because reports omit runs in that state; it is
-// removed after the time of a stop.
+// updateUnexpected updates the unexpected runs of a worker from its report. Reports omit runs that
+// are being stopped. A run that is neither listed nor reported as ended is therefore removed only
+// after the time that a stop may take.
 func (p *Pool) updateUnexpected(w *worker, reply fleet.Reply) {
 	for i := range reply.Ended {
 		delete(w.unexpected, runID{task: reply.Ended[i].Task, run: reply.Ended[i].Run})
@@ -78,8 +78,8 @@
 }
 
 // usageKnown reports whether everything that occupies capacity on a worker is known, for workers
-// that do not enforce their capacity. Runs that the former owner was stopping at the first contact
-// are in no report; they end within the time of a stop.
+// that do not enforce their capacity. Reports omit the runs that the former owner was stopping at
+// the first contact. These runs end within the time that a stop may take.
 func (p *Pool) usageKnown(w *worker, now time.Time) bool {
 	if p.options.DisabledSafeguards.CapacityAge || p.workersEnforceCapacity() {
 		return true
