--- a/internal/pool/unit.go
+++ b/internal/pool/unit.go
@@ -7,8 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// memberEnded releases a member's resources. It stops the rest of its gang unless the member
-// is done, and otherwise requeues the unit once no member is active.
+// memberEnded releases a member's resources. If the member is not done, memberEnded stops the other
+// members of its gang. Once no member is active, the unit is requeued.
 func (p *Pool) memberEnded(m *member, outcome fleet.EndReason) {
 	u := m.unit
 	p.unassign(m)
@@ -35,8 +35,8 @@
 	p.scheduleCycle()
 }
 
-// completeUnit marks a unit as ended after its work is done, learns from its run, and completes its
-// step and job if it was their last unit.
+// completeUnit marks a unit as ended after its work is done, and updates speeds and durations from
+// its run. The last unit of a step or job also completes the step or job.
 func (p *Pool) completeUnit(u *unit) {
 	if u.state == unitEnded || u.job.pendingState.Final() {
 		return
