--- a/internal/pool/unresponsive.go
+++ b/internal/pool/unresponsive.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Idle workers are not polled. When many workers stop responding at once, such as all those of a
-// rack, a switch or a zone, the idle ones among them would be detected only when a gang is placed
-// there and fails to start. So all idle workers are polled when that happens, at most once per
-// idlePollInterval.
+// Idle workers are not polled. If all workers of a rack, a switch or a zone stop responding at
+// once, the owner would detect the idle workers among them only when a gang is placed on them and
+// fails to start. When many workers stop responding at once, the owner therefore polls all idle
+// workers, at most once per idlePollInterval.
 
 const (
 	// unresponsiveThreshold is how many workers have to stop responding within unresponsiveWindow.
