--- a/internal/pool/wait_reasons.go
+++ b/internal/pool/wait_reasons.go
@@ -30,8 +30,8 @@
 	waitLocality waitReason = "no near place"
 )
 
-// waitReasonPeriod is the minimum time between two updates of a step's wait reason. It takes
-// several searches for a placement, and only logs need it.
+// waitReasonPeriod is the minimum time between two updates of a step's wait reason. An update takes
+// several searches for a placement, and only logs need the wait reason.
 const waitReasonPeriod = 250 * time.Millisecond
 
 // updateWaitReason updates the wait reason of the step of a unit that could not be placed.
@@ -88,7 +88,7 @@
 	return u.step.waitReason
 }
 
-// unsavedWork returns the work of one member's run that its end loses, in core-seconds.
+// unsavedWork returns the work of one member's run that is lost when the run ends, in core-seconds.
 func (p *Pool) unsavedWork(u *unit, outcome fleet.EndReason, runTime time.Duration) float64 {
 	if outcome == fleet.EndDone {
 		return 0
