--- a/internal/pool/worker.go
+++ b/internal/pool/worker.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/speeds"
 )
 
-// machineState holds what is known of a worker's machine. It survives restarts of the worker,
+// machineState holds what is known of a worker's machine. It is kept when the worker restarts,
 // because a machine that fails or slows its runs keeps doing so.
 type machineState struct {
 	// excludedUntil is until when the worker gets no new work, and gangsExcludedUntil until when it
@@ -27,24 +27,24 @@
 	machineState
 	rack string
 	// claimedIncarnation is another incarnation that the worker's row names and that has not
-	// answered yet, or nil. verifying is true while it is being polled.
+	// answered yet, or nil. verifying is true while a poll of the claimed incarnation is in flight.
 	claimedIncarnation *fleet.Worker
 	verifying          bool
 	// hasRow is false once the worker's row is gone.
 	hasRow bool
-	// respondedWithoutRow is true once the worker has answered after its row was deleted: it is
-	// shutting down as planned and still serves for a while.
+	// respondedWithoutRow is true once the worker has answered after its row was deleted. Such a
+	// worker is shutting down as planned and still responds for a while.
 	respondedWithoutRow bool
 	// rowMissing is true while the row is gone but may only have expired during a store outage.
 	rowMissing bool
 	// contacted is true once the worker has answered a request with this owner's token.
 	contacted bool
-	// contactedAt is when the worker first did so.
+	// contactedAt is when the worker first answered such a request.
 	contactedAt time.Time
 	// pollQueued is true while a poll is queued, and queuedPollInFlight while a poll from the queue
 	// is in flight.
 	pollQueued, queuedPollInFlight bool
-	// members are the members that may run here, in order of assignment.
+	// members are the members that may run on the worker, in order of assignment.
 	members []*member
 	// unexpected holds the runs that the worker lists and this owner did not expect.
 	unexpected map[runID]unexpectedRun
@@ -61,7 +61,8 @@
 	// unansweredCalls counts the calls without a reply since the last reply.
 	unansweredCalls   int
 	unresponsiveSince time.Time
-	// lossyUntil is until when polls of the worker are kept short, because its replies get lost.
+	// lossyUntil is until when polls wait only briefly at the worker, because its replies may get
+	// lost.
 	lossyUntil time.Time
 	// coldStartUntil is until when the worker is slow after its start.
 	coldStartUntil time.Time
