--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -54,7 +54,7 @@
 	}
 	switch order := p.compareIncarnation(w, described.StartMillis); {
 	case order == laterIncarnation, order == earlierIncarnation && w.unansweredCalls > 0:
-		// If the known incarnation does not respond, an earlier start time may come from a clock
+		// If the known incarnation does not respond, the worker may have restarted with a clock
 		// that was set back.
 		p.verifyNextIncarnation(w, described)
 	case order == earlierIncarnation:
@@ -100,14 +100,15 @@
 	return w
 }
 
-// invalidateWorkerCaches discards what was derived from the previous set of workers.
+// invalidateWorkerCaches discards caches that depend on the set of workers.
 func (p *Pool) invalidateWorkerCaches() {
 	p.workerOrder = nil
 	p.snapshotBuffers.racks = nil
 }
 
-// handleRowGone handles the deletion of a worker row. Rows that expired during a store outage are
-// rewritten soon after it; until then the worker counts as listed.
+// handleRowGone handles the deletion of a worker row. Workers rewrite rows that expired during a
+// store outage soon after the outage. Until missingRowGrace has passed, the worker counts as
+// listed.
 func (p *Pool) handleRowGone(w *worker) {
 	w.claimedIncarnation = nil
 	remaining := p.storeRecoveredAt.Add(missingRowGrace).Sub(p.loop.Now())
@@ -153,8 +154,8 @@
 	}
 }
 
-// handleCommandError handles what all failed requests to workers have in common. It returns true if
-// the worker was replaced or this owner has lost the pool.
+// handleCommandError handles the errors that all requests to workers have in common. It returns
+// true if the worker was replaced or this owner has lost the pool.
 func (p *Pool) handleCommandError(w *worker, err error) bool {
 	switch fleet.ReasonOf(err) {
 	case fleet.Fenced:
