--- a/internal/pool/writer.go
+++ b/internal/pool/writer.go
@@ -17,20 +17,19 @@
 	serial       int
 	dirty        []*job
 	removals     []string
-	// added counts the rows ever marked dirty, and batched those of them put into a batch.
+	// added counts the rows ever marked dirty, and batched counts the rows ever put into a batch.
 	added, batched int
-	// callbacks are listed in the order in which they run.
+	// callbacks run in the order of the list.
 	callbacks []pendingCallback
 	// sending is true while a batch is in flight.
 	sending bool
-	// dueAt is the time of the next flush; zero if nothing is pending. timer cancels that
-	// flush.
-	dueAt time.Time
+	// dueAt is the time of the next flush; zero if nothing is pending. cancelFlush cancels the
+	// scheduled flush.
+	dueAt       time.Time
 	cancelFlush func()
 }
 
-// endDelay is how long the result of a run may wait for others to share its transaction. The
-// platform counts a result as recorded 100 ms after it was reported.
+// endDelay is how long the result of a run may wait to share a transaction with other results.
 const endDelay = 40 * time.Millisecond
 
 func (w *writer) busy() bool { return w.sending || len(w.dirty) > 0 || len(w.removals) > 0 }
@@ -38,10 +37,10 @@
 // persist writes a job's progress without delay.
 func (p *Pool) persist(j *job) { p.writer.add(j, 0) }
 
-// persistEnd writes a job's progress after the result of a run on which nothing waits.
+// persistEnd writes a job's progress after the end of a run. The write may be delayed by endDelay.
 func (p *Pool) persistEnd(j *job) { p.writer.add(j, p.writer.resultWriteDelay()) }
 
-// resultWriteDelay returns how long results may wait to be written.
+// resultWriteDelay returns how long the write of a run's result may be delayed.
 func (w *writer) resultWriteDelay() time.Duration {
 	if w.pool.releasing || w.pool.options.DisabledMechanisms[mechanism.CompletionBatching] {
 		return 0
@@ -75,7 +74,7 @@
 	w.flushWithin(w.resultWriteDelay())
 }
 
-// flushWithin sends the pending rows within delay, or once the batch in flight is written.
+// flushWithin schedules a flush within delay, or once the batch in flight is written.
 func (w *writer) flushWithin(delay time.Duration) {
 	due := w.pool.loop.Now().Add(delay)
 	if w.dueAt.IsZero() || due.Before(w.dueAt) {
@@ -108,8 +107,8 @@
 	})
 }
 
-// pendingCallback is a callback that runs once the first rows of those counted in writer.added are
-// written.
+// pendingCallback is a callback that runs once the first rows counted in writer.added are written.
+// rows is the number of these rows.
 type pendingCallback struct {
 	run  func()
 	rows int
@@ -128,7 +127,7 @@
 	w.send(w.nextBatch())
 }
 
-// readyCallbacks removes and returns the callbacks that wait only for rows put into a batch so far.
+// readyCallbacks removes and returns the callbacks all of whose rows have been put into a batch.
 func (w *writer) readyCallbacks() []func() {
 	var ready []func()
 	for len(w.callbacks) > 0 && w.callbacks[0].rows <= w.batched {
