--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -23,7 +23,7 @@
 		w.Workers[0].OrderOutcome = func() simulation.Outcome { return simulation.AppliedLate }
 		w.AcquirePool()
 		w.Run(time.Second)
-		w.Submit(spec(1, single(1)), batch)
+		w.Submit(spec(1, singleTaskStep(1)), batch)
 		w.Run(100 * time.Millisecond)
 		w.Cancel(jobID(1))
 		w.Run(stopDeadline)
--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -24,7 +24,7 @@
 func TestStartsFollowNewCapacity(t *testing.T) {
 	w := newUnenforcedCluster(1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
-	w.Submit(spec(1, single(20)), batch)
+	w.Submit(spec(1, singleTaskStep(20)), batch)
 	w.AcquirePool()
 	w.Run(time.Second)
 	require.Equal(t, 8, w.Workers[0].Runs())
@@ -50,7 +50,7 @@
 func shrinkDuringStoreOutage(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
 	w.DisabledSafeguards = without
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.AcquirePool()
 	w.Run(8 * time.Millisecond)
 	w.Store.Unavailable, w.Store.FeedsUnresponsive = true, true
@@ -69,7 +69,7 @@
 	w := newUnenforcedCluster(1)
 	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
-	w.Submit(spec(1, single(16)), batch)
+	w.Submit(spec(1, singleTaskStep(16)), batch)
 	owner := w.AcquirePool()
 	w.Run(time.Second)
 	owner.Process.Suspend(w.Clock.Now().Add(9 * time.Second))
@@ -102,10 +102,10 @@
 	w := newUnenforcedCluster(1)
 	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
-	w.Submit(spec(2, single(8)), batch)
+	w.Submit(spec(2, singleTaskStep(8)), batch)
 	owner := w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Cancel(jobID(2))
 	for w.Checker.DecisionCounts["stopped"] == 0 {
 		w.Run(time.Millisecond)
@@ -129,10 +129,10 @@
 	w := newUnenforcedCluster(1)
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
-	w.Submit(spec(2, single(8)), batch)
+	w.Submit(spec(2, singleTaskStep(8)), batch)
 	owner := w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Workers[0].OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 	w.Cancel(jobID(2))
 	w.Run(100 * time.Millisecond)
@@ -140,7 +140,7 @@
 	w.Workers[0].OrderOutcome = nil
 	w.AcquirePool()
 	w.Run(330 * time.Millisecond)
-	w.Submit(spec(3, single(1)), batch)
+	w.Submit(spec(3, singleTaskStep(1)), batch)
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
--- a/internal/pool/chance_losses_test.go
+++ b/internal/pool/chance_losses_test.go
@@ -17,7 +17,7 @@
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(2)), batch)
+	w.Submit(spec(1, singleTaskStep(2)), batch)
 	w.Run(2150 * time.Millisecond)
 	busyWorker(w).Restart(300*time.Millisecond, 0)
 	for w.Checker.Starts(taskOf(1, 0, 0)) < 2 {
--- a/internal/pool/cold_workers_test.go
+++ b/internal/pool/cold_workers_test.go
@@ -29,10 +29,10 @@
 	makeCold(w, w.Workers[0], 6*time.Second)
 	makeCold(w, w.Workers[1], 6*time.Second)
 	w.Run(100 * time.Millisecond)
-	w.Submit(spec(1, gang(2)), urgent)
+	w.Submit(spec(1, gangStep(2)), urgent)
 	w.Run(100 * time.Millisecond)
 	require.Zero(t, w.Workers[0].RunsOf(jobID(1))+w.Workers[1].RunsOf(jobID(1)))
-	w.Submit(spec(2, single(4)), urgent)
+	w.Submit(spec(2, singleTaskStep(4)), urgent)
 	w.Run(100 * time.Millisecond)
 	require.Equal(t, 4, w.Workers[0].RunsOf(jobID(2))+w.Workers[1].RunsOf(jobID(2)), "single tasks run on cold workers")
 	w.Run(20 * time.Second)
@@ -55,7 +55,7 @@
 				first.SlowdownFactor = 8
 			}
 			w.Run(100 * time.Millisecond)
-			step := gang(3)
+			step := gangStep(3)
 			step.EstimateMillis = 4000
 			w.Submit(spec(1, step), urgent)
 			w.Run(6 * time.Second)
--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -82,8 +82,8 @@
 // is older than evacuationReadAgeLimit.
 func (p *Pool) checkEvacuations() {
 	p.EvacuationsChanged()
-	askedAt := p.loop.Now()
-	if p.evacuationReadInFlight || askedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
+	requestedAt := p.loop.Now()
+	if p.evacuationReadInFlight || requestedAt.Sub(p.evacuatedZones().AsOf) < p.evacuationReadAgeLimit() {
 		return
 	}
 	p.evacuationReadInFlight = true
@@ -94,7 +94,7 @@
 			return
 		}
 		p.recordStoreAnswer()
-		read := evacuation.NewSet(evacuation.ParseChanges(listing.Rows, p.ports.ParseEvacuationKey), listing.Version, askedAt)
+		read := evacuation.NewSet(evacuation.ParseChanges(listing.Rows, p.ports.ParseEvacuationKey), listing.Version, requestedAt)
 		p.evacuationsRead = p.evacuationsRead.Newest(read)
 		p.EvacuationsChanged()
 	})
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -45,9 +45,9 @@
 	runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
 		w, _, zone := newEvacuatedCluster(without)
 		w.Run(evacuationElapsed)
-		w.Submit(spec(1, single(30)), batch)
+		w.Submit(spec(1, singleTaskStep(30)), batch)
 		w.Run(300 * time.Millisecond)
-		w.Submit(spec(2, gang(2)), urgent)
+		w.Submit(spec(2, gangStep(2)), urgent)
 		w.Run(8 * time.Second)
 		w.CancelEvacuation(zone)
 		w.Run(20 * time.Second)
@@ -61,7 +61,7 @@
 func TestZoneIsUsedAfterEvacuationEnds(t *testing.T) {
 	w, _, zone := newEvacuatedCluster(pool.DisabledSafeguards{})
 	w.Run(2 * time.Second)
-	w.Submit(spec(1, single(40)), batch)
+	w.Submit(spec(1, singleTaskStep(40)), batch)
 	w.Run(time.Second)
 	require.Zero(t, startsInZone(w, zone, jobID(1)))
 	w.CancelEvacuation(zone)
@@ -76,7 +76,7 @@
 	w := simulation.NewCluster(2, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 8 * time.Second }
 	w.AcquirePool()
-	w.Submit(spec(1, single(48)), batch)
+	w.Submit(spec(1, singleTaskStep(48)), batch)
 	w.Run(2 * time.Second)
 	w.Evacuate(w.Workers[0].Zone)
 	w.Run(12 * time.Second)
@@ -94,7 +94,7 @@
 	require.NotEqual(t, zone, other)
 	w.Evacuate(other)
 	w.Run(evacuationElapsed)
-	w.Submit(spec(1, single(4), gang(2)), urgent)
+	w.Submit(spec(1, singleTaskStep(4), gangStep(2)), urgent)
 	w.Run(30 * time.Second)
 	require.Zero(t, w.Checker.JobStarts(jobID(1)))
 	require.False(t, w.StoredState(jobID(1)).Final())
@@ -118,7 +118,7 @@
 			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = true, true
 			w.Evacuate(w.Workers[0].Zone)
 			w.Run(evacuationElapsed)
-			w.Submit(spec(1, single(40)), urgent)
+			w.Submit(spec(1, singleTaskStep(40)), urgent)
 			row := acceptedRow(w, jobID(1))
 			owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 			w.Run(3 * time.Second)
@@ -137,7 +137,7 @@
 			w.Store.FeedsUnresponsive, w.Store.ScansUnresponsive = true, true
 			w.Evacuate(w.Workers[0].Zone)
 			owner.Process.Suspend(w.Clock.Now().Add(evacuationElapsed))
-			w.Submit(spec(1, single(40)), urgent)
+			w.Submit(spec(1, singleTaskStep(40)), urgent)
 			row := acceptedRow(w, jobID(1))
 			owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 			w.Run(evacuationElapsed + time.Second)
@@ -153,7 +153,7 @@
 		owner.Process.Kill()
 		w.Store.ScansUnresponsive = true
 		w.Clock.After(3*time.Second, func() { w.Store.ScansUnresponsive = false })
-		w.Submit(spec(1, single(40)), urgent)
+		w.Submit(spec(1, singleTaskStep(40)), urgent)
 		w.AcquirePool()
 		w.Run(5 * time.Second)
 		require.Zero(t, startsInZone(w, zone, jobID(1)))
@@ -174,7 +174,7 @@
 		w.AcquirePool()
 		w.Run(time.Second)
 		w.Store.Latency = 2600 * time.Millisecond
-		w.Submit(spec(1, single(40)), urgent)
+		w.Submit(spec(1, singleTaskStep(40)), urgent)
 		w.Run(6 * time.Millisecond)
 		w.Evacuate(w.Workers[0].Zone)
 		w.Run(3 * time.Second)
@@ -196,7 +196,7 @@
 	first := w.Workers[0]
 	first.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 	w.Workers[1].OrderOutcome = first.OrderOutcome
-	w.Submit(spec(1, single(16)), urgent)
+	w.Submit(spec(1, singleTaskStep(16)), urgent)
 	w.Run(50 * time.Millisecond)
 	w.Evacuate(first.Zone)
 	w.Clock.After(2*time.Second, func() { first.OrderOutcome, w.Workers[1].OrderOutcome = nil, nil })
--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -55,7 +55,7 @@
 	w := simulation.NewCluster(1, 3)
 	w.DisabledSafeguards = without
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
-	long := single(4)
+	long := singleTaskStep(4)
 	long.EstimateMillis = 6000
 	w.Submit(spec(1, long), batch)
 	first := w.AcquirePool()
@@ -124,7 +124,7 @@
 				queue = urgent
 			}
 			queue.MaxAttempts = 10
-			w.Submit(spec(jobs, single(1+random.IntN(6)), gang(1+random.IntN(3))), queue)
+			w.Submit(spec(jobs, singleTaskStep(1+random.IntN(6)), gangStep(1+random.IntN(3))), queue)
 			jobs++
 		}
 		switch random.IntN(8) {
--- a/internal/pool/feed_rate_test.go
+++ b/internal/pool/feed_rate_test.go
@@ -55,7 +55,7 @@
 	w.Run(2 * time.Second)
 	leaving := drainFirstWorker(w)
 	w.Run(300 * time.Millisecond)
-	w.Submit(spec(1, single(6)), urgent)
+	w.Submit(spec(1, singleTaskStep(6)), urgent)
 	w.Run(200 * time.Millisecond)
 	require.Zero(t, leaving.RunsOf(jobID(1)))
 	w.Run(10 * time.Second)
--- a/internal/pool/fuzz_test.go
+++ b/internal/pool/fuzz_test.go
@@ -20,8 +20,8 @@
 	for _, worker := range w.Workers {
 		worker.Unhealthy = key.Table == pool.JobTable
 	}
-	w.Submit(spec(1, single(2), gang(2)), batch)
-	w.Submit(spec(2, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(2), gangStep(2)), batch)
+	w.Submit(spec(2, singleTaskStep(1)), batch)
 	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: value}}})
 	w.AcquirePool()
 	w.Run(300 * time.Millisecond)
@@ -44,10 +44,10 @@
 }
 
 func FuzzAcceptedRow(f *testing.F) {
-	f.Add(pool.Encode(pool.Accepted{Spec: spec(3, single(2)), Queue: batch}))
+	f.Add(pool.Encode(pool.Accepted{Spec: spec(3, singleTaskStep(2)), Queue: batch}))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		var accepted pool.Accepted
-		if json.Unmarshal(value, &accepted) == nil && mostTasks(&accepted.Spec) > fuzzedTasks {
+		if json.Unmarshal(value, &accepted) == nil && maxStepCount(&accepted.Spec) > fuzzedTasks {
 			t.Skip("too many tasks in one step for a fuzz iteration")
 		}
 		// The simulation does not know the job, so the workers must not start it.
@@ -58,8 +58,8 @@
 // fuzzedTasks limits the tasks of one step of a fuzzed job.
 const fuzzedTasks = 500
 
-// mostTasks returns the number of tasks of the job's widest step.
-func mostTasks(spec *taskgraph.Spec) int {
+// maxStepCount returns the number of tasks of the job's widest step.
+func maxStepCount(spec *taskgraph.Spec) int {
 	most := 0
 	for i := range spec.Steps {
 		most = max(most, spec.Steps[i].Count)
--- a/internal/pool/hedging.go
+++ b/internal/pool/hedging.go
@@ -33,8 +33,8 @@
 	answered bool
 }
 
-// awaitingFirst reports whether one copy is pending and the command is not answered.
-func (c *hedgedCall) awaitingFirst() bool { return c.pending == 1 && !c.answered }
+// oneCopyPending reports whether one copy is pending and the command is not answered.
+func (c *hedgedCall) oneCopyPending() bool { return c.pending == 1 && !c.answered }
 
 // hedgedCommand is a hedged command to a worker.
 type hedgedCommand struct {
@@ -64,7 +64,7 @@
 	}
 	sendCopy()
 	p.loop.After(p.hedgeDelay(), func() {
-		if command.isCurrent() && command.shouldRetry() && state.awaitingFirst() {
+		if command.isCurrent() && command.shouldRetry() && state.oneCopyPending() {
 			p.record.Count("retries", command.name+"_unanswered")
 			sendCopy()
 		}
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -32,14 +32,14 @@
 // than the ends before the restart. If holdsLost is true, replies to polls are lost for a while.
 func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
 	w, _ := newClusterWithOneWorker(without)
-	w.Submit(spec(1, single(4)), batch)
+	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
 	former.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 	once := batch
 	once.MaxAttempts = 1
 	for n := range 3 {
-		w.Submit(spec(10+n, single(1)), once)
+		w.Submit(spec(10+n, singleTaskStep(1)), once)
 	}
 	for w.Checker.DecisionCounts["run ended"] == 0 {
 		w.Run(time.Millisecond)
@@ -96,7 +96,7 @@
 				return simulation.Acknowledged
 			}
 		}
-		w.Submit(spec(1, single(1)), batch)
+		w.Submit(spec(1, singleTaskStep(1)), batch)
 		// The deadline of the late start is ahead of the clock after the restart.
 		w.Run(2500 * time.Millisecond)
 		busyWorker(w).Restart(50*time.Millisecond, 0)
@@ -122,7 +122,7 @@
 	other.Unhealthy, w.Store.FeedsUnresponsive = true, true
 	w.Workers[2].Restart(50*time.Millisecond, 0)
 	w.Run(100 * time.Millisecond)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	for w.Checker.DecisionCounts["worker restarted"] == 0 {
@@ -145,7 +145,7 @@
 	w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	w.Store.FeedsUnresponsive = true
 	w.Store.Latency = 400 * time.Millisecond
-	w.Submit(spec(1, single(2)), batch)
+	w.Submit(spec(1, singleTaskStep(2)), batch)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(100 * time.Millisecond)
@@ -176,7 +176,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
-			w.Submit(spec(1, single(4)), batch)
+			w.Submit(spec(1, singleTaskStep(4)), batch)
 			w.Run(time.Second)
 			if c.killBefore {
 				owner.Process.Kill()
@@ -201,7 +201,7 @@
 // lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
 	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Run(time.Second)
 	w.Workers[0].Restart(500*time.Millisecond, 0)
 	w.Run(1000 * time.Millisecond)
@@ -217,12 +217,12 @@
 	former := w.Workers[0]
 	former.Restart(100*time.Millisecond, 0)
 	w.Run(time.Second)
-	w.Submit(spec(1, single(4)), batch)
+	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(500 * time.Millisecond)
 	former.Draining = true
 	w.PutWorkerRow(former)
 	w.Run(500 * time.Millisecond)
-	w.Submit(spec(2, single(2)), batch)
+	w.Submit(spec(2, singleTaskStep(2)), batch)
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
@@ -250,7 +250,7 @@
 		w.PutWorkerRow(worker)
 	}
 	w.AcquirePool()
-	w.Submit(spec(1, single(8), gang(2)), batch)
+	w.Submit(spec(1, singleTaskStep(8), gangStep(2)), batch)
 	w.Run(10 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -279,8 +279,8 @@
 	next.Labels = []string{"a", "r-7"}
 	w.PutWorkerRow(next)
 	w.Run(5 * time.Second)
-	w.Submit(spec(1, single(11)), batch)
-	special := single(1)
+	w.Submit(spec(1, singleTaskStep(11)), batch)
+	special := singleTaskStep(1)
 	special.RequiredLabel = "special"
 	w.Submit(spec(2, special), batch)
 	w.Run(time.Second)
@@ -299,7 +299,7 @@
 			w := simulation.NewCluster(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 			owner := w.AcquirePool()
-			w.Submit(spec(1, single(6), gang(2)), batch)
+			w.Submit(spec(1, singleTaskStep(6), gangStep(2)), batch)
 			w.Run(time.Second + offset)
 			owner.Process.Kill()
 			w.Workers[0].Restart(20*time.Millisecond, ahead)
@@ -328,7 +328,7 @@
 	w.Crashing[crashing] = crashAfterStart
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(30 * time.Second)
 	requireJobFailed(t, w, crashing, 2)
 }
@@ -345,13 +345,13 @@
 	many := batch
 	many.MaxAttempts = 50
 	for n := 1; w.Checker.DecisionCounts["failing worker excluded"] == 0; n++ {
-		w.Submit(spec(n, single(1)), many)
+		w.Submit(spec(n, singleTaskStep(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
 	failing.Restart(50*time.Millisecond, farAheadClock)
 	w.Run(60 * time.Millisecond)
 	next := w.Workers[2]
-	w.Submit(spec(90, single(1)), many)
+	w.Submit(spec(90, singleTaskStep(1)), many)
 	w.Run(time.Second)
 	require.Zero(t, next.Runs(), "the penalty outlasts the restart")
 	w.Workers[1].Unhealthy = false
@@ -367,7 +367,7 @@
 		t.Run(name, func(t *testing.T) {
 			w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 			if busy {
-				w.Submit(spec(1, single(2)), batch)
+				w.Submit(spec(1, singleTaskStep(2)), batch)
 			}
 			w.Run(time.Second)
 			former := w.Workers[0]
@@ -377,7 +377,7 @@
 			next.StartMillis = former.StartMillis - 60_000
 			w.PutWorkerRow(next)
 			w.Run(time.Second)
-			w.Submit(spec(2, single(2)), batch)
+			w.Submit(spec(2, singleTaskStep(2)), batch)
 			for range 14 {
 				// A heartbeat.
 				w.PutWorkerRow(next)
@@ -411,7 +411,7 @@
 	w.Workers[0].Restart(50*time.Millisecond, 0)
 	w.Run(100 * time.Millisecond)
 	answersLost = true
-	step := gang(2)
+	step := gangStep(2)
 	step.GPUs, step.CPU, step.MaxPerWorker = 4, 4000, 1
 	w.Submit(spec(1, step), batch)
 	row := acceptedRow(w, jobID(1))
--- a/internal/pool/invalid_worker_rows_test.go
+++ b/internal/pool/invalid_worker_rows_test.go
@@ -14,13 +14,13 @@
 
 // requireRunsSurviveInvalidRow starts tasks on the only worker, then makes its row invalid: they
 // must run to completion, and nothing may start there until the row is valid again.
-func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.Cluster, spoil func()) {
+func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.Cluster, invalidate func()) {
 	t.Helper()
-	w.Submit(spec(1, single(4)), batch)
+	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(time.Second)
-	spoil()
+	invalidate()
 	w.Run(500 * time.Millisecond)
-	w.Submit(spec(2, single(2)), batch)
+	w.Submit(spec(2, singleTaskStep(2)), batch)
 	w.Run(10 * time.Second)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
@@ -49,7 +49,7 @@
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	owner := w.AcquirePool()
-	w.Submit(spec(1, single(4)), batch)
+	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(time.Second)
 	w.PutInvalidRow(w.Workers[0].ID, []byte("null"))
 	w.Run(500 * time.Millisecond)
@@ -70,7 +70,7 @@
 		w.PutInvalidRow(fmt.Sprintf("foreign-%d", n), []byte("{}"))
 	}
 	w.AcquirePool()
-	w.Submit(spec(1, single(16)), batch)
+	w.Submit(spec(1, singleTaskStep(16)), batch)
 	w.Run(3 * time.Second)
 	for n := range 3000 {
 		w.PutInvalidRow(fmt.Sprintf("foreign-%d", n), []byte("[]"))
--- a/internal/pool/job_announcement_test.go
+++ b/internal/pool/job_announcement_test.go
@@ -26,7 +26,7 @@
 	owner := w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.FeedsUnresponsive = true
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(100 * time.Millisecond)
 	require.Zero(t, w.Checker.Starts(taskgraph.TaskName{Job: jobID(1)}))
 	row := acceptedRow(w, jobID(1))
@@ -45,7 +45,7 @@
 func TestLateAnnouncementIsIgnored(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	owner := w.AcquirePool()
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	row := acceptedRow(w, jobID(1))
 	w.Run(5 * time.Minute)
 	require.Empty(t, w.Store.List(pool.JobTable, row.Part, jobID(1)).Rows, "removed")
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -21,7 +21,7 @@
 // startLongTask starts a job of one long task under a first owner.
 func startLongTask(w *simulation.Cluster) *simulation.Owner {
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-	long := single(1)
+	long := singleTaskStep(1)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
 	owner := w.AcquirePool()
@@ -72,7 +72,7 @@
 	w.Run(3 * time.Millisecond)
 	next.PartitionedFromStore = true
 	for n := 2; n < 22; n++ {
-		w.Submit(spec(n, single(1)), batch)
+		w.Submit(spec(n, singleTaskStep(1)), batch)
 		w.Run(400 * time.Millisecond)
 	}
 	next.PartitionedFromStore = false
@@ -148,7 +148,7 @@
 	former := w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.Latency = 40 * time.Millisecond
-	long := single(1)
+	long := singleTaskStep(1)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
 	// The feed delivers the job at once; the write is in flight.
@@ -185,7 +185,7 @@
 	w := simulation.NewCluster(1, 1)
 	w.AcquirePool()
 	w.Run(10 * time.Minute)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.Run(100 * time.Millisecond)
 	require.Equal(t, 1, w.Workers[0].Runs())
 }
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -39,9 +39,9 @@
 	crashing := taskOf(2, 0, 0)
 	w.Crashing[crashing] = crashAfterStart
 	w.AcquirePool()
-	w.Submit(spec(1, single(30)), batch)
+	w.Submit(spec(1, singleTaskStep(30)), batch)
 	w.Run(time.Second)
-	w.Submit(spec(2, single(1)), urgent)
+	w.Submit(spec(2, singleTaskStep(1)), urgent)
 	w.Run(60 * time.Second)
 	requireJobFailed(t, w, crashing, 2)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -72,7 +72,7 @@
 	w.Crashing[crashing] = crashAfterStart
 	owner := w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	for range 8 {
 		w.Run(killAfter)
 		owner.Process.Kill()
@@ -97,7 +97,7 @@
 		fail(worker)
 	}
 	w.Run(5 * time.Second)
-	w.Submit(spec(1, single(3)), urgent)
+	w.Submit(spec(1, singleTaskStep(3)), urgent)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(8 * time.Second)
@@ -133,7 +133,7 @@
 	}
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(90 * time.Second)
 	requireJobFailed(t, w, crashing, 5)
 }
@@ -145,7 +145,7 @@
 	w.Work = func(taskgraph.TaskName) time.Duration { return 800 * time.Millisecond }
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	for range 4 {
 		for tries := 0; tries < 200 && len(workersOf(w, jobID(1))) == 0; tries++ {
 			w.Run(50 * time.Millisecond)
@@ -175,7 +175,7 @@
 	w := simulation.NewCluster(1, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	owner := w.AcquirePool()
-	w.Submit(spec(9, single(8*workers-2)), batch)
+	w.Submit(spec(9, singleTaskStep(8*workers-2)), batch)
 	w.Run(time.Second)
 	var freeWorker *simulation.Worker
 	for _, worker := range w.Workers {
@@ -184,7 +184,7 @@
 		}
 	}
 	freeWorker.Partitioned = true
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(300 * time.Millisecond)
 	freeWorker.ReplaceWithoutReset()
 	for range 3 {
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -27,7 +27,7 @@
 			return simulation.Acknowledged
 		}
 	}
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
@@ -41,7 +41,7 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	w.Workers[0].Unreachable = true
-	w.Submit(spec(1, single(12)), batch)
+	w.Submit(spec(1, singleTaskStep(12)), batch)
 	w.Run(200 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[1].Runs())
 	w.Run(10 * time.Second)
@@ -62,12 +62,12 @@
 	}
 	w.Store.Unavailable = false
 	w.Run(1500 * time.Millisecond)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.Run(300 * time.Millisecond)
 	require.Equal(t, 1, w.Workers[0].Runs()+w.Workers[1].Runs(), "started on a worker whose row is not back yet")
 	w.PutWorkerRow(w.Workers[0])
 	w.Run(2 * time.Second)
-	w.Submit(spec(2, single(12)), batch)
+	w.Submit(spec(2, singleTaskStep(12)), batch)
 	w.Run(300 * time.Millisecond)
 	require.Equal(t, 8, w.Workers[0].Runs())
 	require.LessOrEqual(t, w.Workers[1].Runs(), 1, "a worker whose row does not come back is gone")
@@ -87,19 +87,19 @@
 		second := at > 5900*time.Millisecond && at < 6100*time.Millisecond
 		return first || second
 	}
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.AcquirePool()
 	w.Run(7500 * time.Millisecond)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// failFirstOrder returns a function that gives the first order this outcome and answers all others.
-func failFirstOrder(fate simulation.Outcome) func() simulation.Outcome {
+// failFirstCommand returns a function that gives the first order this outcome and answers all others.
+func failFirstCommand(outcome simulation.Outcome) func() simulation.Outcome {
 	orders := 0
 	return func() simulation.Outcome {
 		if orders++; orders == 1 {
-			return fate
+			return outcome
 		}
 		return simulation.Acknowledged
 	}
@@ -113,10 +113,10 @@
 		t.Run(name, func(t *testing.T) {
 			w := simulation.NewCluster(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-			w.Workers[0].OrderOutcome = failFirstOrder(fate)
+			w.Workers[0].OrderOutcome = failFirstCommand(fate)
 			w.AcquirePool()
 			w.Run(100 * time.Millisecond)
-			w.Submit(spec(1, gang(2)), urgent)
+			w.Submit(spec(1, gangStep(2)), urgent)
 			w.Run(200 * time.Millisecond)
 			require.Equal(t, 2, w.Workers[0].Runs()+w.Workers[1].Runs())
 			w.Run(2 * time.Second)
@@ -134,10 +134,10 @@
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	w.AcquirePool()
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Run(500 * time.Millisecond)
-	w.Workers[0].OrderOutcome = failFirstOrder(simulation.Dropped)
-	w.Submit(spec(2, gang(1)), urgent)
+	w.Workers[0].OrderOutcome = failFirstCommand(simulation.Dropped)
+	w.Submit(spec(2, gangStep(1)), urgent)
 	w.Run(simulation.StopTime + 250*time.Millisecond)
 	require.Equal(t, 1, w.Workers[0].RunsOf(jobID(2)))
 	w.Run(20 * time.Second)
@@ -159,11 +159,11 @@
 		}
 		return 6 * time.Second
 	}
-	long := single(2)
+	long := singleTaskStep(2)
 	long.EstimateMillis = 6000
 	w.Submit(spec(1, long), batch)
-	w.Submit(spec(2, single(1)), batch)
-	w.Submit(spec(3, single(1)), batch)
+	w.Submit(spec(2, singleTaskStep(1)), batch)
+	w.Submit(spec(3, singleTaskStep(1)), batch)
 	w.AcquirePool()
 	w.Run(time.Second)
 	leaving := workersOf(w, jobID(2))[0]
@@ -200,7 +200,7 @@
 	w.Workers[1].OrderOutcome = nil
 	w.AcquirePool()
 	w.Run(500 * time.Millisecond)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.Run(15 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -218,7 +218,7 @@
 	for _, worker := range w.Workers[:1] {
 		worker.Partitioned = true
 	}
-	w.Submit(spec(1, gang(4)), urgent)
+	w.Submit(spec(1, gangStep(4)), urgent)
 	w.Run(2*gangWork + 250*time.Millisecond)
 	require.Equal(t, 2, w.Checker.Starts(taskOf(1, 0, 3)), "placed twice")
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
--- a/internal/pool/ownership_confirmation.go
+++ b/internal/pool/ownership_confirmation.go
@@ -37,8 +37,8 @@
 // checkOwnership reads the lease row if the last confirmation of ownership is older than
 // ownershipCheckInterval.
 func (p *Pool) checkOwnership() {
-	askedAt := p.loop.Now()
-	if p.confirmingOwnership || !p.loaded || askedAt.Sub(p.ownershipConfirmedAt) < ownershipCheckInterval {
+	requestedAt := p.loop.Now()
+	if p.confirmingOwnership || !p.loaded || requestedAt.Sub(p.ownershipConfirmedAt) < ownershipCheckInterval {
 		return
 	}
 	p.confirmingOwnership = true
@@ -54,6 +54,6 @@
 				return
 			}
 		}
-		p.ConfirmOwnership(askedAt)
+		p.ConfirmOwnership(requestedAt)
 	})
 }
--- a/internal/pool/poison_full_pool_test.go
+++ b/internal/pool/poison_full_pool_test.go
@@ -24,7 +24,7 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	for n := range jobs {
-		step := single(1 + random.IntN(6))
+		step := singleTaskStep(1 + random.IntN(6))
 		step.GPUs = 1 << random.IntN(3)
 		step.EstimateMillis = max(int64(200+random.IntN(1300)), 2*crash.After.Milliseconds())
 		step.Gang = random.IntN(10) < 3
--- a/internal/pool/policy_test.go
+++ b/internal/pool/policy_test.go
@@ -16,7 +16,7 @@
 	w := simulation.NewCluster(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	w.Workers[0].Stalled = true
-	w.Submit(spec(1, single(12), gang(2)), batch)
+	w.Submit(spec(1, singleTaskStep(12), gangStep(2)), batch)
 	w.AcquirePool()
 	w.Run(25 * time.Second)
 	requireInvariants(t, w)
@@ -29,15 +29,15 @@
 func TestNoStarvationWithFreeResources(t *testing.T) {
 	w := simulation.NewCluster(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-	long := single(32)
+	long := singleTaskStep(32)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
 	w.AcquirePool()
 	w.Run(time.Second)
-	deferrable := single(1)
+	deferrable := singleTaskStep(1)
 	deferrable.EstimateMillis = 30000
 	w.Submit(spec(2, deferrable), batch)
-	local := single(1)
+	local := singleTaskStep(1)
 	local.EstimateMillis = 30000
 	local.PreferredRack = "r-0"
 	w.Submit(spec(3, local), batch)
@@ -53,7 +53,7 @@
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
 	wholeWorker := func() taskgraph.Step {
-		step := single(1)
+		step := singleTaskStep(1)
 		step.GPUs, step.EstimateMillis = 8, 5000
 		return step
 	}
@@ -82,16 +82,16 @@
 	slow.SlowdownFactor = 1.3
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, gang(4)), batch)
+	w.Submit(spec(1, gangStep(4)), batch)
 	w.Run(8 * time.Second)
 	for n := 2; n < 6; n++ {
-		w.Submit(spec(n, gang(3)), batch)
+		w.Submit(spec(n, gangStep(3)), batch)
 		w.Run(time.Second)
 		require.Zero(t, slow.Runs(), "job %d", n)
 		w.Run(6 * time.Second)
 		require.Equal(t, taskgraph.Completed, w.StoredState(jobID(n)))
 	}
-	w.Submit(spec(6, gang(4)), batch)
+	w.Submit(spec(6, gangStep(4)), batch)
 	w.Run(time.Second)
 	require.Equal(t, 1, slow.Runs(), "the slow worker is used if no other is free")
 	requireInvariants(t, w)
@@ -103,12 +103,12 @@
 	w := simulation.NewCluster(2, 2)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 1500 * time.Millisecond }
 	sameRackGang := func(count int) taskgraph.Step {
-		step := gang(count)
+		step := gangStep(count)
 		step.SameRack = true
 		return step
 	}
 	// Each rack has one free worker for a second and a half.
-	w.Submit(spec(1, gang(1)), urgent)
+	w.Submit(spec(1, gangStep(1)), urgent)
 	w.AcquirePool()
 	w.Run(300 * time.Millisecond)
 	w.Submit(spec(2, sameRackGang(2)), urgent)
--- a/internal/pool/poll_queue_test.go
+++ b/internal/pool/poll_queue_test.go
@@ -21,7 +21,7 @@
 		worker.Draining = worker != last
 		w.PutWorkerRow(worker)
 	}
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	first := w.AcquirePool()
 	w.Run(time.Second)
 	require.Equal(t, 1, last.Runs())
@@ -38,7 +38,7 @@
 	for _, worker := range w.Workers {
 		worker.Partitioned = false
 	}
-	w.Submit(spec(2, single(100)), batch)
+	w.Submit(spec(2, singleTaskStep(100)), batch)
 	w.Run(10 * time.Second)
 	running := 0
 	for _, worker := range w.Workers {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -22,14 +22,14 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// single returns a step of identical tasks with one accelerator each.
-func single(count int) taskgraph.Step {
+// singleTaskStep returns a step of identical tasks with one accelerator each.
+func singleTaskStep(count int) taskgraph.Step {
 	return taskgraph.Step{Count: count, Resources: taskgraph.Resources{CPU: 4000, MemoryMB: 20000, GPUs: 1}, EstimateMillis: 1000}
 }
 
-// gang returns a gang step whose tasks use all accelerators of a worker.
-func gang(count int) taskgraph.Step {
-	step := single(count)
+// gangStep returns a gangStep step whose tasks use all accelerators of a worker.
+func gangStep(count int) taskgraph.Step {
+	step := singleTaskStep(count)
 	step.GPUs = 8
 	step.Gang = true
 	return step
@@ -59,11 +59,11 @@
 
 func TestGraphOfStepsRunsInOrder(t *testing.T) {
 	w := simulation.NewCluster(2, 4)
-	second := single(3)
+	second := singleTaskStep(3)
 	second.After = []int{0}
-	third := gang(2)
+	third := gangStep(2)
 	third.After = []int{0, 1}
-	w.Submit(spec(1, single(5), second, third), batch)
+	w.Submit(spec(1, singleTaskStep(5), second, third), batch)
 	w.AcquirePool()
 	w.Run(5 * time.Second)
 	requireInvariants(t, w)
@@ -74,12 +74,12 @@
 // write of a placement and the start.
 func TestWorkerReplacedDuringPlacement(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
-	first := spec(1, single(1))
+	first := spec(1, singleTaskStep(1))
 	w.Submit(first, batch)
 	w.AcquirePool()
 	w.Run(500 * time.Millisecond)
 	w.Store.Latency = 400 * time.Millisecond
-	w.Submit(spec(2, single(16)), batch)
+	w.Submit(spec(2, singleTaskStep(16)), batch)
 	w.Run(600 * time.Millisecond)
 	for _, worker := range w.Workers {
 		if worker.ID == "w-0-0" {
@@ -95,7 +95,7 @@
 func TestTakeoverAfterKill(t *testing.T) {
 	w := simulation.NewCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
-	w.Submit(spec(1, single(4), gang(3)), batch)
+	w.Submit(spec(1, singleTaskStep(4), gangStep(3)), batch)
 	first := w.AcquirePool()
 	w.Run(time.Second)
 	first.Process.Kill()
@@ -113,7 +113,7 @@
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	first := w.AcquirePool()
 	w.Run(100 * time.Millisecond)
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Run(15 * time.Millisecond)
 	first.Process.Freeze(w.Clock.Now().Add(4 * time.Second))
 	w.Run(time.Second)
@@ -136,7 +136,7 @@
 		return simulation.Acknowledged
 	}
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
-	w.Submit(spec(1, single(20)), batch)
+	w.Submit(spec(1, singleTaskStep(20)), batch)
 	w.AcquirePool()
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
@@ -146,7 +146,7 @@
 func TestPartitionedWorkerLeasesExpire(t *testing.T) {
 	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
-	w.Submit(spec(1, single(24)), batch)
+	w.Submit(spec(1, singleTaskStep(24)), batch)
 	first := w.AcquirePool()
 	w.Run(time.Second)
 	w.Workers[0].Partitioned = true
@@ -160,7 +160,7 @@
 func TestStoreOutageLongerThanAnyLease(t *testing.T) {
 	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 15 * time.Second }
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.Unavailable = true
@@ -177,7 +177,7 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.UnavailablePartitions[pool.ProgressPartitions(simulation.PoolName)[0]] = true
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Run(3 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -190,7 +190,7 @@
 	w.Work = func(name taskgraph.TaskName) time.Duration {
 		return time.Second + time.Duration(name.Index)*7*time.Millisecond
 	}
-	w.Submit(spec(1, single(100)), batch)
+	w.Submit(spec(1, singleTaskStep(100)), batch)
 	owner := w.AcquirePool()
 	w.Run(1200 * time.Millisecond)
 	owner.Process.Post(owner.Release)
@@ -205,7 +205,7 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.UnresponsivePartitions[pool.ProgressPartitions(simulation.PoolName)[0]] = true
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(700 * time.Millisecond)
 	require.Equal(t, 1, w.Checker.JobStarts(jobID(1)))
 	w.Run(5 * time.Second)
@@ -224,7 +224,7 @@
 			return simulation.Acknowledged
 		}
 		for n := range 5 {
-			w.Submit(spec(n, single(6), gang(2)), batch)
+			w.Submit(spec(n, singleTaskStep(6), gangStep(2)), batch)
 		}
 		first := w.AcquirePool()
 		w.Run(2 * time.Second)
@@ -246,12 +246,12 @@
 		}
 		return 20 * time.Second
 	}
-	long := single(32)
+	long := singleTaskStep(32)
 	long.EstimateMillis = 20000
 	w.Submit(spec(1, long), batch)
 	w.AcquirePool()
 	w.Run(2 * time.Second)
-	wide := gang(3)
+	wide := gangStep(3)
 	wide.SameRack = true
 	w.Submit(spec(9, wide), urgent)
 	w.Run(2500 * time.Millisecond)
@@ -266,7 +266,7 @@
 	for _, worker := range w.Workers {
 		worker.Failing = true
 	}
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.AcquirePool()
 	w.Run(30 * time.Second)
 	requireInvariants(t, w)
@@ -278,7 +278,7 @@
 	w := simulation.NewCluster(1, 6)
 	w.Workers[0].Failing = true
 	for n := range 10 {
-		w.Submit(spec(n, single(4)), batch)
+		w.Submit(spec(n, singleTaskStep(4)), batch)
 	}
 	w.AcquirePool()
 	w.Run(20 * time.Second)
@@ -291,7 +291,7 @@
 func TestCancelStopsWhatRuns(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-	w.Submit(spec(1, single(24)), batch)
+	w.Submit(spec(1, singleTaskStep(24)), batch)
 	w.AcquirePool()
 	w.Run(time.Second)
 	w.Cancel(jobID(1))
@@ -306,7 +306,7 @@
 func TestDrainingWorkerGetsNothingAndIsEmptied(t *testing.T) {
 	w := simulation.NewCluster(1, 3)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
-	long := single(4)
+	long := singleTaskStep(4)
 	long.EstimateMillis = 6000
 	w.Submit(spec(1, long), batch)
 	w.AcquirePool()
@@ -325,7 +325,7 @@
 
 func TestRepeatedJobRunsAtItsDueTimes(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
-	timed := spec(1, single(1))
+	timed := spec(1, singleTaskStep(1))
 	timed.Repetitions, timed.IntervalMillis = 3, 2000
 	timed.FirstRunMillis = w.Clock.Now().Add(time.Second).UnixMilli()
 	w.Submit(timed, batch)
@@ -342,7 +342,7 @@
 // TestLongRunningTasksAreRestarted: long-running tasks are restarted until their job is cancelled.
 func TestLongRunningTasksAreRestarted(t *testing.T) {
 	w := simulation.NewCluster(1, 3)
-	lasting := single(3)
+	lasting := singleTaskStep(3)
 	lasting.LongRunning, lasting.AllowedMisses = true, 1
 	w.Submit(spec(1, lasting), batch)
 	w.AcquirePool()
--- a/internal/pool/reliability_test.go
+++ b/internal/pool/reliability_test.go
@@ -20,7 +20,7 @@
 		}
 		return 2 * time.Second
 	}
-	long := single(80)
+	long := singleTaskStep(80)
 	long.EstimateMillis = 20000
 	w.Submit(spec(0, long), batch)
 	w.AcquirePool()
@@ -29,7 +29,7 @@
 		worker.Failing = i%8 == 0
 	}
 	const gangs = 30
-	gangStep := single(6)
+	gangStep := singleTaskStep(6)
 	gangStep.Gang, gangStep.CPU, gangStep.GPUs, gangStep.MaxPerWorker = true, 24000, 2, 1
 	for n := 1; n <= gangs; n++ {
 		w.Submit(spec(n, gangStep), urgent)
@@ -47,13 +47,13 @@
 func TestHealthyWorkersAreUsedAgain(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	w.Workers[0].Failing = true
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.AcquirePool()
 	w.Run(500 * time.Millisecond)
 	w.Workers[0].Failing = false
-	w.Submit(spec(2, single(12)), batch)
+	w.Submit(spec(2, singleTaskStep(12)), batch)
 	w.Run(3 * time.Second)
-	w.Submit(spec(3, gang(2)), urgent)
+	w.Submit(spec(3, gangStep(2)), urgent)
 	w.Run(1500 * time.Millisecond)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(3)))
@@ -66,7 +66,7 @@
 	for i, worker := range w.Workers {
 		worker.Failing = i%3 == 0
 	}
-	spread := single(6)
+	spread := singleTaskStep(6)
 	spread.MaxPerWorker = 1
 	w.Work = func(taskgraph.TaskName) time.Duration { return 350 * time.Millisecond }
 	w.Submit(spec(1, spread), batch)
@@ -76,7 +76,7 @@
 	for _, worker := range w.Workers {
 		worker.Failing = false
 	}
-	sameRackGang := gang(3)
+	sameRackGang := gangStep(3)
 	sameRackGang.SameRack = true
 	w.Submit(spec(2, sameRackGang), urgent)
 	w.Run(300 * time.Millisecond)
--- a/internal/pool/stalls_test.go
+++ b/internal/pool/stalls_test.go
@@ -24,7 +24,7 @@
 	w := simulation.NewCluster(1, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
 	w.AcquirePool()
-	step := gang(members)
+	step := gangStep(members)
 	step.EstimateMillis = estimate.Milliseconds()
 	w.Submit(spec(1, step), batch)
 	return w
@@ -49,7 +49,7 @@
 		worker.Stalled = true
 	}
 	w.AcquirePool()
-	w.Submit(spec(1, gang(3)), urgent)
+	w.Submit(spec(1, gangStep(3)), urgent)
 	w.Run(3*gangWork - time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)), "a stall of 1.5 s, a stop and a second run fit into the time")
@@ -61,13 +61,13 @@
 	stalled := w.Workers[0]
 	stalled.Stalled = true
 	w.AcquirePool()
-	limited := single(8)
+	limited := singleTaskStep(8)
 	limited.MaxPerWorker = 2
 	w.Submit(spec(1, limited), batch)
 	w.Run(500 * time.Millisecond)
 	require.Equal(t, 2, stalled.Runs(), "the first runs are stalled there")
 	w.Run(gangWork)
-	w.Submit(spec(2, single(8)), urgent)
+	w.Submit(spec(2, singleTaskStep(8)), urgent)
 	w.Run(time.Second)
 	require.Zero(t, stalled.RunsOf(jobID(2)))
 	stalled.Stalled = false
--- a/internal/pool/store_load.go
+++ b/internal/pool/store_load.go
@@ -48,9 +48,9 @@
 
 // recordWorkersReadAt records the time as of which the worker rows are known. This is the time of
 // the request, since the response may have been delayed in this process.
-func (p *Pool) recordWorkersReadAt(table string, askedAt time.Time) {
-	if table == p.ports.WorkerTable() && askedAt.After(p.workersReadAt) {
-		p.workersReadAt = askedAt
+func (p *Pool) recordWorkersReadAt(table string, requestedAt time.Time) {
+	if table == p.ports.WorkerTable() && requestedAt.After(p.workersReadAt) {
+		p.workersReadAt = requestedAt
 	}
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	p.recordFeedVersion(table, after)
-	askedAt := p.loop.Now()
+	requestedAt := p.loop.Now()
 	p.ports.Feed(table, after, func(listing rows.Listing, err error) {
 		switch {
 		case p.closed:
@@ -77,7 +77,7 @@
 			for i := range listing.Rows {
 				apply(listing.Rows[i])
 			}
-			p.recordWorkersReadAt(table, askedAt)
+			p.recordWorkersReadAt(table, requestedAt)
 			p.afterDelay(p.feedDelay(table, listing), func() { p.followFeed(table, listing.Version, retryDelay, apply, reload) })
 		}
 	})
--- a/internal/pool/stragglers_test.go
+++ b/internal/pool/stragglers_test.go
@@ -17,7 +17,7 @@
 		worker.SlowdownFactor = 7
 	}
 	w.AcquirePool()
-	w.Submit(spec(1, gang(3)), urgent)
+	w.Submit(spec(1, gangStep(3)), urgent)
 	w.Run(3*gangWork - time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -29,9 +29,9 @@
 	slow := w.Workers[0]
 	slow.SlowdownFactor = 7
 	w.AcquirePool()
-	w.Submit(spec(1, gang(3)), urgent)
+	w.Submit(spec(1, gangStep(3)), urgent)
 	w.Run(2 * time.Second)
-	w.Submit(spec(2, single(4)), batch)
+	w.Submit(spec(2, singleTaskStep(4)), batch)
 	w.Run(time.Second)
 	require.Zero(t, slow.Runs())
 	requireInvariants(t, w)
@@ -45,7 +45,7 @@
 	w.Work = func(taskgraph.TaskName) time.Duration { return work }
 	w.Workers[0].SlowdownFactor = 2
 	w.AcquirePool()
-	step := gang(3)
+	step := gangStep(3)
 	step.EstimateMillis = work.Milliseconds()
 	w.Submit(spec(1, step), batch)
 	w.Run(3 * work)
--- a/internal/pool/unresponsive_test.go
+++ b/internal/pool/unresponsive_test.go
@@ -19,7 +19,7 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	for n := 1; n <= 6; n++ {
-		w.Submit(spec(n, gang(2)), batch)
+		w.Submit(spec(n, gangStep(2)), batch)
 	}
 	w.Run(500 * time.Millisecond)
 	// Their rows have not expired yet.
@@ -30,7 +30,7 @@
 	}
 	w.Run(3 * time.Second)
 	for n := 11; n <= 16; n++ {
-		w.Submit(spec(n, gang(2)), urgent)
+		w.Submit(spec(n, gangStep(2)), urgent)
 	}
 	w.Run(gangWork + 500*time.Millisecond)
 	requireInvariants(t, w)
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -200,7 +200,7 @@
 			queue = urgent
 		}
 		queue.MaxAttempts = 10
-		steps := []taskgraph.Step{single(1 + f.random.IntN(6)), gang(1 + f.random.IntN(3))}
+		steps := []taskgraph.Step{singleTaskStep(1 + f.random.IntN(6)), gangStep(1 + f.random.IntN(3))}
 		if f.random.IntN(12) == 0 {
 			f.addCrashingTask(steps)
 		}
--- a/internal/pool/worker_restart_test.go
+++ b/internal/pool/worker_restart_test.go
@@ -26,9 +26,9 @@
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	w.AcquirePool()
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Run(3 * time.Second)
-	w.Submit(spec(2, single(8)), queue)
+	w.Submit(spec(2, singleTaskStep(8)), queue)
 	w.Run(time.Second)
 	w.Workers[0].Restart(restartDuration, clockMillis)
 	w.Run(restartDuration + time.Millisecond)
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -11,7 +11,7 @@
 // loadWorkers lists the worker rows, then follows their feed.
 func (p *Pool) loadWorkers() {
 	table := p.ports.WorkerTable()
-	askedAt := p.loop.Now()
+	requestedAt := p.loop.Now()
 	p.scanPartition(table, "", retryDelay, func(listing rows.Listing) {
 		listed := map[string]bool{}
 		for i := range listing.Rows {
@@ -24,7 +24,7 @@
 			}
 		}
 		maps.DeleteFunc(p.invalidRows.faults, func(name string, _ fleet.RowFault) bool { return !listed[name] })
-		p.recordWorkersReadAt(table, askedAt)
+		p.recordWorkersReadAt(table, requestedAt)
 		p.followFeed(table, listing.Version, retryDelay, p.applyWorkerRow, p.loadWorkers)
 	})
 }
