--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// stopDeadline is the time after which nothing of a cancelled job may run.
+// stopDeadline is the time after a cancellation within which all runs of the job must have ended.
 const stopDeadline = 3400 * time.Millisecond
 
 // TestLateStartOfACancelledJobIsStopped: a worker carries out a start seconds after it was sent,
