--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -83,8 +83,9 @@
 	return w
 }
 
-// TestStartsWaitForFreshCapacities guards against starts by a stale capacity: after a store outage
-// or a suspension the owner's writes succeed before its feed reports that the worker has shrunk.
+// TestStartsWaitForFreshCapacities guards against starts that rely on a stale capacity. After a
+// store outage or a suspension, writes succeed before the feed reports the worker's reduced
+// capacity.
 func TestStartsWaitForFreshCapacities(t *testing.T) {
 	for name, shrink := range map[string]func(pool.DisabledSafeguards) *simulation.Cluster{
 		"takeover during a store outage": shrinkDuringStoreOutage,
@@ -96,8 +97,8 @@
 	}
 }
 
-// takeOverWhileStopping replaces an owner just after it has ordered the stop of a cancelled job
-// that fills a worker, while another job waits.
+// takeOverWhileStopping replaces an owner just after the owner has sent stops for a cancelled job.
+// The cancelled job fills a worker, and another job waits for the worker.
 func takeOverWhileStopping(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
 	w.DisabledSafeguards = without
@@ -118,13 +119,13 @@
 }
 
 // TestStoppingRunsUseResourcesAfterTakeover guards against a new owner that counts the resources of
-// stopping runs as free, since neither its rows nor the worker's report list these runs.
+// stopping runs as free. Neither the rows nor the worker's report list these runs.
 func TestStoppingRunsUseResourcesAfterTakeover(t *testing.T) {
 	requireInvariants(t, takeOverWhileStopping(pool.DisabledSafeguards{}))
 }
 
-// TestUnexpectedRunsUseResourcesUntilStopped guards against the same fault for runs that the new
-// owner stops because its rows don't list them.
+// TestUnexpectedRunsUseResourcesUntilStopped guards against counting the resources of unexpected
+// runs as free before they have ended. The new owner stops them because no row lists them.
 func TestUnexpectedRunsUseResourcesUntilStopped(t *testing.T) {
 	w := newUnenforcedCluster(1)
 	w.StopTime = w.Bounds.StopTimeout - 10*time.Millisecond
