--- a/internal/pool/chance_losses_test.go
+++ b/internal/pool/chance_losses_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestTwoChanceLossesDoNotFailJob guards against a healthy job that fails after two unrelated
-// worker restarts, which hit one of its tasks at very different ages of its runs.
+// worker restarts. Both end runs of the same task, at very different ages of the runs.
 func TestTwoChanceLossesDoNotFailJob(t *testing.T) {
 	w := simulation.NewCluster(3, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
