--- a/internal/pool/cold_workers_test.go
+++ b/internal/pool/cold_workers_test.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// TestGangsLeaveColdWorkersToSingleTasks checks that gangs avoid cold workers, since a gang is as
-// slow as its slowest member, and that single tasks run there.
+// TestGangsLeaveColdWorkersToSingleTasks checks that gangs avoid cold workers and that single tasks
+// run on cold workers. A gang is as slow as its slowest member.
 func TestGangsLeaveColdWorkersToSingleTasks(t *testing.T) {
 	w := simulation.NewCluster(1, 4)
 	w.AcquirePool()
