--- a/internal/pool/cycle_test.go
+++ b/internal/pool/cycle_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestPauseGrowsWithCycleDuration guards against scheduling cycles that take most of the processor
-// when many units wait in a full pool, and so delay run ends, commands and ping responses.
+// when many units wait. Such cycles delay run ends, commands and ping responses.
 func TestPauseGrowsWithCycleDuration(t *testing.T) {
 	cases := map[string]struct {
 		took    time.Duration
