--- a/internal/pool/durations_test.go
+++ b/internal/pool/durations_test.go
@@ -13,7 +13,7 @@
 // durations, and ignore those that don't.
 func TestDurationPrediction(t *testing.T) {
 	cases := map[string]struct {
-		// slope is the share of an estimate's deviation from the mean that the duration has too.
+		// slope is the slope of a duration's logarithm over the logarithm of its estimate.
 		slope    float64
 		estimate time.Duration
 		least    time.Duration
