--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -12,7 +12,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// evacuationElapsed is longer than the bound on starts after an evacuation's acknowledgement.
+// evacuationElapsed is longer than Bounds.EvacuationTimeout.
 const evacuationElapsed = 5500 * time.Millisecond
 
 // startsInZone returns the number of a job's runs on a zone's workers.
@@ -26,7 +26,7 @@
 	return count
 }
 
-// newEvacuatedCluster returns a simulation of two racks, each a zone, of which the first is
+// newEvacuatedCluster returns a simulation of two racks. Each rack is a zone, and the first zone is
 // evacuated.
 func newEvacuatedCluster(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner, string) {
 	w := simulation.NewCluster(2, 3)
@@ -40,7 +40,7 @@
 }
 
 // TestNothingStartsInAnEvacuatedZone checks that neither single tasks nor urgent gangs start in an
-// evacuated zone, and that waiting ones start once the evacuation ends.
+// evacuated zone. Waiting tasks and gangs must start once the evacuation ends.
 func TestNothingStartsInAnEvacuatedZone(t *testing.T) {
 	runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
 		w, _, zone := newEvacuatedCluster(without)
@@ -104,9 +104,9 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestOwnerWithStaleEvacuationsStartsNothing guards against starts by a stale or unknown set of
-// evacuated zones: the store answers an owner's writes but not its reads, the owner was suspended,
-// or it is new.
+// TestOwnerWithStaleEvacuationsStartsNothing guards against starts while the set of evacuated zones
+// is stale or unknown. The store answers only the owner's writes, or the owner was suspended or is
+// new.
 func TestOwnerWithStaleEvacuationsStartsNothing(t *testing.T) {
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
 		runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
