--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestRandomFaults injects kills and freezes of owners, lost orders and writes, network
+// TestRandomFaults injects kills and freezes of owners, lost commands and writes, network
 // partitions and store outages. All invariants must hold and all jobs must complete.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(faultSeeds) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestCheckerDetectsDisabledSafeguards disables one safeguard at a time: at least one of the seeds
-// that pass with all of them must then violate an invariant.
+// TestCheckerDetectsDisabledSafeguards disables one safeguard at a time. At least one seed that
+// passes with all safeguards must then violate an invariant.
 func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
 	cases := map[string]pool.DisabledSafeguards{
 		"lease wait":     {LeaseExpiryWait: true},
@@ -50,7 +50,7 @@
 	}
 }
 
-// takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
+// takeoverDuringStop kills an owner just after the owner has sent a stop, and starts a new owner.
 func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 3)
 	w.DisabledSafeguards = without
@@ -70,8 +70,8 @@
 	return w
 }
 
-// TestTakeoverDuringStop: a new owner must not take a run that is being stopped for one that
-// was never started.
+// TestTakeoverDuringStop guards against a new owner that considers a run that is being stopped as
+// never started.
 func TestTakeoverDuringStop(t *testing.T) {
 	requireInvariantsNeed(t, takeoverDuringStop, pool.DisabledSafeguards{StopConfirmation: true})
 }
