--- a/internal/pool/feed_rate_test.go
+++ b/internal/pool/feed_rate_test.go
@@ -9,7 +9,7 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// heartbeat is the period in which workers of the platform write their rows.
+// heartbeat is the period in which workers write their rows.
 const heartbeat = 1500 * time.Millisecond
 
 // writeHeartbeats lets every worker write its row once per period, spread evenly over it.
@@ -46,8 +46,8 @@
 	return leaving
 }
 
-// TestDrainsAreKnownSoonAmidHeartbeats: a drain is noticed promptly amid frequent heartbeats; the
-// platform's shortest bound is 2 s.
+// TestDrainsAreKnownSoonAmidHeartbeats checks that the owner notices a drain promptly amid frequent
+// heartbeats.
 func TestDrainsAreKnownSoonAmidHeartbeats(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	writeHeartbeats(w, 300*time.Millisecond)
@@ -62,8 +62,8 @@
 	requireInvariants(t, w)
 }
 
-// TestWorkerFeedOfLargePoolKeepsUp: 4,500 workers write 3,000 rows a second, and the owner's worker
-// list must not fall behind.
+// TestWorkerFeedOfLargePoolKeepsUp checks that the owner's worker list stays up to date when many
+// workers write their rows often.
 func TestWorkerFeedOfLargePoolKeepsUp(t *testing.T) {
 	w := simulation.NewCluster(45, 100)
 	w.Checker.Quiet = true
