--- a/internal/pool/hedging.go
+++ b/internal/pool/hedging.go
@@ -33,7 +33,7 @@
 	answered bool
 }
 
-// oneCopyPending reports whether one copy is pending and the command is not answered.
+// oneCopyPending reports whether exactly one copy is pending and the command is not answered.
 func (c *hedgedCall) oneCopyPending() bool { return c.pending == 1 && !c.answered }
 
 // hedgedCommand is a hedged command to a worker.
