--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -28,8 +28,9 @@
 }
 
 // restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
-// sent before the restart reach the next incarnation, where they fail at once with lower numbers
-// than the ends before the restart. If holdsLost is true, replies to polls are lost for a while.
+// sent before the restart reach the next incarnation, and their runs fail immediately. The numbers
+// of these ended runs are lower than the numbers of the runs that ended before the restart. If
+// holdsLost is true, replies to polls are lost for a while.
 func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
 	w, _ := newClusterWithOneWorker(without)
 	w.Submit(spec(1, singleTaskStep(4)), batch)
@@ -58,9 +59,9 @@
 	return w
 }
 
-// TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ends of a restarted worker
-// by the numbers of its former incarnation, whether or not a report of the new one arrives before
-// the ends are stored.
+// TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ended runs of a restarted
+// worker with the numbers of its former incarnation. The next report arrives before or after these
+// numbers are stored.
 func TestEndAcknowledgementsDoNotCrossRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
@@ -107,8 +108,8 @@
 }
 
 // leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
-// deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
-// first report.
+// deadline is far ahead on the clock of the next incarnation. The worker becomes unreachable right
+// after its first report.
 func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	w.Bounds.MaxLease = 10 * time.Second
@@ -161,8 +162,8 @@
 	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
 }
 
-// TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, one that is
-// killed before it, one that is killed after it, and a time without an owner.
+// TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, an owner that is killed
+// before or after the restart, and a restart without an owner.
 func TestRunLostInRestartIsPlacedAgain(t *testing.T) {
 	cases := map[string]struct {
 		killBefore, killAfter bool
@@ -361,7 +362,8 @@
 }
 
 // TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its
-// former incarnation, so its row and reports seem stale. It is used all the same.
+// former incarnation, so its row and reports seem stale. The owner must use the worker
+// nevertheless.
 func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
@@ -392,8 +394,9 @@
 	}
 }
 
-// A reply to a start does not identify the incarnation. If an unknown restart precedes it, the
-// next owner must not take the run for lost with the former incarnation, or the task runs twice.
+// A reply to a start does not identify the incarnation. If the worker has restarted unnoticed
+// before the reply, the next owner must not consider the run lost with the former incarnation.
+// Otherwise the task runs twice.
 
 // TestStartAnsweredByUnknownIncarnation: the next owner looks for the run in the new incarnation,
 // too.
