--- a/internal/pool/invalid_worker_rows_test.go
+++ b/internal/pool/invalid_worker_rows_test.go
@@ -12,8 +12,9 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// requireRunsSurviveInvalidRow starts tasks on the only worker, then makes its row invalid: they
-// must run to completion, and nothing may start there until the row is valid again.
+// requireRunsSurviveInvalidRow starts tasks on the only worker, then makes the worker's row
+// invalid. The tasks must complete, and nothing may start on the worker until the row is valid
+// again.
 func requireRunsSurviveInvalidRow(t *testing.T, w *simulation.Cluster, invalidate func()) {
 	t.Helper()
 	w.Submit(spec(1, singleTaskStep(4)), batch)
