--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -164,7 +164,7 @@
 	require.Zero(t, w.Checker.Metrics["given_up/crash_odds"])
 }
 
-// A poll in flight, or a placement of an earlier owner, is no proof that a run was on a lost
+// A poll in flight or a placement of an earlier owner does not prove that a run was on a lost
 // worker.
 
 // runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, is cut off
