--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -34,7 +34,7 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestUnreachableWorkerIsLeftAtOnce guards against retrying starts without a delay on a worker that
+// TestUnreachableWorkerIsLeftAtOnce guards against immediate retries of starts on a worker that
 // refuses connections.
 func TestUnreachableWorkerIsLeftAtOnce(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestUnansweredStopIsSentAgainSoon: an urgent gang waits for the capacity of preempted tasks no
-// longer than needed when a stop is lost.
+// TestUnansweredStopIsSentAgainSoon guards against an urgent gang that waits too long for the
+// capacity of preempted tasks after a stop is lost.
 func TestUnansweredStopIsSentAgainSoon(t *testing.T) {
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 5 * time.Second }
@@ -154,7 +154,7 @@
 		case jobID(2):
 			return 1100 * time.Millisecond
 		case jobID(3):
-			// Its end answers the poll that is in flight at the time of the stop.
+			// The end of the run answers the poll that is in flight at the time of the stop.
 			return 700 * time.Millisecond
 		}
 		return 6 * time.Second
@@ -176,8 +176,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// Guards against starting a task elsewhere while an unanswered start is in flight: the stop that
-// blocks it is unanswered too, and reports do not list the run.
+// Guards against starting a task elsewhere while an unanswered start is in flight. The stop that
+// blocks the start is unanswered too, and reports do not list the run.
 
 func TestUnconfirmedStartIsBlockedBeforeItsTaskRunsElsewhere(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
