--- a/internal/pool/poison_full_pool_test.go
+++ b/internal/pool/poison_full_pool_test.go
@@ -80,9 +80,8 @@
 	}
 }
 
-// TestDelayedCrashesFailJobsInFullPool guards against a pool without progress: tasks that
-// crash all workers raise the rate of chance losses, so that their own odds stay low and no job
-// fails.
+// TestDelayedCrashesFailJobsInFullPool guards against a pool without progress. Tasks that crash all
+// workers raise the rate of chance losses, so the odds of these tasks stay low and no job fails.
 func TestDelayedCrashesFailJobsInFullPool(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
