--- a/internal/pool/poll_queue_test.go
+++ b/internal/pool/poll_queue_test.go
@@ -10,8 +10,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestFirstContactsAreBounded guards against a new owner contacting so many workers at once that it
-// takes them for unresponsive. Workers with runs come first.
+// TestFirstContactsAreBounded guards against a new owner that contacts too many workers at once and
+// considers them unresponsive. Workers with runs come first.
 func TestFirstContactsAreBounded(t *testing.T) {
 	const maxContacts = 128
 	w := simulation.NewCluster(30, 10)
