--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -47,8 +47,8 @@
 	require.Empty(t, w.Checker.Violations)
 }
 
-// requireInvariantsNeed requires that a scenario holds all invariants and completes its first job,
-// and that it violates an invariant with the given safeguards disabled.
+// requireInvariantsNeed requires that a scenario violates no invariant and completes its first job.
+// With the given safeguards disabled, the scenario must violate an invariant.
 func requireInvariantsNeed(t *testing.T, scenario func(pool.DisabledSafeguards) *simulation.Cluster, without pool.DisabledSafeguards) {
 	t.Helper()
 	w := scenario(pool.DisabledSafeguards{})
