--- a/internal/pool/reliability.go
+++ b/internal/pool/reliability.go
@@ -9,7 +9,7 @@
 
 // Handling of failed runs. A run may fail because of its job, at any time. It may also fail because
 // its worker fails all runs, usually soon after their start. The worker is known to be healthy once
-// a run that started after its last failure makes progress.
+// a run that started after the worker's last failure makes progress.
 const (
 	// failureLimit is the number of failures, since a worker was last known to be healthy, from
 	// which the worker is excluded.
