--- a/internal/pool/reliability_test.go
+++ b/internal/pool/reliability_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestHealthyWorkersAreUsedAgain checks that a worker that failed a run gets gangs again once
-// another run has made progress there.
+// another run has made progress on the worker.
 func TestHealthyWorkersAreUsedAgain(t *testing.T) {
 	w := simulation.NewCluster(1, 2)
 	w.Workers[0].Failing = true
