--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestUrgentGangPreemptsOnFasterWorkers checks that an urgent gang preempts units on faster workers
-// if it would miss its objective on the free, slow ones.
+// if the gang would miss its objective on the free, slow workers.
 func TestUrgentGangPreemptsOnFasterWorkers(t *testing.T) {
 	w := newMixedSpeedCluster(1, 9)
 	w.AcquirePool()
