--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -159,6 +159,6 @@
 	})
 }
 
-// insufficientCapacityExclusion is how long a worker that refused a start for lack of capacity gets no new
-// work.
+// insufficientCapacityExclusion is how long a worker gets no new work after it refused a start for
+// lack of capacity.
 const insufficientCapacityExclusion = 500 * time.Millisecond
