--- a/internal/pool/worker_restart_test.go
+++ b/internal/pool/worker_restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Guards against skipping or acknowledging the ends of a restarted worker by the end numbers from
-// before its restart, which would run completed tasks again and not count failures.
+// These tests guard against an owner that skips or acknowledges the ended runs of a restarted
+// worker by the numbers of runs from before the restart.
 
 // restartDuration is how long a restarting worker is down.
 const restartDuration = 500 * time.Millisecond
@@ -20,8 +20,9 @@
 // clocksAfterRestart holds the clock of a worker right after its restart.
 var clocksAfterRestart = map[string]int64{"clock from zero": 0, "clock far ahead": 7_000_000}
 
-// restartWithEndedRuns lets the only worker of a pool report eight ends, restarts it while it runs
-// eight tasks, and then runs what is placed on it.
+// restartWithEndedRuns lets the only worker of a pool report eight ended runs, and restarts the
+// worker while it runs eight other tasks. The simulation then continues long enough for these tasks
+// to run again.
 func restartWithEndedRuns(clockMillis int64, queue catalog.Queue, afterwards func(*simulation.Worker)) *simulation.Cluster {
 	w := simulation.NewCluster(1, 1)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
