--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -79,9 +79,8 @@
 	}
 }
 
-// TestRunOfAnEndedJobIsStoppedByTheNextOwner: an owner is killed after it has stored a cancellation
-// and before its stops arrive. The row of an ended job names only workers that are no longer
-// listed, since the next owner contacts all listed ones.
+// TestRunOfAnEndedJobIsStoppedByTheNextOwner guards against a run that continues because its owner
+// was killed after the owner stored a cancellation and before the stops arrived.
 func TestRunOfAnEndedJobIsStoppedByTheNextOwner(t *testing.T) {
 	for name, removeRow := range map[string]func(*simulation.Cluster, *simulation.Worker){
 		"listed":  func(*simulation.Cluster, *simulation.Worker) {},
