--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -84,8 +84,7 @@
 }
 
 // TestStartsWaitForFreshCapacities guards against starts that rely on a stale capacity. After a
-// store outage or a suspension, writes succeed before the feed reports the worker's reduced
-// capacity.
+// store outage or suspension, writes succeed before the feed reports the reduced capacity.
 func TestStartsWaitForFreshCapacities(t *testing.T) {
 	for name, shrink := range map[string]func(pool.DisabledSafeguards) *simulation.Cluster{
 		"takeover during a store outage": shrinkDuringStoreOutage,
