--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -104,9 +104,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestOwnerWithStaleEvacuationsStartsNothing guards against starts while the set of evacuated zones
-// is stale or unknown. The store answers only the owner's writes, or the owner was suspended or is
-// new.
+// TestOwnerWithStaleEvacuationsStartsNothing guards against starts while evacuations are unknown.
+// The store answers only writes, or the owner was suspended or is new.
 func TestOwnerWithStaleEvacuationsStartsNothing(t *testing.T) {
 	t.Run("reads unanswered while writes succeed", func(t *testing.T) {
 		runScenario := func(without pool.DisabledSafeguards) *simulation.Cluster {
