--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -60,8 +60,7 @@
 }
 
 // TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ended runs of a restarted
-// worker with the numbers of its former incarnation. The next report arrives before or after these
-// numbers are stored.
+// worker with the numbers of its former incarnation.
 func TestEndAcknowledgementsDoNotCrossRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
@@ -139,9 +138,8 @@
 	requireInvariantsNeed(t, leaseAfterRestart, pool.DisabledSafeguards{RestartLease: true})
 }
 
-// TestRunAfterRestartSurvivesTakeover: the worker restarts while a placement on it is being
-// written, the start reaches the next incarnation, and the owner is killed. The progress row names
-// the former incarnation.
+// TestRunAfterRestartSurvivesTakeover guards against losing a run after a takeover whose progress
+// row names the incarnation before the one in which the run was started.
 func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
 	w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	w.Store.FeedsUnresponsive = true
@@ -212,7 +210,7 @@
 }
 
 // TestStaleRowOfFormerIncarnationIsIgnored: a row of the former incarnation arrives after a row of
-// the next one.
+// the next incarnation.
 func TestStaleRowOfFormerIncarnationIsIgnored(t *testing.T) {
 	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	former := w.Workers[0]
@@ -361,9 +359,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its
-// former incarnation, so its row and reports seem stale. The owner must use the worker
-// nevertheless.
+// TestClockSetBackBetweenRestarts guards against ignoring a restarted worker whose start time is
+// before the start time of its former incarnation.
 func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
