--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -39,9 +39,8 @@
 	return nil
 }
 
-// TestLeaseWaitBeginsWithTheRows: an owner that gets the progress rows long after the worker list
-// must wait out leases from the time of the progress rows, because the former owner may have
-// renewed them in between.
+// TestLeaseWaitBeginsWithTheRows guards against an owner that waits for leases from the time of the
+// worker list. The former owner may have renewed them until the progress rows were read.
 func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
 	w, _ := newClusterWithLongTask()
 	busy := busyWorker(w)
@@ -119,9 +118,8 @@
 	return w
 }
 
-// TestReplacedOwnerDoesNotExtendLeases guards against a replaced owner renewing a lease that its
-// successor is waiting out, which would run the task twice. On the steady clock a suspended owner
-// does not notice the time that has passed.
+// TestReplacedOwnerDoesNotExtendLeases guards against a replaced owner that renews a lease while
+// its successor waits for the lease to expire. The task would run twice.
 func TestReplacedOwnerDoesNotExtendLeases(t *testing.T) {
 	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
@@ -178,9 +176,8 @@
 	}
 }
 
-// TestLateRefusalUpdatesClockEstimate: after minutes of idleness the estimate of a worker's clock
-// is so low that its first start is refused as late. The clock in the refusal must correct the
-// estimate.
+// TestLateRefusalUpdatesClockEstimate guards against an idle worker that refuses every start as
+// late. The clock in its refusal must correct the owner's estimate.
 func TestLateRefusalUpdatesClockEstimate(t *testing.T) {
 	w := simulation.NewCluster(1, 1)
 	w.AcquirePool()
