--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -94,7 +94,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// failFirstCommand returns a function that gives the first order this outcome and answers all others.
+// failFirstCommand returns a function that gives the first command this outcome and answers all
+// other commands.
 func failFirstCommand(outcome simulation.Outcome) func() simulation.Outcome {
 	orders := 0
 	return func() simulation.Outcome {
