--- a/internal/pool/capacity_test.go
+++ b/internal/pool/capacity_test.go
@@ -47,9 +47,9 @@
 }
 
 // shrinkDuringStoreOutage shrinks a worker while its new owner waits for an unavailable store.
-func shrinkDuringStoreOutage(without pool.DisabledSafeguards) *simulation.Cluster {
+func shrinkDuringStoreOutage(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.AcquirePool()
 	w.Run(8 * time.Millisecond)
@@ -65,9 +65,9 @@
 
 // shrinkWhileSuspended shrinks a worker while its owner is suspended. The owner's feeds are
 // unresponsive for a while afterwards.
-func shrinkWhileSuspended(without pool.DisabledSafeguards) *simulation.Cluster {
+func shrinkWhileSuspended(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	w.Submit(spec(1, singleTaskStep(16)), batch)
 	owner := w.AcquirePool()
@@ -98,9 +98,9 @@
 
 // takeOverWhileStopping replaces an owner just after the owner has sent stops for a cancelled job.
 // The cancelled job fills a worker, and another job waits for the worker.
-func takeOverWhileStopping(without pool.DisabledSafeguards) *simulation.Cluster {
+func takeOverWhileStopping(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := newUnenforcedCluster(1)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	w.Submit(spec(2, singleTaskStep(8)), batch)
 	owner := w.AcquirePool()
--- a/internal/pool/evacuations_test.go
+++ b/internal/pool/evacuations_test.go
@@ -28,9 +28,9 @@
 
 // newEvacuatedCluster returns a simulation of two racks. Each rack is a zone, and the first zone is
 // evacuated.
-func newEvacuatedCluster(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner, string) {
+func newEvacuatedCluster(disabled pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner, string) {
 	w := simulation.NewCluster(2, 3)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 3 * time.Second }
 	owner := w.AcquirePool()
 	w.Run(time.Second)
--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -51,9 +51,9 @@
 }
 
 // takeoverDuringStop kills an owner just after the owner has sent a stop, and starts a new owner.
-func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.Cluster {
+func takeoverDuringStop(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 3)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
 	long := singleTaskStep(4)
 	long.EstimateMillis = 6000
@@ -94,12 +94,12 @@
 
 // randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
 // It returns the simulation and its number of jobs.
-func randomFaults(seed uint64, without pool.DisabledSafeguards) (*simulation.Cluster, int) {
+func randomFaults(seed uint64, disabled pool.DisabledSafeguards) (*simulation.Cluster, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := simulation.NewCluster(2, 5)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Duration(500+random.IntN(3000)) * time.Millisecond }
-	fate := func(probability float64) func() simulation.Outcome {
+	outcomeWith := func(probability float64) func() simulation.Outcome {
 		return func() simulation.Outcome {
 			if random.Float64() < probability {
 				return simulation.Outcome(1 + random.IntN(3))
@@ -107,14 +107,14 @@
 			return simulation.Acknowledged
 		}
 	}
-	w.Store.WriteOutcome = fate(0.05)
+	w.Store.WriteOutcome = outcomeWith(0.05)
 	for _, worker := range w.Workers {
-		worker.OrderOutcome = fate(0.05)
+		worker.OrderOutcome = outcomeWith(0.05)
 	}
 	// Worker speeds and evacuations have generators of their own, so that they do not change the
 	// other faults of a seed.
-	paces := rand.New(rand.NewPCG(seed, 2))
-	zones := rand.New(rand.NewPCG(seed, 8))
+	speedRandom := rand.New(rand.NewPCG(seed, 2))
+	evacuationRandom := rand.New(rand.NewPCG(seed, 8))
 	owner := w.AcquirePool()
 	jobs := 0
 	for range 40 {
@@ -152,8 +152,8 @@
 			w.Run(time.Duration(random.IntN(300)) * time.Millisecond)
 			owner = w.AcquirePool()
 		}
-		changeWorkerSpeed(w, paces)
-		changeEvacuationsAtRandom(w, zones)
+		changeWorkerSpeed(w, speedRandom)
+		changeEvacuationsAtRandom(w, evacuationRandom)
 		if owner.Ended != "" {
 			owner = w.AcquirePool()
 		}
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -18,9 +18,9 @@
 
 // newClusterWithOneWorker returns a simulated cluster with a single worker, on which everything is
 // placed, and its owner. Tasks take two seconds.
-func newClusterWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
+func newClusterWithOneWorker(disabled pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 1)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	owner := w.AcquirePool()
 	w.Run(100 * time.Millisecond)
@@ -31,8 +31,8 @@
 // sent before the restart reach the next incarnation, and their runs fail immediately. The numbers
 // of these ended runs are lower than the numbers of the runs that ended before the restart. If
 // holdsLost is true, replies to polls are lost for a while.
-func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
-	w, _ := newClusterWithOneWorker(without)
+func restartWithUnwrittenEnds(disabled pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
+	w, _ := newClusterWithOneWorker(disabled)
 	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
@@ -109,10 +109,10 @@
 // leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
 // deadline is far ahead on the clock of the next incarnation. The worker becomes unreachable right
 // after its first report.
-func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.Cluster {
+func leaseAfterRestart(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	w.Bounds.MaxLease = 10 * time.Second
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
 	w.Workers[0].Restart(time.Millisecond, farAheadClock)
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -61,9 +61,9 @@
 
 // delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
 // the worker list.
-func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.Cluster {
+func delaySuccessorRead(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w, _ := newClusterWithLongTask()
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
 	busy := busyWorker(w)
 	next := w.AcquirePool()
@@ -100,11 +100,11 @@
 
 func noPause(*simulation.Cluster, *simulation.Owner, time.Duration) {}
 
-// replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
+// replacePartitionedOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
 // one that cannot reach the worker of the run.
-func replaceCutOffOwner(stop pauseFunc, without pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
+func replacePartitionedOwner(stop pauseFunc, disabled pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
-	w.DisabledSafeguards, w.SuspendedClock = without, steadyTime
+	w.DisabledSafeguards, w.SuspendedClock = disabled, steadyTime
 	former := startLongTask(w)
 	busy := busyWorker(w)
 	former.PartitionedFromStore = true
@@ -124,24 +124,24 @@
 	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
 			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.Cluster {
-				return replaceCutOffOwner(stop, without, false)
+				return replacePartitionedOwner(stop, without, false)
 			}, pool.DisabledSafeguards{Confirmation: true})
 		})
 	}
 	briefly := func(w *simulation.Cluster, owner *simulation.Owner, _ time.Duration) {
 		suspend(w, owner, 2*time.Second)
 	}
-	requireInvariants(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, false))
-	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, true).Checker.Violations, "with the steady clock")
+	requireInvariants(t, replacePartitionedOwner(briefly, pool.DisabledSafeguards{}, false))
+	require.NotEmpty(t, replacePartitionedOwner(briefly, pool.DisabledSafeguards{}, true).Checker.Violations, "with the steady clock")
 }
 
 // pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
 // by one that cannot reach the worker.
-func pauseBeforeStart(stop pauseFunc, without pool.DisabledSafeguards) *simulation.Cluster {
+func pauseBeforeStart(stop pauseFunc, disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
 	w.Bounds.EvacuationTimeout = 0
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	former := w.AcquirePool()
 	w.Run(time.Second)
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -23,11 +23,11 @@
 
 // requireJobFailed requires that a job failed after its task crashed at least two and at most
 // mostCrashes workers.
-func requireJobFailed(t *testing.T, w *simulation.Cluster, crashing taskgraph.TaskName, mostCrashes int) {
+func requireJobFailed(t *testing.T, w *simulation.Cluster, crashing taskgraph.TaskName, maxCrashes int) {
 	t.Helper()
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Failed, w.StoredState(crashing.Job))
-	require.LessOrEqual(t, w.Checker.Crashes(crashing), mostCrashes)
+	require.LessOrEqual(t, w.Checker.Crashes(crashing), maxCrashes)
 	require.GreaterOrEqual(t, w.Checker.Crashes(crashing), 2)
 }
 
@@ -86,9 +86,9 @@
 // A start that was refused, or sent to a worker that had failed before, must not count as a crash
 // by the task.
 
-// replaceWorkersWithFeedsSilent replaces or fails all workers while the owner's feeds are
+// replaceWorkersDuringFeedOutage replaces or fails all workers while the owner's feeds are
 // unresponsive, then submits a job.
-func replaceWorkersWithFeedsSilent(fail func(*simulation.Worker)) *simulation.Cluster {
+func replaceWorkersDuringFeedOutage(fail func(*simulation.Worker)) *simulation.Cluster {
 	w := simulation.NewCluster(2, 4)
 	owner := w.AcquirePool()
 	w.Run(time.Second)
@@ -115,7 +115,7 @@
 		"silent":   (*simulation.Worker).Crash,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := replaceWorkersWithFeedsSilent(fail)
+			w := replaceWorkersDuringFeedOutage(fail)
 			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 		})
--- a/internal/pool/orders_test.go
+++ b/internal/pool/orders_test.go
@@ -110,11 +110,11 @@
 // rest of the gang waits.
 
 func TestUnansweredStartIsSentAgainSoon(t *testing.T) {
-	for name, fate := range map[string]simulation.Outcome{"never carried out": simulation.Dropped, "carried out late": simulation.AppliedLate, "done": simulation.AppliedUnacknowledged} {
+	for name, outcome := range map[string]simulation.Outcome{"never carried out": simulation.Dropped, "carried out late": simulation.AppliedLate, "done": simulation.AppliedUnacknowledged} {
 		t.Run(name, func(t *testing.T) {
 			w := simulation.NewCluster(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
-			w.Workers[0].OrderOutcome = failFirstCommand(fate)
+			w.Workers[0].OrderOutcome = failFirstCommand(outcome)
 			w.AcquirePool()
 			w.Run(100 * time.Millisecond)
 			w.Submit(spec(1, gangStep(2)), urgent)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -49,12 +49,12 @@
 
 // requireInvariantsNeed requires that a scenario violates no invariant and completes its first job.
 // With the given safeguards disabled, the scenario must violate an invariant.
-func requireInvariantsNeed(t *testing.T, scenario func(pool.DisabledSafeguards) *simulation.Cluster, without pool.DisabledSafeguards) {
+func requireInvariantsNeed(t *testing.T, scenario func(pool.DisabledSafeguards) *simulation.Cluster, disabled pool.DisabledSafeguards) {
 	t.Helper()
 	w := scenario(pool.DisabledSafeguards{})
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
-	require.NotEmpty(t, scenario(without).Checker.Violations, "no invariant violated without the safeguard")
+	require.NotEmpty(t, scenario(disabled).Checker.Violations, "no invariant violated without the safeguard")
 }
 
 func TestGraphOfStepsRunsInOrder(t *testing.T) {
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -131,8 +131,8 @@
 	return sound, givenUp
 }
 
-func runWorkerFaults(seed uint64, without pool.DisabledSafeguards, steady bool) *workerFaults {
-	return runWorkerFaultsWithMaxLease(seed, without, steady, 0)
+func runWorkerFaults(seed uint64, disabled pool.DisabledSafeguards, steady bool) *workerFaults {
+	return runWorkerFaultsWithMaxLease(seed, disabled, steady, 0)
 }
 
 // TestRandomFaultsOfWorkersWithLongLeases repeats the test with a longer maximum lease.
@@ -149,16 +149,16 @@
 
 // runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the
 // jobs finish. A maxHold of 0 leaves the default maximum lease.
-func runWorkerFaultsWithMaxLease(seed uint64, without pool.DisabledSafeguards, steady bool, maxHold time.Duration) *workerFaults {
+func runWorkerFaultsWithMaxLease(seed uint64, disabled pool.DisabledSafeguards, steady bool, maxLease time.Duration) *workerFaults {
 	f := &workerFaults{
 		Cluster: simulation.NewCluster(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
 		invalidRows: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
 	}
-	f.DisabledSafeguards, f.SuspendedClock, f.SkipCapacityCheck = without, steady, seed%2 == 1
+	f.DisabledSafeguards, f.SuspendedClock, f.SkipCapacityCheck = disabled, steady, seed%2 == 1
 	f.Catalog.Pools[0].EnforcesCapacity = !f.SkipCapacityCheck
 	f.LateOrdersReachRestartedWorkers = seed%3 == 0
-	if maxHold > 0 {
-		f.Bounds.MaxLease = maxHold
+	if maxLease > 0 {
+		f.Bounds.MaxLease = maxLease
 	}
 	f.Work = func(taskgraph.TaskName) time.Duration { return f.between(500, 3500) }
 	f.Store.WriteOutcome = f.randomFate(0.03)
