--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -111,8 +111,8 @@
 	for _, worker := range w.Workers {
 		worker.OrderOutcome = outcomeWith(0.05)
 	}
-	// Worker speeds and evacuations have generators of their own, so that they do not change the
-	// other faults of a seed.
+	// Worker speeds and evacuations have their own random generators, so that they do not change
+	// the other faults of a seed.
 	speedRandom := rand.New(rand.NewPCG(seed, 2))
 	evacuationRandom := rand.New(rand.NewPCG(seed, 8))
 	owner := w.AcquirePool()
