--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// newClusterWithLongTask returns a simulated cluster of two workers in which the first owner has
-// started one long task, and that owner.
+// newClusterWithLongTask returns a simulated cluster of two workers and its first owner, which has
+// started one long task.
 func newClusterWithLongTask() (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 2)
 	return w, startLongTask(w)
@@ -59,8 +59,8 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
-// the worker list.
+// delaySuccessorRead replaces a busy owner by a new owner that loses its connection to the store
+// for 8 s after it has read the worker list.
 func delaySuccessorRead(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w, _ := newClusterWithLongTask()
 	w.DisabledSafeguards = disabled
@@ -100,8 +100,8 @@
 
 func noPause(*simulation.Cluster, *simulation.Owner, time.Duration) {}
 
-// replacePartitionedOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
-// one that cannot reach the worker of the run.
+// replacePartitionedOwner partitions the owner of a long run from the store, pauses the owner, and
+// replaces it by a new owner that cannot reach the run's worker.
 func replacePartitionedOwner(stop pauseFunc, disabled pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	w.DisabledSafeguards, w.SuspendedClock = disabled, steadyTime
@@ -132,11 +132,12 @@
 		suspend(w, owner, 2*time.Second)
 	}
 	requireInvariants(t, replacePartitionedOwner(briefly, pool.DisabledSafeguards{}, false))
+	// On the steady clock a suspended owner does not notice the time that has passed.
 	require.NotEmpty(t, replacePartitionedOwner(briefly, pool.DisabledSafeguards{}, true).Checker.Violations, "with the steady clock")
 }
 
-// pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
-// by one that cannot reach the worker.
+// pauseBeforeStart pauses an owner between the write of a placement and the start. It then replaces
+// the owner by a new owner that cannot reach the worker.
 func pauseBeforeStart(stop pauseFunc, disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
