--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -22,7 +22,7 @@
 }
 
 // requireJobFailed requires that a job failed after its task crashed at least two and at most
-// mostCrashes workers.
+// maxCrashes workers.
 func requireJobFailed(t *testing.T, w *simulation.Cluster, crashing taskgraph.TaskName, maxCrashes int) {
 	t.Helper()
 	requireInvariants(t, w)
@@ -31,8 +31,8 @@
 	require.GreaterOrEqual(t, w.Checker.Crashes(crashing), 2)
 }
 
-// TestJobOfCrashingTaskFails: without owner faults, the tasks beside the crashing one
-// complete.
+// TestJobOfCrashingTaskFails checks that a job with a crashing task fails. Without owner faults,
+// the other tasks complete.
 func TestJobOfCrashingTaskFails(t *testing.T) {
 	w := simulation.NewCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
@@ -83,8 +83,8 @@
 	requireJobFailed(t, w, crashing, 3)
 }
 
-// A start that was refused, or sent to a worker that had failed before, must not count as a crash
-// by the task.
+// The loss of a worker must not count as a crash by a task whose start was refused or was sent
+// after the worker had failed.
 
 // replaceWorkersDuringFeedOutage replaces or fails all workers while the owner's feeds are
 // unresponsive, then submits a job.
@@ -167,9 +167,9 @@
 // A poll in flight or a placement of an earlier owner does not prove that a run was on a lost
 // worker.
 
-// runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, is cut off
-// and crashes. The next three placements are on workers that crash, and their owners are killed
-// before sending the start.
+// runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, becomes
+// unreachable and crashes. The next three placements are on workers that crash, and their owners
+// are killed before sending the start.
 func runUndeliveredStarts() *simulation.Cluster {
 	const workers = 16
 	w := simulation.NewCluster(1, workers)
