--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -27,8 +27,9 @@
 type workerFaults struct {
 	*simulation.Cluster
 	random *rand.Rand
-	// zones, restarts and foreign draw evacuations, worker restarts and invalid worker rows. Each
-	// kind has its own generator, so that it does not change the other faults of a seed.
+	// zones, restarts and foreign are the random generators for evacuations, worker restarts and
+	// invalid worker rows. Each kind of fault has its own generator, so that it does not change the
+	// other faults of a seed.
 	zones         *rand.Rand
 	restarts      *rand.Rand
 	invalidRows   *rand.Rand
@@ -72,8 +73,8 @@
 	require.Zero(t, lost[6], "a task may crash at most five workers")
 }
 
-// TestCheckerDetectsDisabledWorkerSafeguards disables one safeguard at a time: at least one of the
-// seeds that pass with all of them must then violate an invariant.
+// TestCheckerDetectsDisabledWorkerSafeguards disables one safeguard at a time. At least one seed
+// that passes with all safeguards must then violate an invariant.
 func TestCheckerDetectsDisabledWorkerSafeguards(t *testing.T) {
 	cases := map[string]struct {
 		without pool.DisabledSafeguards
@@ -148,7 +149,7 @@
 }
 
 // runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the
-// jobs finish. A maxHold of 0 leaves the default maximum lease.
+// jobs finish. If maxLease is 0, the default maximum lease applies.
 func runWorkerFaultsWithMaxLease(seed uint64, disabled pool.DisabledSafeguards, steady bool, maxLease time.Duration) *workerFaults {
 	f := &workerFaults{
 		Cluster: simulation.NewCluster(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
