--- a/internal/pool/evacuations.go
+++ b/internal/pool/evacuations.go
@@ -113,7 +113,7 @@
 	}
 	p.reportedEvacuations, p.evacuationsWereFresh = current, fresh
 	p.record.Set("evacuated_zones", int64(len(current.Zones())))
-	p.record.LogEvent("evacuated zones", "zones", current.Zones(), "known", fresh, "revision", current.Revision,
+	p.record.LogEvent("evacuation state changed", "zones", current.Zones(), "known", fresh, "revision", current.Revision,
 		"age_ms", p.loop.Now().Sub(current.AsOf).Milliseconds(), "runs_there", p.runsInEvacuatedZones())
 	p.scheduleCycle()
 }
--- a/internal/pool/unexpected_runs.go
+++ b/internal/pool/unexpected_runs.go
@@ -38,7 +38,7 @@
 	}
 	w.unexpected[runID{task: name, run: run}] = unexpectedRun{resources: room}
 	p.record.Count("worker_orders", "stop_stranger")
-	p.record.LogEvent("unwanted run stopped", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.StartMillis)
+	p.record.LogEvent("stopping unexpected run", "job", name.Job, "task", name.String(), "run", run, "worker", w.ID, "born", w.StartMillis)
 	p.ports.Stop(&w.Worker, fleet.Stop{Task: name, Run: run, Token: p.token}, func(_ fleet.Reply, err error) {
 		if !p.closed && err != nil {
 			p.handleCommandError(w, err)
--- a/internal/pool/workers.go
+++ b/internal/pool/workers.go
@@ -130,7 +130,7 @@
 // markUnlisted marks a worker as no longer listed. Its runs may continue.
 func (p *Pool) markUnlisted(w *worker) {
 	if w.hasRow {
-		p.record.LogEvent("worker gone from the list", "worker", w.ID, "runs", len(w.members))
+		p.record.LogEvent("worker no longer listed", "worker", w.ID, "runs", len(w.members))
 	}
 	w.hasRow = false
 	for _, m := range w.members {
