--- a/internal/pool/cancel_test.go
+++ b/internal/pool/cancel_test.go
@@ -10,7 +10,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// stopDeadline is the time after which nothing of a cancelled job may run.
+// stopDeadline is the time after a cancellation within which all runs of the job must have ended.
 const stopDeadline = 3400 * time.Millisecond
 
 // TestLateStartOfACancelledJobIsStopped: a worker carries out a start seconds after it was sent,
@@ -23,7 +23,7 @@
 		w.Workers[0].OrderOutcome = func() simulation.Outcome { return simulation.AppliedLate }
 		w.AcquirePool()
 		w.Run(time.Second)
-		w.Submit(spec(1, single(1)), batch)
+		w.Submit(spec(1, singleTaskStep(1)), batch)
 		w.Run(100 * time.Millisecond)
 		w.Cancel(jobID(1))
 		w.Run(stopDeadline)
@@ -79,9 +79,8 @@
 	}
 }
 
-// TestRunOfAnEndedJobIsStoppedByTheNextOwner: an owner is killed after it has stored a cancellation
-// and before its stops arrive. The row of an ended job names only workers that are no longer
-// listed, since the next owner contacts all listed ones.
+// TestRunOfAnEndedJobIsStoppedByTheNextOwner guards against a run that continues because its owner
+// was killed after the owner stored a cancellation and before the stops arrived.
 func TestRunOfAnEndedJobIsStoppedByTheNextOwner(t *testing.T) {
 	for name, removeRow := range map[string]func(*simulation.Cluster, *simulation.Worker){
 		"listed":  func(*simulation.Cluster, *simulation.Worker) {},
--- a/internal/pool/explore.go
+++ b/internal/pool/explore.go
@@ -7,17 +7,17 @@
 	"github.com/wheatroad/wheatroad/internal/placement"
 )
 
-// Where urgent units miss their objective on slow workers, deferrable tasks run first on idle
-// workers of unknown speed. Otherwise the headroom for urgent units would consist of unmeasured
-// workers.
+// If many workers are too slow for urgent units, deferrable tasks run first on idle workers of
+// unknown speed, which measures these workers. Otherwise the headroom for urgent units would
+// consist of unmeasured workers.
 
 // minSlowShareToExplore is the share of measured workers that must be too slow for urgent units
-// before the others are explored.
+// before deferrable tasks explore the unmeasured workers.
 const minSlowShareToExplore = 0.1
 
 // findUnmeasuredWorker returns an idle worker of unknown speed for a deferrable task, or nil.
 func (p *Pool) findUnmeasuredWorker(s *snapshot, u *unit, visible *placement.Request) []int {
-	if !p.exploring(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.hasUnexplainedLosses() {
+	if !p.shouldExplore(s.now) || len(u.members) > 1 || u.spec().PreferredRack != "" || u.hasUnexplainedLosses() {
 		return nil
 	}
 	return placement.Fit(s.workers, s.racks.All, restrict(visible, func(i int) bool {
@@ -26,8 +26,9 @@
 	}))
 }
 
-// exploring reports whether enough workers are too slow for urgent units.
-func (p *Pool) exploring(now time.Time) bool {
+// shouldExplore reports whether enough workers are too slow for urgent units to explore unmeasured
+// workers.
+func (p *Pool) shouldExplore(now time.Time) bool {
 	if p.options.DisabledMechanisms[mechanism.LearnedSpeeds] {
 		return false
 	}
--- a/internal/pool/fault_injection_test.go
+++ b/internal/pool/fault_injection_test.go
@@ -13,7 +13,7 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// TestRandomFaults injects kills and freezes of owners, lost orders and writes, network
+// TestRandomFaults injects kills and freezes of owners, lost commands and writes, network
 // partitions and store outages. All invariants must hold and all jobs must complete.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(faultSeeds) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestCheckerDetectsDisabledSafeguards disables one safeguard at a time: at least one of the seeds
-// that pass with all of them must then violate an invariant.
+// TestCheckerDetectsDisabledSafeguards disables one safeguard at a time. At least one seed that
+// passes with all safeguards must then violate an invariant.
 func TestCheckerDetectsDisabledSafeguards(t *testing.T) {
 	cases := map[string]pool.DisabledSafeguards{
 		"lease wait":     {LeaseExpiryWait: true},
@@ -50,12 +50,12 @@
 	}
 }
 
-// takeoverDuringStop kills an owner just after it ordered a stop, and starts another.
-func takeoverDuringStop(without pool.DisabledSafeguards) *simulation.Cluster {
+// takeoverDuringStop kills an owner just after the owner has sent a stop, and starts a new owner.
+func takeoverDuringStop(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 3)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 6 * time.Second }
-	long := single(4)
+	long := singleTaskStep(4)
 	long.EstimateMillis = 6000
 	w.Submit(spec(1, long), batch)
 	first := w.AcquirePool()
@@ -70,8 +70,8 @@
 	return w
 }
 
-// TestTakeoverDuringStop: a new owner must not take a run that is being stopped for one that
-// was never started.
+// TestTakeoverDuringStop guards against a new owner that considers a run that is being stopped as
+// never started.
 func TestTakeoverDuringStop(t *testing.T) {
 	requireInvariantsNeed(t, takeoverDuringStop, pool.DisabledSafeguards{StopConfirmation: true})
 }
@@ -94,12 +94,12 @@
 
 // randomFaults simulates random faults drawn from the seed, clears them and lets the jobs finish.
 // It returns the simulation and its number of jobs.
-func randomFaults(seed uint64, without pool.DisabledSafeguards) (*simulation.Cluster, int) {
+func randomFaults(seed uint64, disabled pool.DisabledSafeguards) (*simulation.Cluster, int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := simulation.NewCluster(2, 5)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return time.Duration(500+random.IntN(3000)) * time.Millisecond }
-	fate := func(probability float64) func() simulation.Outcome {
+	outcomeWith := func(probability float64) func() simulation.Outcome {
 		return func() simulation.Outcome {
 			if random.Float64() < probability {
 				return simulation.Outcome(1 + random.IntN(3))
@@ -107,14 +107,14 @@
 			return simulation.Acknowledged
 		}
 	}
-	w.Store.WriteOutcome = fate(0.05)
+	w.Store.WriteOutcome = outcomeWith(0.05)
 	for _, worker := range w.Workers {
-		worker.OrderOutcome = fate(0.05)
+		worker.OrderOutcome = outcomeWith(0.05)
 	}
-	// Worker speeds and evacuations have generators of their own, so that they do not change the
-	// other faults of a seed.
-	paces := rand.New(rand.NewPCG(seed, 2))
-	zones := rand.New(rand.NewPCG(seed, 8))
+	// Worker speeds and evacuations have their own random generators, so that they do not change
+	// the other faults of a seed.
+	speedRandom := rand.New(rand.NewPCG(seed, 2))
+	evacuationRandom := rand.New(rand.NewPCG(seed, 8))
 	owner := w.AcquirePool()
 	jobs := 0
 	for range 40 {
@@ -124,7 +124,7 @@
 				queue = urgent
 			}
 			queue.MaxAttempts = 10
-			w.Submit(spec(jobs, single(1+random.IntN(6)), gang(1+random.IntN(3))), queue)
+			w.Submit(spec(jobs, singleTaskStep(1+random.IntN(6)), gangStep(1+random.IntN(3))), queue)
 			jobs++
 		}
 		switch random.IntN(8) {
@@ -152,8 +152,8 @@
 			w.Run(time.Duration(random.IntN(300)) * time.Millisecond)
 			owner = w.AcquirePool()
 		}
-		changeWorkerSpeed(w, paces)
-		changeEvacuationsAtRandom(w, zones)
+		changeWorkerSpeed(w, speedRandom)
+		changeEvacuationsAtRandom(w, evacuationRandom)
 		if owner.Ended != "" {
 			owner = w.AcquirePool()
 		}
--- a/internal/pool/incarnations_test.go
+++ b/internal/pool/incarnations_test.go
@@ -18,9 +18,9 @@
 
 // newClusterWithOneWorker returns a simulated cluster with a single worker, on which everything is
 // placed, and its owner. Tasks take two seconds.
-func newClusterWithOneWorker(without pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
+func newClusterWithOneWorker(disabled pool.DisabledSafeguards) (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 1)
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 	owner := w.AcquirePool()
 	w.Run(100 * time.Millisecond)
@@ -28,18 +28,19 @@
 }
 
 // restartWithUnwrittenEnds restarts a worker while a slow store is writing its ended runs. Starts
-// sent before the restart reach the next incarnation, where they fail at once with lower numbers
-// than the ends before the restart. If holdsLost is true, replies to polls are lost for a while.
-func restartWithUnwrittenEnds(without pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
-	w, _ := newClusterWithOneWorker(without)
-	w.Submit(spec(1, single(4)), batch)
+// sent before the restart reach the next incarnation, and their runs fail immediately. The numbers
+// of these ended runs are lower than the numbers of the runs that ended before the restart. If
+// holdsLost is true, replies to polls are lost for a while.
+func restartWithUnwrittenEnds(disabled pool.DisabledSafeguards, holdsLost bool) *simulation.Cluster {
+	w, _ := newClusterWithOneWorker(disabled)
+	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(1990 * time.Millisecond)
 	former := w.Workers[0]
 	former.OrderOutcome = func() simulation.Outcome { return simulation.Dropped }
 	once := batch
 	once.MaxAttempts = 1
 	for n := range 3 {
-		w.Submit(spec(10+n, single(1)), once)
+		w.Submit(spec(10+n, singleTaskStep(1)), once)
 	}
 	for w.Checker.DecisionCounts["run ended"] == 0 {
 		w.Run(time.Millisecond)
@@ -58,9 +59,8 @@
 	return w
 }
 
-// TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ends of a restarted worker
-// by the numbers of its former incarnation, whether or not a report of the new one arrives before
-// the ends are stored.
+// TestEndAcknowledgementsDoNotCrossRestart guards against acknowledging ended runs of a restarted
+// worker with the numbers of its former incarnation.
 func TestEndAcknowledgementsDoNotCrossRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdsLost bool
@@ -96,7 +96,7 @@
 				return simulation.Acknowledged
 			}
 		}
-		w.Submit(spec(1, single(1)), batch)
+		w.Submit(spec(1, singleTaskStep(1)), batch)
 		// The deadline of the late start is ahead of the clock after the restart.
 		w.Run(2500 * time.Millisecond)
 		busyWorker(w).Restart(50*time.Millisecond, 0)
@@ -107,12 +107,12 @@
 }
 
 // leaseAfterRestart lets a start that was sent before a restart grant the longest lease, since its
-// deadline is far ahead on the clock of the next incarnation. The worker is cut off right after its
-// first report.
-func leaseAfterRestart(without pool.DisabledSafeguards) *simulation.Cluster {
+// deadline is far ahead on the clock of the next incarnation. The worker becomes unreachable right
+// after its first report.
+func leaseAfterRestart(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	w.Bounds.MaxLease = 10 * time.Second
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 9 * time.Second }
 	other := w.Workers[1]
 	w.Workers[0].Restart(time.Millisecond, farAheadClock)
@@ -122,7 +122,7 @@
 	other.Unhealthy, w.Store.FeedsUnresponsive = true, true
 	w.Workers[2].Restart(50*time.Millisecond, 0)
 	w.Run(100 * time.Millisecond)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	for w.Checker.DecisionCounts["worker restarted"] == 0 {
@@ -138,14 +138,13 @@
 	requireInvariantsNeed(t, leaseAfterRestart, pool.DisabledSafeguards{RestartLease: true})
 }
 
-// TestRunAfterRestartSurvivesTakeover: the worker restarts while a placement on it is being
-// written, the start reaches the next incarnation, and the owner is killed. The progress row names
-// the former incarnation.
+// TestRunAfterRestartSurvivesTakeover guards against losing a run after a takeover whose progress
+// row names the incarnation before the one in which the run was started.
 func TestRunAfterRestartSurvivesTakeover(t *testing.T) {
 	w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	w.Store.FeedsUnresponsive = true
 	w.Store.Latency = 400 * time.Millisecond
-	w.Submit(spec(1, single(2)), batch)
+	w.Submit(spec(1, singleTaskStep(2)), batch)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(100 * time.Millisecond)
@@ -161,8 +160,8 @@
 	require.Equal(t, 1, w.Checker.Starts(taskOf(1, 0, 0)))
 }
 
-// TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, one that is
-// killed before it, one that is killed after it, and a time without an owner.
+// TestRunLostInRestartIsPlacedAgain covers an owner that sees the restart, an owner that is killed
+// before or after the restart, and a restart without an owner.
 func TestRunLostInRestartIsPlacedAgain(t *testing.T) {
 	cases := map[string]struct {
 		killBefore, killAfter bool
@@ -176,7 +175,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w, owner := newClusterWithOneWorker(pool.DisabledSafeguards{})
-			w.Submit(spec(1, single(4)), batch)
+			w.Submit(spec(1, singleTaskStep(4)), batch)
 			w.Run(time.Second)
 			if c.killBefore {
 				owner.Process.Kill()
@@ -201,7 +200,7 @@
 // lease.
 func TestRestartIsKnownAtOnce(t *testing.T) {
 	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
-	w.Submit(spec(1, single(8)), batch)
+	w.Submit(spec(1, singleTaskStep(8)), batch)
 	w.Run(time.Second)
 	w.Workers[0].Restart(500*time.Millisecond, 0)
 	w.Run(1000 * time.Millisecond)
@@ -211,18 +210,18 @@
 }
 
 // TestStaleRowOfFormerIncarnationIsIgnored: a row of the former incarnation arrives after a row of
-// the next one.
+// the next incarnation.
 func TestStaleRowOfFormerIncarnationIsIgnored(t *testing.T) {
 	w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 	former := w.Workers[0]
 	former.Restart(100*time.Millisecond, 0)
 	w.Run(time.Second)
-	w.Submit(spec(1, single(4)), batch)
+	w.Submit(spec(1, singleTaskStep(4)), batch)
 	w.Run(500 * time.Millisecond)
 	former.Draining = true
 	w.PutWorkerRow(former)
 	w.Run(500 * time.Millisecond)
-	w.Submit(spec(2, single(2)), batch)
+	w.Submit(spec(2, singleTaskStep(2)), batch)
 	w.Run(20 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(2)))
@@ -250,7 +249,7 @@
 		w.PutWorkerRow(worker)
 	}
 	w.AcquirePool()
-	w.Submit(spec(1, single(8), gang(2)), batch)
+	w.Submit(spec(1, singleTaskStep(8), gangStep(2)), batch)
 	w.Run(10 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -279,8 +278,8 @@
 	next.Labels = []string{"a", "r-7"}
 	w.PutWorkerRow(next)
 	w.Run(5 * time.Second)
-	w.Submit(spec(1, single(11)), batch)
-	special := single(1)
+	w.Submit(spec(1, singleTaskStep(11)), batch)
+	special := singleTaskStep(1)
 	special.RequiredLabel = "special"
 	w.Submit(spec(2, special), batch)
 	w.Run(time.Second)
@@ -299,7 +298,7 @@
 			w := simulation.NewCluster(1, 2)
 			w.Work = func(taskgraph.TaskName) time.Duration { return 2 * time.Second }
 			owner := w.AcquirePool()
-			w.Submit(spec(1, single(6), gang(2)), batch)
+			w.Submit(spec(1, singleTaskStep(6), gangStep(2)), batch)
 			w.Run(time.Second + offset)
 			owner.Process.Kill()
 			w.Workers[0].Restart(20*time.Millisecond, ahead)
@@ -328,7 +327,7 @@
 	w.Crashing[crashing] = crashAfterStart
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(30 * time.Second)
 	requireJobFailed(t, w, crashing, 2)
 }
@@ -345,13 +344,13 @@
 	many := batch
 	many.MaxAttempts = 50
 	for n := 1; w.Checker.DecisionCounts["failing worker excluded"] == 0; n++ {
-		w.Submit(spec(n, single(1)), many)
+		w.Submit(spec(n, singleTaskStep(1)), many)
 		w.Run(200 * time.Millisecond)
 	}
 	failing.Restart(50*time.Millisecond, farAheadClock)
 	w.Run(60 * time.Millisecond)
 	next := w.Workers[2]
-	w.Submit(spec(90, single(1)), many)
+	w.Submit(spec(90, singleTaskStep(1)), many)
 	w.Run(time.Second)
 	require.Zero(t, next.Runs(), "the penalty outlasts the restart")
 	w.Workers[1].Unhealthy = false
@@ -360,14 +359,14 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// TestClockSetBackBetweenRestarts: the start time of a restarted worker is before that of its
-// former incarnation, so its row and reports seem stale. It is used all the same.
+// TestClockSetBackBetweenRestarts guards against ignoring a restarted worker whose start time is
+// before the start time of its former incarnation.
 func TestClockSetBackBetweenRestarts(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
 			w, _ := newClusterWithOneWorker(pool.DisabledSafeguards{})
 			if busy {
-				w.Submit(spec(1, single(2)), batch)
+				w.Submit(spec(1, singleTaskStep(2)), batch)
 			}
 			w.Run(time.Second)
 			former := w.Workers[0]
@@ -377,7 +376,7 @@
 			next.StartMillis = former.StartMillis - 60_000
 			w.PutWorkerRow(next)
 			w.Run(time.Second)
-			w.Submit(spec(2, single(2)), batch)
+			w.Submit(spec(2, singleTaskStep(2)), batch)
 			for range 14 {
 				// A heartbeat.
 				w.PutWorkerRow(next)
@@ -392,8 +391,9 @@
 	}
 }
 
-// A reply to a start does not identify the incarnation. If an unknown restart precedes it, the
-// next owner must not take the run for lost with the former incarnation, or the task runs twice.
+// A reply to a start does not identify the incarnation. If the worker has restarted unnoticed
+// before the reply, the next owner must not consider the run lost with the former incarnation.
+// Otherwise the task runs twice.
 
 // TestStartAnsweredByUnknownIncarnation: the next owner looks for the run in the new incarnation,
 // too.
@@ -411,7 +411,7 @@
 	w.Workers[0].Restart(50*time.Millisecond, 0)
 	w.Run(100 * time.Millisecond)
 	answersLost = true
-	step := gang(2)
+	step := gangStep(2)
 	step.GPUs, step.CPU, step.MaxPerWorker = 4, 4000, 1
 	w.Submit(spec(1, step), batch)
 	row := acceptedRow(w, jobID(1))
--- a/internal/pool/lease_expiry_test.go
+++ b/internal/pool/lease_expiry_test.go
@@ -11,8 +11,8 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// newClusterWithLongTask returns a simulated cluster of two workers in which the first owner has
-// started one long task, and that owner.
+// newClusterWithLongTask returns a simulated cluster of two workers and its first owner, which has
+// started one long task.
 func newClusterWithLongTask() (*simulation.Cluster, *simulation.Owner) {
 	w := simulation.NewCluster(1, 2)
 	return w, startLongTask(w)
@@ -21,7 +21,7 @@
 // startLongTask starts a job of one long task under a first owner.
 func startLongTask(w *simulation.Cluster) *simulation.Owner {
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
-	long := single(1)
+	long := singleTaskStep(1)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
 	owner := w.AcquirePool()
@@ -39,9 +39,8 @@
 	return nil
 }
 
-// TestLeaseWaitBeginsWithTheRows: an owner that gets the progress rows long after the worker list
-// must wait out leases from the time of the progress rows, because the former owner may have
-// renewed them in between.
+// TestLeaseWaitBeginsWithTheRows guards against an owner that waits for leases from the time of the
+// worker list. The former owner may have renewed them until the progress rows were read.
 func TestLeaseWaitBeginsWithTheRows(t *testing.T) {
 	w, _ := newClusterWithLongTask()
 	busy := busyWorker(w)
@@ -60,11 +59,11 @@
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 }
 
-// delaySuccessorRead replaces a busy owner by one that loses the store for 8 s after it has read
-// the worker list.
-func delaySuccessorRead(without pool.DisabledSafeguards) *simulation.Cluster {
+// delaySuccessorRead replaces a busy owner by a new owner that loses its connection to the store
+// for 8 s after it has read the worker list.
+func delaySuccessorRead(disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w, _ := newClusterWithLongTask()
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 200 * time.Millisecond }
 	busy := busyWorker(w)
 	next := w.AcquirePool()
@@ -72,7 +71,7 @@
 	w.Run(3 * time.Millisecond)
 	next.PartitionedFromStore = true
 	for n := 2; n < 22; n++ {
-		w.Submit(spec(n, single(1)), batch)
+		w.Submit(spec(n, singleTaskStep(1)), batch)
 		w.Run(400 * time.Millisecond)
 	}
 	next.PartitionedFromStore = false
@@ -101,11 +100,11 @@
 
 func noPause(*simulation.Cluster, *simulation.Owner, time.Duration) {}
 
-// replaceCutOffOwner cuts the owner of a long run off from the store, pauses it, and replaces it by
-// one that cannot reach the worker of the run.
-func replaceCutOffOwner(stop pauseFunc, without pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
+// replacePartitionedOwner partitions the owner of a long run from the store, pauses the owner, and
+// replaces it by a new owner that cannot reach the run's worker.
+func replacePartitionedOwner(stop pauseFunc, disabled pool.DisabledSafeguards, steadyTime bool) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
-	w.DisabledSafeguards, w.SuspendedClock = without, steadyTime
+	w.DisabledSafeguards, w.SuspendedClock = disabled, steadyTime
 	former := startLongTask(w)
 	busy := busyWorker(w)
 	former.PartitionedFromStore = true
@@ -119,36 +118,36 @@
 	return w
 }
 
-// TestReplacedOwnerDoesNotExtendLeases guards against a replaced owner renewing a lease that its
-// successor is waiting out, which would run the task twice. On the steady clock a suspended owner
-// does not notice the time that has passed.
+// TestReplacedOwnerDoesNotExtendLeases guards against a replaced owner that renews a lease while
+// its successor waits for the lease to expire. The task would run twice.
 func TestReplacedOwnerDoesNotExtendLeases(t *testing.T) {
 	for name, stop := range map[string]pauseFunc{"cut off": noPause, "frozen": freeze, "suspended": suspend} {
 		t.Run(name, func(t *testing.T) {
 			requireInvariantsNeed(t, func(without pool.DisabledSafeguards) *simulation.Cluster {
-				return replaceCutOffOwner(stop, without, false)
+				return replacePartitionedOwner(stop, without, false)
 			}, pool.DisabledSafeguards{Confirmation: true})
 		})
 	}
 	briefly := func(w *simulation.Cluster, owner *simulation.Owner, _ time.Duration) {
 		suspend(w, owner, 2*time.Second)
 	}
-	requireInvariants(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, false))
-	require.NotEmpty(t, replaceCutOffOwner(briefly, pool.DisabledSafeguards{}, true).Checker.Violations, "with the steady clock")
+	requireInvariants(t, replacePartitionedOwner(briefly, pool.DisabledSafeguards{}, false))
+	// On the steady clock a suspended owner does not notice the time that has passed.
+	require.NotEmpty(t, replacePartitionedOwner(briefly, pool.DisabledSafeguards{}, true).Checker.Violations, "with the steady clock")
 }
 
-// pauseBeforeStart pauses an owner between the write of a placement and its start, and replaces it
-// by one that cannot reach the worker.
-func pauseBeforeStart(stop pauseFunc, without pool.DisabledSafeguards) *simulation.Cluster {
+// pauseBeforeStart pauses an owner between the write of a placement and the start. It then replaces
+// the owner by a new owner that cannot reach the worker.
+func pauseBeforeStart(stop pauseFunc, disabled pool.DisabledSafeguards) *simulation.Cluster {
 	w := simulation.NewCluster(1, 2)
 	// With evacuations enabled, stale zone information would delay the start as well.
 	w.Bounds.EvacuationTimeout = 0
-	w.DisabledSafeguards = without
+	w.DisabledSafeguards = disabled
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	former := w.AcquirePool()
 	w.Run(time.Second)
 	w.Store.Latency = 40 * time.Millisecond
-	long := single(1)
+	long := singleTaskStep(1)
 	long.EstimateMillis = 30000
 	w.Submit(spec(1, long), batch)
 	// The feed delivers the job at once; the write is in flight.
@@ -178,14 +177,13 @@
 	}
 }
 
-// TestLateRefusalUpdatesClockEstimate: after minutes of idleness the estimate of a worker's clock
-// is so low that its first start is refused as late. The clock in the refusal must correct the
-// estimate.
+// TestLateRefusalUpdatesClockEstimate guards against an idle worker that refuses every start as
+// late. The clock in its refusal must correct the owner's estimate.
 func TestLateRefusalUpdatesClockEstimate(t *testing.T) {
 	w := simulation.NewCluster(1, 1)
 	w.AcquirePool()
 	w.Run(10 * time.Minute)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	w.Run(100 * time.Millisecond)
 	require.Equal(t, 1, w.Workers[0].Runs())
 }
--- a/internal/pool/lostruns_test.go
+++ b/internal/pool/lostruns_test.go
@@ -22,26 +22,26 @@
 }
 
 // requireJobFailed requires that a job failed after its task crashed at least two and at most
-// mostCrashes workers.
-func requireJobFailed(t *testing.T, w *simulation.Cluster, crashing taskgraph.TaskName, mostCrashes int) {
+// maxCrashes workers.
+func requireJobFailed(t *testing.T, w *simulation.Cluster, crashing taskgraph.TaskName, maxCrashes int) {
 	t.Helper()
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Failed, w.StoredState(crashing.Job))
-	require.LessOrEqual(t, w.Checker.Crashes(crashing), mostCrashes)
+	require.LessOrEqual(t, w.Checker.Crashes(crashing), maxCrashes)
 	require.GreaterOrEqual(t, w.Checker.Crashes(crashing), 2)
 }
 
-// TestJobOfCrashingTaskFails: without owner faults, the tasks beside the crashing one
-// complete.
+// TestJobOfCrashingTaskFails checks that a job with a crashing task fails. Without owner faults,
+// the other tasks complete.
 func TestJobOfCrashingTaskFails(t *testing.T) {
 	w := simulation.NewCluster(2, 4)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 4 * time.Second }
 	crashing := taskOf(2, 0, 0)
 	w.Crashing[crashing] = crashAfterStart
 	w.AcquirePool()
-	w.Submit(spec(1, single(30)), batch)
+	w.Submit(spec(1, singleTaskStep(30)), batch)
 	w.Run(time.Second)
-	w.Submit(spec(2, single(1)), urgent)
+	w.Submit(spec(2, singleTaskStep(1)), urgent)
 	w.Run(60 * time.Second)
 	requireJobFailed(t, w, crashing, 2)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -72,7 +72,7 @@
 	w.Crashing[crashing] = crashAfterStart
 	owner := w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	for range 8 {
 		w.Run(killAfter)
 		owner.Process.Kill()
@@ -83,12 +83,12 @@
 	requireJobFailed(t, w, crashing, 3)
 }
 
-// A start that was refused, or sent to a worker that had failed before, must not count as a crash
-// by the task.
+// The loss of a worker must not count as a crash by a task whose start was refused or was sent
+// after the worker had failed.
 
-// replaceWorkersWithFeedsSilent replaces or fails all workers while the owner's feeds are
+// replaceWorkersDuringFeedOutage replaces or fails all workers while the owner's feeds are
 // unresponsive, then submits a job.
-func replaceWorkersWithFeedsSilent(fail func(*simulation.Worker)) *simulation.Cluster {
+func replaceWorkersDuringFeedOutage(fail func(*simulation.Worker)) *simulation.Cluster {
 	w := simulation.NewCluster(2, 4)
 	owner := w.AcquirePool()
 	w.Run(time.Second)
@@ -97,7 +97,7 @@
 		fail(worker)
 	}
 	w.Run(5 * time.Second)
-	w.Submit(spec(1, single(3)), urgent)
+	w.Submit(spec(1, singleTaskStep(3)), urgent)
 	row := acceptedRow(w, jobID(1))
 	owner.Process.Post(func() { owner.HandleJobAnnouncement(row) })
 	w.Run(8 * time.Second)
@@ -115,7 +115,7 @@
 		"silent":   (*simulation.Worker).Crash,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := replaceWorkersWithFeedsSilent(fail)
+			w := replaceWorkersDuringFeedOutage(fail)
 			requireInvariants(t, w)
 			require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
 		})
@@ -133,7 +133,7 @@
 	}
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(90 * time.Second)
 	requireJobFailed(t, w, crashing, 5)
 }
@@ -145,7 +145,7 @@
 	w.Work = func(taskgraph.TaskName) time.Duration { return 800 * time.Millisecond }
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, single(1)), batch)
+	w.Submit(spec(1, singleTaskStep(1)), batch)
 	for range 4 {
 		for tries := 0; tries < 200 && len(workersOf(w, jobID(1))) == 0; tries++ {
 			w.Run(50 * time.Millisecond)
@@ -164,18 +164,18 @@
 	require.Zero(t, w.Checker.Metrics["given_up/crash_odds"])
 }
 
-// A poll in flight, or a placement of an earlier owner, is no proof that a run was on a lost
+// A poll in flight or a placement of an earlier owner does not prove that a run was on a lost
 // worker.
 
-// runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, is cut off
-// and crashes. The next three placements are on workers that crash, and their owners are killed
-// before sending the start.
+// runUndeliveredStarts sends a job's first start to a worker that has a poll in flight, becomes
+// unreachable and crashes. The next three placements are on workers that crash, and their owners
+// are killed before sending the start.
 func runUndeliveredStarts() *simulation.Cluster {
 	const workers = 16
 	w := simulation.NewCluster(1, workers)
 	w.Work = func(taskgraph.TaskName) time.Duration { return 30 * time.Second }
 	owner := w.AcquirePool()
-	w.Submit(spec(9, single(8*workers-2)), batch)
+	w.Submit(spec(9, singleTaskStep(8*workers-2)), batch)
 	w.Run(time.Second)
 	var freeWorker *simulation.Worker
 	for _, worker := range w.Workers {
@@ -184,7 +184,7 @@
 		}
 	}
 	freeWorker.Partitioned = true
-	w.Submit(spec(1, single(1)), urgent)
+	w.Submit(spec(1, singleTaskStep(1)), urgent)
 	w.Run(300 * time.Millisecond)
 	freeWorker.ReplaceWithoutReset()
 	for range 3 {
--- a/internal/pool/poison_full_pool_test.go
+++ b/internal/pool/poison_full_pool_test.go
@@ -24,7 +24,7 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	for n := range jobs {
-		step := single(1 + random.IntN(6))
+		step := singleTaskStep(1 + random.IntN(6))
 		step.GPUs = 1 << random.IntN(3)
 		step.EstimateMillis = max(int64(200+random.IntN(1300)), 2*crash.After.Milliseconds())
 		step.Gang = random.IntN(10) < 3
@@ -80,9 +80,8 @@
 	}
 }
 
-// TestDelayedCrashesFailJobsInFullPool guards against a pool without progress: tasks that
-// crash all workers raise the rate of chance losses, so that their own odds stay low and no job
-// fails.
+// TestDelayedCrashesFailJobsInFullPool guards against a pool without progress. Tasks that crash all
+// workers raise the rate of chance losses, so the odds of these tasks stay low and no job fails.
 func TestDelayedCrashesFailJobsInFullPool(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -24,17 +24,17 @@
 	}
 	w.pollInFlight = true
 	now := p.loop.Now()
-	order := fleet.Poll{Token: p.token, AcknowledgedEnd: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
+	request := fleet.Poll{Token: p.token, AcknowledgedEnd: w.endAcks.acknowledgeable(now, p.options.DisabledSafeguards)}
 	if w.contacted && w.unansweredCalls == 0 {
-		order.Wait = p.pollWaitFor(w, order.AcknowledgedEnd)
+		request.Wait = p.pollWaitFor(w, request.AcknowledgedEnd)
 		if extension := min(leaseDuration, p.options.Bounds.MaxLease, p.remainingLease(now)); extension > 0 {
-			order.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
-			w.deadline = max(w.deadline, order.DeadlineMillis)
+			request.DeadlineMillis = w.estimatedClock(now) + extension.Milliseconds()
+			w.deadline = max(w.deadline, request.DeadlineMillis)
 		}
 	}
 	p.record.Count("worker_orders", "hold")
-	p.ports.Poll(&w.Worker, order, func(reply fleet.Reply, err error) {
-		p.queuedPollDone(w)
+	p.ports.Poll(&w.Worker, request, func(reply fleet.Reply, err error) {
+		p.releasePollSlot(w)
 		if p.closed || p.workers[w.ID] != w {
 			return
 		}
@@ -46,13 +46,14 @@
 		if p.handleOtherIncarnation(w, reply, now) {
 			return
 		}
-		w.endAcks.acknowledge(order.AcknowledgedEnd)
+		w.endAcks.acknowledge(request.AcknowledgedEnd)
 		p.handlePollReply(w, reply, now)
 	})
 }
 
-// pollWaitFor returns how long the next poll waits at the worker. It is 0 while a report is needed
-// soon, such as the one that must precede an acknowledgement that this poll does not carry.
+// pollWaitFor returns how long the next poll waits at the worker. It is 0 while the owner needs a
+// report soon. For example, an acknowledgement that this poll does not carry can only be sent after
+// another report.
 func (p *Pool) pollWaitFor(w *worker, acknowledged int64) time.Duration {
 	if w.endAcks.writing > 0 || w.endAcks.due > acknowledged || len(w.members) == 0 {
 		return 0
@@ -66,9 +67,9 @@
 	return pollWait
 }
 
-// A worker that left a call unanswered may do so again, and an end reported in a lost reply is
-// noticed only with the next poll. For lossyDuration, about as long as such faults last, polls wait
-// only for lossyPollWait.
+// A worker that left a call unanswered may do so again. If the lost reply contains the end of a
+// run, the owner learns of the end only from the next poll. Polls therefore wait only for
+// lossyPollWait during lossyDuration after an unanswered call.
 const (
 	lossyDuration = 6 * time.Second
 	lossyPollWait = 400 * time.Millisecond
@@ -98,7 +99,7 @@
 			return
 		}
 		if err != nil {
-			p.handleOrderError(w, err)
+			p.handleCommandError(w, err)
 			return
 		}
 		if p.handleOtherIncarnation(w, reply, sentAt) {
@@ -108,14 +109,14 @@
 	})
 }
 
-// noteReply records a reply of a worker. It returns true if the worker's clock deviates from its
+// recordReply records a reply of a worker. It returns true if the worker's clock deviates from its
 // estimate, in which case another incarnation may have answered.
-func (p *Pool) noteReply(w *worker, clock int64) (jumped bool) {
+func (p *Pool) recordReply(w *worker, clock int64) (jumped bool) {
 	now := p.loop.Now()
 	jumped = p.checkClockJump(w, clock, now)
 	w.clock, w.clockAt = clock, now
 	if jumped {
-		// Earlier deadlines were on another clock, and this may be another incarnation. A poll
+		// Earlier deadlines were on another clock, and another incarnation may have replied. A poll
 		// identifies the incarnation; the reply to a start does not.
 		w.deadline = clock + p.options.Bounds.MaxLease.Milliseconds()
 		p.pollNow(w)
@@ -124,13 +125,13 @@
 		p.record.LogEvent("worker responsive again", "worker", w.ID, "unanswered", w.unansweredCalls)
 	}
 	w.unansweredCalls = 0
-	w.leftWithoutDrain = w.leftWithoutDrain || (!w.hasRow && !w.rowMissing)
+	w.respondedWithoutRow = w.respondedWithoutRow || (!w.hasRow && !w.rowMissing)
 	return jumped
 }
 
 // handleReport handles a report of the known incarnation that was requested at sentAt.
 func (p *Pool) handleReport(w *worker, reply fleet.Reply, sentAt time.Time) {
-	p.noteReply(w, reply.ClockMillis)
+	p.recordReply(w, reply.ClockMillis)
 	w.endAcks.reportAt = p.loop.Now()
 	if p.lossTracker.WithdrawLoss(w.Incarnation.String()) {
 		p.record.LogEvent("lost worker responded", "worker", w.ID)
@@ -158,8 +159,8 @@
 	return true
 }
 
-// noteNoReply records a call without a reply.
-func (p *Pool) noteNoReply(w *worker) {
+// recordNoReply records a call without a reply.
+func (p *Pool) recordNoReply(w *worker) {
 	first := w.unansweredCalls == 0
 	w.unansweredCalls++
 	if first {
@@ -168,8 +169,8 @@
 		p.pollIdleWorkers()
 	}
 	w.lossyUntil = p.loop.Now().Add(lossyDuration)
-	// Without this poll nothing would contact the worker again once its runs are lost, and it would
-	// stay unused.
+	// Once the runs of the worker are lost, only this poll contacts the worker again. Without the
+	// poll the worker would stay unused.
 	p.pollAfter(w, quickPollDelay)
 }
 
@@ -195,8 +196,8 @@
 	}
 }
 
-// schedulePoll keeps polling while anything runs on the worker, and acknowledges ended runs once
-// they are written.
+// schedulePoll schedules the next poll while anything runs on the worker or ended runs are to be
+// acknowledged.
 func (p *Pool) schedulePoll(w *worker) {
 	if w.endAcks.due > 0 {
 		p.poll(w)
@@ -238,7 +239,7 @@
 }
 
 func (p *Pool) handlePollError(w *worker, err error) {
-	if p.handleOrderError(w, err) {
+	if p.handleCommandError(w, err) {
 		return
 	}
 	pause := pollRetryDelay
--- a/internal/pool/speed_test.go
+++ b/internal/pool/speed_test.go
@@ -54,7 +54,7 @@
 	w := newMixedSpeedCluster(1, 12)
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, withMixedSpeedEstimate(gang(6))), urgent)
+	w.Submit(spec(1, withMixedSpeedEstimate(gangStep(6))), urgent)
 	w.Run(12 * time.Second)
 	requireInvariants(t, w)
 	require.Equal(t, taskgraph.Completed, w.StoredState(jobID(1)))
@@ -66,11 +66,11 @@
 	w := newMixedSpeedCluster(2, 9)
 	w.AcquirePool()
 	w.Run(time.Second)
-	step := withMixedSpeedEstimate(gang(18))
+	step := withMixedSpeedEstimate(gangStep(18))
 	step.GPUs, step.MaxPerWorker = 4, 1
 	w.Submit(spec(1, step), batch)
 	w.Run(1500 * time.Millisecond)
-	smallGang := withMixedSpeedEstimate(gang(4))
+	smallGang := withMixedSpeedEstimate(gangStep(4))
 	smallGang.GPUs = 4
 	w.Submit(spec(2, smallGang), urgent)
 	w.Run(200 * time.Millisecond)
@@ -86,28 +86,28 @@
 	w.AcquirePool()
 	w.Run(time.Second)
 	for n := 1; n <= 2; n++ {
-		w.Submit(spec(n, withMixedSpeedEstimate(single(72))), batch)
+		w.Submit(spec(n, withMixedSpeedEstimate(singleTaskStep(72))), batch)
 		w.Run(16 * time.Second)
 	}
-	w.Submit(spec(3, withMixedSpeedEstimate(gang(4))), urgent)
+	w.Submit(spec(3, withMixedSpeedEstimate(gangStep(4))), urgent)
 	w.Run(time.Second)
 	require.Zero(t, runsOnSlow(w, 3))
 	requireInvariants(t, w)
 }
 
 // TestUrgentGangPreemptsOnFasterWorkers checks that an urgent gang preempts units on faster workers
-// if it would miss its objective on the free, slow ones.
+// if the gang would miss its objective on the free, slow workers.
 func TestUrgentGangPreemptsOnFasterWorkers(t *testing.T) {
 	w := newMixedSpeedCluster(1, 9)
 	w.AcquirePool()
 	w.Run(time.Second)
-	w.Submit(spec(1, withMixedSpeedEstimate(gang(9))), batch)
+	w.Submit(spec(1, withMixedSpeedEstimate(gangStep(9))), batch)
 	w.Run(10 * time.Second)
 	// The batch gang takes all workers that are not slow, since gangs avoid slow ones.
-	w.Submit(spec(2, withMixedSpeedEstimate(gang(6))), batch)
+	w.Submit(spec(2, withMixedSpeedEstimate(gangStep(6))), batch)
 	w.Run(500 * time.Millisecond)
 	require.Zero(t, runsOnSlow(w, 2))
-	w.Submit(spec(3, withMixedSpeedEstimate(gang(3))), urgent)
+	w.Submit(spec(3, withMixedSpeedEstimate(gangStep(3))), urgent)
 	w.Run(time.Second)
 	require.Zero(t, runsOnSlow(w, 3))
 	w.Run(5250 * time.Millisecond)
@@ -123,9 +123,9 @@
 		w.DisabledMechanisms = off
 		w.AcquirePool()
 		w.Run(time.Second)
-		w.Submit(spec(1, withMixedSpeedEstimate(gang(9))), batch)
+		w.Submit(spec(1, withMixedSpeedEstimate(gangStep(9))), batch)
 		w.Run(8 * time.Second)
-		w.Submit(spec(2, withMixedSpeedEstimate(single(27))), batch)
+		w.Submit(spec(2, withMixedSpeedEstimate(singleTaskStep(27))), batch)
 		w.Run(time.Second)
 		requireInvariants(t, w)
 		workers := 0
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -8,8 +8,7 @@
 
 const (
 	// startTimeout is the time from sending a start to its deadline on the worker's clock. A worker
-	// that does not answer cannot have started the run after it; until then the gang waits. The
-	// poll after a reply renews the lease.
+	// does not start the run after the deadline. The poll after a reply renews the lease.
 	startTimeout = 2 * time.Second
 	// startRetryDelay is the delay before an unanswered start is sent again.
 	startRetryDelay = 50 * time.Millisecond
@@ -49,7 +48,7 @@
 	m.state = memberStarting
 	m.sentAt = now
 	run := u.run
-	m.startCall = p.sendHedged(&hedgedOrder{
+	m.startCall = p.sendHedged(&hedgedCommand{
 		name:        "start",
 		isCurrent:   func() bool { return !p.closed && m.worker == w && u.run == run },
 		shouldRetry: func() bool { return m.state == memberStarting && !m.stopSent && p.mayStartOn(w, p.loop.Now()) },
@@ -64,14 +63,14 @@
 	lost := err != nil && reason == fleet.OutcomeUnknown
 	if err != nil && reply.ClockMillis > 0 {
 		// A refusal also carries the worker's clock, which explains a start refused as late.
-		p.noteReply(m.worker, reply.ClockMillis)
+		p.recordReply(m.worker, reply.ClockMillis)
 	}
 	if lost {
 		m.worker.lossyUntil = p.loop.Now().Add(lossyDuration)
 	}
 	switch {
 	case sent.answered:
-		// The other copy has settled the start, but this one may still be carried out.
+		// The result of the other copy is known, but the worker may still carry out this copy.
 		m.startUnanswered = m.startUnanswered || lost
 	case err == nil:
 		sent.answered = true
@@ -87,8 +86,8 @@
 func (p *Pool) handleStartConfirmed(m *member, reply fleet.Reply) {
 	latency := p.loop.Now().Sub(m.sentAt)
 	p.record.Observe("start_order", latency)
-	p.orderLatency += (latency - p.orderLatency) / orderLatencySamples
-	m.incarnationUnknown = p.noteReply(m.worker, reply.ClockMillis)
+	p.commandLatency += (latency - p.commandLatency) / commandLatencySamples
+	m.incarnationUnknown = p.recordReply(m.worker, reply.ClockMillis)
 	if m.state == memberStarting || m.state == memberUnconfirmed {
 		m.state = memberRunning
 		m.sentAt = p.loop.Now()
@@ -103,7 +102,7 @@
 	reason := fleet.ReasonOf(err)
 	p.record.Count("start_failures", string(reason))
 	p.record.LogEvent("start failed", "job", u.job.id, "task", m.name().String(), "run", u.run, "worker", w.ID, "born", w.StartMillis, "reason", string(reason))
-	if p.handleOrderError(w, err) {
+	if p.handleCommandError(w, err) {
 		return
 	}
 	m.startUnanswered = m.startUnanswered || reason == fleet.OutcomeUnknown
@@ -116,8 +115,8 @@
 		return
 	}
 	if reason == fleet.InsufficientCapacity {
-		// The worker runs something that this owner does not know of.
-		w.excludedUntil = p.loop.Now().Add(noRoomExclusionPeriod)
+		// The worker has runs that this owner does not know.
+		w.excludedUntil = p.loop.Now().Add(insufficientCapacityExclusion)
 		p.pollNow(w)
 	}
 	// The start was refused, so nothing runs.
@@ -132,7 +131,7 @@
 	p.poll(m.worker)
 	p.sendStop(m)
 	if len(m.unit.members) > 1 {
-		// The gang can no longer start completely: the other members need not wait.
+		// The gang can no longer start completely, so the other members need not wait.
 		p.stopUnit(m.unit, "start unanswered")
 	}
 }
@@ -160,6 +159,6 @@
 	})
 }
 
-// noRoomExclusionPeriod is how long a worker that refused a start for lack of capacity gets no new
-// work.
-const noRoomExclusionPeriod = 500 * time.Millisecond
+// insufficientCapacityExclusion is how long a worker gets no new work after it refused a start for
+// lack of capacity.
+const insufficientCapacityExclusion = 500 * time.Millisecond
--- a/internal/pool/unresponsive.go
+++ b/internal/pool/unresponsive.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Idle workers are not polled. When many workers stop responding at once, such as all those of a
-// rack, a switch or a zone, the idle ones among them would be detected only when a gang is placed
-// there and fails to start. So all idle workers are polled when that happens, at most once per
-// idlePollInterval.
+// Idle workers are not polled. If all workers of a rack, a switch or a zone stop responding at
+// once, the owner would detect the idle workers among them only when a gang is placed on them and
+// fails to start. When many workers stop responding at once, the owner therefore polls all idle
+// workers, at most once per idlePollInterval.
 
 const (
 	// unresponsiveThreshold is how many workers have to stop responding within unresponsiveWindow.
@@ -40,12 +40,12 @@
 	if !p.loaded || !p.unresponsive.add(p.loop.Now()) {
 		return
 	}
-	asked := 0
+	polled := 0
 	for _, w := range p.sortedWorkers() {
 		if w.contacted && len(w.members) == 0 && w.unansweredCalls == 0 && !w.pollInFlight {
 			p.enqueuePoll(w)
-			asked++
+			polled++
 		}
 	}
-	p.record.LogEvent("polling idle workers", "reason", "workers unresponsive", "count", asked)
+	p.record.LogEvent("polling idle workers", "reason", "workers unresponsive", "count", polled)
 }
--- a/internal/pool/worker_fault_injection_test.go
+++ b/internal/pool/worker_fault_injection_test.go
@@ -27,8 +27,9 @@
 type workerFaults struct {
 	*simulation.Cluster
 	random *rand.Rand
-	// zones, restarts and foreign draw evacuations, worker restarts and invalid worker rows. Each
-	// kind has its own generator, so that it does not change the other faults of a seed.
+	// zones, restarts and foreign are the random generators for evacuations, worker restarts and
+	// invalid worker rows. Each kind of fault has its own generator, so that it does not change the
+	// other faults of a seed.
 	zones         *rand.Rand
 	restarts      *rand.Rand
 	invalidRows   *rand.Rand
@@ -72,8 +73,8 @@
 	require.Zero(t, lost[6], "a task may crash at most five workers")
 }
 
-// TestCheckerDetectsDisabledWorkerSafeguards disables one safeguard at a time: at least one of the
-// seeds that pass with all of them must then violate an invariant.
+// TestCheckerDetectsDisabledWorkerSafeguards disables one safeguard at a time. At least one seed
+// that passes with all safeguards must then violate an invariant.
 func TestCheckerDetectsDisabledWorkerSafeguards(t *testing.T) {
 	cases := map[string]struct {
 		without pool.DisabledSafeguards
@@ -131,8 +132,8 @@
 	return sound, givenUp
 }
 
-func runWorkerFaults(seed uint64, without pool.DisabledSafeguards, steady bool) *workerFaults {
-	return runWorkerFaultsWithMaxLease(seed, without, steady, 0)
+func runWorkerFaults(seed uint64, disabled pool.DisabledSafeguards, steady bool) *workerFaults {
+	return runWorkerFaultsWithMaxLease(seed, disabled, steady, 0)
 }
 
 // TestRandomFaultsOfWorkersWithLongLeases repeats the test with a longer maximum lease.
@@ -148,17 +149,17 @@
 }
 
 // runWorkerFaultsWithMaxLease simulates random faults drawn from the seed, clears them and lets the
-// jobs finish. A maxHold of 0 leaves the default maximum lease.
-func runWorkerFaultsWithMaxLease(seed uint64, without pool.DisabledSafeguards, steady bool, maxHold time.Duration) *workerFaults {
+// jobs finish. If maxLease is 0, the default maximum lease applies.
+func runWorkerFaultsWithMaxLease(seed uint64, disabled pool.DisabledSafeguards, steady bool, maxLease time.Duration) *workerFaults {
 	f := &workerFaults{
 		Cluster: simulation.NewCluster(2, 6), random: rand.New(rand.NewPCG(seed, 4)), zones: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 16)),
 		invalidRows: rand.New(rand.NewPCG(seed, 32)), cancelled: map[int]bool{},
 	}
-	f.DisabledSafeguards, f.SuspendedClock, f.SkipCapacityCheck = without, steady, seed%2 == 1
+	f.DisabledSafeguards, f.SuspendedClock, f.SkipCapacityCheck = disabled, steady, seed%2 == 1
 	f.Catalog.Pools[0].EnforcesCapacity = !f.SkipCapacityCheck
 	f.LateOrdersReachRestartedWorkers = seed%3 == 0
-	if maxHold > 0 {
-		f.Bounds.MaxLease = maxHold
+	if maxLease > 0 {
+		f.Bounds.MaxLease = maxLease
 	}
 	f.Work = func(taskgraph.TaskName) time.Duration { return f.between(500, 3500) }
 	f.Store.WriteOutcome = f.randomFate(0.03)
@@ -200,7 +201,7 @@
 			queue = urgent
 		}
 		queue.MaxAttempts = 10
-		steps := []taskgraph.Step{single(1 + f.random.IntN(6)), gang(1 + f.random.IntN(3))}
+		steps := []taskgraph.Step{singleTaskStep(1 + f.random.IntN(6)), gangStep(1 + f.random.IntN(3))}
 		if f.random.IntN(12) == 0 {
 			f.addCrashingTask(steps)
 		}
