--- a/internal/simulation/capacity.go
+++ b/internal/simulation/capacity.go
@@ -9,8 +9,8 @@
 // heartbeatPeriod is the interval at which workers write their rows.
 const heartbeatPeriod = 1500 * time.Millisecond
 
-// capacityGrace is how long after a capacity reduction starts may still use the previous capacity:
-// the time for a connected owner to learn of it, plus one heartbeat.
+// capacityGrace is how long after a capacity reduction a worker may still start runs within its
+// previous capacity. It covers one heartbeat and the time until a connected owner has read the row.
 const capacityGrace = 3*time.Second + heartbeatPeriod
 
 // capacityChange is a capacity and the time from which it applies.
@@ -34,18 +34,18 @@
 	})
 }
 
-// allowedUsage returns, for each resource, the highest capacity that the worker had within
+// allowedUsage returns, for each resource, the highest capacity of the worker during the last
 // capacityGrace.
 func (w *Worker) allowedUsage() taskgraph.Resources {
-	most := w.Capacity
-	for i, since := range w.capacities {
+	highest := w.Capacity
+	for i, change := range w.capacities {
 		ended := i+1 < len(w.capacities) && w.clock.Now().Sub(w.capacities[i+1].at) > capacityGrace
 		if !ended {
-			most = most.Max(since.capacity)
+			highest = highest.Max(change.capacity)
 		}
 	}
-	return most
+	return highest
 }
 
-// usage returns the resources of all runs, including those that are stopping.
+// usage returns the resources of all runs on the worker, including runs that are stopping.
 func (w *Worker) usage() taskgraph.Resources { return w.Capacity.Minus(w.free()) }
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -16,11 +16,11 @@
 const testJobID = "00000000000000aa"
 
 func newTestCluster() *Cluster {
-	w := NewCluster(1, 2)
+	cluster := NewCluster(1, 2)
 	spec := taskgraph.Spec{ID: testJobID, Payload: "p", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 2000}}, {Count: 1, After: []int{0}}}}
-	w.Submit(spec, catalog.Queue{Name: "q", MaxAttempts: 2})
-	w.Work = func(taskgraph.TaskName) time.Duration { return time.Second }
-	return w
+	cluster.Submit(spec, catalog.Queue{Name: "q", MaxAttempts: 2})
+	cluster.Work = func(taskgraph.TaskName) time.Duration { return time.Second }
+	return cluster
 }
 
 func startOrder(step, number int) fleet.Start {
@@ -33,78 +33,78 @@
 		history func(*Cluster)
 		want    string
 	}{
-		"two runs at once": {func(w *Cluster) {
-			_, _ = w.Workers[0].start(startOrder(0, 1))
-			_, _ = w.Workers[1].start(startOrder(0, 2))
+		"two runs at once": {func(cluster *Cluster) {
+			_, _ = cluster.Workers[0].start(startOrder(0, 1))
+			_, _ = cluster.Workers[1].start(startOrder(0, 2))
 		}, "while another run of the task is active"},
-		"after an acknowledged end": {func(w *Cluster) {
-			_, _ = w.Workers[0].start(startOrder(0, 1))
-			w.Run(2 * time.Second)
-			w.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
-			_, _ = w.Workers[1].start(startOrder(0, 2))
+		"after an acknowledged end": {func(cluster *Cluster) {
+			_, _ = cluster.Workers[0].start(startOrder(0, 1))
+			cluster.Run(2 * time.Second)
+			cluster.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
+			_, _ = cluster.Workers[1].start(startOrder(0, 2))
 		}, "after the owner acknowledged"},
-		"after an end that is acknowledged later": {func(w *Cluster) {
-			_, _ = w.Workers[0].start(startOrder(0, 1))
-			w.Run(2 * time.Second)
-			_, _ = w.Workers[1].start(startOrder(0, 2))
-			w.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
+		"after an end that is acknowledged later": {func(cluster *Cluster) {
+			_, _ = cluster.Workers[0].start(startOrder(0, 1))
+			cluster.Run(2 * time.Second)
+			_, _ = cluster.Workers[1].start(startOrder(0, 2))
+			cluster.Workers[0].poll(fleet.Poll{AcknowledgedEnd: 1}, func(fleet.Reply, error) {})
 		}, "only now"},
-		"before an earlier step": {func(w *Cluster) {
-			_, _ = w.Workers[0].start(startOrder(1, 1))
+		"before an earlier step": {func(cluster *Cluster) {
+			_, _ = cluster.Workers[0].start(startOrder(1, 1))
 		}, "before"},
-		"after all attempts": {func(w *Cluster) {
-			w.Workers[0].Failing = true
+		"after all attempts": {func(cluster *Cluster) {
+			cluster.Workers[0].Failing = true
 			for number := range 3 {
-				_, _ = w.Workers[0].start(startOrder(0, number+1))
-				w.Run(time.Second)
+				_, _ = cluster.Workers[0].start(startOrder(0, number+1))
+				cluster.Run(time.Second)
 			}
 		}, "no attempts left"},
-		"long after a cancellation": {func(w *Cluster) {
-			w.Cancel(testJobID)
-			w.Run(4 * time.Second)
-			_, _ = w.Workers[0].start(startOrder(0, 1))
+		"long after a cancellation": {func(cluster *Cluster) {
+			cluster.Cancel(testJobID)
+			cluster.Run(4 * time.Second)
+			_, _ = cluster.Workers[0].start(startOrder(0, 1))
 		}, "cancellation"},
-		"over a capacity that shrank": {func(w *Cluster) {
-			w.SkipCapacityCheck = true
-			w.Workers[0].SetCapacity(taskgraph.Resources{CPU: 1000}, 0)
-			w.Run(capacityGrace + time.Millisecond)
+		"over a capacity that shrank": {func(cluster *Cluster) {
+			cluster.SkipCapacityCheck = true
+			cluster.Workers[0].SetCapacity(taskgraph.Resources{CPU: 1000}, 0)
+			cluster.Run(capacityGrace + time.Millisecond)
 			order := startOrder(0, 1)
 			order.DeadlineMillis = 60000
-			_, _ = w.Workers[0].start(order)
+			_, _ = cluster.Workers[0].start(order)
 		}, "over"},
-		"after workers have crashed": {func(w *Cluster) {
-			w.Crashing[startOrder(0, 0).Task] = Crash{After: 10 * time.Millisecond}
+		"after workers have crashed": {func(cluster *Cluster) {
+			cluster.Crashing[startOrder(0, 0).Task] = Crash{After: 10 * time.Millisecond}
 			for number := range 6 {
-				worker := w.AddWorker(fmt.Sprintf("extra-%d", number), "r-0")
+				worker := cluster.AddWorker(fmt.Sprintf("extra-%d", number), "r-0")
 				order := startOrder(0, number+1)
 				order.DeadlineMillis = 60000
 				_, _ = worker.start(order)
-				w.Run(time.Second)
+				cluster.Run(time.Second)
 			}
 		}, "have crashed while running the task"},
-		"in an evacuated zone": {func(w *Cluster) {
-			w.Evacuate(w.Workers[0].Zone)
-			w.Run(w.Bounds.EvacuationTimeout + time.Millisecond)
+		"in an evacuated zone": {func(cluster *Cluster) {
+			cluster.Evacuate(cluster.Workers[0].Zone)
+			cluster.Run(cluster.Bounds.EvacuationTimeout + time.Millisecond)
 			order := startOrder(0, 1)
 			order.DeadlineMillis = 60000
-			_, _ = w.Workers[0].start(order)
+			_, _ = cluster.Workers[0].start(order)
 		}, "evacuated"},
-		"another payload": {func(w *Cluster) {
+		"another payload": {func(cluster *Cluster) {
 			order := startOrder(0, 1)
 			order.Payload = "other"
-			_, _ = w.Workers[0].start(order)
+			_, _ = cluster.Workers[0].start(order)
 		}, "payload"},
 	}
 	for name, c := range cases {
-		w := newTestCluster()
-		c.history(w)
-		require.Contains(t, strings.Join(w.Checker.Violations, "\n"), c.want, name)
+		cluster := newTestCluster()
+		c.history(cluster)
+		require.Contains(t, strings.Join(cluster.Checker.Violations, "\n"), c.want, name)
 	}
 }
 
 func TestWorkersFenceOwnersAndBlockStoppedRuns(t *testing.T) {
-	w := newTestCluster()
-	first := w.Workers[0]
+	cluster := newTestCluster()
+	first := cluster.Workers[0]
 	order := startOrder(0, 1)
 	order.Token = 5
 	_, err := first.stop(fleet.Stop{Task: order.Task, Run: 1, Token: 5})
@@ -117,21 +117,21 @@
 	order.Token, order.DeadlineMillis = 5, -1
 	_, err = first.start(order)
 	require.ErrorIs(t, err, fleet.ErrDeadlinePassed)
-	require.Empty(t, w.Checker.Violations)
+	require.Empty(t, cluster.Checker.Violations)
 }
 
 // TestCapacityGrace guards against reporting a violation before owners can know of a smaller
 // capacity, and against leaving stopping runs out of the usage.
 func TestCapacityGrace(t *testing.T) {
-	w := newTestCluster()
-	w.SkipCapacityCheck = true
-	first := w.Workers[0]
+	cluster := newTestCluster()
+	cluster.SkipCapacityCheck = true
+	first := cluster.Workers[0]
 	first.SetCapacity(taskgraph.Resources{CPU: 2000}, 0)
-	w.Run(capacityGrace - time.Millisecond)
+	cluster.Run(capacityGrace - time.Millisecond)
 	_, err := first.start(fleet.Start{Task: taskgraph.TaskName{Job: testJobID}, Run: 1, Payload: "p", DeadlineMillis: 60000})
 	require.NoError(t, err)
-	require.Empty(t, w.Checker.Violations)
-	w.Run(2 * time.Millisecond)
+	require.Empty(t, cluster.Checker.Violations)
+	cluster.Run(2 * time.Millisecond)
 	_, err = first.stop(fleet.Stop{Task: taskgraph.TaskName{Job: testJobID}, Run: 1})
 	require.NoError(t, err)
 	_, _ = first.start(startOrder(1, 1))
--- a/internal/simulation/checkpoint.go
+++ b/internal/simulation/checkpoint.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// savedWork decodes a checkpoint: the completed work in milliseconds.
+// savedWork returns the completed work that a checkpoint contains.
 func savedWork(checkpoint string) time.Duration {
 	millis, err := strconv.ParseInt(checkpoint, 10, 64)
 	if err != nil {
@@ -15,18 +15,17 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// completedWork returns the completed work of a run, including the work of earlier runs that its
-// checkpoint contains.
+// completedWork returns the completed work of a run, including the work in its checkpoint.
 func (w *Worker) completedWork(r *run) time.Duration {
 	done := savedWork(r.checkpoint)
 	if r.working && !w.Stalled {
-		done += time.Duration(float64(w.clock.Now().Sub(r.workingSince)) / w.slowness())
+		done += time.Duration(float64(w.clock.Now().Sub(r.workingSince)) / w.slowdownFactor())
 	}
 	return min(done, w.cluster.Work(r.name))
 }
 
-// newCheckpoint returns the checkpoint that a stopped run saves; it is empty if the step does not
-// support checkpoints.
+// newCheckpoint returns the checkpoint that a stopped run saves. The checkpoint is empty if the
+// step does not support checkpoints.
 func (w *Worker) newCheckpoint(r *run) string {
 	if !w.cluster.step(r.name).Checkpoints {
 		return ""
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -18,7 +18,7 @@
 // PoolName is the name of the simulated pool.
 const PoolName = "workers"
 
-// Cluster is a simulated cluster, a store and workers, in virtual time.
+// Cluster simulates a store and workers in virtual time.
 type Cluster struct {
 	Clock   *emulator.Clock
 	Store   *Store
@@ -27,41 +27,42 @@
 	Catalog *catalog.Catalog
 	// DisabledSafeguards is passed to every owner.
 	DisabledSafeguards pool.DisabledSafeguards
-	// Work returns the duration of a task.
+	// Work returns how long a task runs on a worker of normal speed.
 	Work    func(taskgraph.TaskName) time.Duration
 	Workers []*Worker
-	// SkipCapacityCheck workers accept starts beyond their capacity.
+	// SkipCapacityCheck makes workers accept starts beyond their capacity.
 	SkipCapacityCheck bool
-	// SuspendedClock stops the clock of an owner while it is suspended.
+	// SuspendedClock stops an owner's clock while the owner's process is suspended.
 	SuspendedClock bool
 	// Crashing contains the tasks that crash each worker that starts them.
 	Crashing map[taskgraph.TaskName]Crash
-	// RestartWithSameID restarts workers that were crashed by a task under the same identifier.
+	// RestartWithSameID makes a worker keep its identifier when it restarts after a task crashed it.
 	RestartWithSameID bool
 	// OrderDelay is the delay of an order whose outcome is AppliedLate.
 	OrderDelay time.Duration
-	// LateOrdersReachRestartedWorkers delivers delayed orders to the current instance of a
-	// restarted worker.
+	// LateOrdersReachRestartedWorkers delivers delayed orders to the latest instance of a worker
+	// instead of the instance that they were sent to.
 	LateOrdersReachRestartedWorkers bool
-	// StopTime is the duration of a stop.
+	// StopTime is how long a run takes to stop.
 	StopTime time.Duration
 	// DisabledMechanisms is passed to every owner.
 	DisabledMechanisms mechanism.Disabled
-	// WorkerTable is the table of the workers' rows, which EncodeWorker encodes.
+	// WorkerTable is the table of the worker rows. EncodeWorker encodes a worker row.
 	WorkerTable  string
 	EncodeWorker func(*fleet.Worker) []byte
 	epoch        time.Time
 	jobs         map[string]*taskgraph.Spec
-	// gangs contains the present members of each gang run.
-	gangs  map[gangRun][]*run
+	// gangs contains the active members of each gang run.
+	gangs map[gangRun][]*run
+	// owners counts the owners that were started.
 	owners int
 	// ownerOf contains the owners by fencing token.
 	ownerOf map[int64]*Owner
-	// OperatorTable is the table of the operators' rows; evacuatedAt contains the time of each
-	// zone's evacuation.
+	// OperatorTable is the table of the rows that operators write.
 	OperatorTable string
-	evacuatedAt   map[string]time.Time
-	// restarts counts the workers that were replaced by a new instance.
+	// evacuatedAt contains the evacuated zones and the times of their evacuations.
+	evacuatedAt map[string]time.Time
+	// restarts counts the restarts under a new identifier.
 	restarts int
 }
 
@@ -75,7 +76,7 @@
 func NewCluster(racks, perRack int) *Cluster {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	clock := emulator.NewClock(start)
-	w := &Cluster{
+	c := &Cluster{
 		Clock: clock, Store: NewStore(clock), epoch: start, jobs: map[string]*taskgraph.Spec{}, gangs: map[gangRun][]*run{}, ownerOf: map[int64]*Owner{},
 		OperatorTable: "operator", evacuatedAt: map[string]time.Time{},
 		Crashing: map[taskgraph.TaskName]Crash{},
@@ -90,38 +91,38 @@
 		WorkerTable: "workers", EncodeWorker: encodeWorker,
 		Work: func(taskgraph.TaskName) time.Duration { return time.Second },
 	}
-	w.Checker = newChecker(w)
+	c.Checker = newChecker(c)
 	for rack := range racks {
 		for i := range perRack {
-			w.AddWorker(fmt.Sprintf("w-%d-%d", rack, i), fmt.Sprintf("r-%d", rack))
+			c.AddWorker(fmt.Sprintf("w-%d-%d", rack, i), fmt.Sprintf("r-%d", rack))
 		}
 	}
-	return w
+	return c
 }
 
 // WorkerCapacity is the default capacity of a worker.
 var WorkerCapacity = taskgraph.Resources{CPU: 64000, MemoryMB: 262144, GPUs: 8}
 
 // AddWorker adds a worker and writes its row.
-func (w *Cluster) AddWorker(id, rack string) *Worker {
+func (c *Cluster) AddWorker(id, rack string) *Worker {
 	added := &Worker{
 		Worker: fleet.Worker{
-			Incarnation: fleet.Incarnation{ID: id, StartMillis: w.Clock.Now().UnixMilli()},
+			Incarnation: fleet.Incarnation{ID: id, StartMillis: c.Clock.Now().UnixMilli()},
 			Pool:        PoolName, Address: id, Zone: zoneOf(rack), Labels: []string{"a", rack}, Capacity: WorkerCapacity,
 		},
-		cluster: w, clock: w.Clock, clockEpoch: w.epoch,
+		cluster: c, clock: c.Clock, clockEpoch: c.epoch,
 		runs: map[taskgraph.TaskName]*run{}, supersededRuns: map[taskgraph.TaskName]int{}, endedAt: map[int64]int{},
 	}
 	added.recordCapacity()
-	w.Workers = append(w.Workers, added)
-	w.PutWorkerRow(added)
+	c.Workers = append(c.Workers, added)
+	c.PutWorkerRow(added)
 	return added
 }
 
 // PutWorkerRow writes a worker's row with its current state.
-func (w *Cluster) PutWorkerRow(worker *Worker) {
-	key := rows.Key{Table: w.WorkerTable, Name: worker.ID}
-	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: w.EncodeWorker(&worker.Worker)}}})
+func (c *Cluster) PutWorkerRow(worker *Worker) {
+	key := rows.Key{Table: c.WorkerTable, Name: worker.ID}
+	c.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: c.EncodeWorker(&worker.Worker)}}})
 }
 
 func encodeWorker(worker *fleet.Worker) []byte {
@@ -133,14 +134,14 @@
 }
 
 // RemoveWorkerRow removes a worker's row.
-func (w *Cluster) RemoveWorkerRow(worker *Worker) {
-	w.Store.Apply(rows.Transaction{Removes: []rows.Key{{Table: w.WorkerTable, Name: worker.ID}}})
+func (c *Cluster) RemoveWorkerRow(worker *Worker) {
+	c.Store.Apply(rows.Transaction{Removes: []rows.Key{{Table: c.WorkerTable, Name: worker.ID}}})
 }
 
-// Order executes an order on a worker and passes the reply to done, which is not called for
-// unanswered orders.
-func (w *Cluster) Order(id string, order any, done func(fleet.Reply, error)) {
-	worker := w.worker(id)
+// Order executes an order on a worker and passes the reply to done. It does not call done if the
+// order gets no reply.
+func (c *Cluster) Order(id string, order any, done func(fleet.Reply, error)) {
+	worker := c.worker(id)
 	switch {
 	case worker == nil || worker.Partitioned:
 		return
@@ -155,27 +156,27 @@
 	}
 	switch order := order.(type) {
 	case fleet.Start:
-		w.carryOut(worker, func() (fleet.Reply, error) { return worker.start(order) }, done)
+		c.executeOrder(worker, func() (fleet.Reply, error) { return worker.start(order) }, done)
 	case fleet.Stop:
-		w.carryOut(worker, func() (fleet.Reply, error) { return worker.stop(order) }, done)
+		c.executeOrder(worker, func() (fleet.Reply, error) { return worker.stop(order) }, done)
 	case fleet.Poll:
 		worker.poll(order, done)
 	}
 }
 
-// carryOut executes an order according to its outcome.
-func (w *Cluster) carryOut(worker *Worker, work func() (fleet.Reply, error), done func(fleet.Reply, error)) {
-	fate := Acknowledged
+// executeOrder executes an order with the outcome that the worker's OrderOutcome chooses.
+func (c *Cluster) executeOrder(worker *Worker, work func() (fleet.Reply, error), done func(fleet.Reply, error)) {
+	outcome := Acknowledged
 	if worker.OrderOutcome != nil {
-		fate = worker.OrderOutcome()
+		outcome = worker.OrderOutcome()
 	}
-	switch fate {
+	switch outcome {
 	case Acknowledged:
 		done(work())
 	case AppliedUnacknowledged:
 		_, _ = work()
 	case AppliedLate:
-		w.Clock.After(w.OrderDelay, func() {
+		c.Clock.After(c.OrderDelay, func() {
 			if !worker.Crashed {
 				_, _ = work()
 			}
@@ -184,8 +185,8 @@
 }
 
 // worker returns the latest instance of a worker, or nil.
-func (w *Cluster) worker(id string) *Worker {
-	for _, candidate := range slices.Backward(w.Workers) {
+func (c *Cluster) worker(id string) *Worker {
+	for _, candidate := range slices.Backward(c.Workers) {
 		if candidate.ID == id {
 			return candidate
 		}
@@ -194,35 +195,35 @@
 }
 
 // Submit writes an accepted job to the store.
-func (w *Cluster) Submit(spec taskgraph.Spec, queue catalog.Queue) {
+func (c *Cluster) Submit(spec taskgraph.Spec, queue catalog.Queue) {
 	queue.Pool = PoolName
-	w.RegisterJob(spec, queue)
-	accepted := pool.Accepted{Spec: spec, Tenant: "tenant", Queue: queue, AcceptedMillis: w.Clock.Now().UnixMilli()}
+	c.RegisterJob(spec, queue)
+	accepted := pool.Accepted{Spec: spec, Tenant: "tenant", Queue: queue, AcceptedMillis: c.Clock.Now().UnixMilli()}
 	key := pool.AcceptedKey(pool.JobPartitions(PoolName, spec.ID)[0], spec.ID)
-	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: pool.Encode(accepted)}}})
+	c.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: pool.Encode(accepted)}}})
 }
 
 // RegisterJob registers a job with the workers and the checker before it is accepted.
-func (w *Cluster) RegisterJob(spec taskgraph.Spec, queue catalog.Queue) {
+func (c *Cluster) RegisterJob(spec taskgraph.Spec, queue catalog.Queue) {
 	if err := spec.Validate(); err != nil {
 		panic(err)
 	}
-	w.jobs[spec.ID] = &spec
-	w.Checker.accepted(&spec, queue)
+	c.jobs[spec.ID] = &spec
+	c.Checker.accepted(&spec, queue)
 }
 
 // Cancel writes the cancellation of a job to the store.
-func (w *Cluster) Cancel(id string) {
+func (c *Cluster) Cancel(id string) {
 	key := pool.CancelledKey(pool.JobPartitions(PoolName, id)[0], id)
-	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: []byte("{}")}}})
-	w.Checker.cancelled(id)
+	c.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: key, Value: []byte("{}")}}})
+	c.Checker.cancelled(id)
 }
 
-// StoredState returns the state of a job in the store.
-func (w *Cluster) StoredState(id string) taskgraph.State {
+// StoredState returns the state of a job according to the newest progress row in the store.
+func (c *Cluster) StoredState(id string) taskgraph.State {
 	var newest pool.Progress
 	for _, part := range pool.ProgressPartitions(PoolName) {
-		for _, row := range w.Store.List(pool.ProgressTable, part, id).Rows {
+		for _, row := range c.Store.List(pool.ProgressTable, part, id).Rows {
 			var record pool.Progress
 			if err := json.Unmarshal(row.Value, &record); err != nil {
 				panic(err)
@@ -236,11 +237,11 @@
 }
 
 // Estimate returns the estimated duration of a task.
-func (w *Cluster) Estimate(name taskgraph.TaskName) time.Duration { return w.step(name).Estimate() }
+func (c *Cluster) Estimate(name taskgraph.TaskName) time.Duration { return c.step(name).Estimate() }
 
-func (w *Cluster) step(name taskgraph.TaskName) *taskgraph.Step {
-	return &w.jobs[name.Job].Steps[name.Step]
+func (c *Cluster) step(name taskgraph.TaskName) *taskgraph.Step {
+	return &c.jobs[name.Job].Steps[name.Step]
 }
 
 // Run advances virtual time by d.
-func (w *Cluster) Run(d time.Duration) { w.Clock.Run(w.Clock.Now().Add(d)) }
+func (c *Cluster) Run(d time.Duration) { c.Clock.Run(c.Clock.Now().Add(d)) }
--- a/internal/simulation/crash.go
+++ b/internal/simulation/crash.go
@@ -9,8 +9,9 @@
 type CrashTrigger int
 
 const (
-	// AtStart is the start of the run; AtWorkStart is when all members of a gang are present.
+	// AtStart is the start of the run.
 	AtStart CrashTrigger = iota
+	// AtWorkStart is the start of the work. Gang members start work once the gang is complete.
 	AtWorkStart
 )
 
@@ -20,18 +21,18 @@
 	After time.Duration
 }
 
-// Times after the crash of a worker process: when its row expires, and when a new instance listens
-// at the same address.
 const (
-	rowExpiry    = 3 * time.Second
+	// rowExpiry is the time from the crash of a worker to the removal of its row.
+	rowExpiry = 3 * time.Second
+	// restartDelay is the time from the crash of a worker to the start of its next instance.
 	restartDelay = 3300 * time.Millisecond
 )
 
-// scheduleCrash schedules a crash of the worker if the task of the run is configured to crash
-// workers.
+// scheduleCrash schedules a crash of the worker if the run's task crashes workers and the delay
+// counts from the given event.
 func (w *Worker) scheduleCrash(r *run, point CrashTrigger) {
-	crash, guilty := w.cluster.Crashing[r.name]
-	if !guilty || crash.From != point {
+	crash, configured := w.cluster.Crashing[r.name]
+	if !configured || crash.From != point {
 		return
 	}
 	w.clock.After(crash.After, func() {
@@ -45,8 +46,9 @@
 	})
 }
 
-// CrashAndRestart ends the worker process: connections are reset and new ones refused until a new
-// instance without runs listens at the same address.
+// CrashAndRestart ends the worker process and resets its connections. After restartDelay a new
+// instance starts at the same address, under a new identifier and without runs. Until then the
+// address refuses connections.
 func (w *Worker) CrashAndRestart() {
 	w.crashAndResetConnections()
 	w.clock.After(rowExpiry, func() { w.cluster.RemoveWorkerRow(w) })
@@ -61,8 +63,8 @@
 	})
 }
 
-// crashAndResetConnections ends the worker process: open connections are reset and new ones
-// refused.
+// crashAndResetConnections ends the worker process and resets its open connections. The worker
+// refuses new connections.
 func (w *Worker) crashAndResetConnections() {
 	w.Crash()
 	w.Unreachable = true
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -6,42 +6,42 @@
 	"github.com/wheatroad/wheatroad/internal/fleet"
 )
 
-// gangRun identifies one run of a gang.
+// gangRun identifies one run of a gang: runs of one step that start, work and complete together.
 type gangRun struct {
-	job                string
-	time, step, number int
+	job                      string
+	repetition, step, number int
 }
 
 func (r *run) gangRun() gangRun {
-	return gangRun{job: r.name.Job, time: r.name.Repetition, step: r.name.Step, number: r.number}
+	return gangRun{job: r.name.Job, repetition: r.name.Repetition, step: r.name.Step, number: r.number}
 }
 
-// gang returns the present members of a gang run, in start order.
-func (w *Cluster) gang(r *run) []*run { return slices.Clone(w.gangs[r.gangRun()]) }
+// gang returns the active members of a gang run, in start order.
+func (c *Cluster) gang(r *run) []*run { return slices.Clone(c.gangs[r.gangRun()]) }
 
-func (w *Cluster) addToGang(r *run) {
-	w.gangs[r.gangRun()] = append(w.gangs[r.gangRun()], r)
+func (c *Cluster) addToGang(r *run) {
+	c.gangs[r.gangRun()] = append(c.gangs[r.gangRun()], r)
 }
 
-func (w *Cluster) removeFromGang(r *run) {
-	members := slices.DeleteFunc(w.gangs[r.gangRun()], func(other *run) bool { return other == r })
+func (c *Cluster) removeFromGang(r *run) {
+	members := slices.DeleteFunc(c.gangs[r.gangRun()], func(other *run) bool { return other == r })
 	if len(members) == 0 {
-		delete(w.gangs, r.gangRun())
+		delete(c.gangs, r.gangRun())
 		return
 	}
-	w.gangs[r.gangRun()] = members
+	c.gangs[r.gangRun()] = members
 }
 
-// startWhenGangComplete starts the work of a run, or of all gang members once the gang is
-// complete.
-func (w *Cluster) startWhenGangComplete(r *run) {
-	if !w.step(r.name).Gang {
+// startWhenGangComplete starts the work of a run. The members of a gang start work once all of them
+// have started; a member ends if the gang is still incomplete after GangTimeout.
+func (c *Cluster) startWhenGangComplete(r *run) {
+	if !c.step(r.name).Gang {
 		r.worker.work(r)
 		return
 	}
-	members := w.gang(r)
-	if len(members) < w.step(r.name).Count {
-		w.Clock.After(w.Bounds.GangTimeout, func() {
+	members := c.gang(r)
+	if len(members) < c.step(r.name).Count {
+		c.Clock.After(c.Bounds.GangTimeout, func() {
 			if !r.working {
 				r.worker.end(r, fleet.EndGangIncomplete, "")
 			}
@@ -53,30 +53,30 @@
 	}
 }
 
-// remoteFactor returns the slowdown of a run whose data is on another rack, or whose same-rack
-// gang spans racks.
-func (w *Cluster) remoteFactor(r *run) float64 {
-	step := w.step(r.name)
+// crossRackSlowdown returns the factor on the duration of a run. It exceeds 1 if the worker is not
+// on the step's preferred rack, or if a gang with SameRack spans racks.
+func (c *Cluster) crossRackSlowdown(r *run) float64 {
+	step := c.step(r.name)
 	remote := step.PreferredRack != "" && step.PreferredRack != r.worker.Rack()
 	if step.SameRack && step.Gang {
-		for _, member := range w.gang(r) {
+		for _, member := range c.gang(r) {
 			remote = remote || member.worker.Rack() != r.worker.Rack()
 		}
 	}
 	if remote {
-		return w.Bounds.CrossRackSlowdown
+		return c.Bounds.CrossRackSlowdown
 	}
 	return 1
 }
 
 // finish completes a run. The members of a gang complete together, once the last one has finished.
-func (w *Cluster) finish(r *run) {
+func (c *Cluster) finish(r *run) {
 	r.finished = true
-	if !w.step(r.name).Gang {
+	if !c.step(r.name).Gang {
 		r.worker.end(r, fleet.EndDone, "")
 		return
 	}
-	members := w.gang(r)
+	members := c.gang(r)
 	for _, member := range members {
 		if !member.finished {
 			return
@@ -87,12 +87,13 @@
 	}
 }
 
-// breakGang ends the other members of a gang as broken unless the run completed.
-func (w *Cluster) breakGang(r *run, how fleet.EndReason) {
-	if how == fleet.EndDone || !w.step(r.name).Gang || !r.working {
+// breakGang ends the other members of a gang with EndGangBroken when one member ends before it has
+// completed.
+func (c *Cluster) breakGang(r *run, reason fleet.EndReason) {
+	if reason == fleet.EndDone || !c.step(r.name).Gang || !r.working {
 		return
 	}
-	for _, member := range w.gang(r) {
+	for _, member := range c.gang(r) {
 		if !member.stopping {
 			member.worker.end(member, fleet.EndGangBroken, "")
 		}
--- a/internal/simulation/invalid_rows.go
+++ b/internal/simulation/invalid_rows.go
@@ -8,17 +8,18 @@
 	"github.com/wheatroad/wheatroad/internal/rows"
 )
 
-// PutInvalidRow writes a row to the worker table that did not come from a worker.
-func (w *Cluster) PutInvalidRow(name string, value []byte) {
-	w.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: w.WorkerTable, Name: name}, Value: value}}})
+// PutInvalidRow writes a row with the given value to the worker table.
+func (c *Cluster) PutInvalidRow(name string, value []byte) {
+	c.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: c.WorkerTable, Name: name}, Value: value}}})
 }
 
-// OverwriteWorkerRow overwrites a worker's row until the worker's next heartbeat.
-func (w *Cluster) OverwriteWorkerRow(worker *Worker, value []byte) {
-	w.PutInvalidRow(worker.ID, value)
-	w.Clock.After(heartbeatPeriod, func() {
+// OverwriteWorkerRow overwrites a worker's row. The worker writes the row again after
+// heartbeatPeriod.
+func (c *Cluster) OverwriteWorkerRow(worker *Worker, value []byte) {
+	c.PutInvalidRow(worker.ID, value)
+	c.Clock.After(heartbeatPeriod, func() {
 		if !worker.Crashed {
-			w.PutWorkerRow(worker)
+			c.PutWorkerRow(worker)
 		}
 	})
 }
@@ -26,25 +27,25 @@
 // UnknownWorkerID is a worker identifier that no worker has.
 const UnknownWorkerID = "nobody"
 
-// invalidRowValues are row values that do not decode to a usable worker.
+// invalidRowValues are row values that decodeWorker rejects.
 var invalidRowValues = [][]byte{
 	nil, []byte("null"), []byte("{}"), []byte("[]"), []byte("{"), {0xff, 0x00, 0xfe}, []byte(`"ready"`),
 	[]byte(`{"ID":7}`), []byte(`{"Pool":"workers","Address":["w-0-0"],"Capacity":{"GPUs":"8"}}`),
 }
 
-// InjectInvalidRow occasionally writes an invalid row, under the identifier of a worker or of none.
-// It draws only from random.
-func (w *Cluster) InjectInvalidRow(random *rand.Rand) {
+// InjectInvalidRow occasionally writes an invalid row, under the identifier of a running worker or
+// under UnknownWorkerID. All its random numbers come from random.
+func (c *Cluster) InjectInvalidRow(random *rand.Rand) {
 	value := invalidRowValues[random.IntN(len(invalidRowValues))]
-	living := w.RunningWorkers()
+	running := c.RunningWorkers()
 	switch random.IntN(8) {
 	case 0:
-		w.PutInvalidRow(UnknownWorkerID, value)
+		c.PutInvalidRow(UnknownWorkerID, value)
 	case 1:
-		if len(living) == 0 {
+		if len(running) == 0 {
 			return
 		}
-		w.OverwriteWorkerRow(living[random.IntN(len(living))], value)
+		c.OverwriteWorkerRow(running[random.IntN(len(running))], value)
 	}
 }
 
--- a/internal/simulation/owner.go
+++ b/internal/simulation/owner.go
@@ -14,51 +14,51 @@
 type Owner struct {
 	*pool.Pool
 	Process *emulator.Process
-	// Ended is the reason why the owner gave up the pool; empty while it owns it.
+	// Ended is the reason why the ownership ended; empty while the process owns the pool.
 	Ended string
-	// PartitionedFromStore partitions the owner from the store; PartitionedFrom contains the
-	// workers that it cannot reach.
+	// PartitionedFromStore partitions the owner from the store.
 	PartitionedFromStore bool
-	PartitionedFrom      map[string]bool
-	world                *Cluster
+	// PartitionedFrom contains the workers that the owner cannot reach.
+	PartitionedFrom map[string]bool
+	cluster         *Cluster
 }
 
 // AcquirePool starts a new process that acquires the pool.
-func (w *Cluster) AcquirePool() *Owner {
-	w.owners++
-	name := fmt.Sprintf("node-%d", w.owners)
-	owner := &Owner{world: w, Process: emulator.NewProcess(w.Clock), PartitionedFrom: map[string]bool{}}
-	owner.Process.SteadyTime = w.SuspendedClock
+func (c *Cluster) AcquirePool() *Owner {
+	c.owners++
+	name := fmt.Sprintf("node-%d", c.owners)
+	owner := &Owner{cluster: c, Process: emulator.NewProcess(c.Clock), PartitionedFrom: map[string]bool{}}
+	owner.Process.SteadyTime = c.SuspendedClock
 	options := pool.Options{
-		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: w.Bounds, DisabledSafeguards: w.DisabledSafeguards, DisabledMechanisms: w.DisabledMechanisms,
-		Catalog:          func() *catalog.Catalog { return w.Catalog },
+		Pool: PoolName, Node: name, Incarnation: name, Address: name, Bounds: c.Bounds, DisabledSafeguards: c.DisabledSafeguards, DisabledMechanisms: c.DisabledMechanisms,
+		Catalog:          func() *catalog.Catalog { return c.Catalog },
 		OnOwnershipEnded: func(reason string) { owner.Ended = reason },
 	}
-	result := w.Store.Apply(pool.Acquire(options, w.leaseVersion(), name))
-	w.ownerOf[result.Version] = owner
-	owner.Pool = pool.New(options, owner.Process, &ports{cluster: w, owner: owner, process: owner.Process}, w.Checker, result.Version)
+	result := c.Store.Apply(pool.Acquire(options, c.leaseVersion(), name))
+	c.ownerOf[result.Version] = owner
+	owner.Pool = pool.New(options, owner.Process, &ports{cluster: c, owner: owner, process: owner.Process}, c.Checker, result.Version)
 	owner.Process.Post(owner.Pool.Start)
-	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
+	c.Clock.After(peerCheckPeriod, func() { c.confirmOwnership(owner) })
 	return owner
 }
 
-// peerCheckPeriod is the interval at which other nodes query an owner.
+// peerCheckPeriod is the interval at which the other nodes check the owner.
 const peerCheckPeriod = 250 * time.Millisecond
 
-// confirmOwnership periodically confirms, while the whole store is unavailable, that the other
-// nodes know of no other owner.
-func (w *Cluster) confirmOwnership(owner *Owner) {
+// confirmOwnership simulates the other nodes' periodic checks of the owner. While the store is
+// unavailable and no other process has acquired the pool, it confirms the ownership.
+func (c *Cluster) confirmOwnership(owner *Owner) {
 	if owner.Ended != "" {
 		return
 	}
-	if w.Store.Unavailable && !owner.PartitionedFromStore && w.leaseVersion() == owner.Token() {
-		owner.Process.Post(func() { owner.ConfirmOwnership(w.Clock.Now()) })
+	if c.Store.Unavailable && !owner.PartitionedFromStore && c.leaseVersion() == owner.Token() {
+		owner.Process.Post(func() { owner.ConfirmOwnership(c.Clock.Now()) })
 	}
-	w.Clock.After(peerCheckPeriod, func() { w.confirmOwnership(owner) })
+	c.Clock.After(peerCheckPeriod, func() { c.confirmOwnership(owner) })
 }
 
-func (w *Cluster) leaseVersion() int64 {
-	listing := w.Store.List(pool.NodeTable, PoolName, pool.LeaseRow)
+func (c *Cluster) leaseVersion() int64 {
+	listing := c.Store.List(pool.NodeTable, PoolName, pool.LeaseRow)
 	if len(listing.Rows) == 0 {
 		return rows.Absent
 	}
--- a/internal/simulation/ports.go
+++ b/internal/simulation/ports.go
@@ -16,17 +16,17 @@
 	process *emulator.Process
 }
 
-// postAnswer returns a callback that runs done in the owner process.
-func postAnswer[T any](p *ports, done func(T, error)) func(T, error) {
+// postResult returns a callback that runs done in the owner process.
+func postResult[T any](p *ports, done func(T, error)) func(T, error) {
 	return func(result T, err error) { p.process.Post(func() { done(result, err) }) }
 }
 
-// failIfPartitioned fails a call after a timeout if the owner is partitioned from the store, and
-// reports whether it is.
+// failIfPartitioned reports whether the owner is partitioned from the store. If so, it fails the
+// call after responseTimeout.
 func failIfPartitioned[T any](p *ports, done func(T, error)) bool {
 	if p.owner.PartitionedFromStore {
 		var nothing T
-		p.cluster.Clock.After(answerTimeout, func() { postAnswer(p, done)(nothing, rows.ErrOutcomeUnknown) })
+		p.cluster.Clock.After(responseTimeout, func() { postResult(p, done)(nothing, rows.ErrOutcomeUnknown) })
 	}
 	return p.owner.PartitionedFromStore
 }
@@ -34,38 +34,38 @@
 // Commit implements pool.Ports.
 func (p *ports) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	if !failIfPartitioned(p, done) {
-		p.cluster.Store.Commit(transaction, postAnswer(p, done))
+		p.cluster.Store.Commit(transaction, postResult(p, done))
 	}
 }
 
 // Scan implements pool.Ports.
 func (p *ports) Scan(table, part, prefix string, done func(rows.Listing, error)) {
 	if !failIfPartitioned(p, done) {
-		p.cluster.Store.Scan(table, part, prefix, postAnswer(p, done))
+		p.cluster.Store.Scan(table, part, prefix, postResult(p, done))
 	}
 }
 
-// feedTimeout is how long a feed call waits for a change.
+// feedTimeout is how long the store waits for a change before it answers a feed call.
 const feedTimeout = time.Second
 
 // Feed implements pool.Ports.
 func (p *ports) Feed(table string, after int64, done func(rows.Listing, error)) {
 	if !failIfPartitioned(p, done) {
-		p.cluster.Store.Feed(table, after, feedTimeout, postAnswer(p, done))
+		p.cluster.Store.Feed(table, after, feedTimeout, postResult(p, done))
 	}
 }
 
 // Start implements pool.Ports.
 func (p *ports) Start(to *fleet.Worker, order fleet.Start, done func(fleet.Reply, error)) {
-	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.start(order) }, postAnswer(p, done))
+	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.start(order) }, postResult(p, done))
 }
 
 // Stop implements pool.Ports.
 func (p *ports) Stop(to *fleet.Worker, order fleet.Stop, done func(fleet.Reply, error)) {
-	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.stop(order) }, postAnswer(p, done))
+	p.order(to, func(w *Worker) (fleet.Reply, error) { return w.stop(order) }, postResult(p, done))
 }
 
-func (p *ports) order(to *fleet.Worker, carryOut func(*Worker) (fleet.Reply, error), done func(fleet.Reply, error)) {
+func (p *ports) order(to *fleet.Worker, execute func(*Worker) (fleet.Reply, error), done func(fleet.Reply, error)) {
 	clock := p.cluster.Clock
 	id := to.ID
 	if to.Address == "" {
@@ -87,28 +87,28 @@
 			clock.After(orderLatency/2, func() { done(fleet.Reply{}, fleet.ErrUnreachable) })
 			return
 		}
-		fate := Acknowledged
+		outcome := Acknowledged
 		if w.OrderOutcome != nil {
-			fate = w.OrderOutcome()
+			outcome = w.OrderOutcome()
 		}
 		if w.Crashed || w.Partitioned || p.owner.PartitionedFrom[id] {
-			fate = Dropped
+			outcome = Dropped
 		}
-		switch fate {
+		switch outcome {
 		case Acknowledged:
-			reply, err := carryOut(w)
+			reply, err := execute(w)
 			clock.After(orderLatency/2, func() { done(reply, err) })
 			return
 		case AppliedUnacknowledged:
-			_, _ = carryOut(w)
+			_, _ = execute(w)
 		case AppliedLate:
 			clock.After(p.cluster.OrderDelay, func() {
-				then := w
+				recipient := w
 				if p.cluster.LateOrdersReachRestartedWorkers {
-					then = p.cluster.worker(id)
+					recipient = p.cluster.worker(id)
 				}
-				if !then.Crashed {
-					_, _ = carryOut(then)
+				if !recipient.Crashed {
+					_, _ = execute(recipient)
 				}
 			})
 		}
@@ -119,11 +119,11 @@
 // Poll implements pool.Ports.
 func (p *ports) Poll(to *fleet.Worker, order fleet.Poll, done func(fleet.Reply, error)) {
 	clock := p.cluster.Clock
-	answer := postAnswer(p, done)
-	over := false
+	answer := postResult(p, done)
+	replied := false
 	once := func(reply fleet.Reply, err error) {
-		if !over {
-			over = true
+		if !replied {
+			replied = true
 			answer(reply, err)
 		}
 	}
--- a/internal/simulation/restart.go
+++ b/internal/simulation/restart.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// Restart ends the worker process and starts a new one after a delay, with the same identifier and
-// address. The new instance's clock starts at clockMillis.
+// Restart ends the worker process and resets its connections. After a delay it starts a new
+// instance with the same identifier and address, whose clock starts at clockMillis.
 func (w *Worker) Restart(after time.Duration, clockMillis int64) {
 	w.crashAndResetConnections()
 	w.cluster.scheduleRestart(w, after, clockMillis)
 }
 
-// RestartWithoutReset is Restart during a network partition: open connections become unresponsive
-// instead of being reset.
+// RestartWithoutReset is like Restart but leaves open connections unresponsive, as in a network
+// partition.
 func (w *Worker) RestartWithoutReset(after time.Duration, clockMillis int64) {
 	w.Crash()
 	w.resets = nil
 	w.cluster.scheduleRestart(w, after, clockMillis)
 }
 
-// ReplaceWithoutReset is CrashAndRestart during a network partition: open connections become
-// unresponsive instead of being reset.
+// ReplaceWithoutReset is like CrashAndRestart but leaves open connections unresponsive, as in a
+// network partition.
 func (w *Worker) ReplaceWithoutReset() {
 	w.resets = nil
 	w.CrashAndRestart()
 }
 
 // scheduleRestart starts a new instance of a crashed worker after a delay.
-func (w *Cluster) scheduleRestart(former *Worker, after time.Duration, clockMillis int64) {
+func (c *Cluster) scheduleRestart(former *Worker, after time.Duration, clockMillis int64) {
 	if after > rowExpiry {
-		w.Clock.After(rowExpiry, func() { w.RemoveWorkerRow(former) })
+		c.Clock.After(rowExpiry, func() { c.RemoveWorkerRow(former) })
 	}
-	w.Clock.After(after, func() {
-		next := w.AddWorker(former.ID, former.Rack())
+	c.Clock.After(after, func() {
+		next := c.AddWorker(former.ID, former.Rack())
 		next.Address = former.Address
-		next.clockEpoch = w.Clock.Now().Add(-time.Duration(clockMillis) * time.Millisecond)
+		next.clockEpoch = c.Clock.Now().Add(-time.Duration(clockMillis) * time.Millisecond)
 		next.OrderOutcome, next.DropPollReply = former.OrderOutcome, former.DropPollReply
-		w.PutWorkerRow(next)
+		c.PutWorkerRow(next)
 	})
 }
 
 const (
-	// A restart takes minRestartDelay to maxRestartDelay; the longer ones let the worker's row
-	// expire.
+	// A restart takes minRestartDelay to maxRestartDelay. The worker's row expires during restarts
+	// that take longer than rowExpiry.
 	minRestartDelay = 50 * time.Millisecond
 	maxRestartDelay = 4 * time.Second
-	// massRestartOneIn is the reciprocal of the share of workers that a mass restart affects.
+	// massRestartOneIn: a mass restart affects each worker with a probability of one in
+	// massRestartOneIn.
 	massRestartOneIn = 3
-	// maxInitialClockMillis bounds the initial clock of a new instance.
+	// maxInitialClockMillis is the upper bound on the initial clock of a new instance.
 	maxInitialClockMillis = 8_000_000
 )
 
-// RestartRandomWorkers occasionally restarts a worker: alone, twice in a row, during a partition,
-// or with a third of the others. It draws only from random.
-func (w *Cluster) RestartRandomWorkers(random *rand.Rand) {
-	running := w.RunningWorkers()
+// RestartRandomWorkers occasionally restarts one worker, one worker twice in a row, a partitioned
+// worker, or about a third of the workers. All its random numbers come from random.
+func (c *Cluster) RestartRandomWorkers(random *rand.Rand) {
+	running := c.RunningWorkers()
 	if len(running) == 0 {
 		return
 	}
@@ -65,8 +66,8 @@
 		chosen.restartAfterRandomDelay(random)
 	case 2:
 		chosen.Restart(minRestartDelay, randomInitialClock(random))
-		w.Clock.After(minRestartDelay+time.Duration(random.Int64N(int64(time.Second))), func() {
-			if again := w.worker(chosen.ID); !again.Crashed {
+		c.Clock.After(minRestartDelay+time.Duration(random.Int64N(int64(time.Second))), func() {
+			if again := c.worker(chosen.ID); !again.Crashed {
 				again.restartAfterRandomDelay(random)
 			}
 		})
@@ -83,14 +84,14 @@
 }
 
 // RunningWorkers returns the workers that have not crashed.
-func (w *Cluster) RunningWorkers() []*Worker {
-	var living []*Worker
-	for _, worker := range w.Workers {
+func (c *Cluster) RunningWorkers() []*Worker {
+	var running []*Worker
+	for _, worker := range c.Workers {
 		if !worker.Crashed {
-			living = append(living, worker)
+			running = append(running, worker)
 		}
 	}
-	return living
+	return running
 }
 
 func (w *Worker) restartAfterRandomDelay(random *rand.Rand) {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -27,14 +27,15 @@
 	WriteOutcome func() Outcome
 	// FeedsUnresponsive withholds the responses of feeds.
 	FeedsUnresponsive bool
-	// ScansUnresponsive lets scans time out.
+	// ScansUnresponsive makes scans time out.
 	ScansUnresponsive bool
 	// Latency is the round-trip time of a call.
 	Latency time.Duration
+	// waiters are called once at the next change.
 	waiters []func()
 	// Feeds counts the feed calls by table.
 	Feeds map[string]int
-	// lastFaultAt is when a call was last refused or left unanswered.
+	// lastFaultAt is when the store last refused a call or left a call unanswered.
 	lastFaultAt time.Time
 }
 
@@ -56,8 +57,8 @@
 // lateWriteDelay is the delay of a write whose outcome is AppliedLate.
 const lateWriteDelay = 3 * time.Second
 
-// answerTimeout is how long a caller waits for a response of the store.
-const answerTimeout = 1500 * time.Millisecond
+// responseTimeout is how long a caller waits for the store's response.
+const responseTimeout = 1500 * time.Millisecond
 
 // NewStore returns an empty store.
 func NewStore(clock *emulator.Clock) *Store {
@@ -69,22 +70,22 @@
 // Commit applies a transaction and passes the result to done.
 func (s *Store) Commit(transaction rows.Transaction, done func(rows.Result, error)) {
 	s.clock.After(s.Latency/2, func() {
-		if s.unavailable(partOf(transaction)) {
+		if s.unavailable(partitionOf(transaction)) {
 			s.lastFaultAt = s.clock.Now()
 			s.clock.After(s.Latency/2, func() { done(rows.Result{}, rows.ErrNoEffect) })
 			return
 		}
-		fate := Acknowledged
+		outcome := Acknowledged
 		if s.WriteOutcome != nil {
-			fate = s.WriteOutcome()
+			outcome = s.WriteOutcome()
 		}
-		if s.UnresponsivePartitions[partOf(transaction)] {
-			fate = Dropped
+		if s.UnresponsivePartitions[partitionOf(transaction)] {
+			outcome = Dropped
 		}
-		if fate != Acknowledged {
+		if outcome != Acknowledged {
 			s.lastFaultAt = s.clock.Now()
 		}
-		switch fate {
+		switch outcome {
 		case Acknowledged:
 			result := s.Apply(transaction)
 			s.clock.After(s.Latency/2, func() { done(result, nil) })
@@ -94,11 +95,11 @@
 		case AppliedLate:
 			s.clock.After(lateWriteDelay, func() { s.Apply(transaction) })
 		}
-		s.clock.After(answerTimeout, func() { done(rows.Result{}, rows.ErrOutcomeUnknown) })
+		s.clock.After(responseTimeout, func() { done(rows.Result{}, rows.ErrOutcomeUnknown) })
 	})
 }
 
-func partOf(transaction rows.Transaction) string {
+func partitionOf(transaction rows.Transaction) string {
 	switch {
 	case len(transaction.Conditions) > 0:
 		return transaction.Conditions[0].Part
@@ -112,16 +113,16 @@
 
 // Apply applies a transaction immediately, regardless of faults.
 func (s *Store) Apply(transaction rows.Transaction) rows.Result {
-	holds := true
+	conditionsHold := true
 	var current []rows.Row
 	for _, condition := range transaction.Conditions {
 		row := s.rows[condition.Key]
 		if row.Version > 0 {
 			current = append(current, row)
 		}
-		holds = holds && row.Version == condition.Version
+		conditionsHold = conditionsHold && row.Version == condition.Version
 	}
-	if !holds {
+	if !conditionsHold {
 		return rows.Result{Current: current}
 	}
 	s.version++
@@ -154,7 +155,7 @@
 		}
 		if s.ScansUnresponsive {
 			s.lastFaultAt = s.clock.Now()
-			s.clock.After(answerTimeout, func() { done(rows.Listing{}, rows.ErrOutcomeUnknown) })
+			s.clock.After(responseTimeout, func() { done(rows.Listing{}, rows.ErrOutcomeUnknown) })
 			return
 		}
 		done(s.List(table, part, prefix), nil)
@@ -173,8 +174,8 @@
 	return listing
 }
 
-// Feed passes the changes of a table to done as soon as there are any, or an empty listing after
-// wait.
+// Feed passes the changes of a table after a version to done. If there are none, it waits for a
+// change, and passes an empty listing after wait.
 func (s *Store) Feed(table string, after int64, wait time.Duration, done func(rows.Listing, error)) {
 	s.Feeds[table]++
 	deadline := s.clock.Now().Add(wait)
@@ -210,8 +211,8 @@
 	s.pollOnChange(table, after, deadline, done)
 }
 
-// feedLimit is the number of rows after which a feed response ends; the rows of one transaction are
-// never split.
+// feedLimit is the number of rows after which a feed response ends. A response contains more rows
+// if the last transaction exceeds the limit, because a transaction is never split.
 const feedLimit = 500
 
 // firstAfter returns the index of the first change after a version.
@@ -219,8 +220,8 @@
 	return sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > version })
 }
 
-// pollOnChange polls again at the next change or at the deadline. While feeds are unresponsive it
-// polls periodically.
+// pollOnChange polls again at the next change or at the deadline. If feeds are unresponsive, it
+// polls again after unresponsiveFeedPollPeriod instead.
 func (s *Store) pollOnChange(table string, after int64, deadline time.Time, done func(rows.Listing, error)) {
 	if s.FeedsUnresponsive {
 		s.clock.After(unresponsiveFeedPollPeriod, func() { s.poll(table, after, deadline, done) })
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -9,24 +9,30 @@
 	"github.com/wheatroad/wheatroad/internal/taskgraph"
 )
 
-// Worker is one instance of a worker: a restart under the same identifier creates another Worker.
+// Worker is one instance of a worker. Each restart creates another Worker, even under the same
+// identifier.
 type Worker struct {
 	fleet.Worker
 	cluster *Cluster
 	clock   *emulator.Clock
 	// clockEpoch is when the worker's own clock was 0.
 	clockEpoch time.Time
-	token      int64
-	// leaseEnd is when the lease expires and all runs are killed.
-	leaseEnd       time.Time
-	runs           map[taskgraph.TaskName]*run
+	// token is the highest fencing token of the orders so far.
+	token int64
+	// leaseEnd is when the lease expires and the worker ends all runs.
+	leaseEnd time.Time
+	runs     map[taskgraph.TaskName]*run
+	// supersededRuns contains the highest run number of each task that may no longer start.
 	supersededRuns map[taskgraph.TaskName]int
-	ended          []fleet.EndedRun
-	lastEndNumber  int64
-	// leaseExpirations counts expired leases; endedAt contains the count at each ended run.
+	// ended contains the ended runs that no owner has acknowledged.
+	ended         []fleet.EndedRun
+	lastEndNumber int64
+	// leaseExpirations counts expired leases.
 	leaseExpirations int
-	endedAt          map[int64]int
-	waiters          []func()
+	// endedAt contains the value of leaseExpirations at the end of each run, by end number.
+	endedAt map[int64]int
+	// waiters answer the pending polls when a run ends.
+	waiters []func()
 	// resets fail the pending polls when the worker process crashes.
 	resets []func()
 	// Crashed is set once the process has crashed.
@@ -43,12 +49,12 @@
 	Unreachable bool
 	// Unhealthy workers refuse starts as unhealthy.
 	Unhealthy bool
-	// Failing workers fail all runs that they start. On Stalled workers runs make no progress and
-	// do not finish.
+	// Failing workers fail all runs that they start.
 	Failing bool
+	// Runs on Stalled workers make no progress and do not finish.
 	Stalled bool
-	// SlowdownFactor is the factor on the duration of work, less than 1 for fast workers; 0 means
-	// 1.
+	// SlowdownFactor is the factor on the duration of work. It is less than 1 for fast workers; 0
+	// means 1.
 	SlowdownFactor float64
 	// capacities contains the capacity changes in order.
 	capacities []capacityChange
@@ -65,13 +71,13 @@
 	checkpoint   string
 	stopping     bool
 	over         bool
-	// finished is set once the work is complete; members of a gang then wait for the others.
+	// finished is set once the work is complete. A gang member then waits for the other members.
 	finished bool
 	// percent is the last reported progress.
 	percent int
 }
 
-// StopTime is the default duration of a stop.
+// StopTime is the default time that a run takes to stop.
 const StopTime = 300 * time.Millisecond
 
 // clockMillis returns the time of the worker's own clock.
@@ -160,20 +166,20 @@
 	r.working = true
 	r.workingSince = w.clock.Now()
 	w.scheduleCrash(r, AtWorkStart)
-	duration := time.Duration(float64(w.cluster.Work(r.name)-savedWork(r.checkpoint)) * w.cluster.remoteFactor(r))
-	duration = time.Duration(float64(duration) * w.slowness())
+	duration := time.Duration(float64(w.cluster.Work(r.name)-savedWork(r.checkpoint)) * w.cluster.crossRackSlowdown(r))
+	duration = time.Duration(float64(duration) * w.slowdownFactor())
 	w.clock.After(duration, func() { w.finish(r) })
 }
 
-// slowness returns the factor on the duration of work.
-func (w *Worker) slowness() float64 {
+// slowdownFactor returns the factor on the duration of work.
+func (w *Worker) slowdownFactor() float64 {
 	if w.SlowdownFactor == 0 {
 		return 1
 	}
 	return w.SlowdownFactor
 }
 
-// stalledRetryPeriod is the interval at which a run on a standing worker tries to finish.
+// stalledRetryPeriod is the interval at which a run on a stalled worker tries to finish.
 const stalledRetryPeriod = 100 * time.Millisecond
 
 func (w *Worker) finish(r *run) {
@@ -187,7 +193,7 @@
 }
 
 // end removes a run and adds it to the ended runs that the worker reports.
-func (w *Worker) end(r *run, how fleet.EndReason, checkpoint string) {
+func (w *Worker) end(r *run, reason fleet.EndReason, checkpoint string) {
 	if r.over || w.Crashed {
 		return
 	}
@@ -197,9 +203,9 @@
 	w.supersededRuns[r.name] = max(w.supersededRuns[r.name], r.number)
 	w.lastEndNumber++
 	w.endedAt[w.lastEndNumber] = w.leaseExpirations
-	w.ended = append(w.ended, fleet.EndedRun{Number: w.lastEndNumber, Task: r.name, Run: r.number, Reason: how, Checkpoint: checkpoint})
-	w.cluster.Checker.ended(r, how)
-	w.cluster.breakGang(r, how)
+	w.ended = append(w.ended, fleet.EndedRun{Number: w.lastEndNumber, Task: r.name, Run: r.number, Reason: reason, Checkpoint: checkpoint})
+	w.cluster.Checker.ended(r, reason)
+	w.cluster.breakGang(r, reason)
 	waiters := w.waiters
 	w.waiters = nil
 	for _, wake := range waiters {
@@ -221,8 +227,8 @@
 	return reply, nil
 }
 
-// poll passes the reply to done: immediately if there is something to report, otherwise when a run
-// ends or the wait is over.
+// poll passes the worker's status to done. It replies immediately if the order has no wait or an
+// ended run is unacknowledged. Otherwise it replies when a run ends or the wait is over.
 func (w *Worker) poll(order fleet.Poll, done func(fleet.Reply, error)) {
 	if order.Token < w.token {
 		done(fleet.Reply{ClockMillis: w.clockMillis()}, fleet.ErrFenced)
@@ -272,7 +278,7 @@
 
 func (w *Worker) percent(r *run) int {
 	if r.working && !w.Stalled {
-		done := float64(savedWork(r.checkpoint)) + float64(w.clock.Now().Sub(r.startedAt))/w.slowness()
+		done := float64(savedWork(r.checkpoint)) + float64(w.clock.Now().Sub(r.startedAt))/w.slowdownFactor()
 		share := done / float64(w.cluster.Work(r.name))
 		r.percent = min(99, int(100*share))
 	}
