--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -22,7 +22,7 @@
 // Cause names what delayed a job.
 type Cause string
 
-// Causes. Those that end in a colon and a space are prefixes of a reason.
+// Causes. A cause that ends in a colon and a space is a prefix; the reason follows.
 const (
 	CauseRejectedFirst    Cause = "rejected before acceptance: "
 	CauseNotAccepted      Cause = "not accepted: "
@@ -35,11 +35,12 @@
 	CauseUnknown          Cause = "not told by the lines"
 )
 
-// callerErrorReasons are the rejection reasons that the caller is responsible for; ""
-// is a job without a rejection.
+// callerErrorReasons are the rejection reasons that the caller is responsible for. The empty reason
+// stands for a job without a rejection.
 var callerErrorReasons = map[string]bool{"unauthenticated": true, "not_found": true, "": true}
 
-// isCounted reports whether the job was accepted, or was rejected through no fault of its caller.
+// isCounted reports whether the report counts the job: one that was accepted, or that was rejected
+// for a reason other than callerErrorReasons.
 func (j *job) isCounted() bool {
 	return !j.acceptedAt.IsZero() || !callerErrorReasons[j.rejectionReason]
 }
@@ -75,7 +76,8 @@
 	return time.Duration(j.jobEnd.Stretch*float64(work)) + milliseconds(j.jobEnd.TargetMillis)
 }
 
-// dominantCause returns the cause that accounts for most of a late job's time, and that time.
+// dominantCause returns the cause that accounts for most of a late job's time, and the time that
+// the cause accounts for.
 func (j *job) dominantCause(l *Log) (Cause, time.Duration) {
 	causes := map[Cause]time.Duration{}
 	if j.rejectionReason != "" && !j.acceptedAt.IsZero() {
@@ -90,8 +92,8 @@
 	return longestCause(causes)
 }
 
-// storeOutageEnd returns the end of the store outage in progress at a time, or that time
-// if there is none.
+// storeOutageEnd returns the end of the store outage in progress at the given time. If there is no
+// outage, it returns the given time.
 func (l *Log) storeOutageEnd(at time.Time) time.Time {
 	for _, outage := range l.storeOutages {
 		if !outage.from.After(at) && outage.to.After(at) {
@@ -102,13 +104,13 @@
 }
 
 func longestCause(causes map[Cause]time.Duration) (Cause, time.Duration) {
-	deciding, longest := CauseUnknown, time.Duration(0)
+	dominant, longest := CauseUnknown, time.Duration(0)
 	for cause, d := range causes {
-		if d > longest || d == longest && cause < deciding {
-			deciding, longest = cause, d
+		if d > longest || d == longest && cause < dominant {
+			dominant, longest = cause, d
 		}
 	}
-	return deciding, longest
+	return dominant, longest
 }
 
 func (j *job) stepCount() int {
@@ -119,7 +121,8 @@
 	return count
 }
 
-// addStepTime attributes the time of the unit that ended last in a step to causes.
+// addStepTime attributes the wait and run times of a step to causes. It considers only the unit
+// that ended last.
 func (j *job) addStepTime(l *Log, causes map[Cause]time.Duration, step int) {
 	unit := j.lastUnitToEnd(step)
 	for i := range j.placements {
@@ -134,40 +137,40 @@
 	}
 }
 
-func (j *job) addWaitTime(l *Log, causes map[Cause]time.Duration, p *logLine) {
-	waitInterval := interval{p.At.Add(-milliseconds(p.WaitedMillis)), p.At}
+func (j *job) addWaitTime(l *Log, causes map[Cause]time.Duration, placement *logLine) {
+	waitInterval := interval{placement.At.Add(-milliseconds(placement.WaitedMillis)), placement.At}
 	outage, takeover := waitInterval.overlap(l.storeOutages), waitInterval.overlap(l.takeovers)
 	causes[CauseStoreUnavailable] += outage
 	causes[CauseTakeover] += takeover
-	causes[CauseQueueWait+Cause(p.WaitedFor)] += max(0, milliseconds(p.WaitedMillis)-outage-takeover)
+	causes[CauseQueueWait+Cause(placement.WaitedFor)] += max(0, milliseconds(placement.WaitedMillis)-outage-takeover)
 }
 
-func (j *job) addRunTime(l *Log, causes map[Cause]time.Duration, p, end *logLine) {
-	ran := runDuration(p, end)
+func (j *job) addRunTime(l *Log, causes map[Cause]time.Duration, placement, end *logLine) {
+	ran := runDuration(placement, end)
 	started := end.At.Add(-ran)
-	writePending := interval{p.At, started}
+	writePending := interval{placement.At, started}
 	outage := writePending.overlap(l.storeOutages)
 	causes[CauseStoreUnavailable] += outage
-	causes[CausePlacementWrite] += max(0, started.Sub(p.At)-outage)
+	causes[CausePlacementWrite] += max(0, started.Sub(placement.At)-outage)
 	if end.Result == "done" {
-		causes[CauseSlowWorkers] += max(0, ran-nominalDuration(p, end))
+		causes[CauseSlowWorkers] += max(0, ran-nominalDuration(placement, end))
 		return
 	}
 	causes[CauseRerun+Cause(end.failureCause())] += ran
 }
 
-// runDuration returns how long a run took. Log lines of an owner that did not start the run
-// have no duration; the placement then counts as its start.
-func runDuration(p, end *logLine) time.Duration {
+// runDuration returns how long a run took. If the owner that logged the end did not start the run,
+// its line has no duration; the run then counts from its placement.
+func runDuration(placement, end *logLine) time.Duration {
 	if end.RanMillis > 0 {
 		return milliseconds(end.RanMillis)
 	}
-	return end.At.Sub(p.At)
+	return end.At.Sub(placement.At)
 }
 
 // nominalDuration returns how long a run takes on workers of normal speed.
-func nominalDuration(p, end *logLine) time.Duration {
-	ran := runDuration(p, end)
+func nominalDuration(placement, end *logLine) time.Duration {
+	ran := runDuration(placement, end)
 	if end.Slowness <= 0 {
 		return ran
 	}
@@ -191,12 +194,12 @@
 }
 
 // endOf returns the end of a placed run. For a gang, a failed member takes precedence.
-func (j *job) endOf(p *logLine) *logLine {
+func (j *job) endOf(placement *logLine) *logLine {
 	var found *logLine
 	for i := range j.runEnds {
 		end := &j.runEnds[i]
 		step, index := parseTaskName(end.Task)
-		if step != p.Step || end.Run != p.Run || p.Tasks <= 1 && index != p.Unit {
+		if step != placement.Step || end.Run != placement.Run || placement.Tasks <= 1 && index != placement.Unit {
 			continue
 		}
 		if found == nil || end.Result == "failed" {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -11,25 +11,25 @@
 )
 
 // line renders a log line of a node at a time in milliseconds.
-func line(node string, at int, decision, fields string) string {
+func line(node string, at int, message, fields string) string {
 	stamp := time.UnixMilli(int64(at)).UTC().Format("2006-01-02T15:04:05.000Z07:00")
 	if fields != "" {
 		fields = "," + fields
 	}
-	return fmt.Sprintf(`%s {"ts":"%s","msg":"%s"%s}`, node, stamp, decision, fields)
+	return fmt.Sprintf(`%s {"ts":"%s","msg":"%s"%s}`, node, stamp, message, fields)
 }
 
-func placed(at int, job string, run, waited int, waitedFor string) string {
-	return line("a", at, "placed", fmt.Sprintf(`"job":"%s","step":0,"unit":0,"run":%d,"tasks":1,"waited_ms":%d,"waited_for":"%s"`, job, run, waited, waitedFor))
+func placed(at int, job string, run, waitedMillis int, waitedFor string) string {
+	return line("a", at, "placed", fmt.Sprintf(`"job":"%s","step":0,"unit":0,"run":%d,"tasks":1,"waited_ms":%d,"waited_for":"%s"`, job, run, waitedMillis, waitedFor))
 }
 
-func runEnded(at int, job string, run, ran int, how, reason string) string {
-	return line("a", at, "run ended", fmt.Sprintf(`"job":"%s","task":"%s.0.0.0","run":%d,"ran_ms":%d,"how":"%s","reason":"%s","unsaved_core_s":5`, job, job, run, ran, how, reason))
+func runEnded(at int, job string, run, ranMillis int, result, reason string) string {
+	return line("a", at, "run ended", fmt.Sprintf(`"job":"%s","task":"%s.0.0.0","run":%d,"ran_ms":%d,"how":"%s","reason":"%s","unsaved_core_s":5`, job, job, run, ranMillis, result, reason))
 }
 
 // runEndedOn renders the line of a run that completed on workers with the given slowness.
-func runEndedOn(slowness float64, at int, job string, ran int) string {
-	return line("a", at, "run ended", fmt.Sprintf(`"job":"%s","task":"%s.0.0.0","run":1,"ran_ms":%d,"how":"done","slowness":%g`, job, job, ran, slowness))
+func runEndedOn(slowness float64, at int, job string, ranMillis int) string {
+	return line("a", at, "run ended", fmt.Sprintf(`"job":"%s","task":"%s.0.0.0","run":1,"ran_ms":%d,"how":"done","slowness":%g`, job, job, ranMillis, slowness))
 }
 
 func jobEnded(at int, job, state string) string {
@@ -91,7 +91,7 @@
 		placed(1500, "x", 2, 0, ""), runEnded(3000, "x", 2, 1500, "done", ""), jobEnded(3000, "x", "completed"),
 		requestRefused(0, "y", "unauthenticated"), "not a JSON line", `{"no":"decision"}`)
 	require.Empty(t, s.causeCounts)
-	require.Equal(t, &queueCounts{jobs: 1, inTime: 1}, s.queues["urgent"])
+	require.Equal(t, &queueCounts{jobs: 1, onTime: 1}, s.queues["urgent"])
 	require.Equal(t, map[string]float64{"failed": 5}, s.wastedCoreSeconds)
 }
 
@@ -102,14 +102,14 @@
 		return line("a", at, "job ended", fmt.Sprintf(`"job":"x","queue":"urgent","state":"completed","stretch":1.5,"target_ms":200,"objective_ms":%d`, objective))
 	}
 	s := summarize(t, accepted(0, "x"), ended(9000, 12000))
-	require.Equal(t, &queueCounts{jobs: 1, inTime: 1}, s.queues["urgent"])
+	require.Equal(t, &queueCounts{jobs: 1, onTime: 1}, s.queues["urgent"])
 	s = summarize(t, accepted(0, "x"), ended(9000, 7000))
 	require.Equal(t, &queueCounts{jobs: 1, late: 1}, s.queues["urgent"])
 }
 
 func TestLinesOfSeveralNodesAreOrderedByTime(t *testing.T) {
 	s := summarize(t, jobEnded(1000, "x", "completed"), runEnded(1000, "x", 1, 1000, "done", ""), placed(0, "x", 1, 0, ""), accepted(0, "x"))
-	require.Equal(t, 1, s.queues["urgent"].inTime)
+	require.Equal(t, 1, s.queues["urgent"].onTime)
 }
 
 func TestPrint(t *testing.T) {
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -48,14 +48,18 @@
 type Log struct {
 	lines []logLine
 	jobs  map[string]*job
-	// storeOutages are the intervals in which the owner could not reach the store. takeovers
-	// last from the first suspicion that an owner failed until its successor has read the rows.
-	storeOutages      []interval
-	takeovers         []interval
+	// storeOutages are the intervals in which the owner could not reach the store.
+	storeOutages []interval
+	// takeovers are the intervals without an owner. They begin when a node finds the owner
+	// unresponsive and end when the next owner has read the rows.
+	takeovers []interval
+	// wastedCoreSeconds is the unsaved work by failure cause.
 	wastedCoreSeconds map[string]float64
-	owner             string
-	// storeLostAt and ownerLostAt are the starts of intervals that are still open.
+	// owner is the node that acquired the pool last.
+	owner string
+	// storeLostAt is the start of each node's current store outage.
 	storeLostAt map[string]time.Time
+	// ownerLostAt is the start of the current takeover.
 	ownerLostAt time.Time
 }
 
@@ -82,8 +86,8 @@
 	return &Log{jobs: map[string]*job{}, wastedCoreSeconds: map[string]float64{}, storeLostAt: map[string]time.Time{}}
 }
 
-// Read appends log lines. The last word before a line's JSON object names the node;
-// lines without a log message in JSON are skipped.
+// Read appends log lines. The last word before a line's JSON object is the name of the node. Read
+// skips lines without a log message in JSON.
 func (l *Log) Read(input io.Reader) error {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxLineBytes)
@@ -93,87 +97,87 @@
 		if begin < 0 {
 			continue
 		}
-		var r logLine
-		if json.Unmarshal([]byte(text[begin:]), &r) != nil || r.Message == "" {
+		var entry logLine
+		if json.Unmarshal([]byte(text[begin:]), &entry) != nil || entry.Message == "" {
 			continue
 		}
 		if words := strings.Fields(text[:begin]); len(words) > 0 {
-			r.Node = words[len(words)-1]
+			entry.Node = words[len(words)-1]
 		}
-		l.lines = append(l.lines, r)
+		l.lines = append(l.lines, entry)
 	}
 	return scanner.Err()
 }
 
-func (l *Log) apply(r logLine) {
-	switch r.Message {
+func (l *Log) apply(entry logLine) {
+	switch entry.Message {
 	case "store unreachable":
-		l.storeLostAt[r.Node] = r.At
+		l.storeLostAt[entry.Node] = entry.At
 	case "store reachable again":
-		if from, ok := l.storeLostAt[r.Node]; ok && r.Node == l.owner {
-			l.storeOutages = append(l.storeOutages, interval{from, r.At})
+		if from, ok := l.storeLostAt[entry.Node]; ok && entry.Node == l.owner {
+			l.storeOutages = append(l.storeOutages, interval{from, entry.At})
 		}
-		delete(l.storeLostAt, r.Node)
+		delete(l.storeLostAt, entry.Node)
 	case "owner unresponsive", "pool ownership ended":
 		if l.ownerLostAt.IsZero() {
-			l.ownerLostAt = r.At
+			l.ownerLostAt = entry.At
 		}
 	case "owner responsive again", "owner reachable from others":
 		l.ownerLostAt = time.Time{}
 	case "pool acquired":
-		l.owner = r.Node
+		l.owner = entry.Node
 		if l.ownerLostAt.IsZero() {
-			l.ownerLostAt = r.At
+			l.ownerLostAt = entry.At
 		}
 	case "pool state loaded":
 		if !l.ownerLostAt.IsZero() {
-			l.takeovers = append(l.takeovers, interval{l.ownerLostAt, r.At})
+			l.takeovers = append(l.takeovers, interval{l.ownerLostAt, entry.At})
 		}
 		l.ownerLostAt = time.Time{}
 	}
-	if r.Job != "" {
-		l.applyToJob(r)
+	if entry.Job != "" {
+		l.applyToJob(entry)
 	}
 }
 
-func (l *Log) applyToJob(r logLine) {
-	j := l.jobs[r.Job]
+func (l *Log) applyToJob(entry logLine) {
+	j := l.jobs[entry.Job]
 	if j == nil {
-		j = &job{firstAt: r.At}
-		l.jobs[r.Job] = j
+		j = &job{firstAt: entry.At}
+		l.jobs[entry.Job] = j
 	}
-	switch r.Message {
+	switch entry.Message {
 	case "job accepted":
 		if j.acceptedAt.IsZero() {
-			j.acceptedAt = r.At
+			j.acceptedAt = entry.At
 		}
-		j.queue = r.Queue
+		j.queue = entry.Queue
 	case "job not accepted", "request refused":
 		if j.acceptedAt.IsZero() {
-			j.rejectionReason, j.rejectedAt = r.Reason, r.At
+			j.rejectionReason, j.rejectedAt = entry.Reason, entry.At
 		}
-		if r.Queue != "" {
-			j.queue = r.Queue
+		if entry.Queue != "" {
+			j.queue = entry.Queue
 		}
 	case "placed":
-		j.placements = append(j.placements, r)
+		j.placements = append(j.placements, entry)
 	case "run ended":
-		j.runEnds = append(j.runEnds, r)
-		if r.Result != "done" {
-			l.wastedCoreSeconds[r.failureCause()] += r.UnsavedCoreSeconds
+		j.runEnds = append(j.runEnds, entry)
+		if entry.Result != "done" {
+			l.wastedCoreSeconds[entry.failureCause()] += entry.UnsavedCoreSeconds
 		}
 	case "job ended":
-		j.jobEnd = r
-		j.queue = r.Queue
+		j.jobEnd = entry
+		j.queue = entry.Queue
 	}
 }
 
 // failureCause returns why a run ended without completing.
-func (r *logLine) failureCause() string {
-	if r.Result == "stopped" && r.Reason != "" {
-		return "stopped: " + r.Reason
+func (e *logLine) failureCause() string {
+	if e.Result == "stopped" && e.Reason != "" {
+		return "stopped: " + e.Reason
 	}
-	return r.Result
+	return e.Result
 }
 
 // parseTaskName returns the step and the index in a task name, or -1 for each if it is malformed.
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -11,7 +11,7 @@
 
 // queueCounts counts the jobs of one queue by how they ended.
 type queueCounts struct {
-	jobs, inTime, late, notTaken, failed, cancelled, open int
+	jobs, onTime, late, notAccepted, failed, cancelled, open int
 }
 
 // causeCount counts the jobs of one queue that share a dominant cause.
@@ -26,7 +26,7 @@
 type Summary struct {
 	queues      map[string]*queueCounts
 	causeCounts []causeCount
-	// lateJobs has a table row for each job that was late or rejected.
+	// lateJobs contains a table row for each late or rejected job.
 	lateJobs          []string
 	wastedCoreSeconds map[string]float64
 }
@@ -51,14 +51,14 @@
 		counts.jobs++
 		switch {
 		case j.acceptedAt.IsZero() && j.jobEnd.Message == "":
-			counts.notTaken++
+			counts.notAccepted++
 			s.add(id, j, CauseNotAccepted+Cause(j.rejectionReason), j.rejectedAt.Sub(j.firstAt))
 		case j.late():
 			counts.late++
-			cause, took := j.dominantCause(l)
-			s.add(id, j, cause, took)
+			cause, timeLost := j.dominantCause(l)
+			s.add(id, j, cause, timeLost)
 		case j.jobEnd.State == "completed":
-			counts.inTime++
+			counts.onTime++
 		case j.jobEnd.State == "failed":
 			counts.failed++
 		case j.jobEnd.State == "cancelled":
@@ -73,17 +73,17 @@
 	return s
 }
 
-func (s *Summary) add(id string, j *job, cause Cause, took time.Duration) {
+func (s *Summary) add(id string, j *job, cause Cause, timeLost time.Duration) {
 	s.lateJobs = append(s.lateJobs, fmt.Sprintf("%s\t%s\t%v\t%v\t%s\t%v", id, j.queue, max(0, j.total()).Round(time.Millisecond),
-		j.objective().Round(time.Millisecond), cause, took.Round(time.Millisecond)))
+		j.objective().Round(time.Millisecond), cause, timeLost.Round(time.Millisecond)))
 	for i := range s.causeCounts {
 		if s.causeCounts[i].cause == cause && s.causeCounts[i].queue == j.queue {
 			s.causeCounts[i].jobs++
-			s.causeCounts[i].timeLost += took
+			s.causeCounts[i].timeLost += timeLost
 			return
 		}
 	}
-	s.causeCounts = append(s.causeCounts, causeCount{cause: cause, queue: j.queue, jobs: 1, timeLost: took})
+	s.causeCounts = append(s.causeCounts, causeCount{cause: cause, queue: j.queue, jobs: 1, timeLost: timeLost})
 }
 
 // Print writes the tables. With jobs set, it also lists each late or rejected job.
@@ -92,7 +92,7 @@
 	fmt.Fprintln(table, "queue\tjobs\ton time\tlate\tnot accepted\tfailed\tcancelled\topen")
 	for _, name := range sortedKeys(s.queues) {
 		c := s.queues[name]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.jobs, c.inTime, c.late, c.notTaken, c.failed, c.cancelled, c.open)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, c.jobs, c.onTime, c.late, c.notAccepted, c.failed, c.cancelled, c.open)
 	}
 	fmt.Fprintln(table, "\ncause\tqueue\tjobs\tseconds")
 	for _, c := range s.causeCounts {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -18,8 +18,8 @@
 	// maxRefusalTime is the time within which a daemon without an injected fault must refuse a
 	// call.
 	maxRefusalTime = 2500 * time.Millisecond
-	// idleCloseSlack is the time within which a request may fail during a planned stop because it
-	// was sent while the daemon closed an idle connection.
+	// A caller may send a request while a stopping daemon closes the idle connection. Such a request
+	// fails within idleCloseSlack.
 	idleCloseSlack  = 200 * time.Millisecond
 	submitAttempts  = 4
 	submitPause     = 200 * time.Millisecond
@@ -34,22 +34,23 @@
 	faultLookback   = 4 * time.Second
 )
 
-// submission is a job and what its caller was told about it.
+// submission is a job and the responses that its caller received.
 type submission struct {
 	spec *taskgraph.Spec
-	// accepted is set once a response confirmed the job. refused is true while every response
-	// rejected it.
-	accepted  bool
-	refused   bool
+	// accepted is set once a daemon accepted the job.
+	accepted bool
+	// refused is true unless a submission was accepted or its outcome is unknown.
+	refused bool
+	// cancelled is set once a daemon acknowledged the cancellation.
 	cancelled bool
-	// cancelTried is set once a cancellation was sent, answered or not.
+	// cancelTried is set once the caller sent a cancellation, whatever the response.
 	cancelTried bool
 	// poison is set if one of the tasks crashes the workers that start it.
 	poison bool
 	state  taskgraph.State
 }
 
-// observations collects the responses to callers and the violations that they show.
+// observations collects violations and counts the responses to callers.
 type observations struct {
 	mutex       sync.Mutex
 	submissions []*submission
@@ -57,16 +58,16 @@
 	answers     map[string]int
 }
 
-func (l *observations) addViolation(format string, args ...any) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.violations = append(l.violations, fmt.Sprintf(format, args...))
+func (o *observations) addViolation(format string, args ...any) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
-func (l *observations) count(what string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.answers[what]++
+func (o *observations) count(what string) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	o.answers[what]++
 }
 
 // callerLoop submits jobs one at a time until the run ends.
@@ -115,10 +116,11 @@
 	return spec
 }
 
-// randomDaemon returns a random daemon, ready or not: clients keep using open connections.
+// randomDaemon returns a random daemon. The daemon need not be ready, because clients keep using
+// open connections.
 func (r *run) randomDaemon(random *rand.Rand) *daemon { return r.daemons[random.IntN(len(r.daemons))] }
 
-// checkedCall makes a call and checks the invariants that concern this call alone.
+// checkedCall makes a call and checks the invariants on a single response.
 func (r *run) checkedCall(d *daemon, what string, call func() (standin.Response, error)) (standin.Response, error) {
 	began := time.Now()
 	answer, err := call()
@@ -144,12 +146,12 @@
 	return answer, err
 }
 
-// submit submits a job by the rules of PROTOCOL: it retries after a missing response but not after
-// a refusal.
+// submit submits a job. As PROTOCOL requires, it retries if there was no response but not after a
+// refusal.
 func (r *run) submit(caller *standin.Client, random *rand.Rand, s *submission) {
 	for range submitAttempts {
 		d := r.randomDaemon(random)
-		answer, err := r.checkedCall(d, "submit", func() (standin.Response, error) { return caller.Submit(d.callers, r.key(), s.spec) })
+		answer, err := r.checkedCall(d, "submit", func() (standin.Response, error) { return caller.Submit(d.callerAddress, r.key(), s.spec) })
 		switch {
 		case err == nil && answer.Status == http.StatusOK:
 			s.accepted, s.refused = true, false
@@ -165,7 +167,7 @@
 func (r *run) cancel(caller *standin.Client, random *rand.Rand, s *submission) {
 	d := r.randomDaemon(random)
 	s.cancelTried = true
-	answer, err := r.checkedCall(d, "cancel", func() (standin.Response, error) { return caller.Cancel(d.callers, r.key(), s.spec.ID) })
+	answer, err := r.checkedCall(d, "cancel", func() (standin.Response, error) { return caller.Cancel(d.callerAddress, r.key(), s.spec.ID) })
 	if err != nil {
 		return
 	}
@@ -181,7 +183,7 @@
 // checkState queries the state of a job once and checks the response.
 func (r *run) checkState(caller *standin.Client, random *rand.Rand, s *submission) {
 	d := r.randomDaemon(random)
-	answer, err := r.checkedCall(d, "look", func() (standin.Response, error) { return caller.State(d.callers, r.key(), s.spec.ID) })
+	answer, err := r.checkedCall(d, "look", func() (standin.Response, error) { return caller.State(d.callerAddress, r.key(), s.spec.ID) })
 	if err != nil {
 		return
 	}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -44,7 +44,7 @@
 		}
 		for _, evacuation := range evacuations {
 			require.Less(t, evacuation.At, time.Minute)
-			require.GreaterOrEqual(t, evacuation.Length, shortestEvacuation)
+			require.GreaterOrEqual(t, evacuation.Length, minEvacuation)
 		}
 	}
 	require.Greater(t, drawn, seeds/4)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -11,10 +11,10 @@
 	"github.com/wheatroad/wheatroad/internal/simulation"
 )
 
-// faultMargin is how long the effects of a fault may last after its end.
+// faultMargin is how long a daemon may show the effects of a fault after the fault has ended.
 const faultMargin = 3 * time.Second
 
-// inject starts a fault and returns the function that ends it, or nil.
+// inject starts a fault and returns the function that ends the fault, or nil if none is needed.
 func (r *run) inject(fault Fault) func() {
 	d := r.daemons[fault.Target%len(r.daemons)]
 	switch fault.Kind {
@@ -80,22 +80,22 @@
 	for _, d := range r.daemons {
 		d.recordFault(fault.Length + faultMargin)
 	}
-	world := r.platform.Cluster
+	cluster := r.platform.Cluster
 	var begin, end func()
 	switch fault.Kind {
 	case StoreUnavailable:
-		begin, end = func() { world.Store.Unavailable = true }, func() { world.Store.Unavailable = false }
+		begin, end = func() { cluster.Store.Unavailable = true }, func() { cluster.Store.Unavailable = false }
 	case StoreUnresponsive:
 		begin, end = func() { r.platform.StoreUnresponsive = true }, func() { r.platform.StoreUnresponsive = false }
 	case StoreSlow:
-		begin = func() { world.Store.Latency = slowStoreLatency }
-		end = func() { world.Store.Latency = storeLatency }
+		begin = func() { cluster.Store.Latency = slowStoreLatency }
+		end = func() { cluster.Store.Latency = storeLatency }
 	case StoreLossy:
-		begin, end = func() { world.Store.WriteOutcome = r.randomOutcomes(writeLoss) }, func() { world.Store.WriteOutcome = nil }
+		begin, end = func() { cluster.Store.WriteOutcome = r.randomOutcomes(writeLoss) }, func() { cluster.Store.WriteOutcome = nil }
 	case PartUnavailable:
 		parts := append(pool.ProgressPartitions(simulation.PoolName), pool.JobPartitions(simulation.PoolName, strconv.Itoa(fault.Target))...)
 		part := parts[fault.Target%len(parts)]
-		begin, end = func() { world.Store.UnavailablePartitions[part] = true }, func() { delete(world.Store.UnavailablePartitions, part) }
+		begin, end = func() { cluster.Store.UnavailablePartitions[part] = true }, func() { delete(cluster.Store.UnavailablePartitions, part) }
 	default:
 		begin, end = r.workerFault(fault)
 	}
@@ -110,7 +110,8 @@
 	orderLoss        = 0.4
 )
 
-// randomOutcomes returns a function that draws outcomes, of which a share are not answered.
+// randomOutcomes returns a function that draws outcomes. The given share of them is not
+// acknowledged.
 func (r *run) randomOutcomes(share float64) func() simulation.Outcome {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	return func() simulation.Outcome {
@@ -124,8 +125,8 @@
 // workerFault returns the functions that start and end the fault of one worker. Both must be
 // called with the platform locked.
 func (r *run) workerFault(fault Fault) (begin, end func()) {
-	world := r.platform.Cluster
-	worker := world.Workers[fault.Target%len(world.Workers)]
+	cluster := r.platform.Cluster
+	worker := cluster.Workers[fault.Target%len(cluster.Workers)]
 	switch fault.Kind {
 	case WorkerCrash:
 		return func() { r.replaceWorker(worker) }, func() {}
@@ -138,7 +139,7 @@
 	case WorkerDrain:
 		return func() {
 				worker.Draining, worker.RemainingMillis = true, fault.Length.Milliseconds()
-				world.PutWorkerRow(worker)
+				cluster.PutWorkerRow(worker)
 			}, func() {
 				worker.Draining = false
 				r.replaceWorker(worker)
@@ -153,9 +154,9 @@
 	if worker.Crashed {
 		return
 	}
-	world := r.platform.Cluster
+	cluster := r.platform.Cluster
 	worker.Crash()
-	world.RemoveWorkerRow(worker)
+	cluster.RemoveWorkerRow(worker)
 	r.replaced++
-	world.AddWorker("w-new-"+strconv.Itoa(r.replaced), worker.Rack())
+	cluster.AddWorker("w-new-"+strconv.Itoa(r.replaced), worker.Rack())
 }
--- a/internal/soak/links.go
+++ b/internal/soak/links.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Links are the slow links between daemons and the platform, and the growth of the configuration
-// that is sent over them. It is empty for most seeds.
+// Links are the rates of the links between daemons and the platform, and the growth of the
+// configuration that the platform sends over them. Most seeds have no slow links.
 type Links struct {
 	// Rates are the bytes per second of each daemon; zero means unlimited.
 	Rates []int `json:"rates,omitempty"`
@@ -28,7 +28,7 @@
 	// linksDrawn is the drawn number that selects a seed. The seeds of soak/regressions.txt draw
 	// another number.
 	linksDrawn = 2
-	// One in unlimitedEvery daemons of such a seed has no limit.
+	// In a seed with slow links, one in unlimitedEvery daemons has an unlimited link.
 	unlimitedEvery = 3
 	slowestLink    = 300_000
 	fastestLink    = 1_500_000
@@ -37,14 +37,14 @@
 	largestGrowth  = 3000
 	// queueBytes is the size of an extra queue on the wire: 189 bytes of JSON, 252 in base64.
 	queueBytes = 252
-	// longestTransfer bounds the transfer of the grown configuration over the slowest link. It is
-	// shorter than the delay before callers use a new key, so that a daemon without faults knows
-	// the key by then.
+	// longestTransfer is the maximum time that the grown configuration takes over the slowest link.
+	// It is shorter than the delay before callers use a new key, so that every daemon without
+	// faults knows the key by then.
 	longestTransfer = 2 * time.Second
 )
 
-// NewLinks returns the links of a run. They depend only on the seed, length and number of daemons
-// and use a separate random stream.
+// NewLinks returns the links of a run. They depend only on the seed, the length of the run and the
+// number of daemons, and are drawn from a separate random stream.
 func NewLinks(seed uint64, length time.Duration, daemons int) Links {
 	random := rand.New(rand.NewPCG(seed, 3))
 	if random.IntN(linksEvery) != linksDrawn {
@@ -69,7 +69,8 @@
 	return links
 }
 
-// minRate returns the rate at which the grown configuration takes longestTransfer.
+// minRate returns the rate, in bytes per second, at which the grown configuration takes
+// longestTransfer.
 func (l Links) minRate() int {
 	queues := 0
 	for _, growth := range l.Growths {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -65,7 +65,7 @@
 type Fault struct {
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// Target is the index of a daemon or worker, modulo their number.
+	// Target modulo the number of daemons or workers is the index of the affected one.
 	Target int `json:"target"`
 	// Length is the duration of the fault; some kinds ignore it.
 	Length time.Duration `json:"length"`
@@ -74,8 +74,8 @@
 const (
 	shortestFault = 300 * time.Millisecond
 	longestFault  = 4 * time.Second
-	// faultGap is the mean time between faults; a third of them start together with the previous
-	// one.
+	// faultGap is the mean time between faults. A third of the faults start together with the
+	// previous fault.
 	faultGap = 900 * time.Millisecond
 )
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -17,13 +17,13 @@
 
 // daemon is a wheatroadd process and the faults injected into it.
 type daemon struct {
-	number   int
-	program  string
-	folder   string
-	settings string
-	callers  string
-	ready    string
-	proxy    *faultproxy.Proxy
+	number           int
+	program          string
+	directory        string
+	settings         string
+	callerAddress    string
+	readinessAddress string
+	proxy            *faultproxy.Proxy
 
 	mutex   sync.Mutex
 	command *exec.Cmd
@@ -48,16 +48,16 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &daemon{number: number, program: program, folder: folder, proxy: proxy}
+	d := &daemon{number: number, program: program, directory: folder, proxy: proxy}
 	var peers string
-	for _, address := range []*string{&d.callers, &d.ready, &peers} {
+	for _, address := range []*string{&d.callerAddress, &d.readinessAddress, &peers} {
 		if *address, err = freeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	d.settings = filepath.Join(folder, fmt.Sprintf("node-%d.toml", number))
 	text := fmt.Sprintf("name = \"node-%d\"\nzone = \"z\"\ncallers = %q\nreadiness = %q\npeers = %q\nstore = %q\ncpu_share = 0.5\n[bounds]\nevacuation_ms = %d\n",
-		number, d.callers, d.ready, peers, proxy.Address(), simulation.EvacuationBound.Milliseconds())
+		number, d.callerAddress, d.readinessAddress, peers, proxy.Address(), simulation.EvacuationBound.Milliseconds())
 	if err := os.WriteFile(d.settings, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -65,8 +65,8 @@
 	return d, err
 }
 
-// Daemons listen on ports below the ephemeral range (32768 and up on Linux): the system may assign
-// a port of that range to another process once its listener is closed.
+// Daemons listen on ports below the ephemeral range, which starts at 32768 on Linux. Once
+// freeAddress has closed its listener, the system could assign an ephemeral port to another process.
 const (
 	firstPort = 10000
 	portCount = 22000
@@ -125,8 +125,8 @@
 	close(exited)
 }
 
-// signal sends a signal to the process and returns a channel that is closed when it exits, or nil
-// if no process is running.
+// signal sends a signal to the process. It returns a channel that is closed when the process exits,
+// or nil if no process is running.
 func (d *daemon) signal(signal syscall.Signal) chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -12,19 +12,20 @@
 // Restart restarts a worker under the same identifier.
 type Restart struct {
 	At time.Duration `json:"at"`
-	// Target is the index of a running worker, modulo their number. With Series a third of all
-	// workers restart.
-	Target int  `json:"target"`
+	// Target modulo the number of running workers is the index of the worker that restarts.
+	Target int `json:"target"`
+	// Series restarts a third of the running workers instead.
 	Series bool `json:"series,omitempty"`
-	// Downtime is the time until the new instance starts. WithoutReset leaves open connections
-	// unresponsive instead of resetting them. ClockMillis is the new instance's initial clock.
-	Downtime     time.Duration `json:"away"`
-	WithoutReset bool          `json:"unseen,omitempty"`
-	ClockMillis  int64         `json:"clock_ms"`
+	// Downtime is the time until the new instance starts.
+	Downtime time.Duration `json:"away"`
+	// WithoutReset leaves open connections unresponsive instead of resetting them.
+	WithoutReset bool `json:"unseen,omitempty"`
+	// ClockMillis is the new instance's initial clock.
+	ClockMillis int64 `json:"clock_ms"`
 }
 
-// InvalidWorkerRow is a row that overwrites a worker's row until its next heartbeat, or stays under
-// an identifier that no worker has.
+// InvalidWorkerRow overwrites a worker's row until the worker's next heartbeat. With UnknownWorker
+// it is a row of its own, which stays.
 type InvalidWorkerRow struct {
 	At     time.Duration `json:"at"`
 	Target int           `json:"target"`
@@ -40,19 +41,20 @@
 }
 
 const (
-	// One in instanceFaultsEvery seeds has them: those that draw instanceFaultsDrawn from the
-	// random stream instanceFaultsStream.
+	// One in instanceFaultsEvery seeds has instance faults: the seeds that draw instanceFaultsDrawn
+	// from the random stream instanceFaultsStream.
 	instanceFaultsEvery  = 2
 	instanceFaultsDrawn  = 1
 	instanceFaultsStream = 106
-	// A run has up to mostRestarts, of which one in seriesEvery affects a third of the workers.
-	mostRestarts    = 6
-	seriesEvery     = 6
-	seriesShare     = 3
-	maxDowntime     = 4 * time.Second
-	minDowntime     = 20 * time.Millisecond
-	mostClockMillis = 8_000_000
-	maxInvalidRows  = 6
+	// A run has up to maxRestarts restarts. One in seriesEvery of them is a series, which affects
+	// one in seriesShare workers.
+	maxRestarts    = 6
+	seriesEvery    = 6
+	seriesShare    = 3
+	maxDowntime    = 4 * time.Second
+	minDowntime    = 20 * time.Millisecond
+	maxClockMillis = 8_000_000
+	maxInvalidRows = 6
 )
 
 // invalidRowContents are row values that no worker writes.
@@ -64,8 +66,9 @@
 // seedsWithoutInstanceFaults are seeds of regressions and tests whose faults must not change.
 var seedsWithoutInstanceFaults = []uint64{1, 619, 10001, 10113, 12000, 60601, 72014, 73019}
 
-// NewInstanceFaults returns the instance faults of a run. They depend only on the seed and length
-// and use a separate random stream. With always set every seed has some.
+// NewInstanceFaults returns the instance faults of a run. They depend only on the seed and the
+// length of the run, and are drawn from a separate random stream. If always is set, every seed has
+// instance faults.
 func NewInstanceFaults(seed uint64, length time.Duration, always bool) InstanceFaults {
 	random := rand.New(rand.NewPCG(seed, instanceFaultsStream))
 	drawsSome := random.IntN(instanceFaultsEvery) == instanceFaultsDrawn && !slices.Contains(seedsWithoutInstanceFaults, seed)
@@ -73,7 +76,7 @@
 		return InstanceFaults{}
 	}
 	var drawn InstanceFaults
-	for range 1 + random.IntN(mostRestarts) {
+	for range 1 + random.IntN(maxRestarts) {
 		drawn.Restarts = append(drawn.Restarts, drawRestart(random, length))
 	}
 	for range random.IntN(maxInvalidRows + 1) {
@@ -89,7 +92,7 @@
 		Downtime: minDowntime + time.Duration(random.Int64N(int64(maxDowntime-minDowntime))),
 	}
 	if random.IntN(2) == 0 {
-		drawn.ClockMillis = random.Int64N(mostClockMillis)
+		drawn.ClockMillis = random.Int64N(maxClockMillis)
 	}
 	return drawn
 }
@@ -106,19 +109,19 @@
 	for _, restart := range faults.Restarts {
 		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.Cluster, restart) })
 	}
-	for _, foreign := range faults.InvalidRows {
-		r.scheduleLocked(began.Add(foreign.At), ends, func() { putInvalidRow(r.platform.Cluster, foreign) })
+	for _, row := range faults.InvalidRows {
+		r.scheduleLocked(began.Add(row.At), ends, func() { putInvalidRow(r.platform.Cluster, row) })
 	}
 }
 
-func restartWorkers(world *simulation.Cluster, restart Restart) {
-	living := world.RunningWorkers()
-	if len(living) == 0 {
+func restartWorkers(cluster *simulation.Cluster, restart Restart) {
+	running := cluster.RunningWorkers()
+	if len(running) == 0 {
 		return
 	}
-	affected := []*simulation.Worker{living[restart.Target%len(living)]}
+	affected := []*simulation.Worker{running[restart.Target%len(running)]}
 	if restart.Series {
-		affected = living[:max(1, len(living)/seriesShare)]
+		affected = running[:max(1, len(running)/seriesShare)]
 	}
 	for _, worker := range affected {
 		if restart.WithoutReset {
@@ -129,11 +132,11 @@
 	}
 }
 
-func putInvalidRow(world *simulation.Cluster, foreign InvalidWorkerRow) {
-	living := world.RunningWorkers()
-	if foreign.UnknownWorker || len(living) == 0 {
-		world.PutInvalidRow(simulation.UnknownWorkerID, foreign.Value)
+func putInvalidRow(cluster *simulation.Cluster, row InvalidWorkerRow) {
+	running := cluster.RunningWorkers()
+	if row.UnknownWorker || len(running) == 0 {
+		cluster.PutInvalidRow(simulation.UnknownWorkerID, row.Value)
 		return
 	}
-	world.OverwriteWorkerRow(living[foreign.Target%len(living)], foreign.Value)
+	cluster.OverwriteWorkerRow(running[row.Target%len(running)], row.Value)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -25,7 +25,7 @@
 	FaultDuration time.Duration
 	Daemons       int
 	Callers       int
-	// InstanceFaults adds restarts of workers and invalid worker rows also to seeds that draw none.
+	// InstanceFaults adds worker restarts and invalid worker rows to every seed.
 	InstanceFaults bool
 	// Directory contains settings and logs.
 	Directory string
@@ -82,17 +82,17 @@
 	// settleTimeout is how long accepted jobs may take to end after the last fault.
 	settleTimeout = 60 * time.Second
 	pollPeriod    = 250 * time.Millisecond
-	// keyOverlap is twice the time after which callers use a new key.
+	// Callers use a new key after half of keyOverlap.
 	keyOverlap = 6 * time.Second
 )
 
 // Run runs one seed.
 func Run(options Options) (*Report, error) {
-	world := simulation.NewCluster(racks, workersPerRack)
-	world.Work = func(name taskgraph.TaskName) time.Duration { return world.Estimate(name) }
+	cluster := simulation.NewCluster(racks, workersPerRack)
+	cluster.Work = func(name taskgraph.TaskName) time.Duration { return cluster.Estimate(name) }
 	workerFaults := NewWorkerFaults(options.Seed, options.FaultDuration)
-	world.SkipCapacityCheck = workerFaults.Unguarded
-	platform, err := standin.Start(world)
+	cluster.SkipCapacityCheck = workerFaults.Unguarded
+	platform, err := standin.Start(cluster)
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 	caller := standin.NewClient(callTimeout)
 	deadline := time.Now().Add(readyTimeout)
 	for _, d := range r.daemons {
-		for !caller.Ready(d.ready) {
+		for !caller.Ready(d.readinessAddress) {
 			if time.Now().After(deadline) {
 				return errors.Newf("node-%d did not become ready within the startup timeout; logs in %s", d.number, r.options.Directory)
 			}
@@ -207,7 +207,7 @@
 	}
 }
 
-// waitForJobs waits until every accepted job has ended or the timeout is over.
+// waitForJobs waits until every accepted job has ended, for at most settleTimeout.
 func (r *run) waitForJobs(report *Report) {
 	caller := standin.NewClient(callTimeout)
 	deadline := time.Now().Add(settleTimeout)
@@ -217,7 +217,7 @@
 		}
 		for number := 0; !s.state.Final() && time.Now().Before(deadline); number++ {
 			d := r.daemons[number%len(r.daemons)]
-			answer, err := caller.State(d.callers, r.key(), s.spec.ID)
+			answer, err := caller.State(d.callerAddress, r.key(), s.spec.ID)
 			if err == nil && answer.State != "" {
 				s.state = answer.State
 			}
@@ -288,8 +288,8 @@
 
 func keyName(version int) string { return fmt.Sprintf("key-%d", version) }
 
-// replaceKey publishes a configuration with an additional key; callers use it after half of
-// keyOverlap.
+// replaceKey publishes a configuration with the current key and a new one. Callers use the new key
+// after half of keyOverlap.
 func (r *run) replaceKey() {
 	r.keyMutex.Lock()
 	version := r.keyVersion + 1
@@ -313,7 +313,7 @@
 	r.putConfiguration(func(c *standin.Configuration) { c.Keys = keys })
 }
 
-// putConfiguration publishes a new version: the latest one with a change.
+// putConfiguration changes the latest configuration and publishes it as a new version.
 func (r *run) putConfiguration(change func(*standin.Configuration)) {
 	r.configurationMutex.Lock()
 	defer r.configurationMutex.Unlock()
--- a/internal/soak/silences.go
+++ b/internal/soak/silences.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Silence makes the open connections between a daemon and the platform unresponsive for good; new
-// connections work.
+// Silence makes the open connections between a daemon and the platform unresponsive. They do not
+// recover, but new connections work.
 type Silence struct {
 	At time.Duration `json:"at"`
 	// Target is the index of a daemon, modulo their number.
@@ -18,11 +18,11 @@
 	// soak/regressions.txt draw another number.
 	silencesEvery = 2
 	silencesDrawn = 1
-	// A series has up to mostSilences, at most silenceGap apart, so that the replacement
-	// connections also become unresponsive.
+	// A series has up to mostSilences silences, at most silenceGap apart. The later ones affect the
+	// connections that the daemon opened after the earlier ones.
 	mostSilences = 4
 	silenceGap   = 1500 * time.Millisecond
-	// silenceEffect is how long a silence affects its daemon: the wait of a feed call.
+	// silenceEffect is how long a silence affects the daemon. It equals the wait of a feed call.
 	silenceEffect = 5 * time.Second
 )
 
--- a/internal/soak/slow_links_test.go
+++ b/internal/soak/slow_links_test.go
@@ -61,7 +61,7 @@
 	}
 	caller := standin.NewClient(callTimeout)
 	for _, d := range r.daemons {
-		require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod, "node-%d is not ready", d.number)
+		require.Eventually(t, func() bool { return caller.Ready(d.readinessAddress) }, time.Until(deadline), pollPeriod, "node-%d is not ready", d.number)
 	}
 }
 
@@ -71,7 +71,7 @@
 	caller := standin.NewClient(callTimeout)
 	for {
 		status := 0
-		if answer, err := caller.State(d.callers, key, unknownID); err == nil {
+		if answer, err := caller.State(d.callerAddress, key, unknownID); err == nil {
 			status = answer.Status
 		}
 		if status == wanted || time.Now().After(deadline) {
@@ -108,22 +108,22 @@
 	require.NoError(t, d.start())
 	deadline := time.Now().Add(grownLimit)
 	caller := standin.NewClient(callTimeout)
-	require.Eventually(t, func() bool { return caller.Ready(d.ready) }, time.Until(deadline), pollPeriod)
+	require.Eventually(t, func() bool { return caller.Ready(d.readinessAddress) }, time.Until(deadline), pollPeriod)
 
 	spec := &taskgraph.Spec{ID: newID, Payload: "job", Steps: []taskgraph.Step{{Count: 1, Resources: taskgraph.Resources{CPU: 1000, MemoryMB: 100}, EstimateMillis: 100}}}
 	platform.WithLock(func() { platform.Cluster.RegisterJob(*spec, catalog.Queue{MaxAttempts: 1}) })
 	require.Eventually(t, func() bool {
-		answer, err := caller.Submit(d.callers, keyName(1), spec)
+		answer, err := caller.Submit(d.callerAddress, keyName(1), spec)
 		return err == nil && answer.Status == http.StatusOK
 	}, time.Until(deadline), pollPeriod)
 	require.Eventually(t, func() bool {
-		answer, err := caller.State(d.callers, keyName(1), spec.ID)
+		answer, err := caller.State(d.callerAddress, keyName(1), spec.ID)
 		return err == nil && answer.State == taskgraph.Completed
 	}, time.Until(deadline), pollPeriod, "the owner must complete a new job")
 }
 
 // putEndedJobs writes the rows of ended jobs.
-func putEndedJobs(world *simulation.Cluster, count int) {
+func putEndedJobs(cluster *simulation.Cluster, count int) {
 	for number := range count {
 		id := fmt.Sprintf("%016x", number+1)
 		accepted := pool.Accepted{
@@ -132,9 +132,9 @@
 			AcceptedMillis: time.Now().UnixMilli(),
 		}
 		part := pool.JobPartitions(simulation.PoolName, id)[0]
-		world.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: pool.AcceptedKey(part, id), Value: pool.Encode(accepted)}}})
+		cluster.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: pool.AcceptedKey(part, id), Value: pool.Encode(accepted)}}})
 		progressPart := pool.ProgressPartitions(simulation.PoolName)[0]
 		ended := pool.Progress{Token: 1, State: taskgraph.Completed, EndedMillis: time.Now().UnixMilli()}
-		world.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: pool.ProgressTable, Part: progressPart, Name: id}, Value: pool.Encode(ended)}}})
+		cluster.Store.Apply(rows.Transaction{Puts: []rows.Put{{Key: rows.Key{Table: pool.ProgressTable, Part: progressPart, Name: id}, Value: pool.Encode(ended)}}})
 	}
 }
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -12,8 +12,8 @@
 // WorkerFaults are faults of workers that are not part of the plan: tasks that crash their
 // workers, random crashes followed by a new instance at the same address, and capacity changes.
 type WorkerFaults struct {
-	// One in PoisonEvery jobs of a caller has a task that crashes its worker as described by
-	// Crash; 0 means none.
+	// One in PoisonEvery jobs of each caller has a task that crashes the worker that runs it; 0 means
+	// none. Crash is when the worker crashes.
 	PoisonEvery int              `json:"poison_every,omitempty"`
 	Crash       simulation.Crash `json:"crash"`
 	// Unguarded workers accept starts beyond their capacity.
@@ -49,7 +49,7 @@
 	mostCrashes    = 4
 	mostCapacities = 12
 	longestCrash   = 600 * time.Millisecond
-	// The row is written at each heartbeat.
+	// latestRow is the maximum RowAfter, because workers write their rows at each heartbeat.
 	latestRow = 1500 * time.Millisecond
 )
 
@@ -82,8 +82,8 @@
 	return drawn
 }
 
-// poisons reports whether a job has a task that crashes its worker. Tasks that complete before the
-// crash do not count.
+// poisons reports whether a job has a task that crashes its worker. A task that completes before
+// the crash does not.
 func (t *WorkerFaults) poisons(caller, serial int, spec *taskgraph.Spec) bool {
 	return t.PoisonEvery > 0 && (serial+caller)%t.PoisonEvery == t.PoisonEvery-1 && t.Crash.After < spec.Steps[0].Estimate()
 }
@@ -91,24 +91,24 @@
 // applyWorkerFaults schedules the faults and restores all capacities at the end of the run, so
 // that all jobs can complete.
 func (r *run) applyWorkerFaults(began time.Time, ends *sync.WaitGroup) {
-	world := r.platform.Cluster
+	cluster := r.platform.Cluster
 	for _, crash := range r.workers.Crashes {
 		r.scheduleLocked(began.Add(crash.At), ends, func() {
-			if worker := world.Workers[crash.Target%len(world.Workers)]; !worker.Crashed {
+			if worker := cluster.Workers[crash.Target%len(cluster.Workers)]; !worker.Crashed {
 				worker.CrashAndRestart()
 			}
 		})
 	}
 	for _, change := range r.workers.Capacities {
 		r.scheduleLocked(began.Add(change.At), ends, func() {
-			worker := world.Workers[change.Target%len(world.Workers)]
+			worker := cluster.Workers[change.Target%len(cluster.Workers)]
 			capacity := simulation.WorkerCapacity
 			capacity.GPUs = change.GPUs
 			worker.SetCapacity(capacity, change.RowAfter)
 		})
 	}
 	r.scheduleLocked(began.Add(r.options.FaultDuration), ends, func() {
-		for _, worker := range world.Workers {
+		for _, worker := range cluster.Workers {
 			worker.SetCapacity(simulation.WorkerCapacity, 0)
 		}
 	})
