--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -23,7 +23,7 @@
 	ReadinessAddress string `toml:"readiness"`
 	// PeerAddress is the address at which other nodes reach this one.
 	PeerAddress string `toml:"peers"`
-	// MetricsAddress is the address to serve metrics on; empty disables them.
+	// MetricsAddress is the address to serve metrics on; if empty, the node serves no metrics.
 	MetricsAddress string `toml:"metrics"`
 	// StoreAddress is the address of the platform's store.
 	StoreAddress string `toml:"store"`
@@ -50,13 +50,14 @@
 	ConfigurationAgeMillis      int64   `toml:"config_apply_ms"`
 	GracePeriodSeconds          float64 `toml:"grace_period_s"`
 	UnacknowledgedTimeoutMillis int64   `toml:"unacknowledged_ms"`
-	// EvacuationDelayMillis is the time after the acknowledgement of a zone's evacuation after
-	// which no work starts there; 0 if the platform sets no limit.
+	// EvacuationDelayMillis is the time limit for a zone's evacuation to take effect. It starts when
+	// the store acknowledges the evacuation; once it has passed, no work may start in the zone. 0
+	// means that the platform sets no limit.
 	EvacuationDelayMillis int64 `toml:"evacuation_ms"`
 }
 
-// minEvacuationMillis is the shortest supported limit. Half of it covers orders in flight; the
-// rest covers the 0.3 s polling interval of the feed.
+// minEvacuationMillis is the minimum of bounds.evacuation_ms unless it is 0. Half of the limit
+// covers orders in flight. The rest covers the 0.3 s polling interval of the feed.
 const minEvacuationMillis = 2000
 
 // Shutdown holds the durations of a graceful shutdown.
@@ -127,11 +128,11 @@
 	if _, err := mechanism.ParseDisabled(s.DisabledMechanisms); err != nil {
 		c.require(false, "without", "%v", err)
 	}
-	b := &s.Periods
+	periods := &s.Periods
 	positive := map[string]int64{
-		"bounds.max_hold_ms": b.MaxHoldMillis, "bounds.stop_timeout_ms": b.StopTimeoutMillis,
-		"bounds.gang_timeout_ms": b.GangTimeoutMillis, "bounds.reclaim_ms": b.ReclaimMillis,
-		"bounds.config_apply_ms": b.ConfigurationAgeMillis, "bounds.unacknowledged_ms": b.UnacknowledgedTimeoutMillis,
+		"bounds.max_hold_ms": periods.MaxHoldMillis, "bounds.stop_timeout_ms": periods.StopTimeoutMillis,
+		"bounds.gang_timeout_ms": periods.GangTimeoutMillis, "bounds.reclaim_ms": periods.ReclaimMillis,
+		"bounds.config_apply_ms": periods.ConfigurationAgeMillis, "bounds.unacknowledged_ms": periods.UnacknowledgedTimeoutMillis,
 	}
 	for _, key := range []string{
 		"bounds.max_hold_ms", "bounds.stop_timeout_ms", "bounds.gang_timeout_ms", "bounds.reclaim_ms",
@@ -139,10 +140,10 @@
 	} {
 		c.require(positive[key] > 0, key, "must be positive")
 	}
-	c.require(b.EvacuationDelayMillis == 0 || b.EvacuationDelayMillis >= minEvacuationMillis, "bounds.evacuation_ms", "must be 0 or at least %d", minEvacuationMillis)
-	c.require(b.CheckpointSeconds >= 0, "bounds.checkpoint_interval_s", "must not be negative")
-	c.require(b.StatusRetentionSeconds > 0, "bounds.status_s", "must be positive")
-	c.require(b.RemoteFactor >= 1, "bounds.remote_factor", "must be at least 1")
-	c.require(b.GracePeriodSeconds > 0, "bounds.grace_period_s", "must be positive")
-	c.require(s.Shutdown.ServeSeconds >= 0 && s.Shutdown.ServeSeconds < b.GracePeriodSeconds, "stop.serve_s", "must be less than bounds.grace_period_s")
+	c.require(periods.EvacuationDelayMillis == 0 || periods.EvacuationDelayMillis >= minEvacuationMillis, "bounds.evacuation_ms", "must be 0 or at least %d", minEvacuationMillis)
+	c.require(periods.CheckpointSeconds >= 0, "bounds.checkpoint_interval_s", "must not be negative")
+	c.require(periods.StatusRetentionSeconds > 0, "bounds.status_s", "must be positive")
+	c.require(periods.RemoteFactor >= 1, "bounds.remote_factor", "must be at least 1")
+	c.require(periods.GracePeriodSeconds > 0, "bounds.grace_period_s", "must be positive")
+	c.require(s.Shutdown.ServeSeconds >= 0 && s.Shutdown.ServeSeconds < periods.GracePeriodSeconds, "stop.serve_s", "must be less than bounds.grace_period_s")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,8 +70,9 @@
 type Limits struct {
 	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `toml:"body_bytes"`
-	// InFlight limits all concurrent requests, InFlightPerTenant those of one tenant.
-	InFlight          int `toml:"in_flight"`
+	// InFlight limits the concurrent requests of all tenants together.
+	InFlight int `toml:"in_flight"`
+	// InFlightPerTenant limits the concurrent requests of each tenant.
 	InFlightPerTenant int `toml:"in_flight_per_tenant"`
 	// SubmitsPerSecond and SubmitBurst limit one tenant's rate of submissions to this process.
 	SubmitsPerSecond float64  `toml:"submits_per_second"`
@@ -136,10 +137,10 @@
 type FieldErrors []FieldError
 
 // Error lists the invalid settings, one per line.
-func (p FieldErrors) Error() string {
-	lines := make([]string, len(p))
-	for i := range p {
-		lines[i] = p[i].Key + ": " + p[i].Detail
+func (e FieldErrors) Error() string {
+	lines := make([]string, len(e))
+	for i := range e {
+		lines[i] = e[i].Key + ": " + e[i].Detail
 	}
 	return strings.Join(lines, "\n")
 }
@@ -230,7 +231,7 @@
 	c.require(l.DefaultDeadline > 0, "limits.default_deadline", "must be positive")
 }
 
-// minLeaseFactor is the minimum ratio of a lease to the interval that it has to outlast.
+// minLeaseFactor is the minimum ratio of a lease to the interval that the lease has to outlast.
 const minLeaseFactor = 3
 
 func (c *checker) timing(t *Timing) {
--- a/internal/telemetry/async_log.go
+++ b/internal/telemetry/async_log.go
@@ -8,19 +8,20 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// logQueueLines is the capacity of the queue of lines to write. Further lines are dropped and
-// counted, so that a blocked reader costs neither time nor memory.
+// logQueueLines is the capacity of the line queue. While the queue is full, the log drops and
+// counts lines, so that a blocked output neither delays callers nor uses more memory.
 const logQueueLines = 2048
 
 // AsyncLog writes JSON lines on its own goroutine and never blocks its callers.
 type AsyncLog struct {
 	lines   chan string
 	dropped atomic.Int64
-	// closing stops the writer, which closes done after it has written the queued lines.
+	// closing tells the writer goroutine to stop.
 	closing chan struct{}
-	done    chan struct{}
-	sink    io.Writer
-	logger  logr.Logger
+	// done is closed after the writer goroutine has written the queued lines.
+	done   chan struct{}
+	sink   io.Writer
+	logger logr.Logger
 }
 
 // NewAsyncLog returns a log that writes to sink until Close.
@@ -32,46 +33,46 @@
 }
 
 // Logger returns a logger that writes to the log.
-func (d *AsyncLog) Logger() logr.Logger { return d.logger }
+func (l *AsyncLog) Logger() logr.Logger { return l.logger }
 
 // Dropped returns the number of dropped lines.
-func (d *AsyncLog) Dropped() int64 { return d.dropped.Load() }
+func (l *AsyncLog) Dropped() int64 { return l.dropped.Load() }
 
-func (d *AsyncLog) enqueue(line string) {
+func (l *AsyncLog) enqueue(line string) {
 	select {
-	case d.lines <- line:
+	case l.lines <- line:
 	default:
-		d.dropped.Add(1)
+		l.dropped.Add(1)
 	}
 }
 
-func (d *AsyncLog) write() {
-	defer close(d.done)
+func (l *AsyncLog) write() {
+	defer close(l.done)
 	var reported int64
 	for {
 		select {
-		case line := <-d.lines:
-			reported = d.writeQueued(append([]byte(line), '\n'), reported)
-		case <-d.closing:
-			d.writeQueued(nil, reported)
+		case line := <-l.lines:
+			reported = l.writeQueued(append([]byte(line), '\n'), reported)
+		case <-l.closing:
+			l.writeQueued(nil, reported)
 			return
 		}
 	}
 }
 
-// writeQueued writes buffer and all queued lines, and a line with the number of lines dropped
-// since reported. It returns the total number of dropped lines.
-func (d *AsyncLog) writeQueued(buffer []byte, reported int64) int64 {
-	for range len(d.lines) {
-		buffer = append(buffer, <-d.lines...)
+// writeQueued writes buffer and all queued lines. If more lines than reported were dropped, it also
+// writes the number of the additional ones. It returns the total number of dropped lines.
+func (l *AsyncLog) writeQueued(buffer []byte, reported int64) int64 {
+	for range len(l.lines) {
+		buffer = append(buffer, <-l.lines...)
 		buffer = append(buffer, '\n')
 	}
-	dropped := d.dropped.Load()
+	dropped := l.dropped.Load()
 	if dropped > reported {
 		buffer = append(buffer, droppedLine(dropped-reported)...)
 	}
 	// There is nowhere to report a failed write of the log.
-	_, _ = d.sink.Write(buffer)
+	_, _ = l.sink.Write(buffer)
 	return dropped
 }
 
@@ -81,9 +82,9 @@
 	return append([]byte(text), '\n')
 }
 
-// Close writes the queued lines and closes the log. Lines logged afterwards, by calls that
-// outlast a graceful shutdown, are lost.
-func (d *AsyncLog) Close() {
-	close(d.closing)
-	<-d.done
+// Close writes the queued lines and closes the log. Lines that are logged after Close are lost;
+// calls that outlast a graceful shutdown may log some.
+func (l *AsyncLog) Close() {
+	close(l.closing)
+	<-l.done
 }
--- a/internal/telemetry/rate_limiter.go
+++ b/internal/telemetry/rate_limiter.go
@@ -37,14 +37,14 @@
 
 // allow reports whether a line of a message may be written. The first call in a second also
 // returns the number of lines dropped since the last report, by message.
-func (b *rateLimiter) allow(message string) (allowed bool, dropped map[string]int) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if second := b.now().Unix(); second != b.second {
-		b.second = second
-		clear(b.written)
-		if len(b.dropped) > 0 {
-			dropped, b.dropped = b.dropped, map[string]int{}
+func (l *rateLimiter) allow(message string) (allowed bool, dropped map[string]int) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if second := l.now().Unix(); second != l.second {
+		l.second = second
+		clear(l.written)
+		if len(l.dropped) > 0 {
+			dropped, l.dropped = l.dropped, map[string]int{}
 		}
 	}
 	limit := defaultLinesPerSecond
@@ -54,10 +54,10 @@
 	case runMessages[message]:
 		limit = runLinesPerSecond
 	}
-	if b.written[message] >= limit {
-		b.dropped[message]++
+	if l.written[message] >= limit {
+		l.dropped[message]++
 		return false, dropped
 	}
-	b.written[message]++
+	l.written[message]++
 	return true, dropped
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -151,8 +151,8 @@
 	return sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter)).Meter("github.com/wheatroad/wheatroad"), nil
 }
 
-// serveInOrder serves the registries one after another. The node's own counters come first,
-// so that a scraper that truncates the response keeps them rather than Go runtime metrics.
+// serveInOrder serves the registries one after another in one response. The node's own counters
+// come first, so that they survive if a scraper truncates the response.
 func serveInOrder(registries ...*prometheus.Registry) http.Handler {
 	handlers := make([]http.Handler, len(registries))
 	for i, registry := range registries {
@@ -165,8 +165,8 @@
 	})
 }
 
-// Observe records a duration in a histogram. Undefined histograms are ignored; the metrics
-// test detects them.
+// Observe records a duration in a histogram. It ignores undefined histograms; the metrics test
+// detects them.
 func (t *Telemetry) Observe(histogram string, d time.Duration) {
 	if instrument, ok := t.histograms[histogram]; ok {
 		instrument.Record(context.Background(), d.Seconds())
@@ -180,7 +180,7 @@
 	}
 }
 
-// Count increments a counter for a reason. Undefined counters are ignored; the metrics test
+// Count increments a counter for a reason. It ignores undefined counters; the metrics test
 // detects them.
 func (t *Telemetry) Count(counter, reason string) {
 	instrument, ok := t.counters[counter]
