--- a/cmd/wheatroad-bench/load_command.go
+++ b/cmd/wheatroad-bench/load_command.go
@@ -48,11 +48,11 @@
 	}
 	variants := []loadsim.Variant{{Name: "all"}}
 	for _, names := range flags.disabledSets {
-		off, err := mechanism.ParseDisabled(strings.Split(names, ","))
+		disabled, err := mechanism.ParseDisabled(strings.Split(names, ","))
 		if err != nil {
 			return errors.Wrap(err, "--without")
 		}
-		variants = append(variants, loadsim.Variant{Name: "without " + names, DisabledMechanisms: off})
+		variants = append(variants, loadsim.Variant{Name: "without " + names, DisabledMechanisms: disabled})
 	}
 	loads, err := selectLoads(flags.loads)
 	if err != nil {
@@ -95,8 +95,8 @@
 		}
 		fmt.Fprintf(out, " %-12.3f %-10d %.0f\n", c.PreemptionRate.Mean, c.MaxPreemptions, c.LostCoreSeconds.Mean)
 		for _, result := range c.Results {
-			for _, broken := range result.Violations {
-				fmt.Fprintf(out, "    VIOLATION %s\n", broken)
+			for _, violation := range result.Violations {
+				fmt.Fprintf(out, "    VIOLATION %s\n", violation)
 			}
 		}
 	}
--- a/cmd/wheatroad-bench/overload.go
+++ b/cmd/wheatroad-bench/overload.go
@@ -27,11 +27,11 @@
 	operatorKey   = "storm-operator-key"
 	// smallTenantShare is the fraction of the capacity that the small tenant requests.
 	smallTenantShare = 0.1
-	// slowWorkerInterval makes one worker in this many slow.
+	// One in slowWorkerInterval workers is slow.
 	slowWorkerInterval = 10
 	// maxQueuedJobs is each tenant's limit of queued jobs in a domain.
 	maxQueuedJobs = 60
-	// drainTime lets running jobs end before they are counted.
+	// drainTime is how long the test waits for running jobs before it counts results.
 	drainTime = 10 * time.Second
 )
 
@@ -41,17 +41,17 @@
 	Seconds   float64        `json:"seconds"`
 	Submitted int            `json:"submitted"`
 	Answers   map[string]int `json:"answers"`
-	// Killed and Frozen are the owners that were killed, and suspended for a quarter of the
-	// phase, at its midpoint.
+	// Killed is the owner that was killed at the midpoint of the phase.
 	Killed string `json:"killed"`
+	// Frozen is the owner that was suspended at the midpoint, for a quarter of the phase.
 	Frozen string `json:"frozen"`
-	// Finished counts successful jobs; Goodput is their rate per second.
-	Finished int     `json:"finished"`
-	Goodput  float64 `json:"goodput"`
-	// AttemptsPerRequest is the mean number of times that callers and nodes sent a submission.
+	// Finished counts the jobs that finished during the phase.
+	Finished int `json:"finished"`
+	// Goodput is the number of finished jobs per second.
+	Goodput float64 `json:"goodput"`
+	// AttemptsPerRequest is the mean number of attempts per submission, including nodes' retries.
 	AttemptsPerRequest float64 `json:"attempts_per_request"`
-	// SmallTenantShed counts the load-shedding rejections of the tenant that stays within
-	// its share.
+	// SmallTenantShed counts the small tenant's submissions that were rejected because of load.
 	SmallTenantShed int `json:"small_tenant_shed"`
 	// RanTwice counts non-repeatable jobs that ran more than once.
 	RanTwice int `json:"ran_twice"`
@@ -62,7 +62,7 @@
 // OverloadReport is the result of the overload test.
 type OverloadReport struct {
 	Phases []OverloadPhase `json:"phases"`
-	// GoodputRatio is the goodput at twice the capacity divided by that at capacity.
+	// GoodputRatio is the goodput at twice the capacity divided by the goodput at capacity.
 	GoodputRatio float64 `json:"goodput_ratio"`
 }
 
@@ -151,15 +151,15 @@
 	group.Go(func() { s.submitAtRate(t, "large", capacity*(load-smallTenantShare), began.Add(length)) })
 	group.Go(func() { s.submitAtRate(t, "small", capacity*smallTenantShare, began.Add(length)) })
 	time.Sleep(length / 2)
-	killed, frozen, err := s.findTwoOwners()
+	killed, suspended, err := s.findTwoOwners()
 	if err != nil {
 		return nil, err
 	}
 	_ = s.processes[killed].Process.Kill()
-	_ = s.processes[frozen].Process.Signal(syscall.SIGSTOP)
+	_ = s.processes[suspended].Process.Signal(syscall.SIGSTOP)
 	time.Sleep(length / 4)
-	_ = s.processes[frozen].Process.Signal(syscall.SIGCONT)
-	t.phase.Killed, t.phase.Frozen = killed, frozen
+	_ = s.processes[suspended].Process.Signal(syscall.SIGCONT)
+	t.phase.Killed, t.phase.Frozen = killed, suspended
 	group.Wait()
 	finishedBy := time.Now()
 	time.Sleep(drainTime)
@@ -188,7 +188,7 @@
 	return "", "", errors.CombineErrors(errors.New("fewer than two nodes own domains"), err)
 }
 
-// slowDownWorkers delays the responses of one worker in slowWorkerInterval.
+// slowDownWorkers delays the responses of one in slowWorkerInterval workers.
 func (s *testCluster) slowDownWorkers() {
 	number := 0
 	for zone, racks := range map[string]int{"z1": 3, "z2": 2, "z3": 2} {
--- a/cmd/wheatroad-bench/overload_results.go
+++ b/cmd/wheatroad-bench/overload_results.go
@@ -35,8 +35,8 @@
 	group.Wait()
 }
 
-// submit sends one job like a round-robin load balancer: it tries the next daemon only if
-// the connection is refused.
+// submit sends one job in the way of a round-robin load balancer. It tries the next daemon only if
+// a daemon refuses the connection.
 func (s *testCluster) submit(t *phaseRecorder, tenant, id string, number int) {
 	body := map[string]any{
 		"id": id, "members": 1, "accelerators": 4, "cpus": 1, "memory_gb": 1, "duration": jobRunSeconds,
--- a/cmd/wheatroadd/serve.go
+++ b/cmd/wheatroadd/serve.go
@@ -27,7 +27,8 @@
 	"github.com/wheatroad/wheatroad/platform"
 )
 
-// settingsVariable is the environment variable with the settings path, used without an argument.
+// settingsVariable is the environment variable with the path of the settings file. The serve
+// command reads it if it has no argument.
 const settingsVariable = "WHEATROAD_CONFIG"
 
 func newServeCommand() *cobra.Command {
@@ -55,9 +56,8 @@
 	storeConnections  = 40
 	workerConnections = 6
 	gcPercent         = 400
-	// memoryLimitShare is the fraction of the machine's memory that the Go runtime may use.
-	// The rest holds socket buffers. Near the limit, garbage collection takes up to half of
-	// the CPU time.
+	// memoryLimitShare is the fraction of memory_mb that the Go runtime may use. The rest is for
+	// socket buffers. Near the limit, garbage collection takes up to half of the CPU time.
 	memoryLimitShare = 0.75
 	incarnationBytes = 6
 )
@@ -103,7 +103,7 @@
 func newService(ctx context.Context, s *settings.Node, tele *telemetry.Telemetry) *service {
 	d := &service{settings: s, telemetry: tele, loop: loop.NewGoroutine(), serverErrors: make(chan error, 4)}
 	unacknowledged := settings.Millis(s.Periods.UnacknowledgedTimeoutMillis)
-	edges := node.Dependencies{
+	dependencies := node.Dependencies{
 		Store:    platform.NewStoreClient(s.StoreAddress, platform.NewHTTPClient(unacknowledged, storeConnections)),
 		Workers:  platform.NewWorkerClient(platform.NewHTTPClient(unacknowledged, workerConnections)),
 		Peers:    peer.NewClient(nil),
@@ -111,7 +111,7 @@
 		Loop:     d.loop,
 		Recorder: tele,
 	}
-	d.node = node.New(ctx, nodeOptions(s), edges)
+	d.node = node.New(ctx, nodeOptions(s), dependencies)
 	d.peerServer = peer.NewServer(d.node.ServePeer)
 	return d
 }
@@ -119,9 +119,9 @@
 func nodeOptions(s *settings.Node) node.Options {
 	b := &s.Periods
 	// ParseDisabled cannot fail: the settings were validated when read.
-	off, _ := mechanism.ParseDisabled(s.DisabledMechanisms)
+	disabled, _ := mechanism.ParseDisabled(s.DisabledMechanisms)
 	return node.Options{
-		DisabledMechanisms: off,
+		DisabledMechanisms: disabled,
 		Name:               s.Name, Incarnation: newIncarnation(), PeerAddress: s.PeerAddress, Weight: s.CPUShare,
 		LinkBytesPerSecond: s.LinkMbps * bytesPerMbit,
 		PoolBounds: pool.Bounds{
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -41,8 +41,7 @@
 	return text + ")"
 }
 
-// call sends a request to the first daemon that accepts a connection and decodes the
-// response.
+// call sends a request and decodes the response. It tries the daemons in order until one responds.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	content, err := c.do(ctx, method, path, in)
 	if err != nil || out == nil {
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -75,7 +75,7 @@
 	return a.showRecord(command, record)
 }
 
-// followPollTimeout is how long the server may hold a request that waits for a job's end.
+// followPollTimeout is how long one request of follow waits for the job's end.
 const followPollTimeout = 20 * time.Second
 
 // follow waits for a job to end and prints each state change.
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -19,7 +19,7 @@
 	"github.com/wheatroad/wheatroad/internal/planning"
 )
 
-func readFolder(path string) (*declaration.Declaration, error) {
+func readDeclaration(path string) (*declaration.Declaration, error) {
 	return declaration.ReadDir(os.DirFS(path))
 }
 
@@ -39,7 +39,7 @@
 		Example: "  wheatroadctl plan declarations/",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			declared, err := readFolder(args[0])
+			declared, err := readDeclaration(args[0])
 			if err != nil {
 				return err
 			}
@@ -125,7 +125,7 @@
 		Example: "  wheatroadctl apply declarations/",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			declared, err := readFolder(args[0])
+			declared, err := readDeclaration(args[0])
 			if err != nil {
 				return err
 			}
@@ -250,7 +250,7 @@
 		Example: "  wheatroadctl validate declarations/",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			if _, err := readFolder(args[0]); err != nil {
+			if _, err := readDeclaration(args[0]); err != nil {
 				return err
 			}
 			fmt.Fprintln(command.OutOrStdout(), "ok")
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -79,8 +79,8 @@
 	return filepath.Join(folder, "wheatroad", "profiles.toml")
 }
 
-// configureClient creates the client. Addresses and key come from flags, the environment or
-// the profile, in this order of precedence.
+// configureClient creates the client. The addresses and the key come from the flags, the
+// environment or the profile, in this order of precedence.
 func (a *app) configureClient() error {
 	if a.output != "json" && a.output != "table" {
 		return fault.NewField(fault.InvalidRequest, "output", "must be json or table")
@@ -141,17 +141,17 @@
 
 // ExitStatus returns the exit status for an error of a command.
 func ExitStatus(err error) int {
-	var answer *ResponseError
-	var known *fault.Error
-	var ended *JobFailedError
+	var response *ResponseError
+	var invalidInput *fault.Error
+	var jobFailed *JobFailedError
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &ended):
+	case errors.As(err, &jobFailed):
 		return ExitJobFailed
-	case errors.As(err, &answer):
-		return responseExitStatus(answer)
-	case errors.As(err, &known):
+	case errors.As(err, &response):
+		return responseExitStatus(response)
+	case errors.As(err, &invalidInput):
 		return ExitUsage
 	default:
 		return ExitFailure
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -21,7 +21,7 @@
 	node    string
 	text    string
 	message string
-	// end is set only for lines that report the end of a run.
+	// end is nil unless the line reports the end of a run.
 	end *runEnd
 }
 
@@ -40,11 +40,11 @@
 var runEndMessages = map[string]bool{"run ended": true, "run lost": true, "run missing from reports": true}
 
 // format describes the end of the run and identifies the worker process.
-func (e *runEnd) format(decision string) string {
+func (e *runEnd) format(message string) string {
 	incarnation := fleet.Incarnation{ID: e.Worker, StartMillis: e.StartedAt}
 	result := e.Result
 	if result == "" {
-		result = strings.TrimPrefix(decision, "run ")
+		result = strings.TrimPrefix(message, "run ")
 	}
 	if e.Reason != "" {
 		result += ", " + e.Reason
@@ -60,7 +60,8 @@
 	runEnd
 }
 
-// failureReasonMessage precedes "job ended" and gives the reason for the failure.
+// failureReasonMessage is the message of the log line that gives the reason why a job failed. The
+// owner logs it before "job ended".
 const failureReasonMessage = "poison job failed"
 
 // outcomeMessages are the log messages that decide the response to the caller.
@@ -108,7 +109,8 @@
 
 const maxLineBytes = 1 << 20
 
-// scanTrace reads the lines about a job. Text before a line's JSON object names the node.
+// scanTrace reads the lines about a job. Text before a line's JSON object is the name of the node;
+// lines without such text belong to the given node.
 func scanTrace(input io.Reader, node, id string) ([]traceLine, error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(nil, maxLineBytes)
@@ -172,8 +174,8 @@
 	return printRuns(output, lines)
 }
 
-// printRuns lists the ended runs with their worker processes, which shows whether each
-// restart of a task was justified.
+// printRuns lists the ended runs with their worker processes, so that operators can see why a task
+// was restarted.
 func printRuns(output io.Writer, lines []traceLine) error {
 	for i := range lines {
 		if lines[i].end == nil {
