--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -17,9 +17,9 @@
 	Error  fault.Kind `json:"error"`
 	Field  string     `json:"field,omitempty"`
 	Detail string     `json:"detail"`
-	// Outcome states whether the requested work ran.
+	// Outcome is whether the requested work ran, did not run or may have run.
 	Outcome fault.Outcome `json:"outcome"`
-	// RetryAfterSeconds is the delay before a retry; if absent, the caller should not retry.
+	// RetryAfterSeconds is the delay before a retry. Without the field the caller should not retry.
 	RetryAfterSeconds int    `json:"retry_after_seconds,omitempty"`
 	RequestID         string `json:"request_id,omitempty"`
 }
@@ -30,18 +30,18 @@
 const maxRequestIDBytes = 128
 
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
-	known := fault.From(err)
+	requestError := fault.From(err)
 	if errors.Is(err, r.Context().Err()) && r.Context().Err() != nil {
-		known = fault.New(fault.DeadlineExceeded, "the deadline passed")
+		requestError = fault.New(fault.DeadlineExceeded, "the deadline passed")
 	}
-	s.counter.Count("refusals", string(known.Kind))
-	answer := fault.ResponseFor(known.Kind)
-	body := ErrorResponse{Error: known.Kind, Field: known.Field, Detail: known.Detail, Outcome: known.EffectiveOutcome(), RequestID: requestID(r)}
-	if answer.RetryAfter > 0 {
-		body.RetryAfterSeconds = int(answer.RetryAfter.Seconds())
+	s.counter.Count("refusals", string(requestError.Kind))
+	response := fault.ResponseFor(requestError.Kind)
+	body := ErrorResponse{Error: requestError.Kind, Field: requestError.Field, Detail: requestError.Detail, Outcome: requestError.EffectiveOutcome(), RequestID: requestID(r)}
+	if response.RetryAfter > 0 {
+		body.RetryAfterSeconds = int(response.RetryAfter.Seconds())
 		w.Header().Set("Retry-After", strconv.Itoa(body.RetryAfterSeconds))
 	}
-	writeJSON(w, answer.Status, body)
+	writeJSON(w, response.Status, body)
 }
 
 func requestID(r *http.Request) string {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// fieldName names the field that a JSON error is about, or "body".
+// fieldName returns the name of the field that a JSON error is about, or "body" if there is none.
 func fieldName(err error) string {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) || mismatch.Field == "" {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -26,7 +26,7 @@
 	Repeatable *bool `json:"repeatable,omitempty"`
 }
 
-func (s *Server) submit(w http.ResponseWriter, r *http.Request, who auth.Principal) error {
+func (s *Server) submit(w http.ResponseWriter, r *http.Request, principal auth.Principal) error {
 	var request SubmitRequest
 	if err := readJSON(r, &request); err != nil {
 		return err
@@ -34,9 +34,9 @@
 	spec := request.Spec
 	spec.Repeatable = request.Repeatable == nil || *request.Repeatable
 	if spec.Tenant == "" {
-		spec.Tenant = who.Tenant
+		spec.Tenant = principal.Tenant
 	}
-	if !who.CanAccess(spec.Tenant) {
+	if !principal.CanAccess(spec.Tenant) {
 		return fault.NewField(fault.Forbidden, "tenant", "the key belongs to another tenant")
 	}
 	if spec.ID == "" {
@@ -66,8 +66,8 @@
 	return "job-" + hex.EncodeToString(random)
 }
 
-// submitToDomain submits a job to the best-ranked domain that has an owner and can fit the
-// job. A job accepted earlier, in any domain, is found by its identifier.
+// submitToDomain submits a job to the best-ranked domain that has an owner and can fit the job. If
+// any domain has already accepted a job with this identifier, it returns that job's record.
 func (s *Server) submitToDomain(ctx context.Context, spec job.Spec) (*job.Record, error) {
 	return s.retry(ctx, func() (*job.Record, error) {
 		domains, err := routing.Rank(s.backend.View(), &spec)
@@ -107,8 +107,8 @@
 	maxRetryDelay     = 2 * time.Second
 )
 
-// retry retries a request while its domain has no owner, until the deadline. It is the only
-// layer that retries. Requests are idempotent: submissions are deduplicated by identifier.
+// retry repeats a request while the request's domain has no owner, until the deadline. No other
+// layer retries. Requests are idempotent, because owners deduplicate submissions by identifier.
 func (s *Server) retry(ctx context.Context, try func() (*job.Record, error)) (*job.Record, error) {
 	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		record, err := try()
@@ -141,8 +141,8 @@
 	return key, domain, err
 }
 
-// maxLookupWait limits one wait at an owner, so that longer waits follow a domain that moves to
-// another owner.
+// maxLookupWait is the maximum length of one wait at an owner. A longer wait consists of several,
+// so that it continues at the next owner after a takeover.
 const maxLookupWait = 5 * time.Second
 
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
@@ -215,11 +215,11 @@
 	return nil
 }
 
-func (s *Server) list(w http.ResponseWriter, r *http.Request, who auth.Principal) error {
+func (s *Server) list(w http.ResponseWriter, r *http.Request, principal auth.Principal) error {
 	var records []*job.Record
 	view := s.backend.View()
 	for domain := range view.Domains {
-		found, err := s.backend.List(r.Context(), domain, who.Tenant)
+		found, err := s.backend.List(r.Context(), domain, principal.Tenant)
 		if err != nil {
 			return err
 		}
@@ -234,9 +234,9 @@
 	return nil
 }
 
-// result sends the outputs of all members in order, or that of one member. It verifies each
-// output against the digest in the job's record before sending it, and sends the total length
-// first, so that callers detect truncated responses.
+// result sends the outputs of all members in order, or the output of one member. It verifies each
+// output against the digest in the job's record before sending the output. The header contains the
+// total length, so that callers detect truncated responses.
 func (s *Server) result(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
 	key, domain, err := s.find(r)
 	if err != nil {
--- a/internal/api/limiter.go
+++ b/internal/api/limiter.go
@@ -7,8 +7,8 @@
 	"github.com/wheatroad/wheatroad/internal/fault"
 )
 
-// limiter limits concurrent requests, in total and per tenant, and each tenant's rate of
-// submissions, so that one tenant's burst does not affect the others.
+// limiter limits the concurrent requests in total and of each tenant. It also limits each tenant's
+// rate of submissions, so that one tenant's burst does not affect other tenants.
 type limiter struct {
 	options *Options
 	now     func() time.Time
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// impact collects the plan's effects on jobs from each domain's owner. A domain without an
-// owner is reported as unknown.
+// impact collects the plan's effects on jobs from each domain's owner. For a domain without an
+// owner it reports that the effects are unknown.
 func (s *Server) impact(ctx context.Context, plan *planning.Plan, view *blackboard.View) ([]planning.Effect, error) {
 	var effects []planning.Effect
 	if len(plan.Changes) == 0 {
@@ -104,8 +104,8 @@
 // pollInterval is the interval between checks of the members' versions.
 const pollInterval = 50 * time.Millisecond
 
-// configuration returns the configuration. On request, it first waits until all members have
-// a version.
+// configuration returns the configuration. With a version and a wait in the request, it first waits
+// until all members have at least that version or the wait is over.
 func (s *Server) configuration(w http.ResponseWriter, r *http.Request, _ auth.Principal) error {
 	wait, err := s.parseWait(r)
 	if err != nil {
@@ -117,11 +117,11 @@
 			return fault.NewField(fault.InvalidRequest, "version", "must be a number")
 		}
 	}
-	until := s.now().Add(wait)
+	deadline := s.now().Add(wait)
 	for {
 		view := s.backend.View()
-		answer := ConfigurationResponse{Configuration: view.Configuration, Members: view.Members, Applied: inForce(view, version)}
-		if answer.Applied || !s.now().Before(until) {
+		answer := ConfigurationResponse{Configuration: view.Configuration, Members: view.Members, Applied: isApplied(view, version)}
+		if answer.Applied || !s.now().Before(deadline) {
 			writeJSON(w, http.StatusOK, answer)
 			return nil
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-func inForce(view *blackboard.View, version int64) bool {
+func isApplied(view *blackboard.View, version int64) bool {
 	if version == 0 {
 		version = view.Configuration.Version
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -19,8 +19,8 @@
 	SubmitBurst       int
 	MaxWait           time.Duration
 	DefaultDeadline   time.Duration
-	// MaxConfigurationAge is the maximum age of the configuration; with an older one, requests
-	// of tenants are rejected.
+	// MaxConfigurationAge is the maximum age of the configuration. The server rejects requests of
+	// tenants while the configuration is older.
 	MaxConfigurationAge time.Duration
 }
 
@@ -43,7 +43,7 @@
 }
 
 // handler handles an authenticated request. Package fault maps its errors to responses.
-type handler func(w http.ResponseWriter, r *http.Request, who auth.Principal) error
+type handler func(w http.ResponseWriter, r *http.Request, principal auth.Principal) error
 
 // access states who may call an endpoint.
 type access int
@@ -120,8 +120,9 @@
 	return handle(w, r.WithContext(ctx), principal)
 }
 
-// identify authenticates a request. It rejects tenants while the configuration may be stale,
-// as after a network partition, a suspension or a start, because keys may have been revoked.
+// identify authenticates a request. While the configuration may be stale, it rejects tenants,
+// because their keys may have been revoked. The configuration may be stale after a network
+// partition, a suspension or a start.
 func (s *Server) identify(r *http.Request) (auth.Principal, error) {
 	view := s.backend.View()
 	principal, ok := auth.Authenticate(r, s.options.OperatorKeyHashes, &view.Configuration.Declaration)
--- a/internal/api/unowned.go
+++ b/internal/api/unowned.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// unownedTTL is how long a domain is tried last after it was found without an owner. It is
-// shorter than a takeover, so that a new owner is found quickly.
+// unownedTTL is how long submissions try a domain last after a request found no owner there. It is
+// shorter than a takeover, so that submissions soon reach the new owner.
 const unownedTTL = time.Second
 
 // unownedDomains caches which domains recently had no owner, so that requests avoid them.
@@ -26,8 +26,8 @@
 	u.expiresAt[domain] = now.Add(unownedTTL)
 }
 
-// sortLast moves domains that recently had no owner to the end. The order is otherwise
-// unchanged.
+// sortLast returns the domains with those that recently had no owner at the end. The order is
+// otherwise unchanged.
 func (u *unownedDomains) sortLast(domains []string, now time.Time) []string {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -23,8 +23,8 @@
 	"github.com/wheatroad/wheatroad/internal/worker"
 )
 
-// backend implements api.Backend. It serves a request on this node if the node owns the
-// request's domain and forwards it to the owner otherwise.
+// backend implements api.Backend. If this node owns the request's domain, backend serves the
+// request. Otherwise it forwards the request to the owner.
 type backend struct {
 	node         *control.Node
 	table        store.Table
@@ -37,14 +37,14 @@
 // View returns the node's current view of the cluster.
 func (b *backend) View() *blackboard.View { return b.node.View() }
 
-// result is the result of a call on the loop.
+// result is the value or the error of a call on the control loop.
 type result[T any] struct {
 	value T
 	err   error
 }
 
-// callOnLoop runs a call of the node on its loop and waits for the result or the
-// caller's deadline.
+// callOnLoop runs start on the node's control loop. It waits until start passes a result to done or
+// ctx ends.
 func callOnLoop[T any](ctx context.Context, n *control.Node, start func(done func(T, error))) (T, error) {
 	results := make(chan result[T], 1)
 	n.Loop().Post(func() {
@@ -59,8 +59,8 @@
 	}
 }
 
-// ownerAddress returns the peer address of a domain's owner, or an empty string if this node
-// owns it.
+// ownerAddress returns the peer address of a domain's owner. The address is empty if this node owns
+// the domain.
 func (b *backend) ownerAddress(domain string) (string, error) {
 	view := b.node.View()
 	if view.Owned[domain] {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -104,7 +104,7 @@
 	d.peers = peer.NewClient(nil)
 	ports := newPorts(ctx, d.loop, time.Duration(s.Platform.Timeout))
 	ports.table = store
-	ports.list = httplist.New(s.Platform.URL, services)
+	ports.machineList = httplist.New(s.Platform.URL, services)
 	ports.fleet = httpfleet.New(s.Platform.URL, services, workers)
 	ports.peers = d.peers
 	d.node = control.NewNode(controlOptions(s, httpAddress, peerAddress), d.loop, ports, d.telemetry)
@@ -163,8 +163,8 @@
 	}
 }
 
-// Run serves until stop is closed, then shuts down gracefully: it leaves the load balancer's
-// rotation, hands over its domains and completes the requests in flight.
+// Run serves until stop is closed and then shuts down gracefully. During the shutdown the node
+// leaves the load balancer's rotation, hands over its domains and completes requests in flight.
 func (d *Daemon) Run(stop <-chan struct{}) error {
 	failed := make(chan error, 2)
 	go func() { failed <- d.peerServer.Serve(d.listeners[1]) }()
@@ -192,7 +192,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(d.settings.Limits.MaxWait)+handoverTimeout)
 	defer cancel()
-	// Requests still in flight after the deadline are aborted. It exceeds the longest wait.
+	// Requests in flight are aborted at the deadline, which is later than the end of the longest
+	// wait.
 	_ = d.http.Shutdown(ctx)
 	d.listeners[1].Close()
 	d.peerServer.Shutdown(ctx)
--- a/internal/daemon/ports.go
+++ b/internal/daemon/ports.go
@@ -15,13 +15,13 @@
 // ports implements control.Ports with blocking clients. Each call runs on its own goroutine
 // and posts its result to the loop.
 type ports struct {
-	context context.Context
-	loop    loop.Loop
-	table   store.Table
-	list    machines.List
-	fleet   worker.Fleet
-	peers   *peer.Client
-	timeout time.Duration
+	context     context.Context
+	loop        loop.Loop
+	table       store.Table
+	machineList machines.List
+	fleet       worker.Fleet
+	peers       *peer.Client
+	timeout     time.Duration
 	// tableSlots and orderSlots are semaphores that limit concurrent calls.
 	tableSlots chan struct{}
 	orderSlots chan struct{}
@@ -30,7 +30,7 @@
 const (
 	maxTableCalls = 32
 	maxOrderCalls = 128
-	// reportTimeout allows for the long poll of the report feed.
+	// reportTimeout is longer than the long poll of the report feed.
 	reportTimeout = 15 * time.Second
 )
 
@@ -94,7 +94,7 @@
 // Machines reads the changes of the machine list.
 func (p *ports) Machines(cursor int64, done func(machines.Update, error)) {
 	call(p, nil, p.timeout, func(ctx context.Context) (machines.Update, error) {
-		return p.list.Changes(ctx, cursor)
+		return p.machineList.Changes(ctx, cursor)
 	}, done)
 }
 
