--- a/internal/loadsim/compare.go
+++ b/internal/loadsim/compare.go
@@ -7,7 +7,7 @@
 	"github.com/wheatroad/wheatroad/internal/mechanism"
 )
 
-// Variant is a scheduler configuration, given by the mechanisms that are switched off.
+// Variant is a scheduler with some mechanisms disabled.
 type Variant struct {
 	Name               string
 	DisabledMechanisms mechanism.Disabled
@@ -19,12 +19,13 @@
 	HalfWidth float64
 }
 
-// Comparison is the summary of one configuration over all seeds.
+// Comparison summarizes the results of one variant over all seeds.
 type Comparison struct {
 	Variant    Variant
 	Results    []Result
 	ValueShare Estimate
-	// ValueGain is the mean difference of ValueShare to the first configuration, paired by seed.
+	// ValueGain is the mean difference between the variant's ValueShare and that of the first
+	// variant with the same seed.
 	ValueGain       Estimate
 	Served          Estimate
 	Classes         []Estimate
@@ -33,19 +34,19 @@
 	LostCoreSeconds Estimate
 }
 
-// Compare simulates a load under several configurations with the same seeds, on the given number
-// of threads.
-func Compare(load *Load, ways []Variant, firstSeed uint64, seeds, threads int) []Comparison {
-	compared := make([]Comparison, len(ways))
+// Compare simulates a load with several variants and the same seeds. At most threads simulations
+// run concurrently.
+func Compare(load *Load, variants []Variant, firstSeed uint64, seeds, threads int) []Comparison {
+	compared := make([]Comparison, len(variants))
 	var group sync.WaitGroup
 	slots := make(chan struct{}, threads)
-	for k := range ways {
-		compared[k] = Comparison{Variant: ways[k], Results: make([]Result, seeds)}
+	for k := range variants {
+		compared[k] = Comparison{Variant: variants[k], Results: make([]Result, seeds)}
 		for n := range seeds {
 			slots <- struct{}{}
 			group.Go(func() {
 				defer func() { <-slots }()
-				compared[k].Results[n] = load.Simulate(firstSeed+uint64(n), ways[k].DisabledMechanisms)
+				compared[k].Results[n] = load.Simulate(firstSeed+uint64(n), variants[k].DisabledMechanisms)
 			})
 		}
 	}
@@ -57,27 +58,27 @@
 }
 
 func (c *Comparison) summarize(base []Result) {
-	over := func(value func(i int) float64) Estimate {
+	estimateOverSeeds := func(value func(i int) float64) Estimate {
 		values := make([]float64, len(c.Results))
 		for i := range values {
 			values[i] = value(i)
 		}
 		return estimate(values)
 	}
-	c.ValueShare = over(func(i int) float64 { return c.Results[i].ValueShare })
-	c.ValueGain = over(func(i int) float64 { return c.Results[i].ValueShare - base[i].ValueShare })
-	c.Served = over(func(i int) float64 { return c.Results[i].Served })
-	c.PreemptionRate = over(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
-	c.LostCoreSeconds = over(func(i int) float64 { return c.Results[i].LostCoreSeconds })
+	c.ValueShare = estimateOverSeeds(func(i int) float64 { return c.Results[i].ValueShare })
+	c.ValueGain = estimateOverSeeds(func(i int) float64 { return c.Results[i].ValueShare - base[i].ValueShare })
+	c.Served = estimateOverSeeds(func(i int) float64 { return c.Results[i].Served })
+	c.PreemptionRate = estimateOverSeeds(func(i int) float64 { return float64(c.Results[i].Preempted) / float64(max(1, c.Results[i].Placed)) })
+	c.LostCoreSeconds = estimateOverSeeds(func(i int) float64 { return c.Results[i].LostCoreSeconds })
 	for class := range c.Results[0].Classes {
-		c.Classes = append(c.Classes, over(func(i int) float64 { return c.Results[i].Classes[class].Worth }))
+		c.Classes = append(c.Classes, estimateOverSeeds(func(i int) float64 { return c.Results[i].Classes[class].Worth }))
 	}
 	for i := range c.Results {
 		c.MaxPreemptions = max(c.MaxPreemptions, c.Results[i].MaxPreemptions)
 	}
 }
 
-// zScore95 is the quantile of the normal distribution for a 95% interval.
+// zScore95 is the half width of a 95% confidence interval in standard errors.
 const zScore95 = 1.96
 
 func estimate(values []float64) Estimate {
--- a/internal/loadsim/load.go
+++ b/internal/loadsim/load.go
@@ -1,6 +1,6 @@
-// Package loadsim simulates heavy load on a pool owner in virtual time: bursts of arrivals with
-// random sizes and inaccurate estimates. It compares several scheduler configurations on the same
-// load over many seeds.
+// Package loadsim simulates heavy load on a pool owner in virtual time. Jobs arrive in bursts, with
+// random sizes and inaccurate estimates. The package compares scheduler variants on the same load
+// over many seeds.
 package loadsim
 
 import (
@@ -19,28 +19,32 @@
 	Queue catalog.Queue
 	// Rate is the number of arrivals per second, before bursts.
 	Rate float64
-	// Width is the mean number of tasks, WidthSigma the standard deviation of its logarithm, and
-	// MaxWidth its maximum.
+	// Width is the mean number of tasks. WidthSigma is the standard deviation of the logarithm of
+	// the number of tasks.
 	Width, WidthSigma float64
-	MaxWidth          int
-	// Work is the mean duration of a task and WorkSigma the standard deviation of its logarithm.
-	Work      time.Duration
+	// MaxWidth is the maximum number of tasks.
+	MaxWidth int
+	// Work is the mean duration of a task.
+	Work time.Duration
+	// WorkSigma is the standard deviation of the logarithm of the duration.
 	WorkSigma float64
 	// TailShare is the share of jobs whose tasks take TailFactor times as long.
 	TailShare, TailFactor float64
 	// EstimateError bounds the logarithm of the ratio of estimate to duration.
 	EstimateError float64
-	// GPUs are the choices for the accelerators of a task, equal for all tasks of a job.
+	// GPUs are the choices for the number of accelerators per task. All tasks of a job use the same
+	// number.
 	GPUs []int
 	// Request is the resource request of a task without its accelerators.
 	Request taskgraph.Resources
-	// Gang, SameRack and Checkpoints are shares of jobs; SameRack is a share of the gangs.
+	// Gang and Checkpoints are shares of the jobs. SameRack is a share of the gangs.
 	Gang, SameRack, Checkpoints float64
-	// Value and LateValue are the values of a job of mean size that completes in time or late.
+	// Value is the value of a job of mean size that completes in time. LateValue is the value if the
+	// job completes late.
 	Value, LateValue float64
 }
 
-// Burst multiplies the rate of a class, or of all classes if Class is empty, for a period.
+// Burst multiplies the rate of a class for a period. It applies to all classes if Class is empty.
 type Burst struct {
 	Class       string
 	From, Until time.Duration
@@ -119,17 +123,17 @@
 // randomSlowdowns returns the factor on the duration of work for each worker.
 func (l *Load) randomSlowdowns(seed uint64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 13))
-	slowness := make([]float64, l.Racks*l.PerRack)
-	for i := range slowness {
-		slowness[i] = 1
+	slowdowns := make([]float64, l.Racks*l.PerRack)
+	for i := range slowdowns {
+		slowdowns[i] = 1
 		if len(l.Speeds) > 0 {
-			slowness[i] = 1 / l.Speeds[random.IntN(len(l.Speeds))]
+			slowdowns[i] = 1 / l.Speeds[random.IntN(len(l.Speeds))]
 		}
 	}
-	return slowness
+	return slowdowns
 }
 
-// scaled returns the load for a share of the racks, with arrival rates reduced in proportion.
+// scaled returns the load for a share of the racks. It reduces the arrival rates in proportion.
 func (l *Load) scaled(share float64) *Load {
 	small := *l
 	small.Racks = max(1, int(math.Round(share*float64(l.Racks))))
@@ -150,8 +154,8 @@
 // workerCapacity is the capacity of each worker.
 var workerCapacity = taskgraph.Resources{CPU: 128000, MemoryMB: 524288, GPUs: 8}
 
-// logNormalFactor returns a log-normal random factor of mean 1; deviation is the standard
-// deviation of its logarithm.
+// logNormalFactor returns a log-normal random factor with mean 1. deviation is the standard
+// deviation of the factor's logarithm.
 func logNormalFactor(random *rand.Rand, deviation float64) float64 {
 	return math.Exp(random.NormFloat64()*deviation - deviation*deviation/2)
 }
--- a/internal/loadsim/loads.go
+++ b/internal/loadsim/loads.go
@@ -14,7 +14,7 @@
 	wideClass   = "wide"
 )
 
-// accelerators are the choices for urgent and middle jobs.
+// accelerators are the choices for the number of accelerators per task of urgent and middle jobs.
 var accelerators = []int{1, 2, 4, 8, 8}
 
 // classes returns short urgent gangs, long gangs, and wide steps of small tasks, which use two
@@ -47,9 +47,9 @@
 	urgent := base
 	urgent.Name = "urgent-burst"
 	urgent.Bursts = []Burst{{Class: urgentClass, From: 10 * time.Second, Until: 16 * time.Second, Factor: 2.6}}
-	three := base
-	three.Name = "three-bursts"
-	three.Bursts = []Burst{
+	threeBursts := base
+	threeBursts.Name = "three-bursts"
+	threeBursts.Bursts = []Burst{
 		{Class: urgentClass, From: 5 * time.Second, Until: 11 * time.Second, Factor: 2.6},
 		{Class: wideClass, From: 10 * time.Second, Until: 15 * time.Second, Factor: 2.6},
 		{From: 15 * time.Second, Until: 20 * time.Second, Factor: 2.8},
@@ -62,13 +62,13 @@
 	mixed.Name = "mixed-speeds"
 	mixed.Speeds = []float64{0.6, 1, 1.6}
 	mixed.Classes = withLongTail(classes(), 0.03, 7)
-	return []Load{calm, urgent, three, full, mixed}
+	return []Load{calm, urgent, threeBursts, full, mixed}
 }
 
-// withLongTail returns classes in which a share of jobs takes several times as long.
-func withLongTail(all []Class, share, times float64) []Class {
+// withLongTail returns classes in which the tasks of a share of the jobs take factor times as long.
+func withLongTail(all []Class, share, factor float64) []Class {
 	for i := range all {
-		all[i].TailShare, all[i].TailFactor = share, times
+		all[i].TailShare, all[i].TailFactor = share, factor
 	}
 	return all
 }
--- a/internal/loadsim/simulate.go
+++ b/internal/loadsim/simulate.go
@@ -12,7 +12,7 @@
 type ClassResult struct {
 	Name                       string
 	Jobs, OnTime, Late, Missed int
-	// ValueShare is the earned share of the attainable value.
+	// Worth is the earned share of the attainable value.
 	Worth float64
 }
 
@@ -34,10 +34,10 @@
 }
 
 const (
-	// fixedValueShare of a job's value does not depend on its size; the size factor is at most
-	// maxSizeFactor.
+	// fixedValueShare is the share of a job's value that does not depend on the job's size.
 	fixedValueShare = 0.3
-	maxSizeFactor   = 4
+	// maxSizeFactor is the maximum factor on a job's value for the job's size.
+	maxSizeFactor = 4
 	// A job that takes longer than lateFactor times its objective has no value.
 	lateFactor = 3
 	// minAttainable avoids a division by zero if no value is attainable.
@@ -52,83 +52,85 @@
 	reclaimTime        = 2700 * time.Millisecond
 )
 
-// Simulate runs a load with some mechanisms switched off.
-func (l *Load) Simulate(seed uint64, off mechanism.Disabled) Result {
+// Simulate runs a load with some mechanisms disabled.
+func (l *Load) Simulate(seed uint64, disabled mechanism.Disabled) Result {
 	arrivals := l.generateArrivals(seed)
-	w := simulation.NewCluster(l.Racks, l.PerRack)
-	w.DisabledMechanisms, w.StopTime, w.Checker.Quiet = off, stopTime, true
-	w.Bounds.StopTimeout, w.Bounds.CheckpointInterval, w.Bounds.GuaranteedStartTimeout = stopTime, checkpointInterval, reclaimTime
-	slowness := l.randomSlowdowns(seed)
-	for i, worker := range w.Workers {
+	cluster := simulation.NewCluster(l.Racks, l.PerRack)
+	cluster.DisabledMechanisms, cluster.StopTime, cluster.Checker.Quiet = disabled, stopTime, true
+	cluster.Bounds.StopTimeout, cluster.Bounds.CheckpointInterval, cluster.Bounds.GuaranteedStartTimeout = stopTime, checkpointInterval, reclaimTime
+	slowdowns := l.randomSlowdowns(seed)
+	for i, worker := range cluster.Workers {
 		worker.SetCapacity(workerCapacity, 0)
-		worker.SlowdownFactor = slowness[i]
+		worker.SlowdownFactor = slowdowns[i]
 	}
 	for i := range l.Classes {
 		queue := l.Classes[i].Queue
 		queue.Pool = simulation.PoolName
-		w.Catalog.Queues = append(w.Catalog.Queues, queue)
+		cluster.Catalog.Queues = append(cluster.Catalog.Queues, queue)
 	}
 	works := map[string]time.Duration{}
 	for i := range arrivals {
 		works[arrivals[i].spec.ID] = arrivals[i].work
 	}
-	w.Work = func(name taskgraph.TaskName) time.Duration { return works[name.Job] }
-	w.AcquirePool()
-	w.Run(time.Second)
-	ends := l.runArrivals(w, arrivals)
-	return l.evaluate(w, arrivals, ends)
+	cluster.Work = func(name taskgraph.TaskName) time.Duration { return works[name.Job] }
+	cluster.AcquirePool()
+	cluster.Run(time.Second)
+	ends := l.runArrivals(cluster, arrivals)
+	return l.evaluate(cluster, arrivals, ends)
 }
 
-// runArrivals submits the jobs and returns the completion times of those that complete.
-func (l *Load) runArrivals(w *simulation.Cluster, arrivals []arrival) map[string]time.Duration {
+// runArrivals submits the jobs. It returns the time from submission to completion of each completed
+// job.
+func (l *Load) runArrivals(cluster *simulation.Cluster, arrivals []arrival) map[string]time.Duration {
 	ends := map[string]time.Duration{}
-	open := map[string]time.Duration{}
+	unfinished := map[string]time.Duration{}
 	next := 0
-	for now := time.Duration(0); now < l.Length+drainTime && (next < len(arrivals) || len(open) > 0); now += pollPeriod {
+	for now := time.Duration(0); now < l.Length+drainTime && (next < len(arrivals) || len(unfinished) > 0); now += pollPeriod {
 		for ; next < len(arrivals) && arrivals[next].at <= now; next++ {
-			w.Submit(arrivals[next].spec, l.Classes[arrivals[next].class].Queue)
-			open[arrivals[next].spec.ID] = now
+			cluster.Submit(arrivals[next].spec, l.Classes[arrivals[next].class].Queue)
+			unfinished[arrivals[next].spec.ID] = now
 		}
-		w.Run(pollPeriod)
-		for id, since := range open {
-			if w.Checker.JobDone(id) {
-				ends[id] = now + pollPeriod - since
-				delete(open, id)
+		cluster.Run(pollPeriod)
+		for id, submittedAt := range unfinished {
+			if cluster.Checker.JobDone(id) {
+				ends[id] = now + pollPeriod - submittedAt
+				delete(unfinished, id)
 			}
 		}
 	}
 	return ends
 }
 
-func (l *Load) evaluate(w *simulation.Cluster, arrivals []arrival, ends map[string]time.Duration) Result {
+func (l *Load) evaluate(cluster *simulation.Cluster, arrivals []arrival, ends map[string]time.Duration) Result {
 	result := Result{
-		Classes: make([]ClassResult, len(l.Classes)), Violations: w.Checker.Violations,
-		Placed: w.Checker.DecisionCounts["placed"], Preempted: w.Checker.Metrics["stops/preempted"],
-		MaxPreemptions: w.Checker.MaxPreemptions(), LostCoreSeconds: w.Checker.LostCoreSeconds,
+		Classes: make([]ClassResult, len(l.Classes)), Violations: cluster.Checker.Violations,
+		Placed: cluster.Checker.DecisionCounts["placed"], Preempted: cluster.Checker.Metrics["stops/preempted"],
+		MaxPreemptions: cluster.Checker.MaxPreemptions(), LostCoreSeconds: cluster.Checker.LostCoreSeconds,
 	}
 	attainable, earned := make([]float64, len(l.Classes)), make([]float64, len(l.Classes))
 	sizes := l.meanSizes(arrivals)
 	for i := range arrivals {
 		a := &arrivals[i]
 		size := min(maxSizeFactor, fixedValueShare+(1-fixedValueShare)*a.size()/sizes[a.class])
-		took, ended := ends[a.spec.ID]
+		duration, ended := ends[a.spec.ID]
 		attainable[a.class] += size * l.Classes[a.class].Value
-		earned[a.class] += size * l.jobValue(a, took, ended, &result.Classes[a.class])
+		earned[a.class] += size * l.jobValue(a, duration, ended, &result.Classes[a.class])
 	}
 	result.addTotals(l, attainable, earned)
 	return result
 }
 
-// jobValue returns the value of a job of mean size by its completion time, and counts the job.
-func (l *Load) jobValue(a *arrival, took time.Duration, ended bool, counts *ClassResult) float64 {
+// jobValue returns the value that a job of mean size earns with the given time to completion. It
+// also counts the job.
+func (l *Load) jobValue(a *arrival, duration time.Duration, ended bool, counts *ClassResult) float64 {
 	class := &l.Classes[a.class]
 	objective := class.Queue.Objective(a.work)
 	counts.Jobs++
 	switch {
-	case ended && took <= objective:
+	case ended && duration <= objective:
 		counts.OnTime++
 		return class.Value
-	case ended && took <= lateFactor*objective:
+	case ended && duration <= lateFactor*objective:
 		counts.Late++
 		return class.LateValue
 	}
@@ -137,19 +139,19 @@
 }
 
 // addTotals computes the shares of each class and of all classes.
-func (r *Result) addTotals(l *Load, owed, earned []float64) {
-	allOwed, allEarned := 0.0, 0.0
+func (r *Result) addTotals(l *Load, attainable, earned []float64) {
+	totalAttainable, totalEarned := 0.0, 0.0
 	jobs, served := 0, 0
 	for k := range r.Classes {
 		class := &r.Classes[k]
 		class.Name = l.Classes[k].Queue.Name
-		class.Worth = earned[k] / max(owed[k], minAttainable)
-		allOwed += owed[k]
-		allEarned += earned[k]
+		class.Worth = earned[k] / max(attainable[k], minAttainable)
+		totalAttainable += attainable[k]
+		totalEarned += earned[k]
 		jobs += class.Jobs
 		served += class.OnTime + class.Late
 	}
-	r.ValueShare = allEarned / max(allOwed, minAttainable)
+	r.ValueShare = totalEarned / max(totalAttainable, minAttainable)
 	r.Served = float64(served) / float64(max(1, jobs))
 }
 
