--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -22,9 +22,9 @@
 	// evacuationsStream separates the random stream from those of other faults.
 	evacuationsStream = 32
 	// A run has up to maxEvacuations evacuations. They may overlap and cover all zones at once.
-	maxEvacuations = 5
-	minEvacuation  = time.Second
-	maxEvacuation  = 10 * time.Second
+	maxEvacuations      = 5
+	minEvacuationLength = time.Second
+	maxEvacuationLength = 10 * time.Second
 )
 
 // NewEvacuations returns the evacuations of a run. They depend only on the seed and the length of
@@ -38,7 +38,7 @@
 	for range 1 + random.IntN(maxEvacuations) {
 		drawn = append(drawn, Evacuation{
 			At:     time.Duration(random.Int64N(int64(length))),
-			Length: minEvacuation + time.Duration(random.Int64N(int64(maxEvacuation-minEvacuation))),
+			Length: minEvacuationLength + time.Duration(random.Int64N(int64(maxEvacuationLength-minEvacuationLength))),
 			Target: random.IntN(1 << 16),
 		})
 	}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -44,7 +44,7 @@
 		}
 		for _, evacuation := range evacuations {
 			require.Less(t, evacuation.At, time.Minute)
-			require.GreaterOrEqual(t, evacuation.Length, minEvacuation)
+			require.GreaterOrEqual(t, evacuation.Length, minEvacuationLength)
 		}
 	}
 	require.Greater(t, drawn, seeds/4)
@@ -83,7 +83,7 @@
 			}
 			require.GreaterOrEqual(t, rate, slowestLink)
 			transfer := time.Duration(queues*queueBytes) * time.Second / time.Duration(rate)
-			require.LessOrEqual(t, transfer.Truncate(time.Millisecond), longestTransfer)
+			require.LessOrEqual(t, transfer.Truncate(time.Millisecond), maxTransferTime)
 		}
 	}
 	require.InDelta(t, seeds/linksEvery, drawn, seeds/10)
--- a/internal/soak/links.go
+++ b/internal/soak/links.go
@@ -32,15 +32,15 @@
 	unlimitedEvery = 3
 	slowestLink    = 300_000
 	fastestLink    = 1_500_000
-	mostGrowths    = 2
+	maxGrowths     = 2
 	smallestGrowth = 500
 	largestGrowth  = 3000
 	// queueBytes is the size of an extra queue on the wire: 189 bytes of JSON, 252 in base64.
 	queueBytes = 252
-	// longestTransfer is the maximum time that the grown configuration takes over the slowest link.
+	// maxTransferTime is the maximum time that the grown configuration takes over the slowest link.
 	// It is shorter than the delay before callers use a new key, so that every daemon without
 	// faults knows the key by then.
-	longestTransfer = 2 * time.Second
+	maxTransferTime = 2 * time.Second
 )
 
 // NewLinks returns the links of a run. They depend only on the seed, the length of the run and the
@@ -51,7 +51,7 @@
 		return Links{}
 	}
 	var links Links
-	for range 1 + random.IntN(mostGrowths) {
+	for range 1 + random.IntN(maxGrowths) {
 		links.Growths = append(links.Growths, Growth{
 			At:     time.Duration(random.Int64N(int64(length))),
 			Queues: smallestGrowth + random.IntN(largestGrowth-smallestGrowth+1),
@@ -70,11 +70,11 @@
 }
 
 // minRate returns the rate, in bytes per second, at which the grown configuration takes
-// longestTransfer.
+// maxTransferTime.
 func (l Links) minRate() int {
 	queues := 0
 	for _, growth := range l.Growths {
 		queues += growth.Queues
 	}
-	return queues * queueBytes / int(longestTransfer/time.Second)
+	return queues * queueBytes / int(maxTransferTime/time.Second)
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -72,8 +72,8 @@
 }
 
 const (
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 4 * time.Second
+	minFaultLength = 300 * time.Millisecond
+	maxFaultLength = 4 * time.Second
 	// faultGap is the mean time between faults. A third of the faults start together with the
 	// previous fault.
 	faultGap = 900 * time.Millisecond
@@ -96,7 +96,7 @@
 				break
 			}
 		}
-		fault.Length = shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
+		fault.Length = minFaultLength + time.Duration(random.Int64N(int64(maxFaultLength-minFaultLength)))
 		plan = append(plan, fault)
 		if random.IntN(3) > 0 {
 			at += time.Duration(random.ExpFloat64() * float64(faultGap) * 1.5)
--- a/internal/soak/restarts.go
+++ b/internal/soak/restarts.go
@@ -105,12 +105,12 @@
 }
 
 // applyInstanceFaults schedules the faults.
-func (r *run) applyInstanceFaults(faults InstanceFaults, began time.Time, ends *sync.WaitGroup) {
+func (r *run) applyInstanceFaults(faults InstanceFaults, began time.Time, pending *sync.WaitGroup) {
 	for _, restart := range faults.Restarts {
-		r.scheduleLocked(began.Add(restart.At), ends, func() { restartWorkers(r.platform.Cluster, restart) })
+		r.scheduleLocked(began.Add(restart.At), pending, func() { restartWorkers(r.platform.Cluster, restart) })
 	}
 	for _, row := range faults.InvalidRows {
-		r.scheduleLocked(began.Add(row.At), ends, func() { putInvalidRow(r.platform.Cluster, row) })
+		r.scheduleLocked(began.Add(row.At), pending, func() { putInvalidRow(r.platform.Cluster, row) })
 	}
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -151,44 +151,44 @@
 
 // injectFaults runs the callers and injects the faults of the seed until the run is over.
 func (r *run) injectFaults(report *Report) {
-	var callers, ends sync.WaitGroup
+	var callers, pending sync.WaitGroup
 	for number := range r.options.Callers {
 		callers.Go(func() { r.callerLoop(number) })
 	}
 	began := time.Now()
 	report.Links = NewLinks(r.options.Seed, r.options.FaultDuration, len(r.daemons))
-	r.applyLinks(report.Links, began, &ends)
+	r.applyLinks(report.Links, began, &pending)
 	report.Silences = NewSilences(r.options.Seed, r.options.FaultDuration)
-	r.applySilences(report.Silences, began, &ends)
+	r.applySilences(report.Silences, began, &pending)
 	report.Evacuations = NewEvacuations(r.options.Seed, r.options.FaultDuration)
-	r.applyEvacuations(report.Evacuations, began, &ends)
+	r.applyEvacuations(report.Evacuations, began, &pending)
 	report.Workers = r.workers
-	r.applyWorkerFaults(began, &ends)
+	r.applyWorkerFaults(began, &pending)
 	report.InstanceFaults = NewInstanceFaults(r.options.Seed, r.options.FaultDuration, r.options.InstanceFaults)
-	r.applyInstanceFaults(report.InstanceFaults, began, &ends)
+	r.applyInstanceFaults(report.InstanceFaults, began, &pending)
 	for _, fault := range NewPlan(r.options.Seed, r.options.FaultDuration) {
 		time.Sleep(time.Until(began.Add(fault.At)))
 		report.Faults[fault.Kind]++
 		if end := r.inject(fault); end != nil {
-			ends.Go(func() {
+			pending.Go(func() {
 				time.Sleep(fault.Length)
 				end()
 			})
 		}
 	}
 	time.Sleep(time.Until(began.Add(r.options.FaultDuration)))
-	ends.Wait()
+	pending.Wait()
 	close(r.closed)
 	callers.Wait()
 }
 
 // applyLinks limits the rates of the daemons' links and schedules the growth of the configuration.
-func (r *run) applyLinks(links Links, began time.Time, ends *sync.WaitGroup) {
+func (r *run) applyLinks(links Links, began time.Time, pending *sync.WaitGroup) {
 	for number, rate := range links.Rates {
 		r.daemons[number].proxy.SetRate(rate)
 	}
 	for _, growth := range links.Growths {
-		ends.Go(func() {
+		pending.Go(func() {
 			time.Sleep(time.Until(began.Add(growth.At)))
 			r.putConfiguration(func(c *standin.Configuration) { c.ExtraQueues += growth.Queues })
 		})
@@ -196,10 +196,10 @@
 }
 
 // applySilences schedules the silences.
-func (r *run) applySilences(silences []Silence, began time.Time, ends *sync.WaitGroup) {
+func (r *run) applySilences(silences []Silence, began time.Time, pending *sync.WaitGroup) {
 	for _, silence := range silences {
 		d := r.daemons[silence.Target%len(r.daemons)]
-		ends.Go(func() {
+		pending.Go(func() {
 			time.Sleep(time.Until(began.Add(silence.At)))
 			d.recordFault(silenceEffect + faultMargin)
 			d.proxy.SilenceOpenConnections()
--- a/internal/soak/silences.go
+++ b/internal/soak/silences.go
@@ -18,10 +18,10 @@
 	// soak/regressions.txt draw another number.
 	silencesEvery = 2
 	silencesDrawn = 1
-	// A series has up to mostSilences silences, at most silenceGap apart. The later ones affect the
+	// A series has up to maxSilences silences, at most maxSilenceGap apart. The later ones affect the
 	// connections that the daemon opened after the earlier ones.
-	mostSilences = 4
-	silenceGap   = 1500 * time.Millisecond
+	maxSilences   = 4
+	maxSilenceGap = 1500 * time.Millisecond
 	// silenceEffect is how long a silence affects the daemon. It equals the wait of a feed call.
 	silenceEffect = 5 * time.Second
 )
@@ -36,9 +36,9 @@
 	var silences []Silence
 	target := random.IntN(1 << 16)
 	at := time.Duration(random.Int64N(int64(length)))
-	for range 1 + random.IntN(mostSilences) {
+	for range 1 + random.IntN(maxSilences) {
 		silences = append(silences, Silence{At: at, Target: target})
-		at += time.Duration(random.Int64N(int64(silenceGap)))
+		at += time.Duration(random.Int64N(int64(maxSilenceGap)))
 		target += random.IntN(2)
 	}
 	return silences
--- a/internal/soak/workers.go
+++ b/internal/soak/workers.go
@@ -44,13 +44,13 @@
 	workerFaultsEvery = 2
 	workerFaultsDrawn = 1
 	// A caller submits about four jobs a second.
-	leastPoison    = 6
-	mostPoison     = 16
-	mostCrashes    = 4
-	mostCapacities = 12
-	longestCrash   = 600 * time.Millisecond
-	// latestRow is the maximum RowAfter, because workers write their rows at each heartbeat.
-	latestRow = 1500 * time.Millisecond
+	minPoisonEvery     = 6
+	maxPoisonEvery     = 16
+	maxCrashes         = 4
+	maxCapacityChanges = 12
+	maxCrashDelay      = 600 * time.Millisecond
+	// maxRowDelay is the maximum RowAfter, because workers write their rows at each heartbeat.
+	maxRowDelay = 1500 * time.Millisecond
 )
 
 // NewWorkerFaults returns the worker faults of a run. They depend only on the seed and length and
@@ -61,22 +61,22 @@
 		return WorkerFaults{}
 	}
 	drawn := WorkerFaults{
-		PoisonEvery: leastPoison + random.IntN(mostPoison-leastPoison),
+		PoisonEvery: minPoisonEvery + random.IntN(maxPoisonEvery-minPoisonEvery),
 		Crash:       simulation.Crash{From: simulation.CrashTrigger(random.IntN(2)), After: 10 * time.Millisecond},
 		Unguarded:   random.IntN(2) == 0,
 	}
 	if random.IntN(3) == 0 {
-		drawn.Crash.After = time.Duration(random.Int64N(int64(longestCrash)))
+		drawn.Crash.After = time.Duration(random.Int64N(int64(maxCrashDelay)))
 	}
-	for range random.IntN(mostCrashes + 1) {
+	for range random.IntN(maxCrashes + 1) {
 		drawn.Crashes = append(drawn.Crashes, WorkerCrashAt{
 			At: time.Duration(random.Int64N(int64(length))), Target: random.IntN(1 << 16),
 		})
 	}
-	for range random.IntN(mostCapacities + 1) {
+	for range random.IntN(maxCapacityChanges + 1) {
 		drawn.Capacities = append(drawn.Capacities, CapacityChange{
 			At: time.Duration(random.Int64N(int64(length))), Target: random.IntN(1 << 16),
-			GPUs: random.IntN(simulation.WorkerCapacity.GPUs + 1), RowAfter: time.Duration(random.Int64N(int64(latestRow))),
+			GPUs: random.IntN(simulation.WorkerCapacity.GPUs + 1), RowAfter: time.Duration(random.Int64N(int64(maxRowDelay))),
 		})
 	}
 	return drawn
@@ -90,24 +90,24 @@
 
 // applyWorkerFaults schedules the faults and restores all capacities at the end of the run, so
 // that all jobs can complete.
-func (r *run) applyWorkerFaults(began time.Time, ends *sync.WaitGroup) {
+func (r *run) applyWorkerFaults(began time.Time, pending *sync.WaitGroup) {
 	cluster := r.platform.Cluster
 	for _, crash := range r.workers.Crashes {
-		r.scheduleLocked(began.Add(crash.At), ends, func() {
+		r.scheduleLocked(began.Add(crash.At), pending, func() {
 			if worker := cluster.Workers[crash.Target%len(cluster.Workers)]; !worker.Crashed {
 				worker.CrashAndRestart()
 			}
 		})
 	}
 	for _, change := range r.workers.Capacities {
-		r.scheduleLocked(began.Add(change.At), ends, func() {
+		r.scheduleLocked(began.Add(change.At), pending, func() {
 			worker := cluster.Workers[change.Target%len(cluster.Workers)]
 			capacity := simulation.WorkerCapacity
 			capacity.GPUs = change.GPUs
 			worker.SetCapacity(capacity, change.RowAfter)
 		})
 	}
-	r.scheduleLocked(began.Add(r.options.FaultDuration), ends, func() {
+	r.scheduleLocked(began.Add(r.options.FaultDuration), pending, func() {
 		for _, worker := range cluster.Workers {
 			worker.SetCapacity(simulation.WorkerCapacity, 0)
 		}
@@ -115,8 +115,8 @@
 }
 
 // scheduleLocked runs fn at the given time with the platform locked.
-func (r *run) scheduleLocked(when time.Time, ends *sync.WaitGroup, fn func()) {
-	ends.Go(func() {
+func (r *run) scheduleLocked(when time.Time, pending *sync.WaitGroup, fn func()) {
+	pending.Go(func() {
 		time.Sleep(time.Until(when))
 		r.platform.WithLock(fn)
 	})
