--- a/internal/losses/job.go
+++ b/internal/losses/job.go
@@ -26,13 +26,13 @@
 const (
 	CauseRejectedFirst    Cause = "rejected before acceptance: "
 	CauseNotAccepted      Cause = "not accepted: "
-	CauseStoreUnavailable Cause = "accepted, store away"
+	CauseStoreUnavailable Cause = "accepted, store unavailable"
 	CauseTakeover         Cause = "takeover"
 	CauseQueueWait        Cause = "waited: "
-	CausePlacementWrite   Cause = "placement written late"
+	CausePlacementWrite   Cause = "placement write slow"
 	CauseRerun            Cause = "rerun after: "
 	CauseSlowWorkers      Cause = "ran on slow workers"
-	CauseUnknown          Cause = "not told by the lines"
+	CauseUnknown          Cause = "not shown by the log lines"
 )
 
 // callerErrorReasons are the rejection reasons that the caller is responsible for. The empty reason
