--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -130,10 +130,10 @@
 	case err != nil:
 		r.observations.count(what + " no answer")
 		if around.plannedStop && !around.faulty && took > idleCloseSlack {
-			r.observations.addViolation("%s at node-%d lost its answer after %v around a planned stop: %v", what, d.number, took, err)
+			r.observations.addViolation("%s at node-%d: no response after %v around a planned stop: %v", what, d.number, took, err)
 		}
 	case !answer.Valid:
-		r.observations.addViolation("%s at node-%d: status %d without a whole body", what, d.number, answer.Status)
+		r.observations.addViolation("%s at node-%d: status %d with an invalid body", what, d.number, answer.Status)
 	default:
 		r.observations.count(fmt.Sprintf("%s %d", what, answer.Status))
 		if answer.Status == http.StatusServiceUnavailable && took > maxRefusalTime && !around.faulty {
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -207,10 +207,10 @@
 		want            string
 	}{
 		"whole":                                {answer: standin.Response{Status: http.StatusOK, Valid: true}},
-		"truncated body":                       {answer: standin.Response{Status: http.StatusOK}, want: "without a whole body"},
+		"truncated body":                       {answer: standin.Response{Status: http.StatusOK}, want: "status 200 with an invalid body"},
 		"key refused":                          {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, want: "401 for a valid key"},
 		"key refused during a fault":           {answer: standin.Response{Status: http.StatusUnauthorized, Valid: true}, faulty: true},
-		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "lost its answer"},
+		"reset by a planned stop":              {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, want: "look at node-0: no response after"},
 		"sent while an idle connection closes": {err: lost, planned: true},
 		"reset by a kill":                      {err: lost, takes: idleCloseSlack + 20*time.Millisecond, planned: true, faulty: true},
 	}
