--- a/cmd/wheatroad-bench/overload_processes.go
+++ b/cmd/wheatroad-bench/overload_processes.go
@@ -113,7 +113,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.Wrap(err, "the domains have no owners")
+	return errors.Wrap(err, "cannot make a plan for the configuration")
 }
 
 // responseError is a response with an error status.
--- a/internal/bench/soak.go
+++ b/internal/bench/soak.go
@@ -65,7 +65,7 @@
 	flags := command.Flags()
 	flags.Uint64Var(&seed, "seed", 1, "seed")
 	flags.Float64Var(&hours, "hours", 2, "virtual hours")
-	flags.StringVar(&rates, "rates", "heavy", "fault rates: heavy, plan for those of the size to design for, stops for planned stops and a slow store, or none")
+	flags.StringVar(&rates, "rates", "heavy", "fault rates: heavy, plan (the design size's rates, scaled to the simulated size), stops (planned stops and a slow store) or none")
 	flags.Float64Var(&jobsPerHour, "jobs-per-hour", 400, "submissions")
 	flags.StringVar(&disabledMechanism, "without", "", "mechanism to disable")
 	flags.BoolVar(&listMechanisms, "list-mechanisms", false, "list the mechanisms that --without accepts")
--- a/internal/cli/node_status.go
+++ b/internal/cli/node_status.go
@@ -68,7 +68,7 @@
 		return json.NewEncoder(out).Encode(status)
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s: ready %v, configuration %d (last refreshed %d ms ago), last store response %d ms ago, store lost %v, %d members, evacuated zones %v\n",
+	fmt.Fprintf(&text, "%s: ready %v, configuration %d (confirmed current %d ms ago), last store response %d ms ago, store lost %v, %d members, evacuated zones %v\n",
 		status.Name, status.Ready, status.ConfigurationVersion, status.ConfigurationAgeMillis, status.StoreAgeMillis, status.StoreLost, len(status.Members),
 		status.EvacuatedZones)
 	for i := range status.Pools {
