--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -32,7 +32,7 @@
 func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	requestError := fault.From(err)
 	if errors.Is(err, r.Context().Err()) && r.Context().Err() != nil {
-		requestError = fault.New(fault.DeadlineExceeded, "the deadline passed")
+		requestError = fault.New(fault.DeadlineExceeded, "the request was cancelled; its outcome is unknown")
 	}
 	s.counter.Count("refusals", string(requestError.Kind))
 	response := fault.ResponseFor(requestError.Kind)
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -55,7 +55,7 @@
 		return received.value, received.err
 	case <-ctx.Done():
 		var none T
-		return none, fault.New(fault.DeadlineExceeded, "the deadline passed while waiting for the control loop")
+		return none, fault.New(fault.DeadlineExceeded, "the deadline passed while waiting for the result")
 	}
 }
 
