--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -65,17 +65,17 @@
 type Fault struct {
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// Target is the index of a daemon or worker, modulo their number.
+	// Target modulo the number of daemons or workers is the index of the affected one.
 	Target int `json:"target"`
 	// Length is the duration of the fault; some kinds ignore it.
 	Length time.Duration `json:"length"`
 }
 
 const (
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 4 * time.Second
-	// faultGap is the mean time between faults; a third of them start together with the previous
-	// one.
+	minFaultLength = 300 * time.Millisecond
+	maxFaultLength = 4 * time.Second
+	// faultGap is the mean time between faults. A third of the faults start together with the
+	// previous fault.
 	faultGap = 900 * time.Millisecond
 )
 
@@ -96,7 +96,7 @@
 				break
 			}
 		}
-		fault.Length = shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
+		fault.Length = minFaultLength + time.Duration(random.Int64N(int64(maxFaultLength-minFaultLength)))
 		plan = append(plan, fault)
 		if random.IntN(3) > 0 {
 			at += time.Duration(random.ExpFloat64() * float64(faultGap) * 1.5)
