--- a/internal/fleet/row.go
+++ b/internal/fleet/row.go
@@ -29,7 +29,7 @@
 // Error implements error.
 func (e *RowError) Error() string {
 	if e.Field == "" {
-		return "row of a worker: " + string(e.Fault)
+		return "invalid worker row: " + string(e.Fault)
 	}
-	return fmt.Sprintf("row of a worker: %s: %s", e.Field, e.Fault)
+	return fmt.Sprintf("invalid worker row: field %s: %s", e.Field, e.Fault)
 }
