--- a/internal/rows/rows.go
+++ b/internal/rows/rows.go
@@ -10,14 +10,14 @@
 )
 
 // ErrNoEffect means that a call had no effect.
-var ErrNoEffect = errors.New("rows: refused")
+var ErrNoEffect = errors.New("rows: call had no effect")
 
 // ErrOutcomeUnknown means that a call may have had an effect, or may have one later.
 var ErrOutcomeUnknown = errors.New("rows: no answer")
 
 // ErrHistoryExpired means that the store no longer has the changes since a feed's version. The
 // caller must scan again.
-var ErrHistoryExpired = errors.New("rows: history is gone")
+var ErrHistoryExpired = errors.New("rows: change history expired; scan again")
 
 // Absent as a condition's version requires that the row does not exist.
 const Absent int64 = 0
