--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,7 +15,7 @@
 var ErrUnavailable = errors.New("store: unavailable")
 
 // ErrNotFound means that an object does not exist.
-var ErrNotFound = errors.New("store: no such object")
+var ErrNotFound = errors.New("store: object not found")
 
 // Absent as a condition's revision requires that the row does not exist.
 const Absent int64 = 0
