--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -67,9 +67,9 @@
 	case response.StatusCode == http.StatusNotFound:
 		return nil, ErrNotFound
 	case response.StatusCode == http.StatusServiceUnavailable:
-		return nil, errors.Mark(errors.Newf("refused: %s", content), ErrNotSent)
+		return nil, errors.Mark(errors.Newf("server unavailable: %s", content), ErrNotSent)
 	case response.StatusCode >= http.StatusBadRequest:
-		return nil, errors.Mark(errors.Newf("status %d: %s", response.StatusCode, content), ErrOutcomeUnknown)
+		return nil, errors.Mark(errors.Newf("server returned status %d: %s", response.StatusCode, content), ErrOutcomeUnknown)
 	}
 	return content, nil
 }
