--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -46,7 +46,7 @@
 	}
 	current, err := c.acquireConnection(ctx, address)
 	if err != nil {
-		return nil, fault.New(fault.NoOwner, "node %s cannot be reached", address)
+		return nil, fault.New(fault.NoOwner, "cannot connect to node %s; request not sent", address)
 	}
 	sentAt := time.Now()
 	result := current.call(ctx, request)
@@ -55,7 +55,7 @@
 	}
 	response := result.response
 	if response.Id != request.Id {
-		return nil, fault.New(fault.OutcomeUnknown, "node %s answered another request", address)
+		return nil, fault.New(fault.OutcomeUnknown, "node %s sent a response with the wrong request ID; outcome unknown", address)
 	}
 	if response.Fault != nil {
 		return nil, fromFault(response.Fault)
@@ -73,7 +73,7 @@
 	if failed.unresponsiveSince(sentAt, time.Now()) {
 		c.removeConnection(address, failed)
 	}
-	return fault.New(fault.OutcomeUnknown, "node %s gave no answer", address)
+	return fault.New(fault.OutcomeUnknown, "no response from node %s; outcome unknown", address)
 }
 
 // acquireConnection returns a connection to address on which a call has been acquired.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -84,7 +84,7 @@
 
 // rejectRequest answers requests received during shutdown. They are not executed.
 func rejectRequest(context.Context, *peerpb.Request) ([]byte, error) {
-	return nil, fault.New(fault.NoOwner, "the node is stopping")
+	return nil, fault.New(fault.NoOwner, "node is shutting down; request not executed")
 }
 
 func (s *Server) trackSession(session *yamux.Session, open bool) {
