--- a/internal/taskgraph/spec.go
+++ b/internal/taskgraph/spec.go
@@ -176,7 +176,7 @@
 		return invalid("repetitions", "must be 0 to %d", MaxRepetitions)
 	}
 	if s.IntervalMillis < 0 || s.IntervalMillis > maxMillis || s.FirstRunMillis < 0 || s.FirstRunMillis > maxMillis {
-		return invalid("interval_ms", "times must not be negative or huge")
+		return invalid("interval_ms", "interval_ms and first_run_ms must be from 0 to 2^50")
 	}
 	if len(s.Steps) == 0 || len(s.Steps) > MaxSteps {
 		return invalid("steps", "must be 1 to %d steps", MaxSteps)
@@ -201,15 +201,15 @@
 	}
 	for _, amount := range []int{s.CPU, s.MemoryMB, s.GPUs, s.MaxPerWorker, s.AllowedMisses} {
 		if amount < 0 || amount > maxAmount {
-			return invalid(field+"amount", "must not be negative or huge")
+			return invalid(field+"amount", "cpu, memory_mb, gpus, max_per_worker and allowed_misses must be from 0 to 2^30")
 		}
 	}
 	if s.EstimateMillis < 0 || s.EstimateMillis > maxMillis || s.TargetMillis < 0 || s.TargetMillis > maxMillis {
-		return invalid(field+"estimate_ms", "must not be negative or huge")
+		return invalid(field+"estimate_ms", "estimate_ms and target_ms must be from 0 to 2^50")
 	}
 	for _, dependency := range s.After {
 		if dependency < 0 || dependency >= index {
-			return invalid(field+"after", "must name earlier steps only")
+			return invalid(field+"after", "must contain only indices of earlier steps")
 		}
 	}
 	return nil
