--- a/internal/planning/plan.go
+++ b/internal/planning/plan.go
@@ -251,7 +251,7 @@
 	field := "tenant." + r.name + ".guarantee"
 	shape := describeShape(r.guarantee.Shape)
 	if count > 0 {
-		return fault.NewField(fault.PlanInfeasible, field, "%d of %s do not fit beside the other guarantees; %d would", r.guarantee.Count, shape, count)
+		return fault.NewField(fault.PlanInfeasible, field, "%d copies of %s do not fit beside the other guarantees; %d would fit", r.guarantee.Count, shape, count)
 	}
 	candidate := r
 	candidate.guarantee.Count = 1
@@ -259,11 +259,11 @@
 		candidate.guarantee.Members--
 		for _, name := range p.candidates(candidate) {
 			if p.maxCopies(name, candidate, 1) == 1 {
-				return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees; the nearest that would is %s", shape, describeShape(candidate.guarantee.Shape))
+				return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees; the largest gang that fits is %s", shape, describeShape(candidate.guarantee.Shape))
 			}
 		}
 	}
-	return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees, and no smaller gang either", shape)
+	return fault.NewField(fault.PlanInfeasible, field, "no %s fits beside the other guarantees, nor does any gang with fewer members", shape)
 }
 
 func describeShape(shape job.Shape) string {
