--- a/internal/declaration/declaration.go
+++ b/internal/declaration/declaration.go
@@ -96,7 +96,7 @@
 	for index := range d.Tenants {
 		tenant := &d.Tenants[index]
 		if index > 0 && d.Tenants[index-1].Name == tenant.Name {
-			return invalid("tenant."+tenant.Name, "is declared twice")
+			return invalid("tenant."+tenant.Name, "duplicate tenant name")
 		}
 		if err := tenant.validate(); err != nil {
 			return err
@@ -123,7 +123,7 @@
 	}
 	for _, hash := range t.KeyHashes {
 		if _, err := hex.DecodeString(hash); err != nil || len(hash) != sha256HexLength {
-			return invalid(prefix+".key_hashes", "each must be a hex SHA-256 hash")
+			return invalid(prefix+".key_hashes", "each hash must be 64 hexadecimal digits (SHA-256)")
 		}
 	}
 	for _, guarantee := range t.Guarantees {
@@ -135,7 +135,7 @@
 			return invalid(prefix+".guarantee.accelerators", "must be at least 1")
 		}
 		if guarantee.Count < 1 || guarantee.Count > maxGuaranteeCount {
-			return invalid(prefix+".guarantee.count", "must be 1 to 10000")
+			return invalid(prefix+".guarantee.count", "must be between 1 and 10000")
 		}
 	}
 	return nil
--- a/internal/declaration/read.go
+++ b/internal/declaration/read.go
@@ -18,7 +18,7 @@
 		return nil, err
 	}
 	if len(names) == 0 {
-		return nil, fault.New(fault.InvalidRequest, "the folder holds no .toml file")
+		return nil, fault.New(fault.InvalidRequest, "directory contains no .toml file; nothing was read")
 	}
 	merged := &Declaration{}
 	for _, name := range names {
@@ -54,7 +54,7 @@
 		return nil, fault.New(fault.InvalidRequest, "%s", err.Error())
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, invalid(unknown[0].String(), "is not a known key")
+		return nil, invalid(unknown[0].String(), "unknown key; declaration rejected")
 	}
 	parsed.Normalize()
 	return parsed, parsed.Validate()
