--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -103,7 +103,7 @@
 	}
 	c := &checker{}
 	for _, key := range meta.Undecoded() {
-		c.require(false, key.String(), "is not a known key")
+		c.require(false, key.String(), "unknown key")
 	}
 	s.check(c)
 	if len(c.problems) > 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -162,7 +162,7 @@
 	}
 	var problems FieldErrors
 	for _, key := range meta.Undecoded() {
-		problems = append(problems, FieldError{Key: key.String(), Detail: "is not a known key"})
+		problems = append(problems, FieldError{Key: key.String(), Detail: "unknown key"})
 	}
 	problems = append(problems, s.Validate()...)
 	if len(problems) > 0 {
@@ -240,6 +240,6 @@
 	c.require(t.Lease >= minLeaseFactor*t.Watch, "timing.lease", "must be at least %d times timing.watch", minLeaseFactor)
 	c.require(t.WorkerRenewal > 0, "timing.worker_renewal", "must be positive")
 	c.require(t.WorkerLease >= minLeaseFactor*t.WorkerRenewal, "timing.worker_lease", "must be at least %d times timing.worker_renewal", minLeaseFactor)
-	c.require(t.WorkerLease >= minLeaseFactor*t.Lease, "timing.worker_lease", "must be at least %d times timing.lease, so that work outlives a takeover", minLeaseFactor)
+	c.require(t.WorkerLease >= minLeaseFactor*t.Lease, "timing.worker_lease", "must be at least %d times timing.lease, so that running jobs survive a takeover", minLeaseFactor)
 	c.require(t.DrainGrace >= 0, "timing.drain_grace", "must not be negative")
 }
