--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -55,7 +55,7 @@
 		return received.value, received.err
 	case <-ctx.Done():
 		var none T
-		return none, fault.New(fault.DeadlineExceeded, "the deadline passed before there was an answer")
+		return none, fault.New(fault.DeadlineExceeded, "the deadline passed while waiting for the control loop")
 	}
 }
 
@@ -69,9 +69,9 @@
 	lease, ok := view.Leases[domain]
 	switch {
 	case !ok, lease.Owner == "":
-		return "", fault.New(fault.NoOwner, "domain %s has no owner now", domain)
+		return "", fault.New(fault.NoOwner, "domain %s has no owner; retry", domain)
 	case lease.Owner == view.Node:
-		return "", fault.New(fault.NoOwner, "domain %s is being recovered", domain)
+		return "", fault.New(fault.NoOwner, "domain %s is being recovered by its new owner; retry", domain)
 	}
 	return lease.PeerAddress, nil
 }
@@ -87,7 +87,7 @@
 	}
 	b.telemetry.Count("forwards", "ok")
 	if err := json.Unmarshal(document, &value); err != nil {
-		return value, fault.New(fault.Internal, "the owner's answer is malformed")
+		return value, fault.New(fault.Internal, "decoding the owner's response failed")
 	}
 	return value, nil
 }
@@ -146,7 +146,7 @@
 func (b *backend) FindDomain(ctx context.Context, key job.Key) (string, error) {
 	row, err := b.table.Get(ctx, control.NameKey(key))
 	if err != nil {
-		return "", fault.New(fault.StoreUnavailable, "the job's name cannot be read now")
+		return "", fault.New(fault.StoreUnavailable, "reading the job's domain from the store failed")
 	}
 	var name control.Name
 	if row.Revision == store.Absent || json.Unmarshal(row.Value, &name) != nil || name.Tombstone {
@@ -160,7 +160,7 @@
 	name := worker.ResultName(record.Spec.Tenant, record.Spec.ID, record.Attempt, member)
 	content, err := b.objects.Get(ctx, name)
 	if err != nil {
-		return nil, fault.New(fault.ResultUnavailable, "member %d's output cannot be read now", member)
+		return nil, fault.New(fault.ResultUnavailable, "reading the output of member %d from the object store failed", member)
 	}
 	return content, nil
 }
@@ -174,7 +174,7 @@
 		return fault.New(fault.Internal, "the plan cannot be encoded")
 	}
 	if err := b.objects.Put(ctx, planObjectName(plan.Digest), document); err != nil {
-		return fault.New(fault.StoreUnavailable, "the plan cannot be kept now")
+		return fault.New(fault.StoreUnavailable, "writing the plan to the object store failed")
 	}
 	return nil
 }
@@ -186,11 +186,11 @@
 		return nil, fault.New(fault.NotFound, "no plan with this digest")
 	}
 	if err != nil {
-		return nil, fault.New(fault.StoreUnavailable, "the plan cannot be read now")
+		return nil, fault.New(fault.StoreUnavailable, "reading the plan from the object store failed")
 	}
 	plan := &planning.Plan{}
 	if json.Unmarshal(document, plan) != nil || plan.Digest != digest || !plan.DigestMatches() {
-		return nil, fault.New(fault.Internal, "the kept plan does not match its digest")
+		return nil, fault.New(fault.Internal, "the stored plan does not match its digest")
 	}
 	return plan, nil
 }
@@ -241,7 +241,7 @@
 		b.node.Loop().Post(b.node.Refresh)
 		return nil, nil
 	}
-	return nil, fault.New(fault.InvalidRequest, "the forwarded request is of no known kind")
+	return nil, fault.New(fault.InvalidRequest, "the forwarded request has an unknown type")
 }
 
 func jobKey(key *peerpb.JobKey) job.Key { return job.Key{Tenant: key.GetTenant(), ID: key.GetId()} }
