--- a/internal/fleet/order_error.go
+++ b/internal/fleet/order_error.go
@@ -54,9 +54,9 @@
 // Error implements error.
 func (e *OrderError) Error() string {
 	if e.cause == nil {
-		return "order to worker failed: " + string(e.Reason)
+		return "order: " + string(e.Reason)
 	}
-	return "order to worker failed: " + string(e.Reason) + ": " + e.cause.Error()
+	return "order: " + string(e.Reason) + ": " + e.cause.Error()
 }
 
 // Unwrap returns the underlying error.
